--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -1,33 +1,34 @@
-//! Admission: who waits, who is sent where there is room, and who is refused at once.
+//! Admission control: which requests are queued, dispatched or refused on arrival.
 //!
-//! Load pattern: more comes in than can be served. Without refusals every queue grows until all its
-//! requests are answered after their callers have given up, and the upstreams work for nobody. A
-//! request is refused on arrival if it cannot start before its deadline less the time it takes to
-//! serve, judged by how fast its team's backlog goes down, or else by Little's law over the places
-//! of its lane. It has then truly not run. `Retry-After` is the wait beyond what its deadline
-//! allows: after that a request with the same deadline would be admitted. What was admitted and
-//! still cannot start gets its final answer at its latest start, not at its deadline.
+//! Under sustained overload, a queue without refusals grows until every answer is late, and the
+//! upstreams do only wasted work. A request is therefore refused on arrival if its estimated wait
+//! does not let it start by its latest start, which is its deadline less the mean service time. The
+//! wait is estimated from how fast the team's backlog drains, or else by Little's law over the slots
+//! of the lane. A refused request has not run. `Retry-After` is the wait beyond what the deadline
+//! allows, after which a request with the same deadline would be admitted. An admitted request that
+//! still cannot start is refused at its latest start rather than at its deadline.
 //!
-//! Grounds for the figures: of the time until the latest start the estimate may take six tenths.
-//! Service times and shares vary, and with three quarters the requests of a hot team expired in the
-//! queue, so that 1 in 100 refusals came after 1.97 s; with six tenths p99 is 0 ms in every row of
-//! `docs/LOAD.md`, and as much is served. The length bound keeps the queue within some megabytes
-//! and is reached only by deadlines of many minutes.
+//! The estimated wait may take 60 percent of the time until the latest start. Service times and
+//! shares vary: with 75 percent the requests of a hot team expired in the queue, and 1 in 100
+//! refusals came after 1.97 s. With 60 percent the p99 of refusals is 0 ms in every row of
+//! `docs/LOAD.md` and as many requests are served. The length limit keeps the queue within some
+//! megabytes and is reached only with deadlines of many minutes.
 
 use super::*;
 
-/// Teams whose first request is tried before a pass over the queue is given up. Requests that can be
-/// sent nowhere while others can are rare: a model that is not loaded yet, or a suspected digest.
+/// Number of teams whose first request is tried in one pass over the queue. A request that no
+/// upstream can take while others can be dispatched is rare: its model is not loaded yet, or its
+/// digest is suspected of crashing upstreams.
 const TEAMS_TRIED: usize = 4;
 
 /// Settings of an [`AdmissionQueue`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Most requests queued in a lane.
+    /// Maximum number of queued requests in a lane.
     pub longest_queue: usize,
-    /// Percent of the time until its latest start that a request's estimated wait may take.
+    /// Largest estimated wait of an admitted request, in percent of the time until its latest start.
     pub margin_percent: u32,
-    /// Settings of each upstream's limit.
+    /// Settings of the concurrency limit of each upstream.
     pub limit: ConcurrencyLimitConfig,
 }
 
@@ -41,27 +42,27 @@
     }
 }
 
-/// What admission needs to know of a request.
+/// The properties of a request that decide on its admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Who asks.
+    /// The calling team and its weight.
     pub team: QueueTeam,
-    /// What it waits beside.
+    /// Lane in which the request is queued.
     pub lane: Lane,
-    /// Its share of work within its lane: 1 for a call, more for a longer generation.
+    /// Work relative to other requests of the lane: 1 for a call, more for a longer generation.
     pub cost: u32,
-    /// When its caller gives up.
+    /// Time at which the caller stops waiting for an answer.
     pub deadline: Instant,
 }
 
-/// Where an admitted request waits.
+/// Position of an admitted request, used to withdraw it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QueuePlace {
     lane: Lane,
     ticket: Ticket,
 }
 
-/// Requests of one service that wait, and the places of its upstreams.
+/// The queued requests of one service and the slots of its upstreams.
 #[derive(Debug)]
 pub struct AdmissionQueue<T> {
     cfg: AdmissionConfig,
@@ -71,7 +72,7 @@
 }
 
 impl<T> AdmissionQueue<T> {
-    /// An empty queue without upstreams.
+    /// Creates an empty queue without upstreams.
     #[must_use]
     pub fn new(cfg: AdmissionConfig) -> Self {
         Self {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Names the upstreams that there are; what is known of those that stay is kept.
+    /// Replaces the set of upstreams and keeps the state of those that stay.
     pub fn set_upstreams(&mut self, ids: impl IntoIterator<Item = UpstreamId>) {
         let mut ids = ids.into_iter().collect::<Vec<_>>();
         ids.sort();
@@ -99,7 +100,7 @@
             .collect();
     }
 
-    /// Takes an upstream's load report, of whose capacity this node has a share.
+    /// Applies a load report of an upstream; `share` is this VM's part of the reported capacity.
     pub fn reported(
         &mut self,
         upstream: &UpstreamId,
@@ -111,11 +112,11 @@
         }
     }
 
-    /// Admits a request to the queue.
+    /// Queues a request if it is expected to start in time.
     ///
     /// # Errors
     ///
-    /// If it cannot start in time, or the queue is full: it is given back as not run.
+    /// Returns the request as not run if it cannot start in time or the queue is full.
     pub fn offer(
         &mut self,
         now: Instant,
@@ -140,11 +141,11 @@
         Ok(QueuePlace { lane, ticket })
     }
 
-    /// Latest start of a request that would be admitted now.
+    /// Returns the latest start of a request that would be admitted now.
     ///
     /// # Errors
     ///
-    /// If it would be refused: why, and when it may come back.
+    /// Returns the reason for a refusal and the time after which the caller may retry.
     pub fn check(
         &self,
         now: Instant,
@@ -163,13 +164,13 @@
         Ok(latest)
     }
 
-    /// Requests that wait in a lane.
+    /// Number of queued requests in a lane.
     #[must_use]
     pub fn waiting(&self, lane: Lane) -> usize {
         self.lanes[lane.index()].queue.len()
     }
 
-    /// Upstreams that may not be sent a request of this lane now, sorted.
+    /// Sorted list of the upstreams without a free slot for this lane.
     #[must_use]
     pub fn full(&self, now: Instant, lane: Lane) -> Vec<UpstreamId> {
         self.upstreams
@@ -179,14 +180,14 @@
             .collect()
     }
 
-    /// Whether an upstream may be sent a request of this lane now.
+    /// Returns whether an upstream has a free slot for this lane.
     #[must_use]
     pub fn has_room(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
         self.find(upstream)
             .is_ok_and(|i| self.upstreams[i].1.has_room(now, lane))
     }
 
-    /// Takes the next request of a lane out of the queue and gives it a place at `upstream`.
+    /// Dequeues the next request of a lane and takes a slot of `upstream` for it.
     pub fn dispatch(
         &mut self,
         now: Instant,
@@ -198,8 +199,8 @@
         Some(request.dispatch())
     }
 
-    /// Takes the next request of a lane that `choose` finds an upstream for out of the queue, and
-    /// gives it a place there. `choose` gets the upstreams that are full.
+    /// Dequeues the next request of a lane for which `choose` finds an upstream, and takes a slot
+    /// there. `choose` receives the request and the list of full upstreams.
     pub fn dispatch_where<P>(
         &mut self,
         now: Instant,
@@ -243,7 +244,7 @@
         Some((request.dispatch(), place))
     }
 
-    /// Upstreams without the extra room that teams below their share have.
+    /// Upstreams whose extra slots, reserved for teams below their fair share, are taken as well.
     fn quite_full(&self) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
@@ -252,8 +253,8 @@
             .collect()
     }
 
-    /// Takes a place at an upstream without waiting, as for a generation that goes on after a loss:
-    /// it was accepted long ago and is not refused now.
+    /// Takes a slot of an upstream regardless of its limit. A generation that resumes after a lost
+    /// upstream uses this, because it was accepted earlier and must not be refused now.
     pub fn enter(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
         let cfg = self.cfg.limit;
         let i = self.find(upstream).unwrap_or_else(|i| {
@@ -264,7 +265,7 @@
         self.upstreams[i].1.enter(now, lane);
     }
 
-    /// Gives a place back that a request had held for `held`, if it was answered.
+    /// Releases a slot; `held` is how long an answered request occupied it, `None` if unanswered.
     pub fn leave(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.leave(lane);
@@ -274,28 +275,28 @@
         }
     }
 
-    /// Takes the latency until the first part of an answer.
+    /// Records the latency until the first part of an answer.
     pub fn answered(&mut self, upstream: &UpstreamId, latency: Duration) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.answered(latency);
         }
     }
 
-    /// Notes that an upstream refused for want of room, or did not answer in time.
+    /// Records that an upstream refused a request because it is full, or did not answer in time.
     pub fn overloaded(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.overloaded();
         }
     }
 
-    /// Takes a request whose caller has left out of the queue.
+    /// Removes a queued request whose caller has disconnected.
     pub fn withdraw(&mut self, place: QueuePlace) -> Option<NotRun<T>> {
         let queue = &mut self.lanes[place.lane.index()].queue;
         let request = queue.remove(place.ticket)?;
         Some(request.refuse(RefusalReason::CallerLeft, Duration::ZERO))
     }
 
-    /// Takes out of the queue what cannot be answered in time any more.
+    /// Removes the requests that can no longer be answered in time.
     pub fn expire(&mut self, now: Instant) -> Vec<NotRun<T>> {
         let reason = if self.upstreams.is_empty() {
             RefusalReason::NoUpstream
@@ -312,21 +313,21 @@
         expired
     }
 
-    /// When the next request of any lane has to be taken out, at the earliest.
+    /// Earliest time at which a queued request of any lane may expire.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Instant> {
         self.lanes.iter().filter_map(LaneQueue::next_expiry).min()
     }
 
-    /// Forgets the teams of lanes in which nothing waits. Without it the teams of all bundles that
-    /// there ever were would stay.
+    /// Drops the state of all teams of empty lanes. Otherwise the teams of every bundle that was
+    /// ever in force would stay in memory.
     pub fn forget_idle_teams(&mut self) {
         for lane in &mut self.lanes {
             lane.queue.forget_idle();
         }
     }
 
-    /// Limit and requests in flight of each upstream, for metrics.
+    /// The slots of each upstream, for metrics.
     pub fn places(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamPlaces)> {
         self.upstreams.iter().map(|(id, places)| (id, places))
     }
--- a/crates/decisions/src/call_budget.rs
+++ b/crates/decisions/src/call_budget.rs
@@ -1,29 +1,30 @@
-//! Budget of one VM's calls of the platform.
+//! Limiter of the calls that one VM sends to the platform: a token bucket with backoff.
 //!
-//! Load pattern: the platform is out or slow, and every VM has calls that wait for it. Without a
-//! budget all VMs call again and again while it is out, and at its end the calls of the whole
-//! outage come in one moment; it refuses most of them, and stays as good as out. With it a VM in an
-//! outage sends one call per pause, pauses grow and are jittered, and after the first answer its
-//! calls are held to its share of the platform's rate.
+//! While the platform is down or slow, calls of every VM wait for it. Without a limit all VMs retry
+//! throughout the outage, and at its end the accumulated calls arrive at once: the platform refuses
+//! most of them and remains unusable. With the limiter, a VM sends one call per pause during an
+//! outage, pauses grow exponentially with jitter, and after the first answer the VM keeps to its
+//! share of the platform's rate.
 //!
-//! Grounds for the figures: the platform does several hundred writes and about two thousand reads
-//! a second, so 8 VMs have about 40 and 200 each; half of the reads stay free for operators.
+//! The platform handles several hundred writes and about 2,000 reads per second. Among 8 VMs that is
+//! about 40 writes and 200 reads per second each; half of the reads are left to operators.
 
 use super::*;
 
 /// Settings of a [`CallBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallBudgetSettings {
-    /// Time in which one call is earned; of 400 VMs each earns less than one a second.
+    /// Time after which another call is allowed. With 400 VMs, each is allowed less than one call a
+    /// second.
     pub per_call: Duration,
-    /// Calls that may come at once.
+    /// Maximum number of calls that may be sent at once.
     pub burst: u32,
-    /// Faults in a row after which calls are paused. One lost answer must not pause the call that
-    /// settles it.
+    /// Consecutive failures after which calls are paused. A single lost answer must not delay the
+    /// call that finds out whether the lost one took effect.
     pub faults_before_pause: u32,
-    /// First pause; each further one is twice as long.
+    /// Length of the first pause; each further one is twice as long.
     pub first_pause: Duration,
-    /// Longest pause, which bounds how late the end of an outage is noticed.
+    /// Maximum pause, which bounds how late the end of an outage is noticed.
     pub longest_pause: Duration,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Budget of calls: a token bucket, closed for growing pauses while calls fail.
+/// Token bucket of calls that also pauses for growing intervals while calls fail.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     cfg: CallBudgetSettings,
@@ -50,7 +51,7 @@
 }
 
 impl CallBudget {
-    /// A full budget.
+    /// Creates a limiter with a full token bucket.
     #[must_use]
     pub fn new(cfg: CallBudgetSettings) -> Self {
         Self {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes one call out of the budget; false if none is left now.
+    /// Takes the token of one call and returns whether the call may be sent now.
     pub fn take(&mut self, now: Instant) -> bool {
         let paused = self.faults >= self.cfg.faults_before_pause;
         if paused && now < self.closed_until {
@@ -74,26 +75,26 @@
         }
         self.full_at = full_at;
         if paused {
-            // One call only finds out whether the outage has ended.
+            // A single call per pause probes whether the outage has ended.
             self.closed_until = now.after(self.pause());
         }
         true
     }
 
-    /// Notes that a call was answered.
+    /// Records that a call was answered, which ends any pause.
     pub fn answered(&mut self) {
         self.faults = 0;
     }
 
-    /// Notes that a call failed; `jitter` from 0 to 1 moves the next one by up to half its pause,
-    /// so that the VMs don't call in step.
+    /// Records that a call failed. `jitter`, from 0 to 1, varies the pause between half and all of
+    /// its length, so that the VMs do not call simultaneously.
     pub fn failed(&mut self, now: Instant, jitter: f64) {
         self.faults = self.faults.saturating_add(1);
         let factor = 0.5 + jitter.clamp(0.0, 1.0) / 2.0;
         self.closed_until = now.after(self.pause().mul_f64(factor));
     }
 
-    /// Time until a call may be taken, if nothing else happens.
+    /// Time until a call may be sent, provided that no other call is sent, answered or fails.
     #[must_use]
     pub fn wait(&self, now: Instant) -> Duration {
         let per_call = self.cfg.per_call;
--- a/crates/decisions/src/call_key.rs
+++ b/crates/decisions/src/call_key.rs
@@ -1,10 +1,10 @@
 use super::*;
 use sha2::{Digest, Sha256};
 
-/// What makes two calls of one team the same call.
+/// Identity of a call: two calls of one team with equal keys are the same call.
 ///
-/// The digest is a cryptographic one: with a short hash a collision would hand a caller the answer
-/// to another's call.
+/// The digest is cryptographic, because with a short hash a collision would give a caller the
+/// response to a different call.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct CallKey {
     digest: [u8; 32],
@@ -12,11 +12,11 @@
 }
 
 impl CallKey {
-    /// The key of a call with these parts, which are service, method, path, headers and body.
+    /// Creates the key of a call from its service, method, path, headers and body.
     pub fn new<'a>(team: TeamId, parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
-            // The length keeps two lists of parts with the same concatenation apart.
+            // The length distinguishes lists of parts whose concatenations are equal.
             hasher.update(part.len().to_le_bytes());
             hasher.update(part);
         }
--- a/crates/decisions/src/call_kind.rs
+++ b/crates/decisions/src/call_kind.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// What may be done with a call whose outcome is not known.
+/// How a call may be recovered when its outcome is unknown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum CallKind {
-    /// May run any number of times.
+    /// A call that may run any number of times.
     Idempotent,
-    /// Runs once at most.
+    /// A call that must run at most once.
     NonIdempotent,
-    /// A stream of numbered events that another upstream may go on with after the last one handed on.
+    /// A stream of numbered events that another upstream can resume after the last delivered event.
     ResumableStream,
-    /// A stream of events that runs once at most.
+    /// A stream of events that must run at most once.
     Stream,
 }
 
 impl CallKind {
-    /// Whether the call may be sent again although an earlier send may have run.
+    /// Returns whether the call may be sent again although an earlier attempt may have run.
     #[must_use]
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether its answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
--- a/crates/decisions/src/call_table.rs
+++ b/crates/decisions/src/call_table.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// Number of shards, one for each value of a digest's first byte.
+/// Number of shards: one per value of the first byte of the digest.
 const SHARDS: usize = 256;
 
-/// Values by call, in sorted vectors. With one vector an insertion among 10,000 calls would move
-/// half a megabyte; with a vector for each first byte of the digest it moves a few kilobytes.
+/// Map from call keys to values, kept in sorted vectors. With a single vector, an insertion among
+/// 10,000 calls would move half a megabyte; with one vector per first byte of the digest it moves a
+/// few kilobytes.
 #[derive(Debug)]
 pub(crate) struct CallTable<V> {
     shards: Vec<Vec<(CallKey, V)>>,
--- a/crates/decisions/src/capacity_share.rs
+++ b/crates/decisions/src/capacity_share.rs
@@ -1,37 +1,39 @@
-//! This node's part of a capacity that several nodes use.
+//! This VM's part of the capacity of an upstream that several VMs use.
 //!
-//! Load pattern: each of 8 nodes sends as much to an upstream as it takes alone. Eight times too much
-//! waits there, where neither deadlines nor fairness reach it. Each node therefore keeps to its part
-//! of the capacity.
+//! If each of 8 VMs sends an upstream as many requests as it runs at once, eight times its capacity
+//! is sent and the excess waits inside the upstream, where neither deadlines nor fairness apply. Each
+//! VM therefore keeps to its part of the capacity.
 //!
-//! A part is seldom a whole number: 4 places among 3 nodes are 1.33 each. Rounded down, a quarter of
-//! the upstream would stay idle; rounded up, half as much again would be sent to it. So each node
-//! rounds by a draw that is its own for each upstream, and over all nodes the sum is right on average.
+//! A part is seldom a whole number: 4 slots among 3 VMs are 1.33 each. If all VMs rounded down, a
+//! quarter of the upstream would stay idle; if all rounded up, it would receive half as much again as
+//! it can run. Each VM therefore rounds by a pseudo-random number that depends on the VM and the
+//! upstream, so that the sum over all VMs is right on average.
 //!
-//! Grounds for the figures: a place is idle while its answer and the next request travel. At a
-//! millisecond one way and calls of 20 ms that is a tenth of the time. Measured in the row `overload
-//! 2x` of `docs/LOAD.md`: with parts that add up to 100 percent of the capacity 0.91 of it is used,
-//! with 110 percent 0.95, with 115 percent 0.96, and with 120 percent 0.99.
+//! For quick calls the parts add up to more than the capacity, because a slot is idle while its answer
+//! and the next request are on the network: with 1 ms one way and calls of 20 ms, a tenth of the time.
+//! In the row `overload 2x` of `docs/LOAD.md`, parts that add up to 100 percent use 0.91 of the
+//! capacity, 110 percent use 0.95, 115 percent use 0.96 and 120 percent use 0.99.
 
 use super::*;
 
-/// What the parts of all nodes add up to for quick calls, in percent of the capacity.
+/// Sum of the parts of all VMs for quick calls, in percent of the capacity.
 const PERCENT_QUICK: u64 = 120;
 
-/// The same for generations, which would wait in the upstream for minutes.
+/// Sum of the parts of all VMs for generations, in percent of the capacity. It leaves no excess,
+/// because a generation would wait inside the upstream for minutes.
 const PERCENT_LONG: u64 = 100;
 
-/// How a node finds its part.
+/// The inputs from which a VM computes its part of the capacity of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CapacityShare {
-    /// Nodes that use the upstream, this one among them.
+    /// Number of VMs that use the upstream, including this one.
     pub sharers: u32,
-    /// The draw of this node for this upstream, evenly from 0 to 999.
+    /// Pseudo-random number of this VM for this upstream, from 0 to 999, which decides the rounding.
     pub draw: u32,
 }
 
 impl CapacityShare {
-    /// The share of a node among `sharers` at an upstream.
+    /// Creates the share of a VM at an upstream that `sharers` VMs use.
     #[must_use]
     pub fn of(node: &VmId, upstream: &UpstreamId, sharers: u32) -> Self {
         let score = rendezvous_score(node.as_str(), upstream.as_str());
@@ -39,7 +41,7 @@
         Self { sharers, draw }
     }
 
-    /// This node's part of a capacity for requests of a lane; at least one place.
+    /// Number of slots that this VM may use for a lane, at least one.
     #[must_use]
     pub fn part(self, capacity: u32, lane: Lane) -> u32 {
         let percent = match lane {
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/decisions/src/concurrency_limit.rs
@@ -1,45 +1,43 @@
-//! An adaptive limit on the requests that this node has in flight at one upstream.
+//! Adaptive limit on the requests that this VM has in flight at one upstream.
 //!
-//! Load pattern: an upstream slows down, or more nodes send to it than it can serve. Without a
-//! limit requests pile up inside the upstream, where no deadline and no fairness reaches them, and
-//! every one of them is late.
+//! When an upstream slows down, or more VMs send to it than it can serve, requests without a limit
+//! accumulate inside the upstream, where neither deadlines nor fairness apply, and all become late.
 //!
-//! A node estimates how many of its own requests wait inside the upstream: of `n` in flight, the
-//! part `1 - unloaded latency / latency` does (as TCP Vegas estimates its queue at a router; Brakmo
-//! and Peterson, 1995). The limit rises while that is below half a request plus a fifth of the
-//! limit, and falls when it is above one request plus a quarter of the limit. What each node keeps
-//! waiting is thus a number of its own and not only a latency that all nodes see alike; that is what
-//! makes the limits of several nodes on one upstream alike. A limit that rose and fell with the
-//! latency alone was tried first: the limits of 8 nodes drifted apart, and other teams' quick p99
-//! beside a hot team was 1.8 s where it is 61 ms without that team (trial, scenario `hot team` of
-//! `tests/load.rs`).
+//! A VM estimates how many of its own requests wait inside the upstream: of `n` in flight, the
+//! fraction `1 - unloaded latency / latency` (as TCP Vegas estimates its queue at a router; Brakmo
+//! and Peterson, 1995). The limit rises while the estimate is below half a request plus a fifth of
+//! the limit, and falls when it is above one request plus a quarter of the limit. Each VM thus
+//! controls its own number of waiting requests rather than a latency that all VMs observe alike,
+//! which makes the limits of several VMs at one upstream converge. With a limit controlled by latency
+//! alone, the limits of 8 VMs drifted apart: in scenario `hot team` of `tests/load.rs` the quick p99
+//! of the other teams was 1.8 s, compared with 61 ms without the hot team.
 //!
-//! The unloaded latency follows lower window means. It follows a higher one only where that cannot
-//! be a queue of the nodes' making: with less than half the limit in flight, with the limit at its
-//! minimum, or while the upstream reports that nothing waits in it. Taking it anew under load would
-//! measure the queue that the limits themselves allow, and they would run away upwards. The price:
-//! an upstream that reports no load and turns slower for good under full load keeps a small limit
-//! until its load falls.
+//! The unloaded latency follows lower window means. It follows a higher mean only where the excess
+//! cannot be queueing caused by the VMs: with less than half the limit in flight, with the limit at
+//! its minimum, or while the upstream reports no waiting requests. Raising it under load would
+//! include the queue that the limits themselves allow, and the limits would grow without bound. As a
+//! consequence, an upstream that reports no load and becomes permanently slower under full load keeps
+//! a small limit until its load falls.
 //!
-//! Grounds for the figures: the mean of a window of 40 samples that are half fixed and half
-//! exponential is within a sixth of the truth in 19 of 20 windows, below the fifth at which large
-//! limits stop rising. Until the first fall, windows have 10 samples and the limit doubles, so that
-//! a node that starts finds its share within seconds.
+//! With samples that are half fixed and half exponential, the mean of a window of 40 is within a sixth
+//! of the true mean in 19 of 20 windows, which is below the fifth at which large limits stop rising.
+//! Until the first decrease, windows have 10 samples and the limit doubles, so that a VM that starts
+//! reaches its share within seconds.
 
 use super::*;
 
 /// Settings of a [`ConcurrencyLimit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimitConfig {
-    /// Limit to start with, in requests.
+    /// Initial limit, in requests.
     pub initial: u32,
-    /// Smallest limit.
+    /// Minimum limit, in requests.
     pub min: u32,
-    /// Largest limit.
+    /// Maximum limit, in requests.
     pub max: u32,
-    /// Samples of a window.
+    /// Number of latency samples in a window.
     pub window: u32,
-    /// Samples of a window until the first fall.
+    /// Number of latency samples in a window until the limit first decreases.
     pub first_window: u32,
 }
 
@@ -55,7 +53,7 @@
     }
 }
 
-/// The limit of one upstream.
+/// Adaptive concurrency limit of one upstream.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     cfg: ConcurrencyLimitConfig,
@@ -69,7 +67,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit without samples.
+    /// Creates a limit at its initial value.
     #[must_use]
     pub fn new(cfg: ConcurrencyLimitConfig) -> Self {
         Self {
@@ -84,31 +82,31 @@
         }
     }
 
-    /// Requests that may be in flight.
+    /// Number of requests that may be in flight.
     #[must_use]
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Latency without load, once a window is full.
+    /// Estimated latency without load; `None` until the first window is full.
     #[must_use]
     pub fn unloaded(&self) -> Option<Duration> {
         self.unloaded
     }
 
-    /// Starts anew from `limit`, if nothing is known of the upstream yet.
+    /// Sets the limit to `limit` if no window of samples is full and the limit has not decreased yet.
     pub fn start_at(&mut self, limit: u32) {
         if self.unloaded.is_none() && !self.has_fallen {
             self.limit = limit.clamp(self.cfg.min, self.cfg.max);
         }
     }
 
-    /// Takes how many requests the upstream reports to wait in it.
+    /// Records the number of waiting requests that the upstream reports.
     pub fn reported(&mut self, waiting: u32) {
         self.reports_no_queue = waiting == 0;
     }
 
-    /// Takes the latency of an answer; `in_flight` is how many requests were in flight with it.
+    /// Records the latency of an answer; `in_flight` counts the requests in flight, including its own.
     pub fn answered(&mut self, latency: Duration, in_flight: u32) {
         self.total = self.total.saturating_add(latency);
         self.samples += 1;
@@ -123,7 +121,7 @@
         }
     }
 
-    /// Notes that the upstream refused for want of room, or did not answer in time.
+    /// Records that the upstream refused a request because it is full, or did not answer in time.
     pub fn overloaded(&mut self) {
         self.lower();
         self.start_window();
@@ -152,8 +150,8 @@
         unloaded
     }
 
-    /// Whether what the window's latency has above the unloaded one is the upstream's own, and no
-    /// queue.
+    /// Returns whether the excess of the window's latency over the unloaded latency is service time
+    /// of the upstream rather than queueing.
     fn is_latency_its_own(&self) -> bool {
         self.reports_no_queue || self.peak * 2 < self.limit || self.limit <= self.cfg.min
     }
@@ -181,7 +179,7 @@
     }
 }
 
-/// Thousandths of a request that wait inside the upstream, of `in_flight` ones.
+/// Estimated number of waiting requests inside the upstream, in thousandths, of `in_flight` in all.
 fn waiting_thousandths(in_flight: u32, unloaded: Duration, mean: Duration) -> u32 {
     let late = mean.saturating_sub(unloaded).as_nanos() * 1000;
     let part = late / mean.as_nanos().max(1);
--- a/crates/decisions/src/fair_queue.rs
+++ b/crates/decisions/src/fair_queue.rs
@@ -1,44 +1,43 @@
-//! A queue that is fair between teams, by weight.
+//! Weighted fair queue of the requests of many teams.
 //!
-//! Load pattern: one team sends a hundred times its usual load. In one FIFO its requests stand
-//! before everybody's, and the p99 of all teams rises with its backlog. Here each team has a FIFO of
-//! its own and the next request is taken from the team that has had the least service for its
-//! weight (start-time fair queueing, Goyal, Vin and Cheng, 1996): a backlog delays its own team
-//! only.
+//! If one team sends a hundred times its usual load, a single FIFO queues its requests ahead of all
+//! others, and the p99 of every team rises with its backlog. Here each team has its own FIFO, and the
+//! next request is taken from the team that has received the least service relative to its weight
+//! (start-time fair queueing; Goyal, Vin and Cheng, 1996). A backlog delays only its own team.
 //!
-//! Data layout, chosen for 10,000 queued requests of 2,100 teams: teams keep a slot for as long as
-//! they are known; `ready` holds those with queued requests in descending order of their tag, so
-//! that the next one is popped off its end and each change moves a few kilobytes of plain numbers
-//! at most. A request that leaves from the middle leaves a hole that is skipped later.
+//! The data layout suits 10,000 queued requests of 2,100 teams. A team keeps its slot until idle
+//! teams are dropped. `ready` holds the teams with queued requests in descending order of their tag,
+//! so that the next one is popped off the end and each change moves at most a few kilobytes of plain
+//! numbers. Removing a request from the middle of a FIFO leaves an empty entry that is skipped later.
 //! `examples/decision_cost.rs` measures the cost; `docs/LOAD.md` has its figures.
 
 use super::*;
 use std::collections::VecDeque;
 
-/// Virtual time that a request of cost 1 takes a team of weight 1.
+/// Virtual time by which a request of cost 1 advances the tag of a team of weight 1.
 const UNIT: u64 = 1 << 20;
 
-/// Dispatches of a team's backlog from which its interval is trusted.
+/// Dispatches from a team's backlog after which its mean interval is used to estimate waits.
 const TRUSTED_DISPATCHES: u32 = 8;
 
-/// Weight of a new interval in a team's moving mean, as a divisor.
+/// Divisor for the weight of a new interval in a team's moving mean.
 const INTERVAL_DIVISOR: u32 = 16;
 
-/// Who queues, and with what share.
+/// A team and its weight in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueTeam {
-    /// The team.
+    /// Identifies the team's FIFO.
     pub id: TeamId,
-    /// Its weight.
+    /// Share of service relative to the other teams with queued requests.
     pub weight: u32,
 }
 
-/// Which requests are tried before the others, to be filled in by update syntax.
+/// Limits which requests [`FairQueue::pop_where`] tries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PopTries {
-    /// Teams whose first request is tried.
+    /// Number of teams whose first request is tried.
     pub teams: usize,
-    /// Only requests of teams that have had less than their share.
+    /// Tries only requests of teams that have received less than their fair share.
     pub light_only: bool,
 }
 
@@ -51,13 +50,13 @@
     }
 }
 
-/// Requests of many teams, in the order in which they are to be served.
+/// Queue of the requests of many teams in weighted fair order.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    /// Slots of the teams, sorted by team.
+    /// Index into `slots` for each team, sorted by team.
     teams: Vec<(TeamId, usize)>,
     slots: Vec<TeamSlot<T>>,
-    /// Tag and slot of each team with queued requests, the smallest tag last.
+    /// Tag and slot of each team with queued requests, in descending order.
     ready: Vec<(u64, usize)>,
     virtual_time: u64,
     next_number: u64,
@@ -68,11 +67,12 @@
 #[derive(Debug)]
 struct TeamSlot<T> {
     weight: u32,
-    /// Virtual time at which its next request starts.
+    /// Virtual start time of the team's next request.
     tag: u64,
     entries: VecDeque<Entry<T>>,
     live: u32,
-    /// Its first request came while nothing of it was queued, and it has had less than its share.
+    /// Whether the team had an empty backlog and less than its fair share when its first queued
+    /// request arrived.
     is_light: bool,
     pace: Pace,
 }
@@ -84,7 +84,7 @@
     item: Option<T>,
 }
 
-/// How fast a team's backlog goes down.
+/// Rate at which a team's backlog drains.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pace {
     last: Option<Instant>,
@@ -107,19 +107,19 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Requests queued.
+    /// Number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing is queued.
+    /// Returns whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds a request at the end of its team's backlog.
+    /// Appends a request to its team's backlog.
     pub fn push(&mut self, team: &QueueTeam, cost: u32, item: T) -> Ticket {
         let slot = self.slot(team);
         let number = self.next_number;
@@ -137,16 +137,16 @@
         Ticket { number, slot }
     }
 
-    /// Takes the request that is next.
+    /// Removes and returns the next request.
     pub fn pop(&mut self, now: Instant) -> Option<T> {
         let all = PopTries::default();
         self.pop_where(now, all, |_| Some(()))
             .map(|(item, ())| item)
     }
 
-    /// Takes the first request that `place` finds a place for, of the first ones of the teams that
-    /// are next. One that cannot be placed now, as on account of its model, holds up its own
-    /// team only.
+    /// Removes and returns the first request for which `place` returns a value, trying the first
+    /// request of each of the next teams. A request that cannot be dispatched now, for example
+    /// because no upstream has loaded its model, blocks only its own team.
     pub fn pop_where<P>(
         &mut self,
         now: Instant,
@@ -178,7 +178,7 @@
         Some((item, place))
     }
 
-    /// Takes a request out of the queue; `None` if it is not there any more.
+    /// Removes a queued request; `None` if it is no longer queued.
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
         let team = self.slots.get_mut(ticket.slot)?;
         let i = team
@@ -198,8 +198,8 @@
         Some(item)
     }
 
-    /// Whether a request came while nothing of its team was queued, from a team that has had less
-    /// than its share.
+    /// Returns whether a request is the only queued one of its team, and the team had received less
+    /// than its fair share when it arrived.
     #[must_use]
     pub fn is_light(&self, ticket: Ticket) -> bool {
         self.slots
@@ -207,7 +207,7 @@
             .is_some_and(|team| team.is_light && team.live == 1)
     }
 
-    /// Whether a request is still queued.
+    /// Returns whether a request is still queued.
     #[must_use]
     pub fn contains(&self, ticket: Ticket) -> bool {
         self.slots.get(ticket.slot).is_some_and(|team| {
@@ -217,8 +217,8 @@
         })
     }
 
-    /// How many requests a new one of this team would wait for at most: all of its own team, and of
-    /// each other team as many as its weight lets pass meanwhile.
+    /// Maximum number of requests ahead of a new one of this team: all queued requests of the team
+    /// and, of each other team, as many as its weight allows to be served meanwhile.
     #[must_use]
     pub fn ahead(&self, team: &QueueTeam) -> u32 {
         let slot = self.find(&team.id);
@@ -233,8 +233,8 @@
         u32::try_from(by_weight.min(all)).unwrap_or(u32::MAX)
     }
 
-    /// How long a new request of this team would wait, judged by how fast the team's backlog has
-    /// gone down; `None` while too little of this backlog was served to tell.
+    /// Estimated wait of a new request of this team, from the rate at which the team's backlog
+    /// drains; `None` until enough requests of the backlog were dispatched.
     #[must_use]
     pub fn observed_wait(&self, team: &TeamId) -> Option<Duration> {
         let slot = &self.slots[self.find(team)?];
@@ -242,7 +242,7 @@
             .then(|| slot.pace.interval.saturating_mul(slot.live + 1))
     }
 
-    /// Forgets all teams, if nothing is queued.
+    /// Drops the state of all teams if no request is queued.
     pub fn forget_idle(&mut self) {
         if self.len > 0 {
             return;
@@ -272,8 +272,8 @@
         let team = &mut self.slots[slot];
         team.weight = weight.max(1);
         team.is_light = team.tag <= self.virtual_time;
-        // A team that was idle starts at the present time: it can neither save up service for a
-        // burst, nor pay for what it had while nobody else wanted it.
+        // A team that was idle starts at the current virtual time: it neither accumulates service for
+        // a burst nor is charged for service that it received while no other team had requests.
         team.tag = team.tag.max(self.virtual_time);
         self.active_weight += u64::from(team.weight);
         self.insert_ready(slot);
@@ -307,7 +307,7 @@
 }
 
 impl<T> TeamSlot<T> {
-    /// The first request, after the holes before it are dropped.
+    /// Drops the empty entries at the front and returns the first request.
     fn first(&mut self) -> Option<&T> {
         while self
             .entries
--- a/crates/decisions/src/hex.rs
+++ b/crates/decisions/src/hex.rs
@@ -1,4 +1,4 @@
-/// Bytes of a text of lower-case hexadecimal digits; `None` if it is anything else.
+/// Decodes lower-case hexadecimal digits; `None` for an odd length or any other character.
 #[must_use]
 pub fn parse_hex(s: &str) -> Option<Vec<u8>> {
     if !s.len().is_multiple_of(2) {
@@ -10,7 +10,7 @@
         .collect()
 }
 
-/// Lower-case hexadecimal digits of bytes.
+/// Encodes bytes as lower-case hexadecimal digits.
 #[must_use]
 pub fn to_hex(bytes: &[u8]) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
--- a/crates/decisions/src/lane.rs
+++ b/crates/decisions/src/lane.rs
@@ -1,20 +1,19 @@
-//! Lanes: quick calls and long generations wait and run apart.
+//! Lanes, which separate quick calls from long generations in queues and at upstreams.
 //!
-//! Load pattern: lookups of milliseconds arrive beside generations of minutes. In one queue a dozen
-//! generations hold every place for minutes, and each lookup behind them misses its deadline
-//! although it would take no time to serve. With a lane each, a quick call waits behind quick calls
-//! only, and a part of each upstream's places is kept for them (see `UpstreamPlaces`).
+//! With lookups of milliseconds and generations of minutes in a single queue, a dozen generations
+//! occupy every slot for minutes, and the lookups behind them miss their deadlines although they take
+//! almost no time to serve. With separate lanes a quick call waits only behind other quick calls, and
+//! a part of the slots of each upstream is reserved for them (see `UpstreamPlaces`).
 //!
-//! Grounds for the figure: 64 tokens take 1.7 s at the 26 ms a token that generations are to keep,
-//! which is still what a caller of seconds waits for. The rows `mixed lengths`
-//! of `docs/LOAD.md` measure the lanes against one queue.
+//! At the target of 26 ms per token, 64 tokens take 1.7 s, which a caller with a deadline of seconds
+//! still accepts. The rows `mixed lengths` of `docs/LOAD.md` compare lanes with a single queue.
 
 use super::*;
 
-/// Longest generation, in tokens, that counts as a quick call.
+/// Maximum length, in tokens, of a generation that counts as a quick call.
 const QUICK_TOKENS: u32 = 64;
 
-/// Which requests a request waits and runs beside.
+/// Priority class of requests that share a queue and a part of the slots of each upstream.
 #[derive(
     Clone,
     Copy,
@@ -30,9 +29,9 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Lane {
-    /// Calls of a few seconds at most.
+    /// Plain calls and generations of a few seconds at most.
     Quick,
-    /// Generations of up to minutes.
+    /// Generations that may take minutes.
     Long,
 }
 
@@ -40,7 +39,7 @@
     /// Number of lanes.
     pub const COUNT: usize = 2;
 
-    /// The lane of a request that generates at most `max_tokens`; plain calls generate none.
+    /// Returns the lane of a request that generates at most `max_tokens`; 0 for a plain call.
     #[must_use]
     pub fn of(max_tokens: u32) -> Self {
         if max_tokens <= QUICK_TOKENS {
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Place of this lane in an array of all lanes.
+    /// Index of this lane in an array of all lanes.
     #[must_use]
     pub fn index(self) -> usize {
         match self {
--- a/crates/decisions/src/lane_queue.rs
+++ b/crates/decisions/src/lane_queue.rs
@@ -1,12 +1,12 @@
 use super::*;
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-/// The requests of one lane, with the times by which they must have started.
+/// The queued requests of one lane and their latest starts.
 #[derive(Debug)]
 pub(crate) struct LaneQueue<T> {
     pub(crate) queue: FairQueue<Queued<T>>,
     pub(crate) service_time: ServiceTime,
-    /// Latest starts; entries of requests that have left are skipped.
+    /// Latest starts in ascending order; entries of requests that are no longer queued are skipped.
     expiries: BinaryHeap<Reverse<(Instant, Ticket)>>,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl<T> LaneQueue<T> {
-    /// Adds a request that must have started at `latest`.
+    /// Queues a request that must start by `latest`.
     pub(crate) fn push(
         &mut self,
         arrival: &Arrival,
@@ -34,12 +34,12 @@
         ticket
     }
 
-    /// When the next request is to be taken out, at the earliest.
+    /// Earliest time at which a queued request may expire.
     pub(crate) fn next_expiry(&self) -> Option<Instant> {
         Some(self.expiries.peek()?.0.0)
     }
 
-    /// Takes out a request whose latest start is over.
+    /// Removes a request whose latest start has passed.
     pub(crate) fn take_expired(&mut self, now: Instant) -> Option<Queued<T>> {
         while let Some(Reverse((latest, ticket))) = self.expiries.peek().copied() {
             if latest > now {
@@ -53,8 +53,8 @@
         None
     }
 
-    /// Drops the entries of requests that have left, once they are the greater part: those of long
-    /// deadlines would else pile up for hours.
+    /// Drops the entries of requests that are no longer queued once they are the majority.
+    /// Otherwise those with long deadlines would accumulate for hours.
     fn compact(&mut self) {
         if self.expiries.len() > 2 * self.queue.len() + 64 {
             let Self {
--- a/crates/decisions/src/limit_kind.rs
+++ b/crates/decisions/src/limit_kind.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What a team's limit counts.
+/// Unit that a rate limit of a team counts.
 #[derive(
     Clone,
     Copy,
@@ -18,8 +18,8 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Generated tokens a second.
+    /// Generated tokens per second.
     Tokens,
 }
--- a/crates/decisions/src/link_rate.rs
+++ b/crates/decisions/src/link_rate.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Bandwidth of a VM's link, in bits a second.
+/// Bandwidth of a VM's network link, in bits per second.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct LinkRate(pub u64);
 
 impl LinkRate {
-    /// Bytes that the link carries in a time.
+    /// Number of bytes that the link transfers in `time`.
     #[must_use]
     pub fn bytes_in(self, time: Duration) -> u64 {
         let bits = u128::from(self.0) * time.as_micros() / 1_000_000;
--- a/crates/decisions/src/loan_desk.rs
+++ b/crates/decisions/src/loan_desk.rs
@@ -1,29 +1,29 @@
-//! Whose loans of repeats are awaited.
+//! Open requests of this VM for loans of retry budget from other VMs.
 //!
-//! A datagram may come twice, or long after it was sent. A loan that is counted twice would let all VMs
-//! together repeat more than they may; so each question is answered once by each VM that was asked, and
-//! a question is open for [`OPEN_FOR`] only.
+//! A datagram may be duplicated or delayed. A loan that is counted twice would let all VMs together
+//! send more retries than the budget allows. Each lender is therefore counted once per request, and a
+//! request stays open only for [`OPEN_FOR`].
 //!
-//! Questions follow each other while calls wait, and the loans of an earlier one arrive after the next was
-//! sent. Counted for the latest question only, one loan in five was lost: its lender had less, and nobody
-//! had more.
+//! Several requests may be open at once, because loans for an earlier one arrive after the next was
+//! sent. When only the latest request was open, one loan in five was lost: it was deducted from its
+//! lender's budget and added to nobody's.
 
 use super::*;
 
-/// Least time between two questions for loans of a service: an answer takes 1 to 5 ms.
+/// Minimum interval between two loan requests for a service; an answer takes 1 to 5 ms.
 const ASK_PAUSE: Duration = Duration::from_millis(15);
 
-/// VMs asked at a time.
+/// Maximum number of VMs that receive a loan request.
 pub const MOST_LENDERS: usize = 6;
 
-/// How long a loan is awaited: far longer than an answer takes, far shorter than the window of the
-/// lender's budget, in which what it gave counts as spent.
+/// How long a loan request stays open. This is far longer than an answer takes, and far shorter than
+/// the window in which the lender counts the loan as spent.
 const OPEN_FOR: Duration = Duration::from_millis(500);
 
-/// Questions of this VM that are open.
+/// The open loan requests of this VM.
 #[derive(Clone, Debug, Default)]
 pub struct LoanDesk {
-    /// In the order in which they were asked.
+    /// Ordered by the time of sending.
     open: Vec<OpenAsk>,
     last_number: u64,
 }
@@ -37,7 +37,8 @@
 }
 
 impl LoanDesk {
-    /// Begins a question to `lenders`, unless one has just been sent.
+    /// Opens a loan request to `lenders`; `None` if one for the service was sent within
+    /// [`ASK_PAUSE`].
     pub fn ask(
         &mut self,
         service: &ServiceId,
@@ -67,8 +68,8 @@
         })
     }
 
-    /// Takes in a loan; returns what it gives, which is nothing if it was not asked for, has come before
-    /// or comes too late.
+    /// Accepts a loan and returns the number of retries it adds, which is 0 for an unsolicited,
+    /// duplicate or late loan.
     pub fn receive(&mut self, loan: &Loan, lender: SocketAddr, now: Instant) -> u32 {
         let open = self.open.iter_mut().find(|open| {
             open.number == loan.number
--- a/crates/decisions/src/newtype.rs
+++ b/crates/decisions/src/newtype.rs
@@ -1,6 +1,6 @@
-//! Macros that define the newtypes over text and numbers.
+//! Macros that define newtypes over text, numbers and digests.
 
-/// Defines a newtype over shared text: one to 200 visible ASCII characters.
+/// Defines a newtype over reference-counted text of 1 to 200 visible ASCII characters.
 macro_rules! text_newtype {
     ($(#[$doc:meta])* $name:ident, $what:literal) => {
         $(#[$doc])*
@@ -11,7 +11,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The text itself.
+            /// Borrows the text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -40,7 +40,7 @@
     };
 }
 
-/// Defines a newtype over `u64` that only ever grows.
+/// Defines a newtype over `u64` for numbers that only increase.
 macro_rules! number_newtype {
     ($(#[$doc:meta])* $name:ident, $what:literal) => {
         $(#[$doc])*
@@ -61,7 +61,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number after this one.
+            /// Returns the next number.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -80,7 +80,7 @@
     };
 }
 
-/// Defines a newtype over a SHA-256 digest, written as 64 lower-case hexadecimal digits.
+/// Defines a newtype over a SHA-256 digest, formatted as 64 lower-case hexadecimal digits.
 macro_rules! digest_newtype {
     ($(#[$doc:meta])* $name:ident, $what:literal) => {
         $(#[$doc])*
@@ -91,7 +91,7 @@
         pub struct $name([u8; 32]);
 
         impl $name {
-            /// Digest of a text or of bytes.
+            /// Computes the digest of a text or of bytes.
             #[must_use]
             pub fn of(content: impl AsRef<[u8]>) -> Self {
                 use sha2::Digest;
--- a/crates/decisions/src/read_merger.rs
+++ b/crates/decisions/src/read_merger.rs
@@ -1,19 +1,19 @@
-//! Merging of identical reads in flight.
+//! Coalesces identical reads that are in flight at the same time.
 //!
-//! Load pattern: a tile or a price list turns hot and the same read comes a hundred times within
-//! the time that one takes. Without merging each holds a place and the service does the same work a
-//! hundred times. Here the first is the leader and is sent; the others follow and get a copy of its
-//! answer. The key holds the team, so that an answer never crosses teams, and the caller of this
-//! module offers idempotent reads only. A leader that fails, or whose caller leaves, fails nobody
-//! else: the first follower becomes the leader and is sent by itself.
+//! When a map tile or a price list becomes hot, the same read may arrive a hundred times while one
+//! such read takes to run. Without coalescing each one occupies a slot and the service does the same
+//! work a hundred times. Here the first read is the leader and is sent; the others are followers and receive
+//! a copy of its answer. The key includes the team, so that an answer is never shared between teams,
+//! and only idempotent reads may be added. If the leader fails or its caller disconnects, the first
+//! follower becomes the leader and is sent.
 //!
-//! There is no figure to ground: an answer is shared only with reads that were under way before it
-//! came, so nobody gets one older than the own call.
+//! An answer is shared only with reads that arrived before it, so no caller receives an answer that is
+//! older than its own call.
 
 use super::*;
 use std::collections::VecDeque;
 
-/// Reads in flight and those that wait for their answers.
+/// The reads in flight and the followers that wait for their answers.
 #[derive(Debug)]
 pub struct ReadMerger<F> {
     followers: CallTable<VecDeque<F>>,
@@ -28,7 +28,7 @@
 }
 
 impl<F> ReadMerger<F> {
-    /// Adds a read. It comes back if it has to lead: no read of this key is in flight.
+    /// Adds a read. Returns it if no read of this key is in flight, so that it is the leader.
     pub fn join(&mut self, key: &CallKey, follower: F) -> Option<F> {
         if let Some(followers) = self.followers.get_mut(key) {
             followers.push_back(follower);
@@ -38,19 +38,19 @@
         Some(follower)
     }
 
-    /// Reads that follow another.
+    /// Number of followers.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.followers.values().map(VecDeque::len).sum()
     }
 
-    /// Ends a read that was answered, and returns all who followed it.
+    /// Ends a read that was answered and returns its followers.
     #[must_use]
     pub fn answered(&mut self, key: &CallKey) -> VecDeque<F> {
         self.followers.remove(key).unwrap_or_default()
     }
 
-    /// Ends a leader without an answer, and returns the follower who leads from now on.
+    /// Ends a leader without an answer and returns the follower that becomes the leader.
     #[must_use]
     pub fn failed(&mut self, key: &CallKey) -> Option<F> {
         let next = self.followers.get_mut(key)?.pop_front();
--- a/crates/decisions/src/refusal_reason.rs
+++ b/crates/decisions/src/refusal_reason.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Why a request is refused that has not run.
+/// Reason why a request is refused without having run.
 #[derive(
     Clone,
     Copy,
@@ -16,25 +16,25 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum RefusalReason {
-    /// Its caller left while it waited.
+    /// The caller disconnected while the request was queued.
     CallerLeft,
-    /// It cannot start before its deadline.
+    /// The request cannot start in time for its deadline.
     DeadlineTooNear,
-    /// Too many requests for one key are under way.
+    /// Too many requests with the same call key are in flight.
     HotKey,
-    /// Its idempotency key could not be claimed in time.
+    /// The idempotency key could not be claimed in time.
     NotClaimed,
-    /// No upstream may be given work.
+    /// No upstream accepts work.
     NoUpstream,
-    /// Upstreams died under the same request before.
+    /// Upstreams died earlier while they ran the same request.
     Poisoned,
-    /// The queue holds as many requests as it may.
+    /// The queue has reached its maximum length.
     QueueFull,
-    /// The VM shuts down before it could be served in whole.
+    /// The VM shuts down before the request could be completed.
     ShuttingDown,
-    /// The team's limit is reached.
+    /// The team has reached its rate limit.
     TeamLimit,
-    /// The upstream refused it and says that nothing ran.
+    /// The upstream refused the request and reported that it did not run.
     UpstreamRefused,
     /// No connection to the upstream could be opened.
     UpstreamUnreachable,
--- a/crates/decisions/src/repeat_budget.rs
+++ b/crates/decisions/src/repeat_budget.rs
@@ -1,38 +1,38 @@
-//! Retry budget of this VM for a service: how often it may send a call once more in a window.
+//! Retry budget of this VM for a route: how many retries it may send in a sliding window.
 //!
-//! Load pattern: upstreams fail or refuse for a while, and each call becomes several just when there
-//! is the least room for them. All VMs together may send `ratio` times the callers' calls plus
-//! `slack` in any window. Each VM takes `ratio` of its own calls and an even part of the slack, so
-//! that the sum holds whatever the others do.
+//! While upstreams fail or refuse, unlimited retries multiply the calls when the least capacity is
+//! available. In any window, all VMs together may send `ratio` times the callers' calls plus
+//! `slack` retries. Each VM may use `ratio` times its own calls and an equal part of the slack, so that the
+//! sum holds independently of the other VMs.
 //!
-//! Losses are not even: a VM whose zone is cut off loses all its streams at once, while others repeat
-//! nothing. So a VM that runs short asks others to lend it some. The lender counts what it gives as
-//! spent, so the sum holds still; without loans one stream in 30 was cut for want of a repeat on a day on
-//! which all VMs together used a third of theirs.
+//! Losses are uneven: a VM whose zone is cut off loses all its streams at once, while other VMs need no
+//! retries. A VM whose budget is exhausted therefore requests loans. The lender counts a loan as
+//! spent, so that the sum still holds. Without loans, one stream in 30 was cut for lack of budget
+//! while all VMs together used a third of theirs.
 
 use super::*;
 
-/// Parts into which a window is cut.
+/// Number of buckets in a window.
 const BUCKETS: u32 = 40;
 
-/// The buckets of a window and the one that has just begun.
+/// Number of stored buckets: those of a window and the current one.
 const KEPT: usize = 41;
 
-/// Part of the allowance that is used; the rest covers calls whose callers are counted a moment earlier
-/// than they arrive here. What the buckets do not tell exactly is counted on the safe side besides: calls
-/// over a window less one bucket, repeats over a window and one bucket.
+/// Usable fraction of the allowance. The rest covers calls that are counted at their callers a moment
+/// before they arrive here. The rounding to whole buckets is conservative too: calls are counted over
+/// a window less one bucket, retries over a window plus one bucket.
 const USED_PART: f64 = 0.97;
 
 /// Settings of a [`RepeatBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatBudgetConfig {
-    /// Repeats for each call.
+    /// Number of retries allowed per call.
     pub ratio: f64,
-    /// Repeats beyond that over all VMs.
+    /// Number of additional retries per window over all VMs.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// VMs that share the slack.
+    /// Number of VMs that share the slack.
     pub vms: u32,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Counts of the calls and repeats of one service.
+/// Calls, retries and loans of one route, counted in the buckets of a sliding window.
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
     buckets: [Bucket; KEPT],
@@ -65,19 +65,19 @@
 struct Bucket {
     number: u64,
     calls: u32,
-    /// Repeats sent, and repeats given to other VMs.
+    /// Retries sent by this VM or lent to other VMs.
     repeats: u32,
-    /// Repeats that other VMs gave.
+    /// Retries lent by other VMs.
     borrowed: u32,
 }
 
 impl RepeatBudget {
-    /// Notes a caller's call.
+    /// Records a call of a caller.
     pub fn called(&mut self, cfg: &RepeatBudgetConfig, now: Instant) {
         self.bucket(cfg, now).calls += 1;
     }
 
-    /// Pays for sending a call once more; `false` if there is nothing left.
+    /// Takes one retry from the budget and returns whether one was left.
     pub fn pay(&mut self, cfg: &RepeatBudgetConfig, now: Instant) -> bool {
         let paid = self.left(cfg, now) > 0;
         if paid {
@@ -86,7 +86,7 @@
         paid
     }
 
-    /// Repeats that may be sent now.
+    /// Number of retries that may be sent now.
     #[must_use]
     pub fn left(&self, cfg: &RepeatBudgetConfig, now: Instant) -> u32 {
         let current = number(cfg, now);
@@ -109,15 +109,16 @@
         left
     }
 
-    /// Gives repeats to another VM: what it wants, down to the last. Another call waits there, and none here;
-    /// with the last one kept back by each of 90 VMs, a tenth of all repeats was of no use to anybody.
+    /// Lends up to `wanted` retries to another VM and returns how many. It lends even the last one,
+    /// because a call is waiting at the borrower and none here: when each of 90 VMs kept one back, a
+    /// tenth of all retries remained unused.
     pub fn lend(&mut self, cfg: &RepeatBudgetConfig, wanted: u32, now: Instant) -> u32 {
         let given = wanted.min(self.left(cfg, now));
         self.bucket(cfg, now).repeats += given;
         given
     }
 
-    /// Takes in repeats that another VM gave.
+    /// Adds retries that another VM lent.
     pub fn borrow(&mut self, cfg: &RepeatBudgetConfig, given: u32, now: Instant) {
         self.bucket(cfg, now).borrowed += given;
     }
@@ -138,6 +139,6 @@
 
 fn number(cfg: &RepeatBudgetConfig, now: Instant) -> u64 {
     let length = (cfg.window / BUCKETS).max(Duration::from_millis(1));
-    // One is added so that no bucket in use has the number of an unused one.
+    // Numbers start at 1, because an unused bucket has number 0.
     u64::try_from(now.0.as_nanos() / length.as_nanos()).unwrap_or(u64::MAX - 1) + 1
 }
--- a/crates/decisions/src/reserved_attempt.rs
+++ b/crates/decisions/src/reserved_attempt.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// An attempt that has its number and forced prefix, but may not deliver before it is adopted.
+/// An attempt with a number and a forced prefix that must not deliver tokens before it is adopted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReservedAttempt {
     pub(crate) attempt: Attempt,
@@ -8,13 +8,13 @@
 }
 
 impl ReservedAttempt {
-    /// Its fencing number.
+    /// Attempt number, used for fencing.
     #[must_use]
     pub fn attempt(self) -> Attempt {
         self.attempt
     }
 
-    /// Tokens of its forced prefix; its first own token has this index.
+    /// Length of the forced prefix in tokens, which is the index of the first generated token.
     #[must_use]
     pub fn prefix(self) -> TokenIndex {
         self.prefix
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/retry_budget.rs
@@ -1,30 +1,29 @@
-//! Retries, paid for by successes.
+//! Retry budget of a service that is replenished by successful calls.
 //!
-//! Load pattern: an upstream or the platform fails for a while and every call fails at once.
-//! Without a budget each caller's call becomes `max_sent` calls just when there is the least room
-//! for them, and the end of the outage meets a storm. Here a success earns a tenth of a retry, so
-//! that retries add at most a tenth to the load however long the outage lasts, beyond a fixed
-//! burst. Waits are drawn between zero and an exponentially growing bound, so that calls that
-//! failed together do not come back together.
+//! When an upstream or the platform fails for a while, all calls fail. Without a budget every call
+//! becomes `max_sent` calls when the least capacity is available, and a retry storm meets the end of
+//! the outage. Here a success earns a tenth of a retry, so that beyond a fixed burst retries add at
+//! most a tenth to the load, however long the outage lasts. Waits are random between zero and an
+//! exponentially growing bound, so that calls that failed together are not retried together.
 //!
-//! Grounds for the figures: a tenth is the most that retries may add in an outage; the burst lets a
-//! quiet node ride out the death of one upstream with ten calls on it. Both are settings; the test
-//! `an_outage_adds_at_most_a_tenth` holds them to the bound.
+//! A tenth is the most that retries may add in an outage. The burst allows a VM with little traffic
+//! to retry ten calls that were in flight at one failed upstream. Both are settings; the test
+//! `an_outage_adds_at_most_a_tenth` checks the bound.
 
 use super::*;
 
 /// Settings of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Successes that earn one retry.
+    /// Number of successes that earn one retry.
     pub successes_per_retry: u32,
-    /// Retries that can be saved up, and that a new budget holds.
+    /// Maximum number of accumulated retries, which a new budget starts with.
     pub burst: u32,
-    /// How often one call is sent at most, the first time counted in.
+    /// Maximum number of times that a call is sent, including the first.
     pub max_sent: u32,
-    /// Bound of the wait before the first retry.
+    /// Maximum wait before the first retry.
     pub base_wait: Duration,
-    /// Bound of the wait before any retry.
+    /// Maximum wait before any retry.
     pub max_wait: Duration,
 }
 
@@ -40,17 +39,17 @@
     }
 }
 
-/// Retries that one kind of call may still make. Each service, and each kind of call of the
-/// platform, has a budget of its own, so that the outage of one does not use up another's.
+/// Retry budget of one kind of call. Each service and each kind of platform call has its own, so that
+/// an outage of one does not exhaust the budget of another.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
-    /// In successes, so that no fraction is lost.
+    /// Balance, counted in successes to avoid fractions of a retry.
     saved: u32,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(cfg: RetryBudgetConfig) -> Self {
         Self {
@@ -59,18 +58,18 @@
         }
     }
 
-    /// Notes that a call succeeded.
+    /// Records that a call succeeded.
     pub fn succeeded(&mut self) {
         let full = self.cfg.burst * self.cfg.successes_per_retry;
         self.saved = (self.saved + 1).min(full);
     }
 
-    /// Pays for a retry of a failed call and returns how long to wait before it. `random` is drawn
-    /// evenly from 0 to 1.
+    /// Takes a retry for a failed call from the budget and returns how long to wait before sending it. `random` is
+    /// uniformly distributed from 0 to 1.
     ///
     /// # Errors
     ///
-    /// Why the call must not be sent again; nothing was paid then.
+    /// Returns why the call must not be sent again; the budget is unchanged in this case.
     pub fn retry(&mut self, call: FailedCall, random: f64) -> Result<Duration, RetryRefusal> {
         if !call.idempotent && !call.not_run {
             return Err(RetryRefusal::MayHaveRun);
@@ -88,7 +87,7 @@
         Ok(self.wait_bound(call.sent).mul_f64(random.clamp(0.0, 1.0)))
     }
 
-    /// Whole retries saved up.
+    /// Number of whole retries available.
     #[must_use]
     pub fn retries(&self) -> u32 {
         self.saved / self.cfg.successes_per_retry.max(1)
--- a/crates/decisions/src/retry_refusal.rs
+++ b/crates/decisions/src/retry_refusal.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Why a failed call is not sent again.
+/// Reason why a failed call is not sent again.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum RetryRefusal {
-    /// It may have run, and a second run would do harm.
+    /// The call may have run and must not run twice.
     #[display("the call may have run and is not idempotent")]
     MayHaveRun,
-    /// Upstreams died under this very request.
+    /// Upstreams died while they ran this request.
     #[display("upstreams died under this request")]
     Poisoned,
-    /// It was sent often enough.
+    /// The call was sent the maximum number of times.
     #[display("the call was sent as often as it may be")]
     Attempts,
-    /// Successes have not earned a retry.
+    /// The retry budget is exhausted.
     #[display("the retry budget is used up")]
     Budget,
 }
--- a/crates/decisions/src/service.rs
+++ b/crates/decisions/src/service.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// A service of the bundle.
+/// A service defined in the bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name that callers use in the path of a call.
     pub id: ServiceId,
-    /// What kind it is, with what only that kind has.
+    /// Kind of the service with its specific settings.
     pub kind: ServiceKind,
-    /// Teams that may call it, sorted; empty means all.
+    /// Teams that may call the service, sorted; empty if all may.
     pub teams: Vec<TeamId>,
-    /// Deadline of a call that names none.
+    /// Deadline of a call that does not set one.
     pub deadline: Duration,
 }
 
 impl Service {
-    /// Whether a team may call this service.
+    /// Returns whether a team may call this service.
     #[must_use]
     pub fn allows(&self, team: &TeamId) -> bool {
         self.teams.is_empty() || self.teams.binary_search(team).is_ok()
--- a/crates/decisions/src/service_id.rs
+++ b/crates/decisions/src/service_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Name of a service of the bundle.
+    /// Name of a service in the bundle.
     ServiceId,
     "service"
 );
--- a/crates/decisions/src/service_kind.rs
+++ b/crates/decisions/src/service_kind.rs
@@ -1,24 +1,25 @@
 use super::*;
 
-/// Kind of a service.
+/// Kind of a service with the settings that only this kind has.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceKind {
-    /// Generations by a model.
+    /// A service that generates tokens with a model.
     Generation {
-        /// The model that answers.
+        /// Model that the engines must have loaded.
         model: Model,
-        /// Where it stands between least wait and least work.
+        /// Trade-off between the shortest wait and the least repeated work after a lost upstream.
         recovery: RecoveryPolicy,
     },
-    /// Ordinary calls.
+    /// A service with ordinary request/response calls.
     Plain {
-        /// Which calls may be repeated; what no rule names may not.
+        /// Rules for which calls are idempotent; a call that matches no rule is not.
         paths: Vec<PathRule>,
     },
 }
 
 impl ServiceKind {
-    /// Whether a call of a plain service may be repeated: the rule with the longest prefix decides.
+    /// Returns whether a call of a plain service is idempotent, by the matching rule with the longest
+    /// prefix.
     #[must_use]
     pub fn idempotent(&self, method: &str, path: &str) -> bool {
         let Self::Plain { paths } = self else {
--- a/crates/decisions/src/slice_grant.rs
+++ b/crates/decisions/src/slice_grant.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// The home's answer to a [`SliceRequest`].
+/// Reply of the allocator of a limit to a [`SliceRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceGrant {
-    /// The team.
+    /// Team whose limit is shared.
     pub team: TeamId,
-    /// Which of its limits.
+    /// Limit of the team that the slice is part of.
     pub kind: LimitKind,
-    /// What the VM may let through, a second.
+    /// Rate that the VM may admit during the lease, per second.
     pub rate: f64,
-    /// What it may let through, a second, once the grant has expired.
+    /// Rate that the VM may admit after the lease has expired, per second.
     pub floor: f64,
-    /// How long the grant lasts, in milliseconds, from when it was asked for.
+    /// Duration of the lease in milliseconds, counted from the time of the request.
     pub lease_ms: u32,
 }
--- a/crates/decisions/src/slice_home.rs
+++ b/crates/decisions/src/slice_home.rs
@@ -1,32 +1,32 @@
-//! Slices of a team's limit, handed out by one VM to the others.
+//! Allocator that leases slices of a team's rate limit to the VMs that use it.
 //!
-//! Load pattern: a team calls through many VMs, unevenly and changing from second to second. With
-//! a fixed share for each VM most of the limit lies idle where the team does not call, and a write
-//! to the table service per request takes more writes than the platform has. Here the home of a
-//! limit hands each VM a slice by its demand, for a few seconds. The home of an availability zone
-//! is a holder at the home of the whole limit in the same way.
+//! A team calls through many VMs, unevenly and with a distribution that changes from second to second.
+//! With a fixed share for each VM, most of the limit is unused where the team does not call; with a
+//! write to the table service per request, the writes exceed the capacity of the platform. Here one
+//! VM, the allocator, grants each VM a slice by its demand for a few seconds. The allocator of an
+//! availability zone holds a slice from the allocator of the whole limit in the same way.
 //!
-//! The slices in force never add up to more than the limit, whatever is lost on the way: a slice
-//! counts as handed out until it has expired by the home's clock, which is later than by its
-//! holder's, and each holder keeps a floor that is never given to another. A holder that is cut off
-//! goes on with its slice and then with its floor. A new home, which does not know its
-//! predecessor's slices, hands out floors until those have expired.
+//! The slices in force never add up to more than the limit, whichever messages are lost. A slice counts
+//! as granted until it has expired by the allocator's clock, which is later than by its holder's, and
+//! each holder has a minimum quota, the floor, that is never granted to another. A holder that cannot
+//! reach the allocator continues with its slice and then with its floor. A new allocator, which does
+//! not know the slices of its predecessor, grants only floors until those have expired.
 //!
-//! Grounds for the figures: `cargo run --release -p catkin-decisions --example slices` compares it
-//! with fixed shares, a write per request and batched writes; `docs/LOAD.md` has a run.
+//! `cargo run --release -p catkin-decisions --example slices` compares slices with fixed shares, a
+//! write per request and batched writes; `docs/LOAD.md` has the results.
 
 use super::*;
 
-/// How long a slice lasts.
+/// Duration of the lease of a slice.
 pub const SLICE_LEASE: Duration = Duration::from_secs(3);
 
-/// How often a holder asks again.
+/// Interval at which a holder renews its slice.
 pub const SLICE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Part of an even share that a holder keeps whatever happens.
+/// Minimum quota of a holder, as a fraction of an equal share of the limit.
 const FLOOR: f64 = 0.25;
 
-/// Home of one limit.
+/// Allocator of one limit.
 #[derive(Clone, Debug)]
 pub struct SliceHome {
     limit: f64,
@@ -39,12 +39,12 @@
 struct Holder {
     vm: VmId,
     demand: f64,
-    /// Slices that may still be in force, each with its end.
+    /// Rate and expiry of each slice that may still be in force.
     slices: Vec<(f64, Instant)>,
 }
 
 impl SliceHome {
-    /// The home of a limit, a second, over these VMs.
+    /// Creates the allocator of a limit, in units per second, that these VMs share.
     #[must_use]
     pub fn new(limit: f64, mut vms: Vec<VmId>, now: Instant) -> Self {
         vms.sort();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Grants a slice; `None` for a VM that is not among the holders.
+    /// Grants a slice; `None` if the requesting VM is not a holder.
     pub fn grant(&mut self, request: &SliceRequest, now: Instant) -> Option<SliceGrant> {
         let floor = self.floor();
         let i = self
@@ -93,13 +93,13 @@
         })
     }
 
-    /// What each holder keeps whatever happens.
+    /// Minimum quota of each holder, per second.
     #[must_use]
     pub fn floor(&self) -> f64 {
         FLOOR * self.limit / count(self.holders.len())
     }
 
-    /// Max-min fair share of one holder's demand, and an even part of what nobody asks for.
+    /// Max-min fair share of holder `i`, plus an equal part of the rate that no holder demands.
     fn fair_share(&self, i: usize) -> f64 {
         let floor = self.floor();
         let mut demands = self
--- a/crates/decisions/src/slice_request.rs
+++ b/crates/decisions/src/slice_request.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A VM asks the home of a team's limit for its slice.
+/// Request of a VM for a slice, sent to the allocator of a team's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceRequest {
-    /// The team.
+    /// Team whose limit is shared.
     pub team: TeamId,
-    /// Which of its limits.
+    /// Limit of the team that the slice is part of.
     pub kind: LimitKind,
-    /// Who asks.
+    /// VM that requests the slice.
     pub vm: VmId,
-    /// What its callers lately asked for, a second, refused calls counted in.
+    /// Recent demand of the VM's callers per second, including refused calls.
     pub demand: f64,
 }
--- a/crates/decisions/src/store_backoff.rs
+++ b/crates/decisions/src/store_backoff.rs
@@ -1,20 +1,22 @@
-//! How long a VM waits before it asks the platform's store again that did not answer.
+//! Delay before a VM retries the platform's store after it did not answer.
 //!
-//! Load pattern: the store is away, or turns VMs away, and each VM of a large deployment asks it three times a
-//! second. That is most of the calls of a day, and at its return they all come at once. What matters is that the
-//! return is noticed soon, and for that a few VMs of each zone are enough: they tell the others.
+//! If every VM of a large deployment calls an unreachable or refusing store three times per second,
+//! these calls are most of the calls of a day, and all VMs call at once when the store returns. To
+//! notice the return soon, it is enough that a few VMs of each zone keep retrying and notify the rest.
 
 use super::*;
 
-/// Wait of those who ask for the others.
+/// Delay of the VMs that call the store on behalf of their zone.
 const FIRST_WAIT: Duration = Duration::from_millis(300);
 
-/// Longest wait of those who hear of the return from others: by then somebody else of the zone has asked, and it is
-/// short against the seconds after which what a VM does not know counts against it.
+/// Maximum delay of the VMs that are notified by others. Another VM of the zone has called the store by
+/// then, and the delay is short compared with the seconds after which outdated state counts against a
+/// VM.
 const LONGEST_WAIT: Duration = Duration::from_millis(2400);
 
-/// Wait of a VM before it asks the store again, after so many faults in a row. In a large zone it doubles with each
-/// fault for all but the readers, and is spread by `random`, from 0 to 1.
+/// Returns the delay of a VM before its next call of the store after `faults` consecutive failures. In
+/// a large zone it doubles with each failure for all VMs but the readers, and `random`, from 0 to 1,
+/// adds jitter.
 #[must_use]
 pub fn store_backoff(role: ZoneRole, zone_vms: usize, faults: u32, random: f64) -> Duration {
     if role.reads() || !is_large_zone(zone_vms) {
--- a/crates/decisions/src/team.rs
+++ b/crates/decisions/src/team.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A team, its key and its limits.
+/// A team with its bearer key, weight and rate limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Name.
+    /// Name of the team, unique in the bundle.
     pub id: TeamId,
-    /// Hash of its bearer key.
+    /// Hash of the team's bearer key.
     pub key: KeyHash,
-    /// Share under load, relative to the other teams.
+    /// Share of service under load, relative to the other teams.
     pub weight: u32,
-    /// Requests a second over all VMs.
+    /// Limit on requests per second over all VMs; `None` if unlimited.
     pub requests_per_second: Option<u32>,
-    /// Generated tokens a second over all VMs.
+    /// Limit on generated tokens per second over all VMs; `None` if unlimited.
     pub tokens_per_second: Option<u32>,
 }
--- a/crates/decisions/src/team_id.rs
+++ b/crates/decisions/src/team_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Name of a team.
+    /// Name of a team, as defined in the bundle.
     TeamId,
     "team"
 );
--- a/crates/decisions/src/team_slice.rs
+++ b/crates/decisions/src/team_slice.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// How much of the rate can be saved up.
+/// Capacity of the bucket, as the time in which it fills at the slice's rate.
 const BURST: Duration = Duration::from_secs(1);
 
-/// Part of the newest second in the average demand.
+/// Weight of the newest second in the moving average of the demand.
 const DEMAND_PART: f64 = 0.5;
 
-/// One VM's slice of a team's limit: a bucket that fills at the slice's rate.
+/// A VM's slice of a team's limit: a token bucket that fills at the slice's rate.
 #[derive(Clone, Debug)]
 pub struct TeamSlice {
     rate: f64,
@@ -20,7 +20,7 @@
 }
 
 impl TeamSlice {
-    /// A slice of a fixed rate, a second, until one is granted. It starts full.
+    /// Creates a full slice with a fixed rate per second, which applies until a grant arrives.
     #[must_use]
     pub fn fixed(rate: f64, now: Instant) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes a grant that was asked for at `asked`.
+    /// Applies a grant that was requested at `asked`.
     pub fn granted(&mut self, grant: &SliceGrant, asked: Instant, now: Instant) {
         self.fill(now);
         self.rate = grant.rate;
@@ -43,13 +43,13 @@
         self.end = Some(asked.after(Duration::from_millis(grant.lease_ms.into())));
     }
 
-    /// Lets a request through that costs `cost`. One that costs more than is saved up goes through
-    /// while anything is, and those after it wait until that is made up for: else a request larger
-    /// than the bucket would never go through.
+    /// Admits a request that costs `cost`. A request that costs more than the balance is admitted while
+    /// the balance is at least 1 and makes it negative, and later requests wait until the debt is repaid.
+    /// Otherwise a request larger than the bucket would never be admitted.
     ///
     /// # Errors
     ///
-    /// When to come back.
+    /// Returns the time after which the request may be retried.
     pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), Duration> {
         self.note_demand(cost, now);
         self.fill(now);
@@ -62,12 +62,12 @@
         Err(Duration::from_secs_f64(wait.clamp(0.001, 3600.0)))
     }
 
-    /// Gives back what a request did not use.
+    /// Returns the part of the cost that a request did not use.
     pub fn give_back(&mut self, cost: f64) {
         self.saved += cost;
     }
 
-    /// What may go through now, a second.
+    /// Rate that may be admitted now, per second.
     #[must_use]
     pub fn rate(&self, now: Instant) -> f64 {
         match self.end {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// What was lately asked for, a second.
+    /// Recent demand, per second.
     #[must_use]
     pub fn demand(&mut self, now: Instant) -> f64 {
         self.note_demand(0.0, now);
@@ -95,7 +95,7 @@
     }
 
     fn fill(&mut self, now: Instant) {
-        // Time after the end of the slice counts at the floor's rate only.
+        // After the slice has expired, the bucket fills at the minimum rate.
         let end = self.end.unwrap_or(now).clamp(self.filled.min(now), now);
         let before = end.since(self.filled).as_secs_f64() * self.rate;
         let after = now.since(end.max(self.filled)).as_secs_f64() * self.floor;
--- a/crates/decisions/src/ticket.rs
+++ b/crates/decisions/src/ticket.rs
@@ -1,4 +1,4 @@
-/// Where a request waits in a [`crate::FairQueue`]; valid until it leaves.
+/// Handle of a request in a [`crate::FairQueue`], valid until the request leaves the queue.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Ticket {
     pub(crate) number: u64,
