--- a/crates/decisions/examples/choice.rs
+++ b/crates/decisions/examples/choice.rs
@@ -1,5 +1,6 @@
-//! Measures the choice of an upstream: its time at 40 candidates, and the largest load after one
-//! stale report that shows one idle upstream of 40, for 8 and 64 VMs, beside two plain ways.
+//! Measures the selection of an upstream: the time per decision with 40 candidates, and the largest
+//! load after a stale report that shows one idle upstream of 40, for 8 and 64 VMs. Least-loaded and
+//! random selection serve as comparison.
 
 use catkin_decisions::{
     Candidate, ChoiceInput, Incarnation, Instant, UpstreamRecord, UpstreamReport, choose,
@@ -66,7 +67,7 @@
     rng.random_range(0..candidates.len())
 }
 
-/// Largest number of requests that one upstream gets before the next report.
+/// Largest number of requests that one upstream receives before the next report.
 fn largest(vms: u64, decide: Decide) -> u32 {
     let mut got = [0; UPSTREAMS];
     for vm in 0..vms {
--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -1,4 +1,4 @@
-//! What a decision costs with 10,000 requests of 2,100 teams queued before 40 upstreams:
+//! Measures the time per decision with 10,000 queued requests of 2,100 teams and 40 upstreams:
 //! `cargo run --release -p catkin-decisions --example decision_cost`.
 
 use catkin_decisions::{
@@ -68,7 +68,7 @@
     });
 }
 
-/// Prints mean and p99 of `decide`.
+/// Prints the mean and p99 duration of `decide`.
 fn print_cost<T>(name: &str, mut decide: impl FnMut(usize) -> T) {
     let mut costs = (0..ROUNDS)
         .map(|i| {
--- a/crates/decisions/examples/slices.rs
+++ b/crates/decisions/examples/slices.rs
@@ -1,5 +1,5 @@
-//! Compares ways of keeping a team's limit over 8 VMs: fixed shares, a table write per request,
-//! batched table writes (the net use of 100 ms), and slices from a home. Then counts platform
+//! Compares strategies that enforce a team's limit over 8 VMs: fixed shares, a table write per request,
+//! batched table writes (the net use of 100 ms), and slices from an allocator. Then counts platform
 //! writes and slice requests at the target size.
 
 use catkin_decisions::{
@@ -14,7 +14,7 @@
 const PHASE: u64 = 20;
 const BATCH_MS: u64 = 100;
 
-/// Demand of each VM, a second, and the VMs that are cut off from the home and the platform.
+/// Demand of each VM per second, and the VMs that cannot reach the allocator and the platform.
 struct Phase {
     name: &'static str,
     demand: [f64; VMS],
@@ -52,7 +52,7 @@
     format!("vm-{n}").parse().expect("a name")
 }
 
-/// One way of keeping the limit.
+/// A strategy that enforces the limit.
 enum Way {
     Fixed(Vec<TeamSlice>),
     PerRequest(PerRequest),
@@ -99,8 +99,8 @@
     }
 }
 
-/// The paper's way: admit by what was last read and the own net use since, and write that now and
-/// then.
+/// Admits by the total that was last read plus the VM's own net use since then, and periodically writes
+/// that use to the table.
 #[derive(Default)]
 struct Batched {
     second: u64,
@@ -147,7 +147,7 @@
     fn tick(&mut self, now: u64, cut_off: &[usize]) {
         let period = u64::try_from(SLICE_PERIOD.as_millis()).expect("short");
         for vm_number in (0..VMS).filter(|vm| !cut_off.contains(vm)) {
-            // Each VM asks at its own moment of the period.
+            // Each VM sends its request at a different time of the period.
             if now % period != u64::try_from(vm_number).expect("few") * 120 {
                 continue;
             }
@@ -174,7 +174,8 @@
         let (mut admitted, mut cut, mut peak, mut wanted) = (0_u32, 0_u32, 0_u32, 0_u32);
         let writes = way.writes();
         for second in 0..PHASE {
-            // The first seconds of a phase count as well: a limit is kept while demand moves.
+            // The first seconds of a phase count as well, because the limit also holds while the demand
+            // moves.
             let mut in_second = 0;
             for _ in 0..1000 {
                 way.tick(now, phase.cut_off);
@@ -208,7 +209,7 @@
     }
 }
 
-/// Distinct pairs of VM and team in each window of `window_ms`, a second, at the target size.
+/// Number of distinct pairs of VM and team in windows of `window_ms`, per second, at the target size.
 fn pairs_a_second(window_ms: u64) -> usize {
     const REQUESTS: u64 = 5800;
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(2);
--- a/crates/decisions/examples/whole_read.rs
+++ b/crates/decisions/examples/whole_read.rs
@@ -1,4 +1,4 @@
-//! What a whole read of the table of upstreams costs, and the same entries one by one:
+//! Measures applying a complete read of the upstream table, compared with entries one by one:
 //! `cargo run --release -p catkin-decisions --example whole_read`.
 
 use catkin_decisions::{
--- a/crates/decisions/src/read_merger.rs
+++ b/crates/decisions/src/read_merger.rs
@@ -2,10 +2,10 @@
 //!
 //! When a map tile or a price list becomes hot, the same read may arrive a hundred times while one
 //! such read takes to run. Without coalescing each one occupies a slot and the service does the same
-//! work a hundred times. Here the first read is the leader and is sent; the others are followers and receive
-//! a copy of its answer. The key includes the team, so that an answer is never shared between teams,
-//! and only idempotent reads may be added. If the leader fails or its caller disconnects, the first
-//! follower becomes the leader and is sent.
+//! work a hundred times. Here the first read is the leader and is sent; the others are followers and
+//! receive a copy of its answer. The key includes the team, so that an answer is never shared between
+//! teams, and only idempotent reads may be added. If the leader fails or its caller disconnects, the
+//! first follower becomes the leader and is sent.
 //!
 //! An answer is shared only with reads that arrived before it, so no caller receives an answer that is
 //! older than its own call.
--- a/crates/decisions/src/repeat_budget.rs
+++ b/crates/decisions/src/repeat_budget.rs
@@ -1,9 +1,9 @@
-//! Retry budget of this VM for a route: how many retries it may send in a sliding window.
+//! Retry budget of this VM for a service: how many retries it may send in a sliding window.
 //!
 //! While upstreams fail or refuse, unlimited retries multiply the calls when the least capacity is
 //! available. In any window, all VMs together may send `ratio` times the callers' calls plus
-//! `slack` retries. Each VM may use `ratio` times its own calls and an equal part of the slack, so that the
-//! sum holds independently of the other VMs.
+//! `slack` retries. Each VM may use `ratio` times its own calls and an equal part of the slack, so
+//! that the sum holds independently of the other VMs.
 //!
 //! Losses are uneven: a VM whose zone is cut off loses all its streams at once, while other VMs need no
 //! retries. A VM whose budget is exhausted therefore requests loans. The lender counts a loan as
@@ -47,7 +47,7 @@
     }
 }
 
-/// Calls, retries and loans of one route, counted in the buckets of a sliding window.
+/// Calls, retries and loans of one service, counted in the buckets of a sliding window.
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
     buckets: [Bucket; KEPT],
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/retry_budget.rs
@@ -64,8 +64,8 @@
         self.saved = (self.saved + 1).min(full);
     }
 
-    /// Takes a retry for a failed call from the budget and returns how long to wait before sending it. `random` is
-    /// uniformly distributed from 0 to 1.
+    /// Takes a retry for a failed call from the budget and returns the delay before it is sent.
+    /// `random` is uniformly distributed from 0 to 1.
     ///
     /// # Errors
     ///
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -1,4 +1,4 @@
-//! Admission: who waits, who is refused at once, and what becomes of those whose time is over.
+//! Tests of admission control: queueing, refusal on arrival and expiry.
 
 use catkin_decisions::{
     AdmissionConfig, AdmissionQueue, Arrival, CapacityReport, CapacityShare, Instant, Lane,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A queue before one upstream with two places and calls of 100 ms.
+/// A queue for one upstream with two slots and calls of 100 ms.
 fn queue() -> AdmissionQueue<u32> {
     let mut queue = AdmissionQueue::new(AdmissionConfig::default());
     queue.set_upstreams([upstream()]);
@@ -45,7 +45,7 @@
     queue
 }
 
-/// The same with both places taken.
+/// The same queue with both slots taken.
 fn full_queue() -> AdmissionQueue<u32> {
     let mut queue = queue();
     queue.enter(at(0), Lane::Quick, &upstream());
@@ -70,8 +70,8 @@
     expect_that!(dispatched.map(|it| *it.request()), some(eq(1)));
 }
 
-/// Twenty calls wait for two places of 100 ms each, so the next one would start after a second. Its
-/// caller gives up after half of that, and is better told now.
+/// Guards against queueing a request that cannot start in time. With 20 calls of 100 ms queued for
+/// two slots, the next one would start after a second, when its caller has given up.
 #[gtest]
 fn refuses_at_once_what_cannot_start_in_time() {
     let mut queue = full_queue();
@@ -83,7 +83,7 @@
 
     let refused = refused.expect_err("it cannot start in time");
     expect_that!(refused.reason(), eq(RefusalReason::DeadlineTooNear));
-    // 21 calls at 20 a second take 1050 ms; 6/10 of the 500 ms until its latest start are allowed.
+    // 21 calls at 20 per second take 1050 ms; 6/10 of the 500 ms until the latest start are allowed.
     expect_that!(refused.retry_after(), eq(Duration::from_millis(750)));
     expect_that!(refused.into_request(), eq(99));
 }
@@ -102,8 +102,8 @@
     expect_that!(refused.reason(), eq(RefusalReason::QueueFull));
 }
 
-/// Upstreams turn slow after a call was admitted. It is told so at its latest start, while its
-/// caller still has time for something else, and never sent.
+/// Guards against sending a request that upstreams can no longer answer in time, because they became
+/// slower after it was admitted. It is refused at its latest start, before its caller times out.
 #[gtest]
 fn request_that_cannot_start_any_more_is_refused_before_its_deadline() {
     let mut queue = full_queue();
@@ -143,8 +143,8 @@
     expect_that!(queue.full(at(0), Lane::Quick), is_empty());
 }
 
-/// A new bundle names the upstreams anew while requests are in flight on one that stays. Were its
-/// count lost, the upstream would be sent as much again as it already runs.
+/// Guards against losing the in-flight count of an upstream when a new bundle replaces the set of
+/// upstreams. The upstream would then receive twice as many requests as it can run.
 #[gtest]
 fn upstream_that_stays_keeps_its_count() {
     let mut queue = full_queue();
--- a/crates/decisions/tests/call_budget.rs
+++ b/crates/decisions/tests/call_budget.rs
@@ -1,4 +1,4 @@
-//! Budget of calls of the platform: no storm in an outage or at its end.
+//! Tests that the platform call limiter prevents retry storms during an outage and at its end.
 
 use catkin_decisions::{CallBudget, CallBudgetSettings, Instant};
 use googletest::prelude::*;
@@ -29,8 +29,8 @@
     expect_that!(over_a_second, eq(10));
 }
 
-/// The platform is out for a minute while calls wait for it every millisecond. If each one were
-/// sent, the platform would have to refuse them all when it comes back, and callers would wait on.
+/// Guards against a retry storm during an outage of a minute in which a call is due every
+/// millisecond. If all were sent, the platform would have to refuse them when it recovers.
 #[gtest]
 fn an_outage_is_probed_by_few_calls() {
     let mut budget = budget();
@@ -46,8 +46,8 @@
     expect_that!(sent, all![ge(60), le(100)]);
 }
 
-/// The outage ends. The first answered call opens the budget, and what had waited comes at the
-/// budget's rate.
+/// Guards against a burst of accumulated calls when an outage ends. The first answered call ends the
+/// pause, and the waiting calls are sent at the configured rate.
 #[gtest]
 fn the_end_of_an_outage_brings_no_storm() {
     let mut budget = budget();
@@ -70,7 +70,8 @@
     expect_that!(sent, all![ge(10), le(5 + 20)]);
 }
 
-/// One answer is lost. The call that finds out what happened must not wait for a pause.
+/// Guards against a pause after a single lost answer, which would delay the call that finds out
+/// whether the lost call took effect.
 #[gtest]
 fn a_single_fault_pauses_nothing() {
     let mut budget = budget();
--- a/crates/decisions/tests/capacity_share.rs
+++ b/crates/decisions/tests/capacity_share.rs
@@ -1,4 +1,4 @@
-//! Parts of a capacity that several nodes use.
+//! Tests of the parts into which VMs divide the capacity of an upstream.
 
 use catkin_decisions::{
     CapacityReport, CapacityShare, Instant, Lane, UpstreamId, UpstreamPlaces, VmId,
@@ -13,7 +13,7 @@
     format!("worker-{i}").parse().expect("a valid id")
 }
 
-/// Sum of the parts of all nodes at 100 upstreams of this capacity.
+/// Sum of the parts of all VMs at 100 upstreams of this capacity.
 fn sum_of_parts(capacity: u32, nodes: usize, lane: Lane) -> u32 {
     let sharers = u32::try_from(nodes).expect("a small number");
     let parts = (0..nodes).flat_map(|i| {
@@ -23,8 +23,8 @@
     parts.sum()
 }
 
-/// Four places among three nodes: rounded down a quarter of each upstream would stay idle, rounded
-/// up half as much again would wait in it.
+/// Guards against uniform rounding of 4 slots among 3 VMs: rounded down, a quarter of each upstream
+/// would stay idle; rounded up, half as much again would wait inside it.
 #[gtest]
 fn parts_add_up_to_the_capacity_where_they_are_no_whole_numbers() {
     let sum = sum_of_parts(4, 3, Lane::Long);
@@ -60,8 +60,8 @@
     places
 }
 
-/// A hot team takes every place that it gets. A call of another team must not wait behind what the
-/// upstream has taken beyond its capacity.
+/// Guards against a hot team that fills an upstream beyond its capacity, so that a call of a team
+/// below its fair share waits inside the upstream.
 #[gtest]
 fn teams_below_their_share_find_room_that_others_do_not_fill() {
     let mut places = places();
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The adaptive limit on what is in flight at one upstream.
+//! Tests of the adaptive limit on requests in flight at one upstream.
 
 use catkin_decisions::{
     CapacityReport, CapacityShare, ConcurrencyLimit, Instant, Lane, UpstreamPlaces,
@@ -10,8 +10,8 @@
     Duration::from_millis(u64::from(ms))
 }
 
-/// Answers of an upstream that runs `servers` requests of 20 ms at once, to a node that keeps its
-/// whole limit in flight there.
+/// Records answers of an upstream that runs `servers` requests of 20 ms at once, for a VM that always
+/// has as many requests in flight as its limit allows.
 fn answer_full(limit: &mut ConcurrencyLimit, servers: u32, answers: u32) {
     for _ in 0..answers {
         let in_flight = limit.limit();
@@ -40,8 +40,8 @@
     expect_that!(limit.limit(), eq(before));
 }
 
-/// An upstream turns five times slower under load. Requests would pile up inside it, where no
-/// deadline reaches them, and its callers would wait for all of them.
+/// Guards against requests that accumulate inside an upstream, where no deadline applies, after it
+/// became five times slower under load.
 #[gtest]
 fn falls_when_the_upstream_slows_down() {
     let mut limit = ConcurrencyLimit::default();
@@ -55,9 +55,9 @@
     expect_that!(limit.limit(), le(before / 4));
 }
 
-/// An upstream stays slower for good, as with a larger model. A limit that never took that for its
-/// new usual latency would stay near its minimum and leave the upstream idle. That nothing waits in
-/// the upstream shows that its latency is its own.
+/// Guards against a limit that stays near its minimum and leaves the upstream idle after its latency
+/// has risen permanently, for example with a larger model. The upstream reports no waiting requests,
+/// so the latency is not queueing.
 #[gtest]
 fn accepts_a_lasting_change_of_latency() {
     let mut limit = ConcurrencyLimit::default();
@@ -93,8 +93,8 @@
     places
 }
 
-/// Generations fill an engine. Without the reserve a quick call that comes then waits for one of
-/// them to end, for minutes.
+/// Guards against generations that fill an engine, so that a quick call waits minutes for one of them
+/// to end.
 #[gtest]
 fn long_requests_leave_places_to_quick_calls() {
     let mut places = places(10, 1);
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The queue that is fair between teams.
+//! Tests of the weighted fair queue.
 
 use catkin_decisions::{FairQueue, Instant, PopTries, QueueTeam};
 use googletest::prelude::*;
@@ -47,8 +47,8 @@
     expect_that!(first.iter().filter(|name| **name == "long").count(), eq(2));
 }
 
-/// A team has sent a hundred requests before another sends its first. The other's caller would wait
-/// for all hundred in one FIFO.
+/// Guards against a single FIFO, in which the first request of a team would wait for a hundred
+/// requests that another team queued before.
 #[gtest]
 fn backlog_of_one_team_does_not_delay_another() {
     let mut queue = FairQueue::default();
@@ -65,8 +65,8 @@
     expect_that!(next, contains(eq(Some("quiet"))));
 }
 
-/// A team that was idle for long comes back with a burst. If it had saved up service meanwhile, the
-/// others would get none until the burst is over.
+/// Guards against a team that accumulates service while it is idle: the others would receive none
+/// until the end of its next burst.
 #[gtest]
 fn idle_team_saves_up_no_service() {
     let mut queue = FairQueue::default();
@@ -104,8 +104,8 @@
     );
 }
 
-/// The first request of one team waits for a model that no upstream has loaded. Other teams must not
-/// wait with it.
+/// Guards against a request that waits for a model that no upstream has loaded and blocks the requests
+/// of other teams.
 #[gtest]
 fn request_that_cannot_be_placed_holds_up_its_own_team_only() {
     let mut queue = FairQueue::default();
@@ -173,8 +173,8 @@
 }
 
 proptest! {
-    /// Whatever order requests come, are served and leave in: each comes out exactly once, and those
-    /// of one team in their order.
+    /// For any sequence of pushes, pops and removals, each request leaves the queue exactly once, and
+    /// the requests of a team are served in order.
     #[test]
     fn nothing_is_lost_repeated_or_reordered(steps in prop::collection::vec(step(), 0..200)) {
         let mut queue = FairQueue::default();
--- a/crates/decisions/tests/lane.rs
+++ b/crates/decisions/tests/lane.rs
@@ -1,4 +1,4 @@
-//! Lanes and the priorities under which engines run them.
+//! Tests of lanes and of the priorities that engines give them.
 
 use catkin_decisions::{EnginePriority, Lane, TokenIndex};
 use googletest::prelude::*;
@@ -10,7 +10,7 @@
     expect_that!(lanes, eq([Lane::Quick, Lane::Quick, Lane::Long]));
 }
 
-/// An engine is overfull and preempts by priority. A second copy goes first, and a quick call last.
+/// Guards the order in which an overloaded engine preempts requests: hedges first, quick calls last.
 #[gtest]
 fn order_of_preemption() {
     let priorities = [
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -1,5 +1,5 @@
-//! The admission decisions under load, judged by what callers receive, each beside the plain
-//! baseline in the same run.
+//! Load tests of admission control. Each compares what callers receive with a baseline in the same
+//! run.
 //!
 //! `cargo test -p catkin-decisions --release --test load -- --nocapture --test-threads 1` prints the
 //! rows of `docs/LOAD.md`.
@@ -11,13 +11,13 @@
 use load_support::{Job, Policy, Site, Verdict, arrivals, merged, run};
 use std::time::Duration;
 
-/// Teams of each deployment.
+/// Number of teams in each deployment.
 const TEAMS: usize = 10;
 
-/// Seconds that a load of quick calls lasts.
+/// Duration of a load of quick calls in seconds.
 const SPAN: f64 = 12.0;
 
-/// The plain service of both deployments: three workers.
+/// A plain service with three workers.
 fn plain() -> Site {
     Site {
         upstreams: 3,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The engines of a deployment: 36 or 18.
+/// A service with `upstreams` engines: 36 or 18.
 fn engines(upstreams: usize) -> Site {
     Site {
         upstreams,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A lookup of 20 ms whose caller waits 2 s.
+/// A lookup of 20 ms with a deadline of 2 s.
 fn lookup(team: usize) -> Job {
     Job {
         arrival: Duration::ZERO,
@@ -51,13 +51,13 @@
     }
 }
 
-/// Requests a second that a site serves at most.
+/// Maximum number of requests per second that a site can serve.
 fn capacity(site: &Site, job: &Job) -> f64 {
     let servers = u32::try_from(site.upstreams * site.servers).expect("a small number");
     f64::from(servers) / job.service.as_secs_f64()
 }
 
-/// Load of all teams alike, as a part of the site's capacity.
+/// Equal load of all teams, as a fraction of the site's capacity.
 fn even_load(site: &Site, job: &Job, load: f64, span: (f64, f64)) -> Vec<Job> {
     let rate = capacity(site, job) * load / 10.0;
     merged((0..TEAMS).map(|team| {
@@ -83,8 +83,8 @@
     both(&format!("overload {factor:.0}x{reports}"), site, &jobs)
 }
 
-/// Twice as many calls come in as three plain workers can serve. Without refusals the queue grows
-/// until every answer is late; a user would see nothing but timeouts.
+/// Guards against a queue that grows until every answer is late when twice as many calls arrive as
+/// three plain workers can serve.
 #[gtest]
 fn overload_2x_serves_what_fits_and_refuses_the_rest_at_once() {
     let (product, baseline) = overload(&plain(), 2.0);
@@ -95,7 +95,7 @@
     expect_that!(product.answered, gt(baseline.answered));
 }
 
-/// Five times as many calls come in as can be served.
+/// Guards against the same failure when five times as many calls arrive as can be served.
 #[gtest]
 fn overload_5x_serves_what_fits_and_refuses_the_rest_at_once() {
     let (product, baseline) = overload(&plain(), 5.0);
@@ -106,7 +106,8 @@
     expect_that!(product.answered, gt(baseline.answered));
 }
 
-/// The workers do not say how much they can take: the limits have to be found from latency.
+/// Guards overload handling with workers that do not report their capacity, so that the limits have to
+/// be derived from latency.
 #[gtest]
 fn overload_2x_without_load_reports_serves_what_fits() {
     let site = Site {
@@ -122,8 +123,8 @@
     expect_that!(product.answered, gt(baseline.answered));
 }
 
-/// For one second five times the capacity comes in on top of half of it. What was in the burst and
-/// could not be served must not make the calls after it late.
+/// Guards against a burst of five times the capacity for one second, on top of a load of half the
+/// capacity, that makes the calls after it late.
 #[gtest]
 fn burst_is_over_soon_after_it_ends() {
     let site = plain();
@@ -138,8 +139,8 @@
     expect_that!(product.wasted, le(0.01));
 }
 
-/// One team sends twice what the whole service can serve. In one FIFO its backlog stands before
-/// everybody's calls, and the other teams' users see timeouts that they did not cause.
+/// Guards against a team that sends twice what the service can serve and delays all other teams,
+/// because its backlog is ahead of their calls in a single FIFO.
 #[gtest]
 fn hot_team_does_not_move_the_others() {
     let site = plain();
@@ -159,8 +160,8 @@
     expect_that!(product.jain, ge(0.99));
 }
 
-/// One item is asked for at one and a half times the capacity, half of it by reads and half by
-/// calls that may not be merged. Users of all other items would wait behind it.
+/// Guards against a hot key that delays calls for all other keys. It is requested at one and a half
+/// times the capacity, half of it by reads and half by calls that must not be coalesced.
 #[gtest]
 fn hot_key_does_not_move_the_others() {
     let site = plain();
@@ -207,14 +208,14 @@
     expect_that!(product.quick_p99, lt(baseline.quick_p99));
 }
 
-/// One of 36 engines turns ten times slower. A router that sends to it in turn makes one quick call
-/// in 36 wait for it.
+/// Guards against a router that keeps sending to one of 36 engines after it became ten times slower:
+/// with round-robin, one quick call in 36 waits for it.
 #[gtest]
 fn slow_upstream_among_36_does_not_set_the_p99() {
     slow_upstream(36);
 }
 
-/// One of 18 engines turns ten times slower.
+/// The same scenario with 18 engines.
 #[gtest]
 fn slow_upstream_among_18_does_not_set_the_p99() {
     slow_upstream(18);
@@ -246,14 +247,14 @@
     expect_that!(baseline.quick_p99, gt(bound));
 }
 
-/// Generations of a minute ask for one and a half times what 36 engines hold, beside quick calls.
-/// In one queue a quick call waits for a generation to end.
+/// Guards against quick calls that wait for generations to end. Generations of a minute demand one and
+/// a half times the slots of 36 engines, and a single queue would hold the quick calls behind them.
 #[gtest]
 fn long_among_short_leaves_quick_calls_quick_on_36_engines() {
     long_among_short(36);
 }
 
-/// The same on 18 engines.
+/// The same scenario with 18 engines.
 #[gtest]
 fn long_among_short_leaves_quick_calls_quick_on_18_engines() {
     long_among_short(18);
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -1,8 +1,9 @@
-//! A deterministic event loop that drives the admission decisions in virtual time, beside the plain
-//! baseline: one FIFO, fixed places, upstreams in turn, no lanes and no refusals.
+//! Deterministic discrete-event simulation of admission control in virtual time, with a baseline to
+//! compare it with: one FIFO, a fixed number of slots, round-robin over upstreams, no lanes and no
+//! refusals.
 //!
-//! Upstreams have some servers and a FIFO before them. Callers give up at their deadline; what an
-//! upstream runs for them after that is wasted.
+//! An upstream has a number of servers and a FIFO in front of them. Callers time out at their deadline,
+//! and the work of an upstream for a caller that has timed out is wasted.
 
 mod verdict;
 
@@ -20,7 +21,7 @@
     time::Duration,
 };
 
-/// Entry VMs before the upstreams.
+/// Number of router VMs in front of the upstreams.
 pub const NODES: usize = 8;
 
 /// One request of a scenario.
@@ -30,8 +31,9 @@
     pub team: usize,
     pub lane: Lane,
     pub service: Duration,
-    /// From the arrival on.
+    /// Relative to the arrival.
     pub deadline: Duration,
+    /// Call key, and whether the request is a read that may be coalesced.
     pub key: Option<(u32, bool)>,
 }
 
@@ -39,13 +41,13 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub upstreams: usize,
-    /// Requests that an upstream runs at once.
+    /// Number of requests that an upstream runs at once.
     pub servers: usize,
-    /// An upstream that takes this many times as long.
+    /// Index of a slow upstream and the factor by which its service times are longer.
     pub slow: Option<(usize, u32)>,
-    /// True for engines: they answer with a first token at once.
+    /// Whether the upstreams are engines, which send a first token before the answer is complete.
     pub engines: bool,
-    /// True if they report their capacity.
+    /// Whether the upstreams report their capacity.
     pub report: bool,
     pub teams: usize,
 }
@@ -56,7 +58,7 @@
     Product,
 }
 
-/// What a caller received, and when.
+/// What a caller received, and the time of the answer or refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Received {
     #[default]
@@ -104,18 +106,18 @@
     sent: Vec<Duration>,
     begun: Vec<Duration>,
     received: Vec<Received>,
-    /// Time that an upstream spent on each job.
+    /// Service time that upstreams spent on each job.
     work: Vec<Duration>,
     rng: Xoshiro256PlusPlus,
 }
 
-/// Time that a request or an answer travels.
+/// One-way network delay of a request or an answer.
 const ONE_WAY: Duration = Duration::from_millis(1);
 
-/// Latency of an engine's first token without a queue.
+/// Latency of an engine's first token without queueing.
 const FIRST_TOKEN: Duration = Duration::from_millis(50);
 
-/// Runs all jobs under a policy.
+/// Simulates all jobs under a policy.
 pub fn run(site: &Site, policy: Policy, jobs: &[Job]) -> Verdict {
     let mut run = Run::new(site, policy, jobs);
     for (job, Job { arrival, .. }) in jobs.iter().enumerate() {
@@ -128,7 +130,7 @@
     Verdict::new(site, jobs, &run.received, &run.work)
 }
 
-/// The node a job comes to.
+/// Index of the node at which a job arrives.
 fn node_of(job: usize) -> usize {
     job % NODES
 }
@@ -349,7 +351,7 @@
         }
     }
 
-    /// A caller who has given up receives nothing.
+    /// Delivers the answer unless the caller has timed out.
     fn answer(&mut self, job: usize) {
         let Job {
             arrival, deadline, ..
@@ -367,7 +369,7 @@
     }
 }
 
-/// The better of two random upstreams, by latency and own requests, of those that are not full.
+/// Selects the better of two random upstreams that are not full, by latency and requests in flight.
 fn choose(
     ids: &[UpstreamId],
     full: &[UpstreamId],
@@ -417,8 +419,8 @@
     }
 }
 
-/// Poisson arrivals of `rate` requests a second from `start` to `end`, with service times half
-/// fixed and half exponential around their mean.
+/// Poisson arrivals of `rate` requests per second within `span`, given in seconds. Service times are
+/// half fixed and half exponential around their mean.
 pub fn arrivals(seed: u64, rate: f64, span: (f64, f64), job: &Job) -> Vec<Job> {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut exponential = move || -(1.0 - rng.random_range(0.0..1.0_f64)).ln();
@@ -437,7 +439,7 @@
     }
 }
 
-/// Jobs of several sources in the order of their arrival.
+/// Merges the jobs of several sources in order of arrival.
 pub fn merged(sources: impl IntoIterator<Item = Vec<Job>>) -> Vec<Job> {
     let mut jobs = sources.into_iter().flatten().collect::<Vec<_>>();
     jobs.sort_by_key(|job| job.arrival);
--- a/crates/decisions/tests/load_support/verdict.rs
+++ b/crates/decisions/tests/load_support/verdict.rs
@@ -2,24 +2,24 @@
 use catkin_decisions::Lane;
 use std::{fmt, time::Duration};
 
-/// What the callers of a run received.
+/// Statistics of what the callers of a simulation received.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     pub offered: usize,
-    /// Answers within their deadline, while the load lasted, as a part of what the upstreams could
-    /// have served in that time.
+    /// Work for answers delivered in time while the load lasted, as a fraction of the work that the
+    /// upstreams could have done in that time.
     pub of_capacity: f64,
     pub answered: usize,
     pub refused: usize,
-    /// Wait of refused callers for their refusal.
+    /// Time from the arrival of a request to its refusal, 99th percentile.
     pub refused_p99: Duration,
     pub refused_max: Duration,
     pub quick_p99: Duration,
-    /// By team.
+    /// Indexed by team.
     pub quick_p99_of: Vec<Duration>,
-    /// Jain's index over the teams of what each was answered, against its max-min fair share.
+    /// Jain's fairness index of the teams' answered requests relative to their max-min fair shares.
     pub jain: f64,
-    /// Part of the upstreams' work for callers who had given up.
+    /// Fraction of the upstreams' work for callers that had timed out.
     pub wasted: f64,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Largest quick p99 of the teams but the first.
+    /// Largest quick p99 of all teams except the first.
     pub fn other_teams_p99(&self) -> Duration {
         self.quick_p99_of[1..]
             .iter()
@@ -118,7 +118,7 @@
     values.get(i).copied().unwrap_or_default()
 }
 
-/// Jain's index of answers over max-min fair shares of what the site can serve.
+/// Jain's fairness index of answers relative to the max-min fair shares of the site's capacity.
 #[allow(clippy::cast_precision_loss)]
 fn jain(site: &Site, jobs: &[Job], answered: &[usize], end: Duration) -> f64 {
     let work = jobs
--- a/crates/decisions/tests/repeat_budget.rs
+++ b/crates/decisions/tests/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats over all VMs in any window.
+//! Tests of the retry budget that all VMs share within a sliding window, and of its loans.
 
 use catkin_decisions::{Instant, RepeatBudget, RepeatBudgetConfig};
 use googletest::prelude::*;
@@ -22,8 +22,8 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// Upstreams refuse everything, and all VMs want to repeat all the time. In no window do they repeat
-/// more than they all may, although none hears of the others.
+/// Guards against VMs that together exceed the budget while upstreams refuse everything and every VM
+/// retries continuously without knowledge of the others.
 #[gtest]
 fn all_vms_together_stay_within_the_budget() {
     let cfg = cfg();
@@ -31,7 +31,7 @@
     let (mut calls, mut repeats) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(5) {
         for (index, vm) in vms.iter_mut().enumerate() {
-            // The first VM has half of the calls.
+            // The first VM receives half of the calls.
             let every = if index == 0 { 100 } else { 700 };
             if ms % every == 0 {
                 vm.called(&cfg, at(ms));
@@ -59,8 +59,8 @@
     }
 }
 
-/// A VM has just started and has seen no call. What its callers bring at once may still be repeated,
-/// from its part of the slack.
+/// Guards against a VM without budget just after its start: it has recorded no calls, but may use its
+/// part of the slack.
 #[gtest]
 fn a_vm_without_calls_has_its_part_of_the_slack() {
     let cfg = cfg();
@@ -71,9 +71,9 @@
     expect_that!(paid, all![ge(15), le(150 / 8)]);
 }
 
-/// A zone is cut off, and one VM there has to send all its streams again while the others repeat nothing.
-/// Alone it had 15 repeats and cut the rest of its streams; now it is lent some, and the VMs together
-/// still stay within the budget.
+/// Guards against cut streams at a VM that has to resume all its streams because its zone is cut off,
+/// while the other VMs need no retries. Without loans it had 15 retries. The VMs together must stay
+/// within the budget.
 #[gtest]
 fn a_vm_that_runs_short_is_lent_repeats_within_the_budget() {
     let cfg = cfg();
@@ -95,14 +95,14 @@
     });
     let others = others.sum::<u32>();
 
-    // 150 in all, less what each VM rounds down.
+    // The slack of 150, less what each VM rounds down.
     expect_that!(sent, ge(120));
     expect_that!(sent + others, le(150));
 }
 
-/// Of 280 upstreams a third crashes every three seconds, and 90 VMs send on the streams that they lost
-/// there. Each has a share of the repeats that is a handful, some need more and some fewer. With loans down to
-/// the last nobody goes without while the sum is there, or one stream in six was cut.
+/// Guards against cut streams while the VMs together have budget left. A third of 280 upstreams crashes
+/// every three seconds, and 90 VMs resume the lost streams. The share of a VM is a few retries, and the
+/// demand is uneven: when lenders kept the last retry back, one stream in six was cut.
 #[gtest]
 fn a_mass_crash_leaves_no_vm_without_repeats_while_others_have_some() {
     let cfg = RepeatBudgetConfig { vms: 90, ..cfg() };
@@ -110,7 +110,7 @@
     let mut vms = vec![RepeatBudget::default(); 90];
     let (mut needed, mut sent) = (0, 0);
     for ms in (0..20_000).step_by(10) {
-        // 85 streams a second over all VMs.
+        // 85 streams per second over all VMs.
         if rng.random_bool(0.85) {
             vms[rng.random_range(0..90)].called(&cfg, at(ms));
         }
@@ -126,7 +126,7 @@
     expect_that!(sent, eq(needed));
 }
 
-/// Pays, or asks six VMs for two repeats each, five times at most.
+/// Takes a retry, or borrows two retries from each of six random VMs in up to five rounds.
 fn pay_with_loans(
     vms: &mut [RepeatBudget],
     borrower: usize,
@@ -149,15 +149,15 @@
     vms[borrower].pay(cfg, now)
 }
 
-/// What happens to one of the VMs.
+/// An event at one or two of the VMs.
 #[derive(Clone, Debug)]
 enum Step {
     Call(usize),
     Repeat(usize),
-    /// A loan from one to the other, and whether its datagram arrives.
+    /// A loan from the first VM to the second, and whether its datagram arrives.
     Loan(usize, usize, bool),
     Wait(u64),
-    /// The VM is gone, and what it had with it.
+    /// The VM is lost with its budget.
     Lost(usize),
 }
 
@@ -173,8 +173,8 @@
 }
 
 proptest! {
-    /// Whatever is lent, lost on the way or lost with its VM, all VMs together repeat no more in any window
-    /// than ratio and slack allow. A VM that is lost takes what it had with it.
+    /// For any sequence of calls, retries, loans, lost datagrams and lost VMs, all VMs together send no
+    /// more retries in any window than ratio and slack allow. A lost VM loses its budget.
     #[test]
     fn the_sum_holds_over_loans_losses_and_time(steps in prop::collection::vec(step(), 1..1500)) {
         let cfg = cfg();
@@ -204,7 +204,8 @@
     }
 }
 
-/// Loans count for one window, as the allowance of the lender does.
+/// Guards against a loan that counts for longer than one window, after which the lender's budget is
+/// restored.
 #[gtest]
 fn a_loan_ends_with_its_window() {
     let cfg = cfg();
@@ -235,7 +236,8 @@
         })
     }
 
-    /// A datagram arrives twice. Counted twice, the VMs together would repeat more than they may.
+    /// Guards against counting a duplicated datagram twice, which would let the VMs together exceed the
+    /// budget.
     #[gtest]
     fn a_loan_counts_once() {
         let mut desk = LoanDesk::default();
@@ -246,8 +248,8 @@
         expect_that!(given, eq([3, 0, 3, 0]));
     }
 
-    /// Calls wait, and others are asked again before the first loans come. These count as well: their lenders
-    /// have less already.
+    /// Guards against ignoring loans for an earlier request that arrive after the next request was sent:
+    /// they are already deducted from their lenders' budgets.
     #[gtest]
     fn a_loan_that_the_next_question_overtook_counts() {
         let mut desk = LoanDesk::default();
@@ -260,7 +262,7 @@
         expect_that!(given, eq([3, 3, 0]));
     }
 
-    /// A loan that was given seconds ago arrives at last. Its lender's allowance is whole again by then.
+    /// Guards against counting a loan that was delayed by seconds, when the lender's budget is full again.
     #[gtest]
     fn a_loan_of_an_older_question_does_not_count() {
         let mut desk = LoanDesk::default();
@@ -270,7 +272,7 @@
         expect_that!(desk.receive(&late, vm(1), at(5001)), eq(0));
     }
 
-    /// The same, and nothing was asked since.
+    /// The same failure without a later request.
     #[gtest]
     fn a_loan_that_comes_after_half_a_second_does_not_count() {
         let mut desk = LoanDesk::default();
--- a/crates/decisions/tests/request_state.rs
+++ b/crates/decisions/tests/request_state.rs
@@ -1,4 +1,4 @@
-//! The states of a request, and which of them allow to say that it has not run.
+//! Tests of the states of a request and of the evidence that it has not run.
 
 use catkin_decisions::{NotRunEvidence, Queued, RefusalReason};
 use googletest::prelude::*;
@@ -24,8 +24,8 @@
     expect_that!(queued.map(|it| *it.request()).ok(), some(eq("ticket")));
 }
 
-/// A call is sent and its answer lost, and the second upstream cannot be reached. That the second
-/// dispatch has not run says nothing about the first: its caller must not be told "not run".
+/// Guards against reporting "not run" for a call that may have run. Its first answer is lost and the
+/// second upstream is unreachable: that the second attempt has not run proves nothing about the first.
 #[gtest]
 fn request_that_may_have_run_once_is_never_called_not_run() {
     let unknown = Queued::new("lookup").dispatch().unknown();
--- a/crates/decisions/tests/retry_budget.rs
+++ b/crates/decisions/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Tests of the retry budget that successful calls replenish.
 
 use catkin_decisions::{FailedCall, RetryBudget, RetryBudgetConfig, RetryRefusal};
 use googletest::prelude::*;
@@ -13,7 +13,7 @@
     }
 }
 
-/// Calls sent in an outage that all callers' calls fail in.
+/// Number of calls sent, including retries, in an outage in which all `calls` fail.
 fn sent_in_outage(budget: &mut RetryBudget, calls: u32) -> u32 {
     (0..calls)
         .map(|_| {
@@ -26,8 +26,8 @@
         .sum()
 }
 
-/// All upstreams of a service fail for a while. Without the budget each call is sent three times;
-/// callers notice it as an outage that goes on after its cause is gone.
+/// Guards against retries that triple the load while all upstreams of a service fail. The outage would
+/// continue after its cause is gone.
 #[gtest]
 fn an_outage_adds_at_most_a_tenth() {
     let mut budget = RetryBudget::default();
@@ -58,8 +58,8 @@
     expect_that!(paid, ok(eq(Duration::from_millis(10))));
 }
 
-/// A survey write is sent, the connection breaks, and nobody knows whether it ran. A retry could
-/// write the record twice.
+/// Guards against a retry of a write whose connection broke: it may have run, and a retry could write
+/// the record twice.
 #[gtest]
 fn never_repeats_what_may_have_run() {
     let mut budget = RetryBudget::default();
@@ -81,7 +81,7 @@
     expect_that!(known_not_run, ok(anything()));
 }
 
-/// A request crashes each upstream that runs it. Retried, it would take one upstream after another.
+/// Guards against a retry of a request that crashes every upstream that runs it.
 #[gtest]
 fn never_repeats_a_poisoned_request() {
     let mut budget = RetryBudget::default();
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -1,4 +1,4 @@
-//! Slices of a team's limit.
+//! Tests of the slices of a team's rate limit and of their allocator.
 
 use catkin_decisions::{Instant, LimitKind, SliceGrant, SliceHome, SliceRequest, TeamSlice, VmId};
 use googletest::prelude::*;
@@ -29,7 +29,7 @@
     home.grant(&request, at).expect("a holder")
 }
 
-/// Requests of a second that go through, at `per_second` evenly spread.
+/// Number of admitted requests within a second, of `per_second` evenly spaced ones.
 fn let_through(slice: &mut TeamSlice, second: u64, per_second: u64) -> usize {
     (0..per_second)
         .filter(|n| {
@@ -67,8 +67,8 @@
     expect_that!(rates[5], each(near(25.0, 0.1)));
 }
 
-/// The home of a limit dies and another VM takes its place, while slices of the first are still in
-/// force. If it handed out the whole limit at once, the team could call at twice its limit.
+/// Guards against exceeding the limit after the allocator crashed and another VM took over, while
+/// slices of the first are still in force: the team could then call at twice its limit.
 #[gtest]
 fn a_new_home_hands_out_floors_first() {
     let mut home = home(4);
@@ -80,8 +80,8 @@
     expect_that!(later.rate, gt(50.0));
 }
 
-/// A VM is cut off from the home of a limit. It goes on with its slice and then with its floor, and
-/// its callers are neither all refused nor let through without a limit.
+/// Guards against a VM that refuses all calls, or admits them without a limit, while it cannot reach
+/// the allocator. It continues with its slice and then with its minimum quota.
 #[gtest]
 fn a_vm_that_is_cut_off_goes_on_with_its_floor() {
     let mut home = home(4);
@@ -135,8 +135,7 @@
 }
 
 proptest! {
-    /// Whatever VMs ask for, and whichever answers are lost, the slices that may be in force never
-    /// add up to more than the limit.
+    /// For any demands and any lost replies, the slices in force never add up to more than the limit.
     #[test]
     fn slices_never_exceed_the_limit(
         asks in prop::collection::vec((0..900_u64, 0..6_usize, 0.0..300.0_f64, any::<bool>()), 1..120)
--- a/crates/decisions/tests/store_backoff.rs
+++ b/crates/decisions/tests/store_backoff.rs
@@ -1,4 +1,4 @@
-//! Many VMs before a store that is away.
+//! Tests of the load that many VMs put on an unreachable platform store.
 
 use catkin_decisions::{ZoneRole, store_backoff};
 use googletest::prelude::*;
@@ -6,14 +6,15 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::{sync::Arc, time::Duration};
 
-/// VMs of a zone, and zones.
+/// Number of VMs in a zone.
 const ZONE_VMS: usize = 40;
+/// Number of zones.
 const ZONES: usize = 5;
 
-/// How long the store is away.
+/// Duration of the outage of the store.
 const AWAY: Duration = Duration::from_secs(5);
 
-/// Time from the store's answer to a reader until the others of its zone have its word.
+/// Time from the store's answer to a reader until the other VMs of its zone are notified.
 const WORD: Duration = Duration::from_millis(10);
 
 fn zone(number: usize) -> Vec<Arc<str>> {
@@ -26,8 +27,9 @@
     (0..size).map(|n| Arc::from(format!("vm-{n}"))).collect()
 }
 
-/// Calls of a zone at a store that answers nobody for [`AWAY`], each refused at once, and when its readers noticed
-/// the return: all calls, and those of the second after the return. Who hears the readers' word asks no more.
+/// Simulates the calls of a zone to a store that refuses every call at once for [`AWAY`]. VMs stop
+/// calling when the readers notify them of the return. Returns the number of all calls, the number of
+/// calls after the return, and the delay until a reader noticed the return.
 fn calls(zone_vms: &[Arc<str>], rng: &mut Xoshiro256PlusPlus) -> (usize, usize, Duration) {
     let asked = |vm: &Arc<str>, rng: &mut Xoshiro256PlusPlus| {
         let role = ZoneRole::of(vm, zone_vms);
@@ -55,8 +57,9 @@
     (all.len(), after, noticed.saturating_sub(AWAY))
 }
 
-/// The store is away for five seconds. Asked by 200 VMs three times a second it gets 3,200 calls that help nobody,
-/// and all VMs at once at its return. A few of each zone notice the return just as soon.
+/// Guards against a thundering herd at a store that is unreachable for five seconds. If 200 VMs called
+/// it three times per second, it would receive 3,200 useless calls, and all VMs at once on its return.
+/// A few VMs of each zone notice the return just as soon.
 #[gtest]
 fn an_outage_is_no_storm_of_calls_and_its_end_is_noticed_at_once() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
@@ -72,7 +75,7 @@
     expect_that!(*latest, le(Duration::from_millis(300)));
 }
 
-/// In a zone of a few VMs each asks by itself as often as before: nobody may be there to tell it.
+/// Guards against long delays in a zone of a few VMs, where no other VM may be there to notify them.
 #[gtest]
 fn vms_of_a_small_zone_do_not_wait_for_others() {
     let few = &zone(0)[..8];
@@ -86,8 +89,9 @@
     }
 }
 
-/// One VM of a zone reads; in a large one another stands by and two tell if nobody else does, however many there are.
-/// Were their number to grow with the zone, so would the calls of the store.
+/// Guards against a number of store readers that grows with the zone, and with it the calls of the
+/// store. A zone has one reader; a large one also has one standby and up to two deputies, which notify
+/// the others if nobody else does.
 #[gtest]
 fn a_zone_has_the_same_few_in_front_whatever_its_size() {
     for size in [1, 3, 8, 9, 64, 200, 400] {
@@ -104,8 +108,8 @@
     }
 }
 
-/// A VM that knows only a part of its zone may take itself for one of those in front, but whoever it is in truth is so
-/// in each part as well: the zone is never without a reader while views differ.
+/// Guards against a zone without a reader while views of its members differ. A VM that knows only a
+/// part of the zone may wrongly take the role, but the true reader has the role in every part.
 #[gtest]
 fn the_reader_of_a_zone_takes_itself_for_it_whomever_it_knows() {
     let vms = zone_of(200);
