--- a/crates/catkinward/src/admission.rs
+++ b/crates/catkinward/src/admission.rs
@@ -67,7 +67,7 @@
     /// Reads of a service that wait for the answer of another like them.
     #[must_use]
     pub fn waiting_reads(&self, service: &ServiceId) -> usize {
-        self.pool(service).reads.lock().waiting()
+        self.pool(service).reads.lock().follower_count()
     }
 
     fn take_reports(&self) {
--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -99,9 +99,9 @@
     ) -> Option<Place> {
         let now = self.timer.now();
         let mut queue = self.queue.lock();
-        let upstream =
-            choose(&queue.full(now, lane)).or_else(|| if must { choose(&[]) } else { None })?;
-        queue.enter(now, lane, upstream.id());
+        let upstream = choose(&queue.full_upstreams(now, lane))
+            .or_else(|| if must { choose(&[]) } else { None })?;
+        queue.take_slot(now, lane, upstream.id());
         drop(queue);
         Some(Place::new(self.clone(), lane, upstream))
     }
@@ -109,7 +109,7 @@
     /// Takes a place for a request that runs at an upstream already.
     pub(crate) fn hold(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> Place {
         let now = self.timer.now();
-        self.queue.lock().enter(now, lane, upstream.id());
+        self.queue.lock().take_slot(now, lane, upstream.id());
         Place::new(self.clone(), lane, upstream)
     }
 
@@ -120,7 +120,7 @@
         let mut queue = self.queue.lock();
         let expired = queue.expire(now);
         for lane in Lane::iter() {
-            while queue.waiting(lane) > 0 {
+            while queue.queue_len(lane) > 0 {
                 let next = queue.dispatch_where(now, lane, |waiting, taken| {
                     let upstream = (waiting.choose)(taken)?;
                     Some((upstream.id().clone(), upstream))
@@ -150,7 +150,7 @@
 
     pub(crate) fn waiting(&self) -> usize {
         let queue = self.queue.lock();
-        Lane::iter().map(|lane| queue.waiting(lane)).sum()
+        Lane::iter().map(|lane| queue.queue_len(lane)).sum()
     }
 
     pub(crate) fn withdraw(&self, place: QueuePlace) {
@@ -165,16 +165,16 @@
         upstream: &UpstreamId,
         held: Option<Duration>,
     ) {
-        self.queue.lock().leave(lane, upstream, held);
+        self.queue.lock().release_slot(lane, upstream, held);
         self.pump();
     }
 
     pub(crate) fn answered(&self, upstream: &UpstreamId, latency: Duration) {
-        self.queue.lock().answered(upstream, latency);
+        self.queue.lock().record_latency(upstream, latency);
     }
 
     pub(crate) fn overloaded(&self, upstream: &UpstreamId) {
-        self.queue.lock().overloaded(upstream);
+        self.queue.lock().record_overload(upstream);
     }
 
     pub(crate) fn take_reports<'a>(
@@ -184,10 +184,10 @@
     ) {
         let reports = reports.collect::<Vec<_>>();
         let mut queue = self.queue.lock();
-        queue.forget_idle_teams();
+        queue.evict_idle_teams();
         queue.set_upstreams(reports.iter().map(|(id, _)| id.clone()));
         for (id, report) in reports {
-            queue.reported(id, *report, share(id));
+            queue.apply_report(id, *report, share(id));
         }
         self.publish(&queue);
         drop(queue);
@@ -219,12 +219,12 @@
     fn publish(&self, queue: &AdmissionQueue<Waiting>) {
         for lane in Lane::iter() {
             let count = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
-            let in_flight = queue.places().map(|(_, places)| places.in_flight(lane));
+            let in_flight = queue.slots().map(|(_, slots)| slots.in_flight(lane));
             let labels = [("service", self.label()), ("lane", lane.to_string())];
-            metrics::gauge!("catkin_queue_length", &labels).set(count(queue.waiting(lane)));
+            metrics::gauge!("catkin_queue_length", &labels).set(count(queue.queue_len(lane)));
             metrics::gauge!("catkin_in_flight", &labels).set(in_flight.sum::<u32>());
         }
-        let limits = queue.places().map(|(_, places)| places.limit());
+        let limits = queue.slots().map(|(_, slots)| slots.limit());
         metrics::gauge!("catkin_concurrency_limit", "service" => self.label())
             .set(limits.sum::<u32>());
     }
--- a/crates/catkinward/src/read_leader.rs
+++ b/crates/catkinward/src/read_leader.rs
@@ -33,7 +33,7 @@
     /// Hands the answer on to all who followed.
     pub(crate) fn answered(mut self, answer: &PlainAnswer) {
         self.is_over = true;
-        let followers = self.pool.reads.lock().answered(&self.key);
+        let followers = self.pool.reads.lock().complete(&self.key);
         for follower in followers {
             let _ = follower.send(Merged::Answer(answer.clone()));
         }
@@ -56,7 +56,7 @@
             return;
         }
         loop {
-            let Some(next) = self.pool.reads.lock().failed(&self.key) else {
+            let Some(next) = self.pool.reads.lock().fail_leader(&self.key) else {
                 return;
             };
             let lead = Self::new(self.pool.clone(), self.key.clone());
--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -21,13 +21,13 @@
         .collect::<Vec<UpstreamId>>();
     let arrivals = (0..TEAMS).map(arrival).collect::<Vec<_>>();
     let mut queue = AdmissionQueue::new(AdmissionConfig {
-        longest_queue: QUEUED + ROUNDS,
+        max_queue_len: QUEUED + ROUNDS,
         ..AdmissionConfig::default()
     });
     queue.set_upstreams(upstreams.iter().cloned());
     let now = Instant(Duration::from_secs(1));
     let fill = |queue: &mut AdmissionQueue<usize>| {
-        for i in queue.waiting(Lane::Quick)..QUEUED {
+        for i in queue.queue_len(Lane::Quick)..QUEUED {
             let offered = queue.offer(now, &arrivals[i * 7 % TEAMS], Queued::new(i));
             black_box(offered.is_ok());
         }
@@ -41,19 +41,19 @@
     });
     print_cost("offer and dispatch", |i| {
         let offered = queue.offer(now, &arrivals[i * 11 % TEAMS], Queued::new(i));
-        let taken = queue.full(now, Lane::Quick).len();
+        let taken = queue.full_upstreams(now, Lane::Quick).len();
         let upstream = &upstreams[i % UPSTREAMS];
         let dispatched = queue.dispatch(now, Lane::Quick, upstream).is_some();
-        queue.leave(Lane::Quick, upstream, None);
+        queue.release_slot(Lane::Quick, upstream, None);
         (offered.is_ok(), taken, dispatched)
     });
     print_cost("look for expired", |_| queue.expire(now).len());
 
     let keys = (0..QUEUED).map(call_key).collect::<Vec<_>>();
-    let (mut hot_keys, mut merger) = (HotKeys::default(), ReadMerger::default());
+    let (mut hot_keys, mut coalescer) = (HotKeys::default(), ReadMerger::default());
     for key in &keys {
         black_box(hot_keys.enter(key));
-        merger.join(key, 0);
+        coalescer.join(key, 0);
     }
     print_cost("call key", call_key);
     print_cost("hot key in and out", |i| {
@@ -63,8 +63,8 @@
     });
     let others = (QUEUED..2 * QUEUED).map(call_key).collect::<Vec<_>>();
     print_cost("merge and end a read", |i| {
-        merger.join(&others[i % QUEUED], i);
-        merger.answered(&others[i % QUEUED]).len()
+        coalescer.join(&others[i % QUEUED], i);
+        coalescer.complete(&others[i % QUEUED]).len()
     });
 }
 
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -19,15 +19,15 @@
 /// Number of teams whose first request is tried in one pass over the queue. A request that no
 /// upstream can take while others can be dispatched is rare: its model is not loaded yet, or its
 /// digest is suspected of crashing upstreams.
-const TEAMS_TRIED: usize = 4;
+const MAX_TEAMS_TRIED: usize = 4;
 
 /// Settings of an [`AdmissionQueue`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
     /// Maximum number of queued requests in a lane.
-    pub longest_queue: usize,
+    pub max_queue_len: usize,
     /// Largest estimated wait of an admitted request, in percent of the time until its latest start.
-    pub margin_percent: u32,
+    pub max_wait_percent: u32,
     /// Settings of the concurrency limit of each upstream.
     pub limit: ConcurrencyLimitConfig,
 }
@@ -35,8 +35,8 @@
 impl Default for AdmissionConfig {
     fn default() -> Self {
         Self {
-            longest_queue: 10_000,
-            margin_percent: 60,
+            max_queue_len: 10_000,
+            max_wait_percent: 60,
             limit: ConcurrencyLimitConfig::default(),
         }
     }
@@ -101,7 +101,7 @@
     }
 
     /// Applies a load report of an upstream; `share` is this VM's part of the reported capacity.
-    pub fn reported(
+    pub fn apply_report(
         &mut self,
         upstream: &UpstreamId,
         report: CapacityReport,
@@ -124,8 +124,8 @@
         request: Queued<T>,
     ) -> Result<QueuePlace, NotRun<T>> {
         let lane = arrival.lane;
-        for (_, places) in &mut self.upstreams {
-            places.note_arrival(now, lane);
+        for (_, slots) in &mut self.upstreams {
+            slots.note_arrival(now, lane);
         }
         let latest = match self.check(now, arrival) {
             Ok(latest) => latest,
@@ -133,9 +133,9 @@
         };
         let queue = &mut self.lanes[lane.index()];
         let ticket = queue.push(arrival, latest, request);
-        if lane == Lane::Quick && queue.queue.is_light(ticket) {
-            for (_, places) in &mut self.upstreams {
-                places.note_light(now);
+        if lane == Lane::Quick && queue.queue.is_below_share(ticket) {
+            for (_, slots) in &mut self.upstreams {
+                slots.note_light(now);
             }
         }
         Ok(QueuePlace { lane, ticket })
@@ -153,8 +153,8 @@
     ) -> Result<Instant, (RefusalReason, Duration)> {
         let wait = self.estimated_wait(now, arrival);
         let latest = self.latest_start(arrival);
-        let allowed = latest.since(now) * self.cfg.margin_percent / 100;
-        if self.waiting(arrival.lane) >= self.cfg.longest_queue {
+        let allowed = latest.since(now) * self.cfg.max_wait_percent / 100;
+        if self.queue_len(arrival.lane) >= self.cfg.max_queue_len {
             return Err((RefusalReason::QueueFull, wait));
         }
         if latest <= now || wait > allowed {
@@ -166,16 +166,16 @@
 
     /// Number of queued requests in a lane.
     #[must_use]
-    pub fn waiting(&self, lane: Lane) -> usize {
+    pub fn queue_len(&self, lane: Lane) -> usize {
         self.lanes[lane.index()].queue.len()
     }
 
     /// Sorted list of the upstreams without a free slot for this lane.
     #[must_use]
-    pub fn full(&self, now: Instant, lane: Lane) -> Vec<UpstreamId> {
+    pub fn full_upstreams(&self, now: Instant, lane: Lane) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
-            .filter(|(_, places)| !places.has_room(now, lane))
+            .filter(|(_, slots)| !slots.has_room(now, lane))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -195,7 +195,7 @@
         upstream: &UpstreamId,
     ) -> Option<Dispatched<T>> {
         let request = self.lanes[lane.index()].queue.pop(now)?;
-        self.enter(now, lane, upstream);
+        self.take_slot(now, lane, upstream);
         Some(request.dispatch())
     }
 
@@ -207,26 +207,26 @@
         lane: Lane,
         choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
     ) -> Option<(Dispatched<T>, P)> {
-        let full = self.full(now, lane);
+        let full = self.full_upstreams(now, lane);
         let tries = PopTries {
-            teams: TEAMS_TRIED,
-            light_only: false,
+            teams: MAX_TEAMS_TRIED,
+            below_share_only: false,
         };
-        if let Some(placed) = self.place_next(now, lane, &full, tries, &choose) {
+        if let Some(placed) = self.dispatch_next(now, lane, &full, tries, &choose) {
             return Some(placed);
         }
         if lane != Lane::Quick {
             return None;
         }
-        let quite_full = self.quite_full();
+        let without_extra_slots = self.without_extra_slots();
         let tries = PopTries {
-            light_only: true,
+            below_share_only: true,
             ..tries
         };
-        self.place_next(now, lane, &quite_full, tries, &choose)
+        self.dispatch_next(now, lane, &without_extra_slots, tries, &choose)
     }
 
-    fn place_next<P>(
+    fn dispatch_next<P>(
         &mut self,
         now: Instant,
         lane: Lane,
@@ -240,33 +240,33 @@
         let queue = &mut self.lanes[lane.index()].queue;
         let (request, (upstream, place)) =
             queue.pop_where(now, tries, |request| choose(request.request(), full))?;
-        self.enter(now, lane, &upstream);
+        self.take_slot(now, lane, &upstream);
         Some((request.dispatch(), place))
     }
 
     /// Upstreams whose extra slots, reserved for teams below their fair share, are taken as well.
-    fn quite_full(&self) -> Vec<UpstreamId> {
+    fn without_extra_slots(&self) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
-            .filter(|(_, places)| !places.has_extra_room())
+            .filter(|(_, slots)| !slots.has_extra_room())
             .map(|(id, _)| id.clone())
             .collect()
     }
 
     /// Takes a slot of an upstream regardless of its limit. A generation that resumes after a lost
     /// upstream uses this, because it was accepted earlier and must not be refused now.
-    pub fn enter(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
+    pub fn take_slot(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
         let cfg = self.cfg.limit;
         let i = self.find(upstream).unwrap_or_else(|i| {
-            let places = UpstreamPlaces::new(cfg);
-            self.upstreams.insert(i, (upstream.clone(), places));
+            let slots = UpstreamPlaces::new(cfg);
+            self.upstreams.insert(i, (upstream.clone(), slots));
             i
         });
         self.upstreams[i].1.enter(now, lane);
     }
 
     /// Releases a slot; `held` is how long an answered request occupied it, `None` if unanswered.
-    pub fn leave(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
+    pub fn release_slot(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.leave(lane);
         }
@@ -276,14 +276,14 @@
     }
 
     /// Records the latency until the first part of an answer.
-    pub fn answered(&mut self, upstream: &UpstreamId, latency: Duration) {
+    pub fn record_latency(&mut self, upstream: &UpstreamId, latency: Duration) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.answered(latency);
         }
     }
 
     /// Records that an upstream refused a request because it is full, or did not answer in time.
-    pub fn overloaded(&mut self, upstream: &UpstreamId) {
+    pub fn record_overload(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.overloaded();
         }
@@ -321,30 +321,30 @@
 
     /// Drops the state of all teams of empty lanes. Otherwise the teams of every bundle that was
     /// ever in force would stay in memory.
-    pub fn forget_idle_teams(&mut self) {
+    pub fn evict_idle_teams(&mut self) {
         for lane in &mut self.lanes {
-            lane.queue.forget_idle();
+            lane.queue.evict_teams_if_empty();
         }
     }
 
     /// The slots of each upstream, for metrics.
-    pub fn places(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamPlaces)> {
-        self.upstreams.iter().map(|(id, places)| (id, places))
+    pub fn slots(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamPlaces)> {
+        self.upstreams.iter().map(|(id, slots)| (id, slots))
     }
 
     fn estimated_wait(&self, now: Instant, arrival: &Arrival) -> Duration {
         let lane = &self.lanes[arrival.lane.index()];
         let shares = self.upstreams.iter();
-        let places = shares
-            .map(|(_, places)| places.share(now, arrival.lane))
+        let slots = shares
+            .map(|(_, slots)| slots.share(now, arrival.lane))
             .sum();
-        if lane.queue.is_empty() && self.any_room(now, arrival.lane) {
+        if lane.queue.is_empty() && self.has_free_slot(now, arrival.lane) {
             return Duration::ZERO;
         }
         let observed = lane.queue.observed_wait(&arrival.team.id);
         observed.unwrap_or_else(|| {
-            let ahead = lane.queue.ahead(&arrival.team);
-            lane.service_time.wait(ahead + 1, places)
+            let requests_ahead = lane.queue.requests_ahead(&arrival.team);
+            lane.service_time.wait(requests_ahead + 1, slots)
         })
     }
 
@@ -358,10 +358,10 @@
         )
     }
 
-    fn any_room(&self, now: Instant, lane: Lane) -> bool {
+    fn has_free_slot(&self, now: Instant, lane: Lane) -> bool {
         self.upstreams
             .iter()
-            .any(|(_, places)| places.has_room(now, lane))
+            .any(|(_, slots)| slots.has_room(now, lane))
     }
 
     fn find(&self, id: &UpstreamId) -> Result<usize, usize> {
--- a/crates/decisions/src/capacity_share.rs
+++ b/crates/decisions/src/capacity_share.rs
@@ -17,11 +17,11 @@
 use super::*;
 
 /// Sum of the parts of all VMs for quick calls, in percent of the capacity.
-const PERCENT_QUICK: u64 = 120;
+const QUICK_CAPACITY_PERCENT: u64 = 120;
 
 /// Sum of the parts of all VMs for generations, in percent of the capacity. It leaves no excess,
 /// because a generation would wait inside the upstream for minutes.
-const PERCENT_LONG: u64 = 100;
+const LONG_CAPACITY_PERCENT: u64 = 100;
 
 /// The inputs from which a VM computes its part of the capacity of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -29,7 +29,7 @@
     /// Number of VMs that use the upstream, including this one.
     pub sharers: u32,
     /// Pseudo-random number of this VM for this upstream, from 0 to 999, which decides the rounding.
-    pub draw: u32,
+    pub rounding_threshold: u32,
 }
 
 impl CapacityShare {
@@ -37,20 +37,23 @@
     #[must_use]
     pub fn of(node: &VmId, upstream: &UpstreamId, sharers: u32) -> Self {
         let score = rendezvous_score(node.as_str(), upstream.as_str());
-        let draw = u32::try_from(score % 1000).unwrap_or_default();
-        Self { sharers, draw }
+        let rounding_threshold = u32::try_from(score % 1000).unwrap_or_default();
+        Self {
+            sharers,
+            rounding_threshold,
+        }
     }
 
     /// Number of slots that this VM may use for a lane, at least one.
     #[must_use]
-    pub fn part(self, capacity: u32, lane: Lane) -> u32 {
+    pub fn slots(self, capacity: u32, lane: Lane) -> u32 {
         let percent = match lane {
-            Lane::Quick => PERCENT_QUICK,
-            Lane::Long => PERCENT_LONG,
+            Lane::Quick => QUICK_CAPACITY_PERCENT,
+            Lane::Long => LONG_CAPACITY_PERCENT,
         };
         let sharers = u64::from(self.sharers.max(1));
         let thousandths = u64::from(capacity) * percent * 10 / sharers;
-        let rounded_up = thousandths % 1000 > u64::from(self.draw);
+        let rounded_up = thousandths % 1000 > u64::from(self.rounding_threshold);
         let part = thousandths / 1000 + u64::from(rounded_up);
         u32::try_from(part).unwrap_or(u32::MAX).max(1)
     }
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/decisions/src/concurrency_limit.rs
@@ -38,7 +38,7 @@
     /// Number of latency samples in a window.
     pub window: u32,
     /// Number of latency samples in a window until the limit first decreases.
-    pub first_window: u32,
+    pub initial_window: u32,
 }
 
 impl Default for ConcurrencyLimitConfig {
@@ -48,7 +48,7 @@
             min: 1,
             max: 512,
             window: 40,
-            first_window: 10,
+            initial_window: 10,
         }
     }
 }
@@ -58,12 +58,12 @@
 pub struct ConcurrencyLimit {
     cfg: ConcurrencyLimitConfig,
     limit: u32,
-    has_fallen: bool,
+    has_decreased: bool,
     reports_no_queue: bool,
     unloaded: Option<Duration>,
-    total: Duration,
+    latency_sum: Duration,
     samples: u32,
-    peak: u32,
+    peak_in_flight: u32,
 }
 
 impl ConcurrencyLimit {
@@ -73,12 +73,12 @@
         Self {
             cfg,
             limit: cfg.initial.clamp(cfg.min, cfg.max),
-            has_fallen: false,
+            has_decreased: false,
             reports_no_queue: false,
             unloaded: None,
-            total: Duration::ZERO,
+            latency_sum: Duration::ZERO,
             samples: 0,
-            peak: 0,
+            peak_in_flight: 0,
         }
     }
 
@@ -96,25 +96,25 @@
 
     /// Sets the limit to `limit` if no window of samples is full and the limit has not decreased yet.
     pub fn start_at(&mut self, limit: u32) {
-        if self.unloaded.is_none() && !self.has_fallen {
+        if self.unloaded.is_none() && !self.has_decreased {
             self.limit = limit.clamp(self.cfg.min, self.cfg.max);
         }
     }
 
     /// Records the number of waiting requests that the upstream reports.
-    pub fn reported(&mut self, waiting: u32) {
+    pub fn record_waiting(&mut self, waiting: u32) {
         self.reports_no_queue = waiting == 0;
     }
 
     /// Records the latency of an answer; `in_flight` counts the requests in flight, including its own.
-    pub fn answered(&mut self, latency: Duration, in_flight: u32) {
-        self.total = self.total.saturating_add(latency);
+    pub fn record_latency(&mut self, latency: Duration, in_flight: u32) {
+        self.latency_sum = self.latency_sum.saturating_add(latency);
         self.samples += 1;
-        self.peak = self.peak.max(in_flight);
-        let window = if self.has_fallen {
+        self.peak_in_flight = self.peak_in_flight.max(in_flight);
+        let window = if self.has_decreased {
             self.cfg.window
         } else {
-            self.cfg.first_window
+            self.cfg.initial_window
         };
         if self.samples >= window.max(1) {
             self.end_window();
@@ -122,28 +122,28 @@
     }
 
     /// Records that the upstream refused a request because it is full, or did not answer in time.
-    pub fn overloaded(&mut self) {
-        self.lower();
+    pub fn record_overload(&mut self) {
+        self.decrease();
         self.start_window();
     }
 
     fn end_window(&mut self) {
-        let mean = self.total / self.samples;
-        let unloaded = self.follow(mean);
-        let waiting = waiting_thousandths(self.peak, unloaded, mean);
+        let mean = self.latency_sum / self.samples;
+        let unloaded = self.update_unloaded_latency(mean);
+        let waiting = waiting_thousandths(self.peak_in_flight, unloaded, mean);
         if waiting > 1000 + self.limit * 1000 / 4 {
-            self.lower();
-        } else if waiting < 500 + self.limit * 1000 / 5 && self.peak >= self.limit {
-            self.raise();
+            self.decrease();
+        } else if waiting < 500 + self.limit * 1000 / 5 && self.peak_in_flight >= self.limit {
+            self.increase();
         }
         self.start_window();
     }
 
-    fn follow(&mut self, mean: Duration) -> Duration {
+    fn update_unloaded_latency(&mut self, mean: Duration) -> Duration {
         let unloaded = match self.unloaded {
             None => mean,
             Some(old) if mean < old => old / 4 * 3 + mean / 4,
-            Some(old) if self.is_latency_its_own() => old + mean.saturating_sub(old) / 10,
+            Some(old) if self.is_excess_service_time() => old + mean.saturating_sub(old) / 10,
             Some(old) => old,
         };
         self.unloaded = Some(unloaded);
@@ -152,24 +152,24 @@
 
     /// Returns whether the excess of the window's latency over the unloaded latency is service time
     /// of the upstream rather than queueing.
-    fn is_latency_its_own(&self) -> bool {
-        self.reports_no_queue || self.peak * 2 < self.limit || self.limit <= self.cfg.min
+    fn is_excess_service_time(&self) -> bool {
+        self.reports_no_queue || self.peak_in_flight * 2 < self.limit || self.limit <= self.cfg.min
     }
 
-    fn raise(&mut self) {
-        let step = if self.has_fallen { 1 } else { self.limit };
+    fn increase(&mut self) {
+        let step = if self.has_decreased { 1 } else { self.limit };
         self.limit = (self.limit + step).min(self.cfg.max);
     }
 
-    fn lower(&mut self) {
+    fn decrease(&mut self) {
         self.limit = (self.limit - self.limit.div_ceil(10)).max(self.cfg.min);
-        self.has_fallen = true;
+        self.has_decreased = true;
     }
 
     fn start_window(&mut self) {
-        self.total = Duration::ZERO;
+        self.latency_sum = Duration::ZERO;
         self.samples = 0;
-        self.peak = 0;
+        self.peak_in_flight = 0;
     }
 }
 
@@ -181,7 +181,7 @@
 
 /// Estimated number of waiting requests inside the upstream, in thousandths, of `in_flight` in all.
 fn waiting_thousandths(in_flight: u32, unloaded: Duration, mean: Duration) -> u32 {
-    let late = mean.saturating_sub(unloaded).as_nanos() * 1000;
-    let part = late / mean.as_nanos().max(1);
+    let excess = mean.saturating_sub(unloaded).as_nanos() * 1000;
+    let part = excess / mean.as_nanos().max(1);
     in_flight * u32::try_from(part).unwrap_or(1000)
 }
--- a/crates/decisions/src/fair_queue.rs
+++ b/crates/decisions/src/fair_queue.rs
@@ -15,13 +15,13 @@
 use std::collections::VecDeque;
 
 /// Virtual time by which a request of cost 1 advances the tag of a team of weight 1.
-const UNIT: u64 = 1 << 20;
+const TAG_PER_COST: u64 = 1 << 20;
 
 /// Dispatches from a team's backlog after which its mean interval is used to estimate waits.
-const TRUSTED_DISPATCHES: u32 = 8;
+const MIN_DISPATCHES_FOR_ESTIMATE: u32 = 8;
 
 /// Divisor for the weight of a new interval in a team's moving mean.
-const INTERVAL_DIVISOR: u32 = 16;
+const INTERVAL_WEIGHT_DIVISOR: u32 = 16;
 
 /// A team and its weight in the queue.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,14 +38,14 @@
     /// Number of teams whose first request is tried.
     pub teams: usize,
     /// Tries only requests of teams that have received less than their fair share.
-    pub light_only: bool,
+    pub below_share_only: bool,
 }
 
 impl Default for PopTries {
     fn default() -> Self {
         Self {
             teams: 1,
-            light_only: false,
+            below_share_only: false,
         }
     }
 }
@@ -70,11 +70,11 @@
     /// Virtual start time of the team's next request.
     tag: u64,
     entries: VecDeque<Entry<T>>,
-    live: u32,
+    queued: u32,
     /// Whether the team had an empty backlog and less than its fair share when its first queued
     /// request arrived.
-    is_light: bool,
-    pace: Pace,
+    is_below_share: bool,
+    drain_rate: DrainRate,
 }
 
 #[derive(Debug)]
@@ -86,9 +86,9 @@
 
 /// Rate at which a team's backlog drains.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct DrainRate {
     last: Option<Instant>,
-    interval: Duration,
+    mean_interval: Duration,
     dispatches: u32,
 }
 
@@ -121,7 +121,7 @@
 
     /// Appends a request to its team's backlog.
     pub fn push(&mut self, team: &QueueTeam, cost: u32, item: T) -> Ticket {
-        let slot = self.slot(team);
+        let slot = self.find_or_insert_slot(team);
         let number = self.next_number;
         self.next_number += 1;
         self.slots[slot].entries.push_back(Entry {
@@ -129,9 +129,9 @@
             cost: cost.max(1),
             item: Some(item),
         });
-        self.slots[slot].live += 1;
+        self.slots[slot].queued += 1;
         self.len += 1;
-        if self.slots[slot].live == 1 {
+        if self.slots[slot].queued == 1 {
             self.activate(slot, team.weight);
         }
         Ticket { number, slot }
@@ -156,21 +156,21 @@
         let first = self.ready.len().saturating_sub(tries.teams);
         let (i, place) = (first..self.ready.len()).rev().find_map(|i| {
             let team = &mut self.slots[self.ready[i].1];
-            if tries.light_only && !team.is_light {
+            if tries.below_share_only && !team.is_below_share {
                 return None;
             }
-            let request = team.first()?;
+            let request = team.peek()?;
             Some((i, place(request)?))
         })?;
         let (tag, slot) = self.ready.remove(i);
         self.virtual_time = self.virtual_time.max(tag);
         let team = &mut self.slots[slot];
-        let (cost, item) = team.take_first()?;
+        let (cost, item) = team.pop_first()?;
         self.len -= 1;
-        team.tag = tag + u64::from(cost) * UNIT / u64::from(team.weight);
-        team.is_light = false;
-        team.pace.dispatched(now);
-        if team.live == 0 {
+        team.tag = tag + u64::from(cost) * TAG_PER_COST / u64::from(team.weight);
+        team.is_below_share = false;
+        team.drain_rate.record_dispatch(now);
+        if team.queued == 0 {
             self.deactivate(slot);
         } else {
             self.insert_ready(slot);
@@ -186,9 +186,9 @@
             .binary_search_by_key(&ticket.number, |entry| entry.number)
             .ok()?;
         let item = team.entries[i].item.take()?;
-        team.live -= 1;
+        team.queued -= 1;
         self.len -= 1;
-        if team.live == 0 {
+        if team.queued == 0 {
             let key = (team.tag, ticket.slot);
             if let Ok(i) = self.ready.binary_search_by(|entry| key.cmp(entry)) {
                 self.ready.remove(i);
@@ -201,10 +201,10 @@
     /// Returns whether a request is the only queued one of its team, and the team had received less
     /// than its fair share when it arrived.
     #[must_use]
-    pub fn is_light(&self, ticket: Ticket) -> bool {
+    pub fn is_below_share(&self, ticket: Ticket) -> bool {
         self.slots
             .get(ticket.slot)
-            .is_some_and(|team| team.is_light && team.live == 1)
+            .is_some_and(|team| team.is_below_share && team.queued == 1)
     }
 
     /// Returns whether a request is still queued.
@@ -220,9 +220,9 @@
     /// Maximum number of requests ahead of a new one of this team: all queued requests of the team
     /// and, of each other team, as many as its weight allows to be served meanwhile.
     #[must_use]
-    pub fn ahead(&self, team: &QueueTeam) -> u32 {
-        let slot = self.find(&team.id);
-        let own = slot.map_or(0, |slot| self.slots[slot].live);
+    pub fn requests_ahead(&self, team: &QueueTeam) -> u32 {
+        let slot = self.find_slot(&team.id);
+        let own = slot.map_or(0, |slot| self.slots[slot].queued);
         let own_weight = u64::from(team.weight.max(1));
         let mut active = self.active_weight;
         if own == 0 {
@@ -237,13 +237,16 @@
     /// drains; `None` until enough requests of the backlog were dispatched.
     #[must_use]
     pub fn observed_wait(&self, team: &TeamId) -> Option<Duration> {
-        let slot = &self.slots[self.find(team)?];
-        (slot.pace.dispatches >= TRUSTED_DISPATCHES)
-            .then(|| slot.pace.interval.saturating_mul(slot.live + 1))
+        let slot = &self.slots[self.find_slot(team)?];
+        (slot.drain_rate.dispatches >= MIN_DISPATCHES_FOR_ESTIMATE).then(|| {
+            slot.drain_rate
+                .mean_interval
+                .saturating_mul(slot.queued + 1)
+        })
     }
 
     /// Drops the state of all teams if no request is queued.
-    pub fn forget_idle(&mut self) {
+    pub fn evict_teams_if_empty(&mut self) {
         if self.len > 0 {
             return;
         }
@@ -251,12 +254,12 @@
         self.slots.clear();
     }
 
-    fn find(&self, id: &TeamId) -> Option<usize> {
+    fn find_slot(&self, id: &TeamId) -> Option<usize> {
         let i = self.teams.binary_search_by(|(team, _)| team.cmp(id)).ok()?;
         Some(self.teams[i].1)
     }
 
-    fn slot(&mut self, team: &QueueTeam) -> usize {
+    fn find_or_insert_slot(&mut self, team: &QueueTeam) -> usize {
         match self.teams.binary_search_by(|(id, _)| id.cmp(&team.id)) {
             Ok(i) => self.teams[i].1,
             Err(i) => {
@@ -271,7 +274,7 @@
     fn activate(&mut self, slot: usize, weight: u32) {
         let team = &mut self.slots[slot];
         team.weight = weight.max(1);
-        team.is_light = team.tag <= self.virtual_time;
+        team.is_below_share = team.tag <= self.virtual_time;
         // A team that was idle starts at the current virtual time: it neither accumulates service for
         // a burst nor is charged for service that it received while no other team had requests.
         team.tag = team.tag.max(self.virtual_time);
@@ -282,7 +285,7 @@
     fn deactivate(&mut self, slot: usize) {
         let team = &mut self.slots[slot];
         team.entries.clear();
-        team.pace = Pace::default();
+        team.drain_rate = DrainRate::default();
         self.active_weight -= u64::from(team.weight);
     }
 
@@ -299,16 +302,16 @@
             weight: 1,
             tag: 0,
             entries: VecDeque::new(),
-            live: 0,
-            is_light: false,
-            pace: Pace::default(),
+            queued: 0,
+            is_below_share: false,
+            drain_rate: DrainRate::default(),
         }
     }
 }
 
 impl<T> TeamSlot<T> {
     /// Drops the empty entries at the front and returns the first request.
-    fn first(&mut self) -> Option<&T> {
+    fn peek(&mut self) -> Option<&T> {
         while self
             .entries
             .front()
@@ -319,10 +322,10 @@
         self.entries.front()?.item.as_ref()
     }
 
-    fn take_first(&mut self) -> Option<(u32, T)> {
+    fn pop_first(&mut self) -> Option<(u32, T)> {
         while let Some(entry) = self.entries.pop_front() {
             if let Some(item) = entry.item {
-                self.live -= 1;
+                self.queued -= 1;
                 return Some((entry.cost, item));
             }
         }
@@ -330,12 +333,12 @@
     }
 }
 
-impl Pace {
-    fn dispatched(&mut self, now: Instant) {
+impl DrainRate {
+    fn record_dispatch(&mut self, now: Instant) {
         if let Some(last) = self.last.replace(now) {
             let sample = now.since(last);
-            let weight = (self.dispatches + 1).min(INTERVAL_DIVISOR);
-            self.interval = self.interval / weight * (weight - 1) + sample / weight;
+            let weight = (self.dispatches + 1).min(INTERVAL_WEIGHT_DIVISOR);
+            self.mean_interval = self.mean_interval / weight * (weight - 1) + sample / weight;
             self.dispatches = self.dispatches.saturating_add(1);
         }
     }
--- a/crates/decisions/src/lane.rs
+++ b/crates/decisions/src/lane.rs
@@ -11,7 +11,7 @@
 use super::*;
 
 /// Maximum length, in tokens, of a generation that counts as a quick call.
-const QUICK_TOKENS: u32 = 64;
+const MAX_QUICK_TOKENS: u32 = 64;
 
 /// Priority class of requests that share a queue and a part of the slots of each upstream.
 #[derive(
@@ -42,7 +42,7 @@
     /// Returns the lane of a request that generates at most `max_tokens`; 0 for a plain call.
     #[must_use]
     pub fn of(max_tokens: u32) -> Self {
-        if max_tokens <= QUICK_TOKENS {
+        if max_tokens <= MAX_QUICK_TOKENS {
             Self::Quick
         } else {
             Self::Long
--- a/crates/decisions/src/lane_queue.rs
+++ b/crates/decisions/src/lane_queue.rs
@@ -21,15 +21,15 @@
 }
 
 impl<T> LaneQueue<T> {
-    /// Queues a request that must start by `latest`.
+    /// Queues a request that must start by `latest_start`.
     pub(crate) fn push(
         &mut self,
         arrival: &Arrival,
-        latest: Instant,
+        latest_start: Instant,
         request: Queued<T>,
     ) -> Ticket {
         let ticket = self.queue.push(&arrival.team, arrival.cost, request);
-        self.expiries.push(Reverse((latest, ticket)));
+        self.expiries.push(Reverse((latest_start, ticket)));
         self.compact();
         ticket
     }
@@ -41,8 +41,8 @@
 
     /// Removes a request whose latest start has passed.
     pub(crate) fn take_expired(&mut self, now: Instant) -> Option<Queued<T>> {
-        while let Some(Reverse((latest, ticket))) = self.expiries.peek().copied() {
-            if latest > now {
+        while let Some(Reverse((latest_start, ticket))) = self.expiries.peek().copied() {
+            if latest_start > now {
                 return None;
             }
             self.expiries.pop();
--- a/crates/decisions/src/read_merger.rs
+++ b/crates/decisions/src/read_merger.rs
@@ -40,19 +40,19 @@
 
     /// Number of followers.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn follower_count(&self) -> usize {
         self.followers.values().map(VecDeque::len).sum()
     }
 
     /// Ends a read that was answered and returns its followers.
     #[must_use]
-    pub fn answered(&mut self, key: &CallKey) -> VecDeque<F> {
+    pub fn complete(&mut self, key: &CallKey) -> VecDeque<F> {
         self.followers.remove(key).unwrap_or_default()
     }
 
     /// Ends a leader without an answer and returns the follower that becomes the leader.
     #[must_use]
-    pub fn failed(&mut self, key: &CallKey) -> Option<F> {
+    pub fn fail_leader(&mut self, key: &CallKey) -> Option<F> {
         let next = self.followers.get_mut(key)?.pop_front();
         if next.is_none() {
             self.followers.remove(key);
--- a/crates/decisions/src/upstream_places.rs
+++ b/crates/decisions/src/upstream_places.rs
@@ -64,12 +64,12 @@
     /// one that came late may stay below its part (see `docs/LOAD.md`, rows without load reports).
     pub fn reported(&mut self, report: CapacityReport, share: CapacityShare) {
         let CapacityReport { capacity, waiting } = report;
-        self.limit.reported(waiting);
-        let part = share.part(capacity, Lane::Quick);
+        self.limit.record_waiting(waiting);
+        let part = share.slots(capacity, Lane::Quick);
         if self.part.replace(part).is_none() {
             self.limit.start_at(part);
         }
-        self.base_part = Some(share.part(capacity, Lane::Long));
+        self.base_part = Some(share.slots(capacity, Lane::Long));
     }
 
     /// Requests that may be in flight.
@@ -147,12 +147,12 @@
     /// Takes the latency until the first part of an answer.
     pub fn answered(&mut self, latency: Duration) {
         let in_flight = self.in_flight.iter().sum();
-        self.limit.answered(latency, in_flight);
+        self.limit.record_latency(latency, in_flight);
     }
 
     /// Notes that the upstream refused for want of room, or did not answer in time.
     pub fn overloaded(&mut self) {
-        self.limit.overloaded();
+        self.limit.record_overload();
     }
 
     fn base_limit(&self) -> u32 {
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -37,19 +37,19 @@
     };
     let share = CapacityShare {
         sharers: 1,
-        draw: 999,
+        rounding_threshold: 999,
     };
-    queue.reported(&upstream(), report, share);
-    queue.enter(at(0), Lane::Quick, &upstream());
-    queue.leave(Lane::Quick, &upstream(), Some(Duration::from_millis(100)));
+    queue.apply_report(&upstream(), report, share);
+    queue.take_slot(at(0), Lane::Quick, &upstream());
+    queue.release_slot(Lane::Quick, &upstream(), Some(Duration::from_millis(100)));
     queue
 }
 
 /// The same queue with both slots taken.
 fn full_queue() -> AdmissionQueue<u32> {
     let mut queue = queue();
-    queue.enter(at(0), Lane::Quick, &upstream());
-    queue.enter(at(0), Lane::Quick, &upstream());
+    queue.take_slot(at(0), Lane::Quick, &upstream());
+    queue.take_slot(at(0), Lane::Quick, &upstream());
     queue
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn request_with_room_starts_however_near_its_deadline() {
+fn request_with_a_free_slot_starts_however_near_its_deadline() {
     let mut queue = queue();
 
     let place = queue.offer(at(0), &arrival(110), Queued::new(1));
@@ -73,7 +73,7 @@
 /// Guards against queueing a request that cannot start in time. With 20 calls of 100 ms queued for
 /// two slots, the next one would start after a second, when its caller has given up.
 #[gtest]
-fn refuses_at_once_what_cannot_start_in_time() {
+fn refuses_on_arrival_a_request_that_cannot_start_in_time() {
     let mut queue = full_queue();
     for request in 0..20 {
         admit(&mut queue, request, 60_000);
@@ -89,9 +89,9 @@
 }
 
 #[gtest]
-fn refuses_what_the_queue_cannot_hold() {
+fn refuses_a_request_when_the_queue_is_full() {
     let mut queue = AdmissionQueue::new(AdmissionConfig {
-        longest_queue: 1,
+        max_queue_len: 1,
         ..AdmissionConfig::default()
     });
     admit(&mut queue, 1, 1000);
@@ -105,7 +105,7 @@
 /// Guards against sending a request that upstreams can no longer answer in time, because they became
 /// slower after it was admitted. It is refused at its latest start, before its caller times out.
 #[gtest]
-fn request_that_cannot_start_any_more_is_refused_before_its_deadline() {
+fn queued_request_expires_at_its_latest_start() {
     let mut queue = full_queue();
     admit(&mut queue, 1, 1000);
 
@@ -115,11 +115,11 @@
     expect_that!(early.len(), eq(0));
     expect_that!(expired.len(), eq(1));
     expect_that!(expired[0].reason(), eq(RefusalReason::DeadlineTooNear));
-    expect_that!(queue.waiting(Lane::Quick), eq(0));
+    expect_that!(queue.queue_len(Lane::Quick), eq(0));
 }
 
 #[gtest]
-fn caller_that_left_frees_its_place_in_the_queue() {
+fn withdrawn_request_leaves_the_queue() {
     let mut queue = full_queue();
     let first = admit(&mut queue, 1, 60_000);
     admit(&mut queue, 2, 60_000);
@@ -127,29 +127,32 @@
     let withdrawn = queue.withdraw(first).expect("it still waits");
 
     expect_that!(withdrawn.reason(), eq(RefusalReason::CallerLeft));
-    queue.leave(Lane::Quick, &upstream(), None);
+    queue.release_slot(Lane::Quick, &upstream(), None);
     let next = queue.dispatch(at(1), Lane::Quick, &upstream());
     expect_that!(next.map(|it| *it.request()), some(eq(2)));
 }
 
 #[gtest]
-fn upstream_without_room_is_named_full_until_a_place_is_given_back() {
+fn upstream_is_full_until_a_slot_is_released() {
     let mut queue = full_queue();
 
-    let full = queue.full(at(0), Lane::Quick);
-    queue.leave(Lane::Quick, &upstream(), None);
+    let full = queue.full_upstreams(at(0), Lane::Quick);
+    queue.release_slot(Lane::Quick, &upstream(), None);
 
     expect_that!(full, eq(&vec![upstream()]));
-    expect_that!(queue.full(at(0), Lane::Quick), is_empty());
+    expect_that!(queue.full_upstreams(at(0), Lane::Quick), is_empty());
 }
 
 /// Guards against losing the in-flight count of an upstream when a new bundle replaces the set of
 /// upstreams. The upstream would then receive twice as many requests as it can run.
 #[gtest]
-fn upstream_that_stays_keeps_its_count() {
+fn upstream_that_stays_keeps_its_in_flight_count() {
     let mut queue = full_queue();
 
     queue.set_upstreams([upstream(), "another".parse().expect("a valid id")]);
 
-    expect_that!(queue.full(at(0), Lane::Quick), eq(&vec![upstream()]));
+    expect_that!(
+        queue.full_upstreams(at(0), Lane::Quick),
+        eq(&vec![upstream()])
+    );
 }
--- a/crates/decisions/tests/capacity_share.rs
+++ b/crates/decisions/tests/capacity_share.rs
@@ -5,7 +5,7 @@
 };
 use googletest::prelude::*;
 
-fn node(i: usize) -> VmId {
+fn vm(i: usize) -> VmId {
     format!("vm-{i}").parse().expect("a valid name")
 }
 
@@ -14,11 +14,11 @@
 }
 
 /// Sum of the parts of all VMs at 100 upstreams of this capacity.
-fn sum_of_parts(capacity: u32, nodes: usize, lane: Lane) -> u32 {
-    let sharers = u32::try_from(nodes).expect("a small number");
-    let parts = (0..nodes).flat_map(|i| {
+fn sum_of_parts(capacity: u32, vms: usize, lane: Lane) -> u32 {
+    let sharers = u32::try_from(vms).expect("a small number");
+    let parts = (0..vms).flat_map(|i| {
         (0..100)
-            .map(move |j| CapacityShare::of(&node(i), &upstream(j), sharers).part(capacity, lane))
+            .map(move |j| CapacityShare::of(&vm(i), &upstream(j), sharers).slots(capacity, lane))
     });
     parts.sum()
 }
@@ -26,54 +26,54 @@
 /// Guards against uniform rounding of 4 slots among 3 VMs: rounded down, a quarter of each upstream
 /// would stay idle; rounded up, half as much again would wait inside it.
 #[gtest]
-fn parts_add_up_to_the_capacity_where_they_are_no_whole_numbers() {
+fn rounded_parts_add_up_to_the_capacity() {
     let sum = sum_of_parts(4, 3, Lane::Long);
 
     expect_that!(sum, all![ge(380), le(420)]);
 }
 
 #[gtest]
-fn parts_for_quick_calls_make_up_for_the_time_that_they_travel() {
+fn parts_for_quick_calls_compensate_for_network_delay() {
     let sum = sum_of_parts(16, 8, Lane::Quick);
 
     expect_that!(sum, all![ge(1860), le(1980)]);
 }
 
 #[gtest]
-fn part_is_at_least_one_place() {
-    let share = CapacityShare::of(&node(0), &upstream(0), 400);
+fn part_is_at_least_one_slot() {
+    let share = CapacityShare::of(&vm(0), &upstream(0), 400);
 
-    expect_that!(share.part(8, Lane::Long), eq(1));
+    expect_that!(share.slots(8, Lane::Long), eq(1));
 }
 
-fn places() -> UpstreamPlaces {
-    let mut places = UpstreamPlaces::default();
+fn slots() -> UpstreamPlaces {
+    let mut slots = UpstreamPlaces::default();
     let report = CapacityReport {
         capacity: 10,
         waiting: 0,
     };
     let share = CapacityShare {
         sharers: 1,
-        draw: 999,
+        rounding_threshold: 999,
     };
-    places.reported(report, share);
-    places
+    slots.reported(report, share);
+    slots
 }
 
 /// Guards against a hot team that fills an upstream beyond its capacity, so that a call of a team
 /// below its fair share waits inside the upstream.
 #[gtest]
-fn teams_below_their_share_find_room_that_others_do_not_fill() {
-    let mut places = places();
+fn teams_below_their_share_have_extra_slots() {
+    let mut slots = slots();
     let now = Instant::default();
-    let alone = places.share(now, Lane::Quick);
-    places.note_light(now);
+    let alone = slots.share(now, Lane::Quick);
+    slots.note_light(now);
 
-    while places.has_room(now, Lane::Quick) {
-        places.enter(now, Lane::Quick);
+    while slots.has_room(now, Lane::Quick) {
+        slots.enter(now, Lane::Quick);
     }
 
     expect_that!(alone, eq(12));
-    expect_that!(places.in_flight(Lane::Quick), eq(10));
-    expect_that!(places.has_extra_room(), eq(true));
+    expect_that!(slots.in_flight(Lane::Quick), eq(10));
+    expect_that!(slots.has_extra_room(), eq(true));
 }
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -12,18 +12,18 @@
 
 /// Records answers of an upstream that runs `servers` requests of 20 ms at once, for a VM that always
 /// has as many requests in flight as its limit allows.
-fn answer_full(limit: &mut ConcurrencyLimit, servers: u32, answers: u32) {
+fn answer_at_limit(limit: &mut ConcurrencyLimit, servers: u32, answers: u32) {
     for _ in 0..answers {
         let in_flight = limit.limit();
-        limit.answered(ms(20) * in_flight.max(servers) / servers, in_flight);
+        limit.record_latency(ms(20) * in_flight.max(servers) / servers, in_flight);
     }
 }
 
 #[gtest]
-fn rises_to_what_the_upstream_runs_and_not_far_beyond() {
+fn rises_to_the_capacity_of_the_upstream_and_not_far_beyond() {
     let mut limit = ConcurrencyLimit::default();
 
-    answer_full(&mut limit, 16, 20_000);
+    answer_at_limit(&mut limit, 16, 20_000);
 
     expect_that!(limit.limit(), all![ge(16), le(28)]);
 }
@@ -34,7 +34,7 @@
     let before = limit.limit();
 
     for _ in 0..1000 {
-        limit.answered(ms(20), 1);
+        limit.record_latency(ms(20), 1);
     }
 
     expect_that!(limit.limit(), eq(before));
@@ -45,11 +45,11 @@
 #[gtest]
 fn falls_when_the_upstream_slows_down() {
     let mut limit = ConcurrencyLimit::default();
-    answer_full(&mut limit, 16, 5000);
+    answer_at_limit(&mut limit, 16, 5000);
     let before = limit.limit();
 
     for _ in 0..2000 {
-        limit.answered(ms(100), limit.limit());
+        limit.record_latency(ms(100), limit.limit());
     }
 
     expect_that!(limit.limit(), le(before / 4));
@@ -59,68 +59,74 @@
 /// has risen permanently, for example with a larger model. The upstream reports no waiting requests,
 /// so the latency is not queueing.
 #[gtest]
-fn accepts_a_lasting_change_of_latency() {
+fn adapts_to_a_permanent_change_of_latency() {
     let mut limit = ConcurrencyLimit::default();
-    answer_full(&mut limit, 16, 5000);
-    limit.reported(0);
+    answer_at_limit(&mut limit, 16, 5000);
+    limit.record_waiting(0);
 
     for _ in 0..20_000 {
-        limit.answered(ms(100), limit.limit());
+        limit.record_latency(ms(100), limit.limit());
     }
 
     expect_that!(limit.limit(), ge(8));
 }
 
 #[gtest]
-fn falls_at_a_refusal_but_never_to_nothing() {
+fn falls_on_refusals_but_not_below_the_minimum() {
     let mut limit = ConcurrencyLimit::default();
 
     for _ in 0..100 {
-        limit.overloaded();
+        limit.record_overload();
     }
 
     expect_that!(limit.limit(), eq(1));
 }
 
-fn places(capacity: u32, sharers: u32) -> UpstreamPlaces {
-    let mut places = UpstreamPlaces::default();
+fn slots(capacity: u32, sharers: u32) -> UpstreamPlaces {
+    let mut slots = UpstreamPlaces::default();
     let report = CapacityReport {
         capacity,
         waiting: 0,
     };
-    let draw = 999;
-    places.reported(report, CapacityShare { sharers, draw });
-    places
+    let rounding_threshold = 999;
+    slots.reported(
+        report,
+        CapacityShare {
+            sharers,
+            rounding_threshold,
+        },
+    );
+    slots
 }
 
 /// Guards against generations that fill an engine, so that a quick call waits minutes for one of them
 /// to end.
 #[gtest]
-fn long_requests_leave_places_to_quick_calls() {
-    let mut places = places(10, 1);
+fn long_requests_leave_slots_to_quick_calls() {
+    let mut slots = slots(10, 1);
     let now = Instant::default();
-    places.note_arrival(now, Lane::Quick);
+    slots.note_arrival(now, Lane::Quick);
 
-    while places.has_room(now, Lane::Long) {
-        places.enter(now, Lane::Long);
+    while slots.has_room(now, Lane::Long) {
+        slots.enter(now, Lane::Long);
     }
 
-    expect_that!(places.in_flight(Lane::Long), eq(8));
-    expect_that!(places.has_room(now, Lane::Quick), eq(true));
+    expect_that!(slots.in_flight(Lane::Long), eq(8));
+    expect_that!(slots.has_room(now, Lane::Quick), eq(true));
 }
 
 #[gtest]
-fn engine_without_quick_calls_is_used_whole() {
-    let places = places(10, 1);
+fn engine_without_quick_calls_is_fully_used() {
+    let slots = slots(10, 1);
 
-    let share = places.share(Instant(Duration::from_secs(100)), Lane::Long);
+    let share = slots.share(Instant(Duration::from_secs(100)), Lane::Long);
 
     expect_that!(share, eq(10));
 }
 
 #[gtest]
-fn part_of_a_small_upstream_is_at_least_one_place() {
-    let places = places(4, 8);
+fn part_of_a_small_upstream_is_at_least_one_slot() {
+    let slots = slots(4, 8);
 
-    expect_that!(places.limit(), eq(1));
+    expect_that!(slots.limit(), eq(1));
 }
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -16,7 +16,7 @@
     Instant(Duration::from_millis(ms))
 }
 
-fn drained(queue: &mut FairQueue<&'static str>) -> Vec<&'static str> {
+fn pop_all(queue: &mut FairQueue<&'static str>) -> Vec<&'static str> {
     std::iter::from_fn(|| queue.pop(at(0))).collect()
 }
 
@@ -68,7 +68,7 @@
 /// Guards against a team that accumulates service while it is idle: the others would receive none
 /// until the end of its next burst.
 #[gtest]
-fn idle_team_saves_up_no_service() {
+fn idle_team_accumulates_no_service() {
     let mut queue = FairQueue::default();
     queue.push(&team("idle", 1), 1, "idle");
     queue.pop(at(0));
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn removed_request_leaves_the_order_of_the_others() {
+fn removed_request_does_not_change_the_order_of_the_others() {
     let mut queue = FairQueue::default();
     queue.push(&team("a", 1), 1, "first");
     let second = queue.push(&team("a", 1), 1, "second");
@@ -99,7 +99,7 @@
 
     expect_that!(removed, eq((Some("second"), None)));
     expect_that!(
-        drained(&mut queue),
+        pop_all(&mut queue),
         elements_are![eq(&"first"), eq(&"third")]
     );
 }
@@ -107,7 +107,7 @@
 /// Guards against a request that waits for a model that no upstream has loaded and blocks the requests
 /// of other teams.
 #[gtest]
-fn request_that_cannot_be_placed_holds_up_its_own_team_only() {
+fn undispatchable_request_blocks_only_its_own_team() {
     let mut queue = FairQueue::default();
     queue.push(&team("a", 1), 1, "nowhere");
     queue.push(&team("a", 1), 1, "behind it");
@@ -127,11 +127,11 @@
 }
 
 #[gtest]
-fn ticket_of_a_forgotten_team_removes_nothing() {
+fn ticket_of_an_evicted_team_removes_nothing() {
     let mut queue = FairQueue::default();
     let old = queue.push(&team("a", 1), 1, "old");
     queue.pop(at(0));
-    queue.forget_idle();
+    queue.evict_teams_if_empty();
     queue.push(&team("b", 1), 1, "new");
 
     let removed = queue.remove(old);
@@ -141,7 +141,7 @@
 }
 
 #[gtest]
-fn waits_are_judged_by_how_fast_a_backlog_goes_down() {
+fn wait_estimate_follows_the_drain_rate() {
     let mut queue = FairQueue::default();
     for _ in 0..30 {
         queue.push(&team("a", 1), 1, "a");
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -16,7 +16,7 @@
     let joined = [1, 2, 3].map(|read| merger.join(&tile, read));
 
     expect_that!(joined, eq([Some(1), None, None]));
-    expect_that!(merger.answered(&tile), elements_are![eq(&2), eq(&3)]);
+    expect_that!(merger.complete(&tile), elements_are![eq(&2), eq(&3)]);
     expect_that!(merger.join(&tile, 4), some(eq(4)));
 }
 
@@ -41,10 +41,10 @@
         merger.join(&tile, read);
     }
 
-    let next = merger.failed(&tile);
+    let next = merger.fail_leader(&tile);
 
     expect_that!(next, some(eq(2)));
-    expect_that!(merger.answered(&tile), elements_are![eq(&3)]);
+    expect_that!(merger.complete(&tile), elements_are![eq(&3)]);
 }
 
 #[gtest]
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -8,7 +8,7 @@
 
 use catkin_decisions::Lane;
 use googletest::prelude::*;
-use load_support::{Job, Policy, Site, Verdict, arrivals, merged, run};
+use load_support::{Job, Policy, Site, Verdict, arrivals, merge, run};
 use std::time::Duration;
 
 /// Number of teams in each deployment.
@@ -18,7 +18,7 @@
 const SPAN: f64 = 12.0;
 
 /// A plain service with three workers.
-fn plain() -> Site {
+fn plain_site() -> Site {
     Site {
         upstreams: 3,
         servers: 16,
@@ -30,12 +30,12 @@
 }
 
 /// A service with `upstreams` engines: 36 or 18.
-fn engines(upstreams: usize) -> Site {
+fn engine_site(upstreams: usize) -> Site {
     Site {
         upstreams,
         servers: 64,
         engines: true,
-        ..plain()
+        ..plain_site()
     }
 }
 
@@ -60,7 +60,7 @@
 /// Equal load of all teams, as a fraction of the site's capacity.
 fn even_load(site: &Site, job: &Job, load: f64, span: (f64, f64)) -> Vec<Job> {
     let rate = capacity(site, job) * load / 10.0;
-    merged((0..TEAMS).map(|team| {
+    merge((0..TEAMS).map(|team| {
         let job = Job {
             team,
             ..job.clone()
@@ -69,41 +69,41 @@
     }))
 }
 
-fn both(name: &str, site: &Site, jobs: &[Job]) -> (Verdict, Verdict) {
-    let product = run(site, Policy::Product, jobs);
+fn run_both(name: &str, site: &Site, jobs: &[Job]) -> (Verdict, Verdict) {
+    let admission = run(site, Policy::Admission, jobs);
     let baseline = run(site, Policy::Baseline, jobs);
-    println!("| {name} | admission | {product} |");
+    println!("| {name} | admission | {admission} |");
     println!("| {name} | baseline | {baseline} |");
-    (product, baseline)
+    (admission, baseline)
 }
 
 fn overload(site: &Site, factor: f64) -> (Verdict, Verdict) {
     let jobs = even_load(site, &lookup(0), factor, (0.0, SPAN));
     let reports = if site.report { "" } else { ", no reports" };
-    both(&format!("overload {factor:.0}x{reports}"), site, &jobs)
+    run_both(&format!("overload {factor:.0}x{reports}"), site, &jobs)
 }
 
 /// Guards against a queue that grows until every answer is late when twice as many calls arrive as
 /// three plain workers can serve.
 #[gtest]
 fn overload_2x_serves_what_fits_and_refuses_the_rest_at_once() {
-    let (product, baseline) = overload(&plain(), 2.0);
+    let (admission, baseline) = overload(&plain_site(), 2.0);
 
-    expect_that!(product.of_capacity, ge(0.95));
-    expect_that!(product.refused_p99, le(Duration::from_millis(50)));
-    expect_that!(product.jain, ge(0.99));
-    expect_that!(product.answered, gt(baseline.answered));
+    expect_that!(admission.of_capacity, ge(0.95));
+    expect_that!(admission.refused_p99, le(Duration::from_millis(50)));
+    expect_that!(admission.jain, ge(0.99));
+    expect_that!(admission.answered, gt(baseline.answered));
 }
 
 /// Guards against the same failure when five times as many calls arrive as can be served.
 #[gtest]
 fn overload_5x_serves_what_fits_and_refuses_the_rest_at_once() {
-    let (product, baseline) = overload(&plain(), 5.0);
+    let (admission, baseline) = overload(&plain_site(), 5.0);
 
-    expect_that!(product.of_capacity, ge(0.95));
-    expect_that!(product.refused_p99, le(Duration::from_millis(50)));
-    expect_that!(product.jain, ge(0.99));
-    expect_that!(product.answered, gt(baseline.answered));
+    expect_that!(admission.of_capacity, ge(0.95));
+    expect_that!(admission.refused_p99, le(Duration::from_millis(50)));
+    expect_that!(admission.jain, ge(0.99));
+    expect_that!(admission.answered, gt(baseline.answered));
 }
 
 /// Guards overload handling with workers that do not report their capacity, so that the limits have to
@@ -112,59 +112,59 @@
 fn overload_2x_without_load_reports_serves_what_fits() {
     let site = Site {
         report: false,
-        ..plain()
+        ..plain_site()
     };
 
-    let (product, baseline) = overload(&site, 2.0);
+    let (admission, baseline) = overload(&site, 2.0);
 
-    expect_that!(product.of_capacity, ge(0.95));
-    expect_that!(product.refused_p99, le(Duration::from_millis(50)));
-    expect_that!(product.jain, ge(0.99));
-    expect_that!(product.answered, gt(baseline.answered));
+    expect_that!(admission.of_capacity, ge(0.95));
+    expect_that!(admission.refused_p99, le(Duration::from_millis(50)));
+    expect_that!(admission.jain, ge(0.99));
+    expect_that!(admission.answered, gt(baseline.answered));
 }
 
 /// Guards against a burst of five times the capacity for one second, on top of a load of half the
 /// capacity, that makes the calls after it late.
 #[gtest]
-fn burst_is_over_soon_after_it_ends() {
-    let site = plain();
+fn burst_does_not_delay_the_calls_after_it() {
+    let site = plain_site();
     let usual = even_load(&site, &lookup(0), 0.5, (0.0, SPAN));
     let burst = even_load(&site, &lookup(0), 5.0, (4.0, 5.0));
-    let jobs = merged([usual, burst]);
+    let jobs = merge([usual, burst]);
 
-    let (product, baseline) = both("burst 5x for 1 s", &site, &jobs);
+    let (admission, baseline) = run_both("burst 5x for 1 s", &site, &jobs);
 
-    expect_that!(product.answered, gt(baseline.answered));
-    expect_that!(product.refused_p99, le(Duration::from_millis(50)));
-    expect_that!(product.wasted, le(0.01));
+    expect_that!(admission.answered, gt(baseline.answered));
+    expect_that!(admission.refused_p99, le(Duration::from_millis(50)));
+    expect_that!(admission.wasted, le(0.01));
 }
 
 /// Guards against a team that sends twice what the service can serve and delays all other teams,
 /// because its backlog is ahead of their calls in a single FIFO.
 #[gtest]
-fn hot_team_does_not_move_the_others() {
-    let site = plain();
+fn hot_team_does_not_delay_the_others() {
+    let site = plain_site();
     let usual = even_load(&site, &lookup(0), 0.6, (0.0, SPAN));
     let rate = capacity(&site, &lookup(0)) * 2.0;
     let hot = arrivals(99, rate, (0.0, SPAN), &lookup(0));
 
-    let alone = run(&site, Policy::Product, &usual);
-    let jobs = merged([usual, hot]);
-    let (product, baseline) = both("hot team", &site, &jobs);
+    let alone = run(&site, Policy::Admission, &usual);
+    let jobs = merge([usual, hot]);
+    let (admission, baseline) = run_both("hot team", &site, &jobs);
     println!("| hot team without it | admission | {alone} |");
 
     let bound = alone.other_teams_p99().mul_f64(1.2);
-    expect_that!(product.other_teams_p99(), le(bound));
+    expect_that!(admission.other_teams_p99(), le(bound));
     expect_that!(baseline.other_teams_p99(), gt(bound));
-    expect_that!(product.refused_p99, le(Duration::from_millis(50)));
-    expect_that!(product.jain, ge(0.99));
+    expect_that!(admission.refused_p99, le(Duration::from_millis(50)));
+    expect_that!(admission.jain, ge(0.99));
 }
 
 /// Guards against a hot key that delays calls for all other keys. It is requested at one and a half
 /// times the capacity, half of it by reads and half by calls that must not be coalesced.
 #[gtest]
-fn hot_key_does_not_move_the_others() {
-    let site = plain();
+fn hot_key_does_not_delay_the_others() {
+    let site = plain_site();
     let usual = even_load(&site, &lookup(0), 0.5, (0.0, SPAN));
     let rate = capacity(&site, &lookup(0)) * 0.75;
     let hot = |seed, read| {
@@ -174,20 +174,20 @@
         };
         arrivals(seed, rate, (0.0, SPAN), &job)
     };
-    let jobs = merged([usual.clone(), hot(98, true), hot(99, false)]);
+    let jobs = merge([usual.clone(), hot(98, true), hot(99, false)]);
 
-    let alone = run(&site, Policy::Product, &usual);
-    let (product, baseline) = both("hot key", &site, &jobs);
+    let alone = run(&site, Policy::Admission, &usual);
+    let (admission, baseline) = run_both("hot key", &site, &jobs);
     println!("| hot key without it | admission | {alone} |");
 
     let bound = alone.other_teams_p99().mul_f64(1.2);
-    expect_that!(product.other_teams_p99(), le(bound));
+    expect_that!(admission.other_teams_p99(), le(bound));
     expect_that!(baseline.other_teams_p99(), gt(bound));
-    expect_that!(product.answered, gt(baseline.answered));
+    expect_that!(admission.answered, gt(baseline.answered));
 }
 
 fn slow_upstream(count: usize) {
-    let healthy = engines(count);
+    let healthy = engine_site(count);
     let slow = Site {
         slow: Some((count / 2, 10)),
         ..healthy.clone()
@@ -199,30 +199,30 @@
     };
     let jobs = even_load(&healthy, &job, 0.6, (0.0, SPAN));
 
-    let alone = run(&healthy, Policy::Product, &jobs);
-    let (product, baseline) = both(&format!("1 of {count} slow"), &slow, &jobs);
+    let alone = run(&healthy, Policy::Admission, &jobs);
+    let (admission, baseline) = run_both(&format!("1 of {count} slow"), &slow, &jobs);
     println!("| 0 of {count} slow | admission | {alone} |");
 
     let bound = alone.quick_p99.mul_f64(1.5);
-    expect_that!(product.quick_p99, le(bound));
-    expect_that!(product.quick_p99, lt(baseline.quick_p99));
+    expect_that!(admission.quick_p99, le(bound));
+    expect_that!(admission.quick_p99, lt(baseline.quick_p99));
 }
 
 /// Guards against a router that keeps sending to one of 36 engines after it became ten times slower:
 /// with round-robin, one quick call in 36 waits for it.
 #[gtest]
-fn slow_upstream_among_36_does_not_set_the_p99() {
+fn slow_upstream_among_36_does_not_determine_the_p99() {
     slow_upstream(36);
 }
 
 /// The same scenario with 18 engines.
 #[gtest]
-fn slow_upstream_among_18_does_not_set_the_p99() {
+fn slow_upstream_among_18_does_not_determine_the_p99() {
     slow_upstream(18);
 }
 
-fn long_among_short(count: usize) {
-    let site = engines(count);
+fn long_generations_among_quick_calls(count: usize) {
+    let site = engine_site(count);
     let quick = Job {
         service: Duration::from_millis(500),
         deadline: Duration::from_secs(10),
@@ -236,26 +236,26 @@
     };
     let span = (0.0, 60.0);
     let short_load = even_load(&site, &quick, 0.08, span);
-    let jobs = merged([short_load.clone(), even_load(&site, &long, 1.5, span)]);
+    let jobs = merge([short_load.clone(), even_load(&site, &long, 1.5, span)]);
 
-    let alone = run(&site, Policy::Product, &short_load);
-    let (product, baseline) = both(&format!("mixed lengths, {count} engines"), &site, &jobs);
+    let alone = run(&site, Policy::Admission, &short_load);
+    let (admission, baseline) = run_both(&format!("mixed lengths, {count} engines"), &site, &jobs);
     println!("| quick alone, {count} engines | admission | {alone} |");
 
     let bound = alone.quick_p99.mul_f64(1.3);
-    expect_that!(product.quick_p99, le(bound));
+    expect_that!(admission.quick_p99, le(bound));
     expect_that!(baseline.quick_p99, gt(bound));
 }
 
 /// Guards against quick calls that wait for generations to end. Generations of a minute demand one and
 /// a half times the slots of 36 engines, and a single queue would hold the quick calls behind them.
 #[gtest]
-fn long_among_short_leaves_quick_calls_quick_on_36_engines() {
-    long_among_short(36);
+fn long_generations_do_not_delay_quick_calls_on_36_engines() {
+    long_generations_among_quick_calls(36);
 }
 
 /// The same scenario with 18 engines.
 #[gtest]
-fn long_among_short_leaves_quick_calls_quick_on_18_engines() {
-    long_among_short(18);
+fn long_generations_do_not_delay_quick_calls_on_18_engines() {
+    long_generations_among_quick_calls(18);
 }
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     Baseline,
-    Product,
+    Admission,
 }
 
 /// What a caller received, and the time of the answer or refusal.
@@ -78,12 +78,12 @@
 
 struct Node {
     admission: AdmissionQueue<usize>,
-    merger: ReadMerger<usize>,
+    coalescer: ReadMerger<usize>,
     hot_keys: HotKeys,
     fifo: VecDeque<usize>,
     in_flight: Vec<u32>,
     latency: Vec<Duration>,
-    turn: usize,
+    next_upstream: usize,
 }
 
 #[derive(Default)]
@@ -104,7 +104,7 @@
     ids: Vec<UpstreamId>,
     teams: Vec<QueueTeam>,
     sent: Vec<Duration>,
-    begun: Vec<Duration>,
+    started: Vec<Duration>,
     received: Vec<Received>,
     /// Service time that upstreams spent on each job.
     work: Vec<Duration>,
@@ -125,7 +125,7 @@
     }
     while let Some(Reverse((at, _, event))) = run.events.pop() {
         run.now = at;
-        run.take(event);
+        run.handle(event);
     }
     Verdict::new(site, jobs, &run.received, &run.work)
 }
@@ -152,7 +152,7 @@
             teams: (0..site.teams).map(team).collect(),
             ids,
             sent: vec![Duration::ZERO; jobs.len()],
-            begun: vec![Duration::ZERO; jobs.len()],
+            started: vec![Duration::ZERO; jobs.len()],
             received: vec![Received::default(); jobs.len()],
             work: vec![Duration::ZERO; jobs.len()],
             rng: Xoshiro256PlusPlus::seed_from_u64(1),
@@ -164,7 +164,7 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let node = match event {
             Event::Arrive(job) => {
                 self.arrive(job);
@@ -172,12 +172,12 @@
             }
             Event::Reach { job, upstream } => {
                 self.upstreams[upstream].queue.push_back(job);
-                return self.begin(upstream);
+                return self.start_queued(upstream);
             }
             Event::Finish { job, upstream } => {
                 self.upstreams[upstream].running -= 1;
                 self.schedule(self.now + ONE_WAY, Event::Return { job, upstream });
-                return self.begin(upstream);
+                return self.start_queued(upstream);
             }
             Event::Return { job, upstream } => {
                 self.returned(job, upstream);
@@ -186,8 +186,8 @@
             Event::Wake(node) => node,
         };
         match self.policy {
-            Policy::Baseline => self.pump_baseline(node),
-            Policy::Product => self.pump(node),
+            Policy::Baseline => self.dispatch_baseline(node),
+            Policy::Admission => self.dispatch_queued(node),
         }
     }
 
@@ -199,7 +199,7 @@
         let node = &mut self.nodes[node_of(job)];
         match (&key, self.jobs[job].key) {
             (Some(key), Some((_, true))) => {
-                if node.merger.join(key, job).is_some() {
+                if node.coalescer.join(key, job).is_some() {
                     self.offer(job);
                 }
             }
@@ -244,7 +244,7 @@
         if !self.jobs[job].key.is_some_and(|(_, read)| read) {
             return node.hot_keys.leave(&key);
         }
-        if let Some(next) = node.merger.failed(&key) {
+        if let Some(next) = node.coalescer.fail_leader(&key) {
             self.offer(next);
         }
     }
@@ -253,13 +253,13 @@
         self.received[job] = Received::Refusal(self.now);
     }
 
-    fn pump(&mut self, node: usize) {
+    fn dispatch_queued(&mut self, node: usize) {
         let now = Instant(self.now);
         for not_run in self.nodes[node].admission.expire(now) {
             self.not_run(&not_run);
         }
         for lane in [Lane::Quick, Lane::Long] {
-            while self.nodes[node].admission.waiting(lane) > 0 {
+            while self.nodes[node].admission.queue_len(lane) > 0 {
                 let random = [self.rng.random(), self.rng.random()];
                 let Node {
                     admission,
@@ -280,18 +280,18 @@
         }
     }
 
-    fn pump_baseline(&mut self, node: usize) {
+    fn dispatch_baseline(&mut self, node: usize) {
         let places = u32::try_from(self.site.servers.div_ceil(NODES)).expect("a small number");
         while !self.nodes[node].fifo.is_empty() {
             let state = &mut self.nodes[node];
             let n = self.site.upstreams;
             let Some(upstream) = (0..n)
-                .map(|i| (state.turn + i) % n)
+                .map(|i| (state.next_upstream + i) % n)
                 .find(|i| state.in_flight[*i] < places)
             else {
                 return;
             };
-            state.turn = upstream + 1;
+            state.next_upstream = upstream + 1;
             if let Some(job) = state.fifo.pop_front() {
                 self.send(job, upstream);
             }
@@ -304,13 +304,13 @@
         self.schedule(self.now + ONE_WAY, Event::Reach { job, upstream });
     }
 
-    fn begin(&mut self, upstream: usize) {
+    fn start_queued(&mut self, upstream: usize) {
         while self.upstreams[upstream].running < self.site.servers {
             let Some(job) = self.upstreams[upstream].queue.pop_front() else {
                 return;
             };
             self.upstreams[upstream].running += 1;
-            self.begun[job] = self.now;
+            self.started[job] = self.now;
             let factor = match self.site.slow {
                 Some((slow, factor)) if slow == upstream => factor,
                 _ => 1,
@@ -325,7 +325,7 @@
         self.answer(job);
         let held = self.now.saturating_sub(self.sent[job]);
         let first_part = if self.site.engines {
-            self.begun[job].saturating_sub(self.sent[job]) + FIRST_TOKEN + ONE_WAY
+            self.started[job].saturating_sub(self.sent[job]) + FIRST_TOKEN + ONE_WAY
         } else {
             held
         };
@@ -336,8 +336,8 @@
             node.latency[upstream] = node.latency[upstream] / 8 * 7 + held / 8;
         }
         let id = &self.ids[upstream];
-        node.admission.answered(id, first_part);
-        node.admission.leave(lane, id, Some(held));
+        node.admission.record_latency(id, first_part);
+        node.admission.release_slot(lane, id, Some(held));
         if self.policy == Policy::Baseline {
             return;
         }
@@ -346,7 +346,7 @@
         if !self.jobs[job].key.is_some_and(|(_, read)| read) {
             return node.hot_keys.leave(&key);
         }
-        for follower in node.merger.answered(&key) {
+        for follower in node.coalescer.complete(&key) {
             self.answer(follower);
         }
     }
@@ -377,10 +377,11 @@
     in_flight: &[u32],
     random: [u32; 2],
 ) -> Option<usize> {
-    let roomy = (0..ids.len())
+    let available = (0..ids.len())
         .filter(|i| full.binary_search(&ids[*i]).is_err())
         .collect::<Vec<_>>();
-    let [first, second] = random.map(|n| roomy.get(n as usize % roomy.len().max(1)).copied());
+    let [first, second] =
+        random.map(|n| available.get(n as usize % available.len().max(1)).copied());
     [first?, second?]
         .into_iter()
         .min_by_key(|i| latency[*i] * (in_flight[*i] + 1))
@@ -398,16 +399,16 @@
                 capacity,
                 waiting: 0,
             };
-            admission.reported(id, report, CapacityShare::of(&vm, id, sharers));
+            admission.apply_report(id, report, CapacityShare::of(&vm, id, sharers));
         }
         Self {
             admission,
-            merger: ReadMerger::default(),
+            coalescer: ReadMerger::default(),
             hot_keys: HotKeys::default(),
             fifo: VecDeque::new(),
             in_flight: vec![0; ids.len()],
             latency: vec![Duration::from_millis(20); ids.len()],
-            turn: 0,
+            next_upstream: 0,
         }
     }
 }
@@ -440,7 +441,7 @@
 }
 
 /// Merges the jobs of several sources in order of arrival.
-pub fn merged(sources: impl IntoIterator<Item = Vec<Job>>) -> Vec<Job> {
+pub fn merge(sources: impl IntoIterator<Item = Vec<Job>>) -> Vec<Job> {
     let mut jobs = sources.into_iter().flatten().collect::<Vec<_>>();
     jobs.sort_by_key(|job| job.arrival);
     jobs
--- a/crates/decisions/tests/request_state.rs
+++ b/crates/decisions/tests/request_state.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[gtest]
-fn refused_request_carries_its_reason_and_when_to_come_back() {
+fn refused_request_has_a_reason_and_a_retry_delay() {
     let queued = Queued::new("ticket");
 
     let not_run = queued.refuse(RefusalReason::QueueFull, Duration::from_secs(3));
@@ -16,7 +16,7 @@
 }
 
 #[gtest]
-fn request_that_an_upstream_refused_is_queued_again() {
+fn request_refused_by_an_upstream_is_queued_again() {
     let dispatched = Queued::new("ticket").dispatch();
 
     let queued = dispatched.not_run(NotRunEvidence::UpstreamRefused);
@@ -27,11 +27,11 @@
 /// Guards against reporting "not run" for a call that may have run. Its first answer is lost and the
 /// second upstream is unreachable: that the second attempt has not run proves nothing about the first.
 #[gtest]
-fn request_that_may_have_run_once_is_never_called_not_run() {
+fn request_that_may_have_run_is_never_reported_as_not_run() {
     let unknown = Queued::new("lookup").dispatch().unknown();
 
     let again = unknown.dispatch_again();
 
-    let settled = again.not_run(NotRunEvidence::NoConnection);
-    expect_that!(settled.is_err(), eq(true));
+    let resolved = again.not_run(NotRunEvidence::NoConnection);
+    expect_that!(resolved.is_err(), eq(true));
 }
