--- a/crates/catkinward/src/ctl.rs
+++ b/crates/catkinward/src/ctl.rs
@@ -53,9 +53,9 @@
 /// are the store's.
 fn platform(address: SocketAddr) -> Result<Arc<Platform>> {
     let unlimited = CallBudgetSettings {
-        per_call: Duration::from_millis(1),
+        refill_interval: Duration::from_millis(1),
         burst: 1_000,
-        faults_before_pause: u32::MAX,
+        failures_before_backoff: u32::MAX,
         ..CallBudgetSettings::default()
     };
     let cfg = PlatformSettings {
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -39,12 +39,12 @@
         let second = Duration::from_secs(1);
         Self {
             reads: CallBudgetSettings {
-                per_call: second / reads,
+                refill_interval: second / reads,
                 burst: reads,
                 ..default.reads
             },
             writes: CallBudgetSettings {
-                per_call: second * vms / WRITES_PER_SECOND,
+                refill_interval: second * vms / WRITES_PER_SECOND,
                 burst: (WRITES_PER_SECOND / vms).div_ceil(2).max(1),
                 ..default.writes
             },
@@ -58,7 +58,7 @@
         Self {
             bound: Duration::from_secs(1),
             reads: CallBudgetSettings {
-                per_call: Duration::from_millis(10),
+                refill_interval: Duration::from_millis(10),
                 burst: 50,
                 ..CallBudgetSettings::default()
             },
@@ -198,7 +198,7 @@
             Budget::Reads => &inner.reads,
             Budget::Writes => &inner.writes,
         };
-        if !budget.lock().take(inner.timer.now()) {
+        if !budget.lock().try_take(inner.timer.now()) {
             count(Some(&PlatformFault::OutOfBudget));
             return Err(PlatformFault::OutOfBudget);
         }
@@ -208,10 +208,12 @@
         };
         count(answer.as_ref().err());
         match &answer {
-            Ok(_) => budget.lock().answered(),
+            Ok(_) => budget.lock().record_answer(),
             Err(fault) => {
                 tracing::debug!(%fault, "platform call failed");
-                budget.lock().failed(inner.timer.now(), rand::random());
+                budget
+                    .lock()
+                    .record_failure(inner.timer.now(), rand::random());
             }
         }
         answer
--- a/crates/decisions/src/call_budget.rs
+++ b/crates/decisions/src/call_budget.rs
@@ -16,26 +16,26 @@
 pub struct CallBudgetSettings {
     /// Time after which another call is allowed. With 400 VMs, each is allowed less than one call a
     /// second.
-    pub per_call: Duration,
+    pub refill_interval: Duration,
     /// Maximum number of calls that may be sent at once.
     pub burst: u32,
     /// Consecutive failures after which calls are paused. A single lost answer must not delay the
     /// call that finds out whether the lost one took effect.
-    pub faults_before_pause: u32,
+    pub failures_before_backoff: u32,
     /// Length of the first pause; each further one is twice as long.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// Maximum pause, which bounds how late the end of an outage is noticed.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for CallBudgetSettings {
     fn default() -> Self {
         Self {
-            per_call: Duration::from_millis(25),
+            refill_interval: Duration::from_millis(25),
             burst: 20,
-            faults_before_pause: 3,
-            first_pause: Duration::from_millis(100),
-            longest_pause: Duration::from_secs(1),
+            failures_before_backoff: 3,
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(1),
         }
     }
 }
@@ -46,8 +46,8 @@
     cfg: CallBudgetSettings,
     /// Time at which the bucket is full again.
     full_at: Duration,
-    faults: u32,
-    closed_until: Instant,
+    consecutive_failures: u32,
+    backoff_until: Instant,
 }
 
 impl CallBudget {
@@ -57,58 +57,60 @@
         Self {
             cfg,
             full_at: Duration::ZERO,
-            faults: 0,
-            closed_until: Instant::default(),
+            consecutive_failures: 0,
+            backoff_until: Instant::default(),
         }
     }
 
     /// Takes the token of one call and returns whether the call may be sent now.
-    pub fn take(&mut self, now: Instant) -> bool {
-        let paused = self.faults >= self.cfg.faults_before_pause;
-        if paused && now < self.closed_until {
+    pub fn try_take(&mut self, now: Instant) -> bool {
+        let in_backoff = self.consecutive_failures >= self.cfg.failures_before_backoff;
+        if in_backoff && now < self.backoff_until {
             return false;
         }
-        let per_call = self.cfg.per_call;
-        let full_at = self.full_at.max(now.0) + per_call;
-        if full_at > now.0 + per_call * self.cfg.burst.max(1) {
+        let refill_interval = self.cfg.refill_interval;
+        let full_at = self.full_at.max(now.0) + refill_interval;
+        if full_at > now.0 + refill_interval * self.cfg.burst.max(1) {
             return false;
         }
         self.full_at = full_at;
-        if paused {
+        if in_backoff {
             // A single call per pause probes whether the outage has ended.
-            self.closed_until = now.after(self.pause());
+            self.backoff_until = now.after(self.backoff());
         }
         true
     }
 
     /// Records that a call was answered, which ends any pause.
-    pub fn answered(&mut self) {
-        self.faults = 0;
+    pub fn record_answer(&mut self) {
+        self.consecutive_failures = 0;
     }
 
     /// Records that a call failed. `jitter`, from 0 to 1, varies the pause between half and all of
     /// its length, so that the VMs do not call simultaneously.
-    pub fn failed(&mut self, now: Instant, jitter: f64) {
-        self.faults = self.faults.saturating_add(1);
+    pub fn record_failure(&mut self, now: Instant, jitter: f64) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let factor = 0.5 + jitter.clamp(0.0, 1.0) / 2.0;
-        self.closed_until = now.after(self.pause().mul_f64(factor));
+        self.backoff_until = now.after(self.backoff().mul_f64(factor));
     }
 
     /// Time until a call may be sent, provided that no other call is sent, answered or fails.
     #[must_use]
-    pub fn wait(&self, now: Instant) -> Duration {
-        let per_call = self.cfg.per_call;
-        let full = self.full_at + per_call;
-        let bucket = full.saturating_sub(now.0 + per_call * self.cfg.burst.max(1));
-        if self.faults < self.cfg.faults_before_pause {
+    pub fn time_until_available(&self, now: Instant) -> Duration {
+        let refill_interval = self.cfg.refill_interval;
+        let full = self.full_at + refill_interval;
+        let bucket = full.saturating_sub(now.0 + refill_interval * self.cfg.burst.max(1));
+        if self.consecutive_failures < self.cfg.failures_before_backoff {
             return bucket;
         }
-        bucket.max(self.closed_until.since(now))
+        bucket.max(self.backoff_until.since(now))
     }
 
-    fn pause(&self) -> Duration {
-        let doublings = self.faults.saturating_sub(self.cfg.faults_before_pause);
+    fn backoff(&self) -> Duration {
+        let doublings = self
+            .consecutive_failures
+            .saturating_sub(self.cfg.failures_before_backoff);
         let factor = 1_u32.checked_shl(doublings.min(16)).unwrap_or(u32::MAX);
-        (self.cfg.first_pause * factor).min(self.cfg.longest_pause)
+        (self.cfg.initial_backoff * factor).min(self.cfg.max_backoff)
     }
 }
--- a/crates/decisions/tests/call_budget.rs
+++ b/crates/decisions/tests/call_budget.rs
@@ -10,19 +10,19 @@
 
 fn budget() -> CallBudget {
     CallBudget::new(CallBudgetSettings {
-        per_call: Duration::from_millis(100),
+        refill_interval: Duration::from_millis(100),
         burst: 5,
         ..CallBudgetSettings::default()
     })
 }
 
 #[gtest]
-fn a_burst_and_then_the_rate_are_let_through() {
+fn allows_a_burst_and_then_the_configured_rate() {
     let mut budget = budget();
 
-    let at_once = (0..20).filter(|_| budget.take(at(1000))).count();
+    let at_once = (0..20).filter(|_| budget.try_take(at(1000))).count();
     let over_a_second = (1..=100)
-        .filter(|tick| budget.take(at(1000 + tick * 10)))
+        .filter(|tick| budget.try_take(at(1000 + tick * 10)))
         .count();
 
     expect_that!(at_once, eq(5));
@@ -32,14 +32,14 @@
 /// Guards against a retry storm during an outage of a minute in which a call is due every
 /// millisecond. If all were sent, the platform would have to refuse them when it recovers.
 #[gtest]
-fn an_outage_is_probed_by_few_calls() {
+fn few_calls_probe_an_outage() {
     let mut budget = budget();
 
     let mut sent = 0;
     for ms in 0..60_000 {
-        if budget.take(at(ms)) {
+        if budget.try_take(at(ms)) {
             sent += 1;
-            budget.failed(at(ms), 0.5);
+            budget.record_failure(at(ms), 0.5);
         }
     }
 
@@ -49,21 +49,21 @@
 /// Guards against a burst of accumulated calls when an outage ends. The first answered call ends the
 /// pause, and the waiting calls are sent at the configured rate.
 #[gtest]
-fn the_end_of_an_outage_brings_no_storm() {
+fn no_retry_storm_at_the_end_of_an_outage() {
     let mut budget = budget();
     for ms in 0..60_000 {
-        if budget.take(at(ms)) {
-            budget.failed(at(ms), 1.0);
+        if budget.try_take(at(ms)) {
+            budget.record_failure(at(ms), 1.0);
         }
     }
 
     let sent = (60_000..62_000)
         .filter(|ms| {
-            let taken = budget.take(at(*ms));
-            if taken {
-                budget.answered();
+            let allowed = budget.try_take(at(*ms));
+            if allowed {
+                budget.record_answer();
             }
-            taken
+            allowed
         })
         .count();
 
@@ -73,13 +73,13 @@
 /// Guards against a pause after a single lost answer, which would delay the call that finds out
 /// whether the lost call took effect.
 #[gtest]
-fn a_single_fault_pauses_nothing() {
+fn a_single_failure_causes_no_backoff() {
     let mut budget = budget();
-    assert!(budget.take(at(0)));
-    budget.failed(at(0), 1.0);
+    assert!(budget.try_take(at(0)));
+    budget.record_failure(at(0), 1.0);
 
-    let next = budget.take(at(1));
+    let next = budget.try_take(at(1));
 
     expect_that!(next, eq(true));
-    expect_that!(budget.wait(at(1)), eq(Duration::ZERO));
+    expect_that!(budget.time_until_available(at(1)), eq(Duration::ZERO));
 }
--- a/crates/decisions/tests/store_backoff.rs
+++ b/crates/decisions/tests/store_backoff.rs
@@ -12,10 +12,10 @@
 const ZONES: usize = 5;
 
 /// Duration of the outage of the store.
-const AWAY: Duration = Duration::from_secs(5);
+const OUTAGE: Duration = Duration::from_secs(5);
 
 /// Time from the store's answer to a reader until the other VMs of its zone are notified.
-const WORD: Duration = Duration::from_millis(10);
+const NOTIFY_DELAY: Duration = Duration::from_millis(10);
 
 fn zone(number: usize) -> Vec<Arc<str>> {
     (0..ZONE_VMS)
@@ -27,10 +27,10 @@
     (0..size).map(|n| Arc::from(format!("vm-{n}"))).collect()
 }
 
-/// Simulates the calls of a zone to a store that refuses every call at once for [`AWAY`]. VMs stop
+/// Simulates the calls of a zone to a store that refuses every call at once for [`OUTAGE`]. VMs stop
 /// calling when the readers notify them of the return. Returns the number of all calls, the number of
 /// calls after the return, and the delay until a reader noticed the return.
-fn calls(zone_vms: &[Arc<str>], rng: &mut Xoshiro256PlusPlus) -> (usize, usize, Duration) {
+fn simulate_zone(zone_vms: &[Arc<str>], rng: &mut Xoshiro256PlusPlus) -> (usize, usize, Duration) {
     let asked = |vm: &Arc<str>, rng: &mut Xoshiro256PlusPlus| {
         let role = ZoneRole::of(vm, zone_vms);
         let mut at = Duration::ZERO;
@@ -38,7 +38,7 @@
         for faults in 1.. {
             at += store_backoff(role, zone_vms.len(), faults, rng.random());
             asked.push(at);
-            if at >= AWAY {
+            if at >= OUTAGE {
                 break;
             }
         }
@@ -52,19 +52,21 @@
         .min()
         .unwrap();
     let all = vms.iter().flat_map(|(_, asked)| asked);
-    let all = all.filter(|at| **at < noticed + WORD).collect::<Vec<_>>();
-    let after = all.iter().filter(|at| ***at >= AWAY).count();
-    (all.len(), after, noticed.saturating_sub(AWAY))
+    let all = all
+        .filter(|at| **at < noticed + NOTIFY_DELAY)
+        .collect::<Vec<_>>();
+    let after = all.iter().filter(|at| ***at >= OUTAGE).count();
+    (all.len(), after, noticed.saturating_sub(OUTAGE))
 }
 
 /// Guards against a thundering herd at a store that is unreachable for five seconds. If 200 VMs called
 /// it three times per second, it would receive 3,200 useless calls, and all VMs at once on its return.
 /// A few VMs of each zone notice the return just as soon.
 #[gtest]
-fn an_outage_is_no_storm_of_calls_and_its_end_is_noticed_at_once() {
+fn an_outage_causes_no_thundering_herd_and_its_end_is_noticed_soon() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
 
-    let zones = (0..ZONES).map(|number| calls(&zone(number), &mut rng));
+    let zones = (0..ZONES).map(|number| simulate_zone(&zone(number), &mut rng));
     let zones = zones.collect::<Vec<_>>();
 
     let all = zones.iter().map(|(all, ..)| all).sum::<usize>();
@@ -93,7 +95,7 @@
 /// store. A zone has one reader; a large one also has one standby and up to two deputies, which notify
 /// the others if nobody else does.
 #[gtest]
-fn a_zone_has_the_same_few_in_front_whatever_its_size() {
+fn number_of_store_readers_does_not_grow_with_the_zone() {
     for size in [1, 3, 8, 9, 64, 200, 400] {
         let vms = zone_of(size);
         let count = |role| {
@@ -111,7 +113,7 @@
 /// Guards against a zone without a reader while views of its members differ. A VM that knows only a
 /// part of the zone may wrongly take the role, but the true reader has the role in every part.
 #[gtest]
-fn the_reader_of_a_zone_takes_itself_for_it_whomever_it_knows() {
+fn reader_has_its_role_in_every_partial_view() {
     let vms = zone_of(200);
     let reader = vms
         .iter()
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -25,7 +25,7 @@
     let cfg = PlatformSettings {
         bound: Duration::from_millis(300),
         writes: CallBudgetSettings {
-            faults_before_pause: 100,
+            failures_before_backoff: 100,
             ..CallBudgetSettings::default()
         },
         ..PlatformSettings::default()
