--- a/crates/catkinward/src/gateway/accepted_call.rs
+++ b/crates/catkinward/src/gateway/accepted_call.rs
@@ -28,7 +28,7 @@
 
 impl AcceptedCall {
     pub(crate) fn longest_idle(&self) -> Duration {
-        if self.route.kind.may_repeat() {
+        if self.route.kind.may_retry() {
             IDLE_FOR_REPEATABLE
         } else {
             IDLE_FOR_ONCE
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -337,7 +337,9 @@
         let team = holder.map(|holder| holder.team.clone());
         let draw = xxhash_rust::xxh3::xxh3_64(call.id.as_str().as_bytes());
         let service = route.service_for(draw).ok_or(Reply::NoRoute)?.clone();
-        state.budget(&service).called(&self.settings.repeats, now);
+        state
+            .budget(&service)
+            .record_call(&self.settings.repeats, now);
         let digest = call.digest(team.as_ref());
         if state.crashes.refuses(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
--- a/crates/catkinward/src/gateway/repeats.rs
+++ b/crates/catkinward/src/gateway/repeats.rs
@@ -74,8 +74,8 @@
         let mut state = self.state.lock();
         let cfg = self.repeats(&state, now);
         let budget = state.budget(service);
-        let paid = budget.pay(&cfg, now);
-        if budget.left(&cfg, now) <= FEW_LEFT {
+        let paid = budget.try_take(&cfg, now);
+        if budget.remaining(&cfg, now) <= FEW_LEFT {
             let lenders = state
                 .peers
                 .some_addresses(MOST_LENDERS, rand::random(), now);
@@ -96,7 +96,7 @@
             return;
         }
         let mut loans = self.loans.lock();
-        let Some(ask) = loans.ask(service, wanted, lenders.clone(), now) else {
+        let Some(ask) = loans.request(service, wanted, lenders.clone(), now) else {
             return;
         };
         drop(loans);
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -195,7 +195,7 @@
     async fn receive(&mut self) -> Received {
         let now = self.gateway.timer.now();
         let time_left = self.accepted.time_left(now);
-        let repeat = self.accepted.route.kind.may_repeat();
+        let repeat = self.accepted.route.kind.may_retry();
         let Some(active) = &mut self.active else {
             return Received::Broken(Loss::Broken);
         };
@@ -324,7 +324,7 @@
             self.broke_beginning.push(entry.clone());
         }
         self.run_lost(&entry, loss);
-        if self.accepted.route.kind.may_repeat() {
+        if self.accepted.route.kind.may_retry() {
             return Ok(());
         }
         Err(StreamStop::Cut(StreamCut::NotResumable))
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -192,7 +192,7 @@
         };
         let copy = copy.map(|holder| KeptCopy::growing(&gateway, holder, &self.accepted.call.id));
         let mut guard = RunGuard::begin(&gateway, entry.clone(), tokens);
-        let repeat = self.accepted.route.kind.may_repeat();
+        let repeat = self.accepted.route.kind.may_retry();
         let answer = tokio::select! {
             answer = (gateway.transport.send)(call) => answer,
             // An answer may have no head before its first event.
@@ -289,7 +289,7 @@
 
     /// Whether the stream may go on elsewhere after it may have run.
     fn unless_once(&self) -> Result<bool, StreamStop> {
-        if self.accepted.route.kind.may_repeat() {
+        if self.accepted.route.kind.may_retry() {
             return Ok(false);
         }
         Err(StreamStop::Cut(StreamCut::NotResumable))
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -123,7 +123,7 @@
 
     /// Where a call goes that may have run: nowhere, unless it may be repeated.
     async fn next_for_repeat(&self) -> Option<Arc<UpstreamEntry>> {
-        let repeat = self.accepted.route.kind.may_repeat();
+        let repeat = self.accepted.route.kind.may_retry();
         if !repeat || self.runs >= self.accepted.route.max_upstreams {
             return None;
         }
@@ -165,7 +165,7 @@
             longest_idle: self.accepted.longest_idle(),
             connect_bound: CONNECT_BOUND,
         };
-        let repeat = self.accepted.route.kind.may_repeat();
+        let repeat = self.accepted.route.kind.may_retry();
         let answer = async {
             let answer = (gateway.transport.send)(call).await?;
             gateway.heard(entry, answer.load);
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -47,7 +47,7 @@
                 .await
             {
                 Ok(answer) => {
-                    self.pool.retry_budget.lock().succeeded();
+                    self.pool.retry_budget.lock().record_success();
                     return Ok(answer);
                 }
                 Err(fault) => fault,
@@ -175,7 +175,11 @@
             sent,
             ..FailedCall::default()
         };
-        let paid = self.pool.retry_budget.lock().retry(failed, rand::random());
+        let paid = self
+            .pool
+            .retry_budget
+            .lock()
+            .try_retry(failed, rand::random());
         match paid {
             Ok(wait) if wait < self.until(call.deadline) => {
                 tokio::time::sleep(wait).await;
--- a/crates/decisions/src/call_kind.rs
+++ b/crates/decisions/src/call_kind.rs
@@ -17,7 +17,7 @@
 impl CallKind {
     /// Returns whether the call may be sent again although an earlier attempt may have run.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
--- a/crates/decisions/src/loan_desk.rs
+++ b/crates/decisions/src/loan_desk.rs
@@ -2,7 +2,7 @@
 //!
 //! A datagram may be duplicated or delayed. A loan that is counted twice would let all VMs together
 //! send more retries than the budget allows. Each lender is therefore counted once per request, and a
-//! request stays open only for [`OPEN_FOR`].
+//! request stays open only for [`REQUEST_TTL`].
 //!
 //! Several requests may be open at once, because loans for an earlier one arrive after the next was
 //! sent. When only the latest request was open, one loan in five was lost: it was deducted from its
@@ -11,54 +11,55 @@
 use super::*;
 
 /// Minimum interval between two loan requests for a service; an answer takes 1 to 5 ms.
-const ASK_PAUSE: Duration = Duration::from_millis(15);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Maximum number of VMs that receive a loan request.
 pub const MOST_LENDERS: usize = 6;
 
 /// How long a loan request stays open. This is far longer than an answer takes, and far shorter than
 /// the window in which the lender counts the loan as spent.
-const OPEN_FOR: Duration = Duration::from_millis(500);
+const REQUEST_TTL: Duration = Duration::from_millis(500);
 
 /// The open loan requests of this VM.
 #[derive(Clone, Debug, Default)]
 pub struct LoanDesk {
     /// Ordered by the time of sending.
-    open: Vec<OpenAsk>,
+    open: Vec<OpenRequest>,
     last_number: u64,
 }
 
 #[derive(Clone, Debug)]
-struct OpenAsk {
+struct OpenRequest {
     service: ServiceId,
     number: u64,
-    at: Instant,
+    sent_at: Instant,
     lenders: Vec<SocketAddr>,
 }
 
 impl LoanDesk {
     /// Opens a loan request to `lenders`; `None` if one for the service was sent within
-    /// [`ASK_PAUSE`].
-    pub fn ask(
+    /// [`MIN_REQUEST_INTERVAL`].
+    pub fn request(
         &mut self,
         service: &ServiceId,
         wanted: u32,
         lenders: Vec<SocketAddr>,
         now: Instant,
     ) -> Option<LoanAsk> {
-        self.open.retain(|open| now.since(open.at) < OPEN_FOR);
-        let just_asked = self
+        self.open
+            .retain(|open| now.since(open.sent_at) < REQUEST_TTL);
+        let recently_requested = self
             .open
             .iter()
-            .any(|open| open.service == *service && now.since(open.at) < ASK_PAUSE);
-        if just_asked {
+            .any(|open| open.service == *service && now.since(open.sent_at) < MIN_REQUEST_INTERVAL);
+        if recently_requested {
             return None;
         }
         self.last_number += 1;
-        self.open.push(OpenAsk {
+        self.open.push(OpenRequest {
             service: service.clone(),
             number: self.last_number,
-            at: now,
+            sent_at: now,
             lenders,
         });
         Some(LoanAsk {
@@ -74,7 +75,7 @@
         let open = self.open.iter_mut().find(|open| {
             open.number == loan.number
                 && open.service == loan.service
-                && now.since(open.at) < OPEN_FOR
+                && now.since(open.sent_at) < REQUEST_TTL
         });
         let Some(open) = open else {
             return 0;
--- a/crates/decisions/src/repeat_budget.rs
+++ b/crates/decisions/src/repeat_budget.rs
@@ -13,15 +13,15 @@
 use super::*;
 
 /// Number of buckets in a window.
-const BUCKETS: u32 = 40;
+const BUCKETS_PER_WINDOW: u32 = 40;
 
 /// Number of stored buckets: those of a window and the current one.
-const KEPT: usize = 41;
+const STORED_BUCKETS: usize = 41;
 
 /// Usable fraction of the allowance. The rest covers calls that are counted at their callers a moment
 /// before they arrive here. The rounding to whole buckets is conservative too: calls are counted over
 /// a window less one bucket, retries over a window plus one bucket.
-const USED_PART: f64 = 0.97;
+const USABLE_FRACTION: f64 = 0.97;
 
 /// Settings of a [`RepeatBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -50,13 +50,13 @@
 /// Calls, retries and loans of one service, counted in the buckets of a sliding window.
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
-    buckets: [Bucket; KEPT],
+    buckets: [Bucket; STORED_BUCKETS],
 }
 
 impl Default for RepeatBudget {
     fn default() -> Self {
         Self {
-            buckets: [Bucket::default(); KEPT],
+            buckets: [Bucket::default(); STORED_BUCKETS],
         }
     }
 }
@@ -66,55 +66,56 @@
     number: u64,
     calls: u32,
     /// Retries sent by this VM or lent to other VMs.
-    repeats: u32,
+    retries: u32,
     /// Retries lent by other VMs.
     borrowed: u32,
 }
 
 impl RepeatBudget {
     /// Records a call of a caller.
-    pub fn called(&mut self, cfg: &RepeatBudgetConfig, now: Instant) {
+    pub fn record_call(&mut self, cfg: &RepeatBudgetConfig, now: Instant) {
         self.bucket(cfg, now).calls += 1;
     }
 
     /// Takes one retry from the budget and returns whether one was left.
-    pub fn pay(&mut self, cfg: &RepeatBudgetConfig, now: Instant) -> bool {
-        let paid = self.left(cfg, now) > 0;
-        if paid {
-            self.bucket(cfg, now).repeats += 1;
+    pub fn try_take(&mut self, cfg: &RepeatBudgetConfig, now: Instant) -> bool {
+        let allowed = self.remaining(cfg, now) > 0;
+        if allowed {
+            self.bucket(cfg, now).retries += 1;
         }
-        paid
+        allowed
     }
 
     /// Number of retries that may be sent now.
     #[must_use]
-    pub fn left(&self, cfg: &RepeatBudgetConfig, now: Instant) -> u32 {
-        let current = number(cfg, now);
-        let oldest_repeats = current.saturating_sub(u64::from(BUCKETS));
-        let oldest_calls = oldest_repeats + 1;
-        let (mut calls, mut repeats, mut borrowed) = (0, 0, 0);
+    pub fn remaining(&self, cfg: &RepeatBudgetConfig, now: Instant) -> u32 {
+        let current = bucket_number(cfg, now);
+        let oldest_retry_bucket = current.saturating_sub(u64::from(BUCKETS_PER_WINDOW));
+        let oldest_call_bucket = oldest_retry_bucket + 1;
+        let (mut calls, mut retries, mut borrowed) = (0, 0, 0);
         for bucket in &self.buckets {
-            if bucket.number >= oldest_repeats {
-                repeats += bucket.repeats;
+            if bucket.number >= oldest_retry_bucket {
+                retries += bucket.retries;
             }
-            if bucket.number >= oldest_calls {
+            if bucket.number >= oldest_call_bucket {
                 calls += bucket.calls;
                 borrowed += bucket.borrowed;
             }
         }
         let share = cfg.slack / f64::from(cfg.vms.max(1));
-        let allowed = USED_PART * (cfg.ratio * f64::from(calls) + share) + f64::from(borrowed);
+        let allowed =
+            USABLE_FRACTION * (cfg.ratio * f64::from(calls) + share) + f64::from(borrowed);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let left = (allowed - f64::from(repeats)).max(0.0) as u32;
-        left
+        let remaining = (allowed - f64::from(retries)).max(0.0) as u32;
+        remaining
     }
 
     /// Lends up to `wanted` retries to another VM and returns how many. It lends even the last one,
     /// because a call is waiting at the borrower and none here: when each of 90 VMs kept one back, a
     /// tenth of all retries remained unused.
     pub fn lend(&mut self, cfg: &RepeatBudgetConfig, wanted: u32, now: Instant) -> u32 {
-        let given = wanted.min(self.left(cfg, now));
-        self.bucket(cfg, now).repeats += given;
+        let given = wanted.min(self.remaining(cfg, now));
+        self.bucket(cfg, now).retries += given;
         given
     }
 
@@ -124,7 +125,7 @@
     }
 
     fn bucket(&mut self, cfg: &RepeatBudgetConfig, now: Instant) -> &mut Bucket {
-        let number = number(cfg, now);
+        let number = bucket_number(cfg, now);
         let index = usize::try_from(number).unwrap_or(0) % self.buckets.len();
         let bucket = &mut self.buckets[index];
         if bucket.number != number {
@@ -137,8 +138,8 @@
     }
 }
 
-fn number(cfg: &RepeatBudgetConfig, now: Instant) -> u64 {
-    let length = (cfg.window / BUCKETS).max(Duration::from_millis(1));
+fn bucket_number(cfg: &RepeatBudgetConfig, now: Instant) -> u64 {
+    let length = (cfg.window / BUCKETS_PER_WINDOW).max(Duration::from_millis(1));
     // Numbers start at 1, because an unused bucket has number 0.
     u64::try_from(now.0.as_nanos() / length.as_nanos()).unwrap_or(u64::MAX - 1) + 1
 }
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Retry budget of a service that is replenished by successful calls.
 //!
 //! When an upstream or the platform fails for a while, all calls fail. Without a budget every call
-//! becomes `max_sent` calls when the least capacity is available, and a retry storm meets the end of
+//! becomes `max_sends` calls when the least capacity is available, and a retry storm meets the end of
 //! the outage. Here a success earns a tenth of a retry, so that beyond a fixed burst retries add at
 //! most a tenth to the load, however long the outage lasts. Waits are random between zero and an
 //! exponentially growing bound, so that calls that failed together are not retried together.
@@ -20,11 +20,11 @@
     /// Maximum number of accumulated retries, which a new budget starts with.
     pub burst: u32,
     /// Maximum number of times that a call is sent, including the first.
-    pub max_sent: u32,
+    pub max_sends: u32,
     /// Maximum wait before the first retry.
-    pub base_wait: Duration,
+    pub initial_delay_bound: Duration,
     /// Maximum wait before any retry.
-    pub max_wait: Duration,
+    pub max_delay_bound: Duration,
 }
 
 impl Default for RetryBudgetConfig {
@@ -32,9 +32,9 @@
         Self {
             successes_per_retry: 10,
             burst: 10,
-            max_sent: 3,
-            base_wait: Duration::from_millis(20),
-            max_wait: Duration::from_secs(1),
+            max_sends: 3,
+            initial_delay_bound: Duration::from_millis(20),
+            max_delay_bound: Duration::from_secs(1),
         }
     }
 }
@@ -45,7 +45,7 @@
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
     /// Balance, counted in successes to avoid fractions of a retry.
-    saved: u32,
+    balance: u32,
 }
 
 impl RetryBudget {
@@ -54,14 +54,14 @@
     pub fn new(cfg: RetryBudgetConfig) -> Self {
         Self {
             cfg,
-            saved: cfg.burst * cfg.successes_per_retry,
+            balance: cfg.burst * cfg.successes_per_retry,
         }
     }
 
     /// Records that a call succeeded.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         let full = self.cfg.burst * self.cfg.successes_per_retry;
-        self.saved = (self.saved + 1).min(full);
+        self.balance = (self.balance + 1).min(full);
     }
 
     /// Takes a retry for a failed call from the budget and returns the delay before it is sent.
@@ -70,35 +70,35 @@
     /// # Errors
     ///
     /// Returns why the call must not be sent again; the budget is unchanged in this case.
-    pub fn retry(&mut self, call: FailedCall, random: f64) -> Result<Duration, RetryRefusal> {
+    pub fn try_retry(&mut self, call: FailedCall, random: f64) -> Result<Duration, RetryRefusal> {
         if !call.idempotent && !call.not_run {
             return Err(RetryRefusal::MayHaveRun);
         }
         if call.poisoned {
             return Err(RetryRefusal::Poisoned);
         }
-        if call.sent >= self.cfg.max_sent {
+        if call.sent >= self.cfg.max_sends {
             return Err(RetryRefusal::Attempts);
         }
-        self.saved = self
-            .saved
+        self.balance = self
+            .balance
             .checked_sub(self.cfg.successes_per_retry)
             .ok_or(RetryRefusal::Budget)?;
-        Ok(self.wait_bound(call.sent).mul_f64(random.clamp(0.0, 1.0)))
+        Ok(self.delay_bound(call.sent).mul_f64(random.clamp(0.0, 1.0)))
     }
 
     /// Number of whole retries available.
     #[must_use]
-    pub fn retries(&self) -> u32 {
-        self.saved / self.cfg.successes_per_retry.max(1)
+    pub fn available_retries(&self) -> u32 {
+        self.balance / self.cfg.successes_per_retry.max(1)
     }
 
-    fn wait_bound(&self, sent: u32) -> Duration {
+    fn delay_bound(&self, sent: u32) -> Duration {
         let doublings = sent.saturating_sub(1).min(16);
         self.cfg
-            .base_wait
+            .initial_delay_bound
             .saturating_mul(1 << doublings)
-            .min(self.cfg.max_wait)
+            .min(self.cfg.max_delay_bound)
     }
 }
 
--- a/crates/decisions/tests/repeat_budget.rs
+++ b/crates/decisions/tests/repeat_budget.rs
@@ -28,17 +28,17 @@
 fn all_vms_together_stay_within_the_budget() {
     let cfg = cfg();
     let mut vms = vec![RepeatBudget::default(); VMS as usize];
-    let (mut calls, mut repeats) = (Vec::new(), Vec::new());
+    let (mut calls, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(5) {
         for (index, vm) in vms.iter_mut().enumerate() {
             // The first VM receives half of the calls.
             let every = if index == 0 { 100 } else { 700 };
             if ms % every == 0 {
-                vm.called(&cfg, at(ms));
+                vm.record_call(&cfg, at(ms));
                 calls.push(ms);
             }
-            if vm.pay(&cfg, at(ms)) {
-                repeats.push(ms);
+            if vm.try_take(&cfg, at(ms)) {
+                retries.push(ms);
             }
         }
     }
@@ -49,10 +49,10 @@
                 .filter(|t| (end - 10_000..end).contains(*t))
                 .count()
         };
-        let (calls, repeats) = (within(&calls), within(&repeats));
+        let (calls, retries) = (within(&calls), within(&retries));
 
         expect_that!(
-            repeats * 10,
+            retries * 10,
             le(calls * 8 + 1500),
             "in the 10 s before {end} ms"
         );
@@ -62,26 +62,26 @@
 /// Guards against a VM without budget just after its start: it has recorded no calls, but may use its
 /// part of the slack.
 #[gtest]
-fn a_vm_without_calls_has_its_part_of_the_slack() {
+fn vm_without_calls_may_use_its_part_of_the_slack() {
     let cfg = cfg();
     let mut vm = RepeatBudget::default();
 
-    let paid = (0..1000).filter(|_| vm.pay(&cfg, at(1000))).count();
+    let allowed = (0..1000).filter(|_| vm.try_take(&cfg, at(1000))).count();
 
-    expect_that!(paid, all![ge(15), le(150 / 8)]);
+    expect_that!(allowed, all![ge(15), le(150 / 8)]);
 }
 
 /// Guards against cut streams at a VM that has to resume all its streams because its zone is cut off,
 /// while the other VMs need no retries. Without loans it had 15 retries. The VMs together must stay
 /// within the budget.
 #[gtest]
-fn a_vm_that_runs_short_is_lent_repeats_within_the_budget() {
+fn exhausted_vm_borrows_retries_within_the_budget() {
     let cfg = cfg();
     let mut vms = vec![RepeatBudget::default(); VMS as usize];
     let mut sent = 0;
     for step in 0..40 {
         let now = at(1000 + step);
-        while vms[0].pay(&cfg, now) {
+        while vms[0].try_take(&cfg, now) {
             sent += 1;
         }
         for lender in 1..vms.len() {
@@ -90,8 +90,8 @@
         }
     }
     let others = vms[1..].iter_mut().map(|vm| {
-        let paid = (0..1000).filter(|_| vm.pay(&cfg, at(1100))).count();
-        u32::try_from(paid).unwrap()
+        let allowed = (0..1000).filter(|_| vm.try_take(&cfg, at(1100))).count();
+        u32::try_from(allowed).unwrap()
     });
     let others = others.sum::<u32>();
 
@@ -104,7 +104,7 @@
 /// every three seconds, and 90 VMs resume the lost streams. The share of a VM is a few retries, and the
 /// demand is uneven: when lenders kept the last retry back, one stream in six was cut.
 #[gtest]
-fn a_mass_crash_leaves_no_vm_without_repeats_while_others_have_some() {
+fn a_mass_crash_leaves_no_vm_without_retries_while_others_have_some() {
     let cfg = RepeatBudgetConfig { vms: 90, ..cfg() };
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let mut vms = vec![RepeatBudget::default(); 90];
@@ -112,13 +112,13 @@
     for ms in (0..20_000).step_by(10) {
         // 85 streams per second over all VMs.
         if rng.random_bool(0.85) {
-            vms[rng.random_range(0..90)].called(&cfg, at(ms));
+            vms[rng.random_range(0..90)].record_call(&cfg, at(ms));
         }
         if ms >= 5000 && ms % 3000 == 0 {
             for _ in 0..175 {
                 let borrower = rng.random_range(0..90);
                 needed += 1;
-                sent += u32::from(pay_with_loans(&mut vms, borrower, &cfg, &mut rng, at(ms)));
+                sent += u32::from(take_with_loans(&mut vms, borrower, &cfg, &mut rng, at(ms)));
             }
         }
     }
@@ -127,7 +127,7 @@
 }
 
 /// Takes a retry, or borrows two retries from each of six random VMs in up to five rounds.
-fn pay_with_loans(
+fn take_with_loans(
     vms: &mut [RepeatBudget],
     borrower: usize,
     cfg: &RepeatBudgetConfig,
@@ -135,7 +135,7 @@
     now: Instant,
 ) -> bool {
     for _ in 0..5 {
-        if vms[borrower].pay(cfg, now) {
+        if vms[borrower].try_take(cfg, now) {
             return true;
         }
         for _ in 0..6 {
@@ -146,14 +146,14 @@
             }
         }
     }
-    vms[borrower].pay(cfg, now)
+    vms[borrower].try_take(cfg, now)
 }
 
 /// An event at one or two of the VMs.
 #[derive(Clone, Debug)]
 enum Step {
     Call(usize),
-    Repeat(usize),
+    Retry(usize),
     /// A loan from the first VM to the second, and whether its datagram arrives.
     Loan(usize, usize, bool),
     Wait(u64),
@@ -165,7 +165,7 @@
     let vm = 0..VMS as usize;
     prop_oneof![
         4 => vm.clone().prop_map(Step::Call),
-        6 => vm.clone().prop_map(Step::Repeat),
+        6 => vm.clone().prop_map(Step::Retry),
         3 => (vm.clone(), vm.clone(), any::<bool>()).prop_map(|(a, b, c)| Step::Loan(a, b, c)),
         3 => (1_u64..900).prop_map(Step::Wait),
         1 => vm.prop_map(Step::Lost),
@@ -176,18 +176,18 @@
     /// For any sequence of calls, retries, loans, lost datagrams and lost VMs, all VMs together send no
     /// more retries in any window than ratio and slack allow. A lost VM loses its budget.
     #[test]
-    fn the_sum_holds_over_loans_losses_and_time(steps in prop::collection::vec(step(), 1..1500)) {
+    fn total_stays_within_the_budget_with_loans_and_losses(steps in prop::collection::vec(step(), 1..1500)) {
         let cfg = cfg();
         let mut vms = vec![Some(RepeatBudget::default()); VMS as usize];
-        let (mut ms, mut calls, mut repeats) = (0, Vec::new(), Vec::new());
+        let (mut ms, mut calls, mut retries) = (0, Vec::new(), Vec::new());
         for step in steps {
             match step {
                 Step::Call(vm) => if let Some(vm) = &mut vms[vm] {
-                    vm.called(&cfg, at(ms));
+                    vm.record_call(&cfg, at(ms));
                     calls.push(ms);
                 },
-                Step::Repeat(vm) => if let Some(vm) = &mut vms[vm] && vm.pay(&cfg, at(ms)) {
-                    repeats.push(ms);
+                Step::Retry(vm) => if let Some(vm) = &mut vms[vm] && vm.try_take(&cfg, at(ms)) {
+                    retries.push(ms);
                 },
                 Step::Loan(from, to, arrives) => {
                     let given = vms[from].as_mut().map_or(0, |vm| vm.lend(&cfg, 6, at(ms)));
@@ -199,7 +199,7 @@
                 Step::Lost(vm) => vms[vm] = None,
             }
             let within = |times: &[u64]| times.iter().filter(|t| **t + 10_000 > ms).count();
-            prop_assert!(within(&repeats) * 10 <= within(&calls) * 8 + 1500);
+            prop_assert!(within(&retries) * 10 <= within(&calls) * 8 + 1500);
         }
     }
 }
@@ -212,7 +212,7 @@
     let mut vm = RepeatBudget::default();
     vm.borrow(&cfg, 10, at(1000));
 
-    let (at_once, later) = (vm.left(&cfg, at(1000)), vm.left(&cfg, at(11_600)));
+    let (at_once, later) = (vm.remaining(&cfg, at(1000)), vm.remaining(&cfg, at(11_600)));
 
     expect_that!(at_once, eq(later + 10));
 }
@@ -226,12 +226,12 @@
         ([127, 0, 0, n], 7201).into()
     }
 
-    fn asked(desk: &mut LoanDesk, lenders: &[u8], now: Instant) -> Option<Loan> {
+    fn requested(requests: &mut LoanDesk, lenders: &[u8], now: Instant) -> Option<Loan> {
         let lenders = lenders.iter().map(|n| vm(*n)).collect();
-        let ask = desk.ask(&"engines".parse().unwrap(), 6, lenders, now)?;
+        let request = requests.request(&"engines".parse().unwrap(), 6, lenders, now)?;
         Some(Loan {
-            service: ask.service,
-            number: ask.number,
+            service: request.service,
+            number: request.number,
             given: 3,
         })
     }
@@ -240,10 +240,10 @@
     /// budget.
     #[gtest]
     fn a_loan_counts_once() {
-        let mut desk = LoanDesk::default();
-        let loan = asked(&mut desk, &[1, 2], at(0)).unwrap();
+        let mut requests = LoanDesk::default();
+        let loan = requested(&mut requests, &[1, 2], at(0)).unwrap();
 
-        let given = [1, 1, 2, 3].map(|n| desk.receive(&loan, vm(n), at(5)));
+        let given = [1, 1, 2, 3].map(|n| requests.receive(&loan, vm(n), at(5)));
 
         expect_that!(given, eq([3, 0, 3, 0]));
     }
@@ -251,41 +251,41 @@
     /// Guards against ignoring loans for an earlier request that arrive after the next request was sent:
     /// they are already deducted from their lenders' budgets.
     #[gtest]
-    fn a_loan_that_the_next_question_overtook_counts() {
-        let mut desk = LoanDesk::default();
-        let first = asked(&mut desk, &[1], at(0)).unwrap();
-        let second = asked(&mut desk, &[2], at(20)).unwrap();
+    fn loan_for_an_earlier_open_request_counts() {
+        let mut requests = LoanDesk::default();
+        let first = requested(&mut requests, &[1], at(0)).unwrap();
+        let second = requested(&mut requests, &[2], at(20)).unwrap();
 
         let given = [(&second, 2), (&first, 1), (&first, 1)]
-            .map(|(loan, n)| desk.receive(loan, vm(n), at(25)));
+            .map(|(loan, n)| requests.receive(loan, vm(n), at(25)));
 
         expect_that!(given, eq([3, 3, 0]));
     }
 
     /// Guards against counting a loan that was delayed by seconds, when the lender's budget is full again.
     #[gtest]
-    fn a_loan_of_an_older_question_does_not_count() {
-        let mut desk = LoanDesk::default();
-        let late = asked(&mut desk, &[1], at(0)).unwrap();
-        asked(&mut desk, &[1], at(5000)).unwrap();
+    fn delayed_loan_does_not_count_after_a_later_request() {
+        let mut requests = LoanDesk::default();
+        let late = requested(&mut requests, &[1], at(0)).unwrap();
+        requested(&mut requests, &[1], at(5000)).unwrap();
 
-        expect_that!(desk.receive(&late, vm(1), at(5001)), eq(0));
+        expect_that!(requests.receive(&late, vm(1), at(5001)), eq(0));
     }
 
     /// The same failure without a later request.
     #[gtest]
-    fn a_loan_that_comes_after_half_a_second_does_not_count() {
-        let mut desk = LoanDesk::default();
-        let late = asked(&mut desk, &[1], at(0)).unwrap();
+    fn loan_after_the_request_expired_does_not_count() {
+        let mut requests = LoanDesk::default();
+        let late = requested(&mut requests, &[1], at(0)).unwrap();
 
-        expect_that!(desk.receive(&late, vm(1), at(501)), eq(0));
+        expect_that!(requests.receive(&late, vm(1), at(501)), eq(0));
     }
 
     #[gtest]
-    fn questions_do_not_follow_each_other_at_once() {
-        let mut desk = LoanDesk::default();
-        let asked = [0, 5, 20].map(|ms| asked(&mut desk, &[1], at(ms)).is_some());
+    fn requests_keep_a_minimum_interval() {
+        let mut requests = LoanDesk::default();
+        let sent = [0, 5, 20].map(|ms| requested(&mut requests, &[1], at(ms)).is_some());
 
-        expect_that!(asked, eq([true, false, true]));
+        expect_that!(sent, eq([true, false, true]));
     }
 }
--- a/crates/decisions/tests/retry_budget.rs
+++ b/crates/decisions/tests/retry_budget.rs
@@ -18,7 +18,7 @@
     (0..calls)
         .map(|_| {
             let mut call = idempotent();
-            while budget.retry(call, 0.5).is_ok() {
+            while budget.try_retry(call, 0.5).is_ok() {
                 call.sent += 1;
             }
             call.sent
@@ -48,28 +48,28 @@
     let mut budget = RetryBudget::default();
     sent_in_outage(&mut budget, 1000);
 
-    let refused = budget.retry(idempotent(), 0.5);
+    let refused = budget.try_retry(idempotent(), 0.5);
     for _ in 0..10 {
-        budget.succeeded();
+        budget.record_success();
     }
-    let paid = budget.retry(idempotent(), 0.5);
+    let allowed = budget.try_retry(idempotent(), 0.5);
 
     expect_that!(refused, err(eq(RetryRefusal::Budget)));
-    expect_that!(paid, ok(eq(Duration::from_millis(10))));
+    expect_that!(allowed, ok(eq(Duration::from_millis(10))));
 }
 
 /// Guards against a retry of a write whose connection broke: it may have run, and a retry could write
 /// the record twice.
 #[gtest]
-fn never_repeats_what_may_have_run() {
+fn never_retries_a_call_that_may_have_run() {
     let mut budget = RetryBudget::default();
     let call = FailedCall {
         sent: 1,
         ..FailedCall::default()
     };
 
-    let refused = budget.retry(call, 0.5);
-    let known_not_run = budget.retry(
+    let refused = budget.try_retry(call, 0.5);
+    let known_not_run = budget.try_retry(
         FailedCall {
             not_run: true,
             ..call
@@ -83,30 +83,30 @@
 
 /// Guards against a retry of a request that crashes every upstream that runs it.
 #[gtest]
-fn never_repeats_a_poisoned_request() {
+fn never_retries_a_poisoned_request() {
     let mut budget = RetryBudget::default();
     let call = FailedCall {
         poisoned: true,
         ..idempotent()
     };
 
-    let refused = budget.retry(call, 0.5);
+    let refused = budget.try_retry(call, 0.5);
 
     expect_that!(refused, err(eq(RetryRefusal::Poisoned)));
-    expect_that!(budget.retries(), eq(10));
+    expect_that!(budget.available_retries(), eq(10));
 }
 
 proptest! {
     #[test]
-    fn retries_never_exceed_what_successes_earned(events in prop::collection::vec(any::<bool>(), 0..400)) {
+    fn retries_never_exceed_the_earned_ones_and_the_burst(events in prop::collection::vec(any::<bool>(), 0..400)) {
         let mut budget = RetryBudget::default();
         let (mut successes, mut retries) = (0, 0);
 
         for success in events {
             if success {
-                budget.succeeded();
+                budget.record_success();
                 successes += 1;
-            } else if budget.retry(idempotent(), 0.0).is_ok() {
+            } else if budget.try_retry(idempotent(), 0.0).is_ok() {
                 retries += 1;
             }
         }
@@ -115,11 +115,11 @@
     }
 
     #[test]
-    fn waits_stay_below_their_bound(sent in 1..3_u32, random in 0.0..1.0_f64) {
+    fn delays_stay_within_their_bound(sent in 1..3_u32, random in 0.0..1.0_f64) {
         let mut budget = RetryBudget::default();
 
-        let wait = budget.retry(FailedCall { sent, ..idempotent() }, random).expect("a full budget");
+        let delay = budget.try_retry(FailedCall { sent, ..idempotent() }, random).expect("a full budget");
 
-        prop_assert!(wait <= Duration::from_millis(20) * (1 << (sent - 1)));
+        prop_assert!(delay <= Duration::from_millis(20) * (1 << (sent - 1)));
     }
 }
