--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -78,7 +78,7 @@
     pub fn give_back(&self, team: &TeamId, kind: LimitKind, cost: u32) {
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, team, kind) {
-            slices[i].slice.give_back(cost.into());
+            slices[i].slice.refund(cost.into());
         }
     }
 
@@ -140,7 +140,7 @@
         let now = self.timer.now();
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, &grant.team, grant.kind) {
-            slices[i].slice.granted(grant, asked, now);
+            slices[i].slice.apply_grant(grant, asked, now);
         }
     }
 
--- a/crates/decisions/examples/choice.rs
+++ b/crates/decisions/examples/choice.rs
@@ -68,7 +68,7 @@
 }
 
 /// Largest number of requests that one upstream receives before the next report.
-fn largest(vms: u64, decide: Decide) -> u32 {
+fn max_load(vms: u64, decide: Decide) -> u32 {
     let mut got = [0; UPSTREAMS];
     for vm in 0..vms {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(vm);
@@ -88,9 +88,9 @@
         println!(
             "{vms} VMs, {REQUESTS} requests each on one report, mean {:.1}: largest {} by choice, {} least loaded, {} at random",
             f64::from(vms * REQUESTS) / 40.0,
-            largest(vms.into(), two_choices),
-            largest(vms.into(), least_loaded),
-            largest(vms.into(), at_random),
+            max_load(vms.into(), two_choices),
+            max_load(vms.into(), least_loaded),
+            max_load(vms.into(), at_random),
         );
     }
     let records = vec![record(4); UPSTREAMS];
--- a/crates/decisions/examples/slices.rs
+++ b/crates/decisions/examples/slices.rs
@@ -53,36 +53,36 @@
 }
 
 /// A strategy that enforces the limit.
-enum Way {
+enum Strategy {
     Fixed(Vec<TeamSlice>),
     PerRequest(PerRequest),
     Batched(Batched),
     Slices(Slices),
 }
 
-impl Way {
+impl Strategy {
     fn tick(&mut self, now: u64, cut_off: &[usize]) {
         match self {
             Self::Fixed(_) | Self::PerRequest(_) => {}
-            Self::Batched(way) => way.tick(now, cut_off),
-            Self::Slices(way) => way.tick(now, cut_off),
+            Self::Batched(strategy) => strategy.tick(now, cut_off),
+            Self::Slices(strategy) => strategy.tick(now, cut_off),
         }
     }
 
     fn admits(&mut self, vm: usize, now: u64, cut_off: bool) -> bool {
         match self {
             Self::Fixed(slices) => slices[vm].take(1.0, at(now)).is_ok(),
-            Self::PerRequest(way) => !cut_off && way.admits(now),
-            Self::Batched(way) => way.admits(vm),
-            Self::Slices(way) => way.slices[vm].take(1.0, at(now)).is_ok(),
+            Self::PerRequest(strategy) => !cut_off && strategy.admits(now),
+            Self::Batched(strategy) => strategy.admits(vm),
+            Self::Slices(strategy) => strategy.slices[vm].take(1.0, at(now)).is_ok(),
         }
     }
 
     fn writes(&self) -> u64 {
         match self {
             Self::Fixed(_) | Self::Slices(_) => 0,
-            Self::PerRequest(way) => way.writes,
-            Self::Batched(way) => way.writes,
+            Self::PerRequest(strategy) => strategy.writes,
+            Self::Batched(strategy) => strategy.writes,
         }
     }
 }
@@ -158,7 +158,7 @@
                 demand: self.slices[vm_number].demand(at(now)),
             };
             let grant = self.home.grant(&request, at(now)).expect("a holder");
-            self.slices[vm_number].granted(&grant, at(now), at(now));
+            self.slices[vm_number].apply_grant(&grant, at(now), at(now));
         }
     }
 }
@@ -167,25 +167,25 @@
     vec![TeamSlice::fixed(LIMIT / 8.0, at(0)); VMS]
 }
 
-fn run(name: &str, mut way: Way) {
+fn run(name: &str, mut strategy: Strategy) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let mut now = 0;
     for phase in &PHASES {
         let (mut admitted, mut cut, mut peak, mut wanted) = (0_u32, 0_u32, 0_u32, 0_u32);
-        let writes = way.writes();
+        let writes = strategy.writes();
         for second in 0..PHASE {
             // The first seconds of a phase count as well, because the limit also holds while the demand
             // moves.
             let mut in_second = 0;
             for _ in 0..1000 {
-                way.tick(now, phase.cut_off);
+                strategy.tick(now, phase.cut_off);
                 for vm in 0..VMS {
                     if !rng.random_bool(phase.demand[vm] / 1000.0) {
                         continue;
                     }
                     wanted += 1;
                     let cut_off = phase.cut_off.contains(&vm);
-                    if way.admits(vm, now, cut_off) {
+                    if strategy.admits(vm, now, cut_off) {
                         in_second += 1;
                         cut += u32::from(cut_off);
                     }
@@ -203,7 +203,7 @@
             phase.name,
             100.0 * (f64::from(admitted) / (LIMIT * 20.0) - 1.0).max(0.0),
             100.0 * (1.0 - f64::from(admitted) / allowed).max(0.0),
-            f64::from(u32::try_from(way.writes() - writes).expect("few")) / 20.0,
+            f64::from(u32::try_from(strategy.writes() - writes).expect("few")) / 20.0,
             f64::from(cut) / 20.0,
         );
     }
@@ -238,16 +238,16 @@
 fn main() {
     println!("| way | phase | over | under | peak second | writes/s | cut off/s |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    run("fixed", Way::Fixed(fixed_slices()));
+    run("fixed", Strategy::Fixed(fixed_slices()));
     let table = TeamSlice::fixed(LIMIT, at(0));
     run(
         "per request",
-        Way::PerRequest(PerRequest { table, writes: 0 }),
+        Strategy::PerRequest(PerRequest { table, writes: 0 }),
     );
-    run("batched", Way::Batched(Batched::default()));
+    run("batched", Strategy::Batched(Batched::default()));
     let home = SliceHome::new(LIMIT, (0..VMS).map(vm).collect(), at(0));
     let slices = fixed_slices();
-    run("slices", Way::Slices(Slices { home, slices }));
+    run("slices", Strategy::Slices(Slices { home, slices }));
     println!(
         "target: 5800 writes/s per request, {} batched over 100 ms",
         pairs_a_second(100)
--- a/crates/decisions/src/newtype.rs
+++ b/crates/decisions/src/newtype.rs
@@ -109,9 +109,9 @@
             type Err = Error;
 
             fn from_str(s: &str) -> Result<Self, Error> {
-                let fault = Error::Digest { what: $what };
+                let error = Error::Digest { what: $what };
                 let bytes = parse_hex(s).and_then(|bytes| bytes.try_into().ok());
-                bytes.map(Self).ok_or(fault)
+                bytes.map(Self).ok_or(error)
             }
         }
 
--- a/crates/decisions/src/slice_home.rs
+++ b/crates/decisions/src/slice_home.rs
@@ -24,13 +24,13 @@
 pub const SLICE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Minimum quota of a holder, as a fraction of an equal share of the limit.
-const FLOOR: f64 = 0.25;
+const FLOOR_SHARE: f64 = 0.25;
 
 /// Allocator of one limit.
 #[derive(Clone, Debug)]
 pub struct SliceHome {
     limit: f64,
-    warm: Instant,
+    granting_from: Instant,
     /// Sorted by VM.
     holders: Vec<Holder>,
 }
@@ -51,7 +51,7 @@
         vms.dedup();
         Self {
             limit,
-            warm: now.after(SLICE_LEASE),
+            granting_from: now.after(SLICE_LEASE),
             holders: vms
                 .into_iter()
                 .map(|vm| Holder {
@@ -78,7 +78,7 @@
             .filter(|other| *other != i)
             .map(|other| self.holders[other].reserved(floor))
             .sum::<f64>();
-        let rate = if now < self.warm {
+        let rate = if now < self.granting_from {
             floor
         } else {
             self.fair_share(i).min(self.limit - others).max(floor)
@@ -96,7 +96,7 @@
     /// Minimum quota of each holder, per second.
     #[must_use]
     pub fn floor(&self) -> f64 {
-        FLOOR * self.limit / count(self.holders.len())
+        FLOOR_SHARE * self.limit / as_f64(self.holders.len())
     }
 
     /// Max-min fair share of holder `i`, plus an equal part of the rate that no holder demands.
@@ -111,14 +111,14 @@
         demands.sort_by(f64::total_cmp);
         let (mut left, mut holders) = (self.limit, demands.len());
         for demand in demands {
-            let even = left / count(holders);
+            let even = left / as_f64(holders);
             if demand > even {
                 return own.min(even);
             }
             left -= demand;
             holders -= 1;
         }
-        own + left / count(self.holders.len())
+        own + left / as_f64(self.holders.len())
     }
 }
 
@@ -131,6 +131,6 @@
     }
 }
 
-fn count(n: usize) -> f64 {
+fn as_f64(n: usize) -> f64 {
     u32::try_from(n.max(1)).map_or(f64::MAX, f64::from)
 }
--- a/crates/decisions/src/team_slice.rs
+++ b/crates/decisions/src/team_slice.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 /// Capacity of the bucket, as the time in which it fills at the slice's rate.
-const BURST: Duration = Duration::from_secs(1);
+const BURST_WINDOW: Duration = Duration::from_secs(1);
 
 /// Weight of the newest second in the moving average of the demand.
-const DEMAND_PART: f64 = 0.5;
+const NEWEST_DEMAND_WEIGHT: f64 = 0.5;
 
 /// A VM's slice of a team's limit: a token bucket that fills at the slice's rate.
 #[derive(Clone, Debug)]
 pub struct TeamSlice {
     rate: f64,
     floor: f64,
-    end: Option<Instant>,
-    saved: f64,
-    filled: Instant,
+    expires_at: Option<Instant>,
+    balance: f64,
+    filled_at: Instant,
     demand: f64,
-    asked: f64,
-    second: Instant,
+    current_demand: f64,
+    second_start: Instant,
 }
 
 impl TeamSlice {
@@ -26,21 +26,21 @@
         Self {
             rate,
             floor: rate,
-            end: None,
-            saved: (rate * BURST.as_secs_f64()).max(1.0),
-            filled: now,
+            expires_at: None,
+            balance: (rate * BURST_WINDOW.as_secs_f64()).max(1.0),
+            filled_at: now,
             demand: 0.0,
-            asked: 0.0,
-            second: now,
+            current_demand: 0.0,
+            second_start: now,
         }
     }
 
-    /// Applies a grant that was requested at `asked`.
-    pub fn granted(&mut self, grant: &SliceGrant, asked: Instant, now: Instant) {
-        self.fill(now);
+    /// Applies a grant that was requested at `requested_at`.
+    pub fn apply_grant(&mut self, grant: &SliceGrant, requested_at: Instant, now: Instant) {
+        self.refill(now);
         self.rate = grant.rate;
         self.floor = grant.floor;
-        self.end = Some(asked.after(Duration::from_millis(grant.lease_ms.into())));
+        self.expires_at = Some(requested_at.after(Duration::from_millis(grant.lease_ms.into())));
     }
 
     /// Admits a request that costs `cost`. A request that costs more than the balance is admitted while
@@ -51,27 +51,27 @@
     ///
     /// Returns the time after which the request may be retried.
     pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), Duration> {
-        self.note_demand(cost, now);
-        self.fill(now);
+        self.record_demand(cost, now);
+        self.refill(now);
         let least = cost.min(1.0);
-        if self.saved >= least {
-            self.saved -= cost;
+        if self.balance >= least {
+            self.balance -= cost;
             return Ok(());
         }
-        let wait = (least - self.saved) / self.rate(now).max(1e-3);
+        let wait = (least - self.balance) / self.rate(now).max(1e-3);
         Err(Duration::from_secs_f64(wait.clamp(0.001, 3600.0)))
     }
 
     /// Returns the part of the cost that a request did not use.
-    pub fn give_back(&mut self, cost: f64) {
-        self.saved += cost;
+    pub fn refund(&mut self, cost: f64) {
+        self.balance += cost;
     }
 
     /// Rate that may be admitted now, per second.
     #[must_use]
     pub fn rate(&self, now: Instant) -> f64 {
-        match self.end {
-            Some(end) if now >= end => self.floor,
+        match self.expires_at {
+            Some(expires_at) if now >= expires_at => self.floor,
             _ => self.rate,
         }
     }
@@ -79,28 +79,31 @@
     /// Recent demand, per second.
     #[must_use]
     pub fn demand(&mut self, now: Instant) -> f64 {
-        self.note_demand(0.0, now);
-        self.demand.max(self.asked)
+        self.record_demand(0.0, now);
+        self.demand.max(self.current_demand)
     }
 
-    fn note_demand(&mut self, cost: f64, now: Instant) {
-        let seconds = now.since(self.second).as_secs_f64();
+    fn record_demand(&mut self, cost: f64, now: Instant) {
+        let seconds = now.since(self.second_start).as_secs_f64();
         if seconds >= 1.0 {
-            let newest = self.asked / seconds;
-            self.demand += DEMAND_PART * (newest - self.demand);
-            self.asked = 0.0;
-            self.second = now;
+            let newest = self.current_demand / seconds;
+            self.demand += NEWEST_DEMAND_WEIGHT * (newest - self.demand);
+            self.current_demand = 0.0;
+            self.second_start = now;
         }
-        self.asked += cost;
+        self.current_demand += cost;
     }
 
-    fn fill(&mut self, now: Instant) {
+    fn refill(&mut self, now: Instant) {
         // After the slice has expired, the bucket fills at the minimum rate.
-        let end = self.end.unwrap_or(now).clamp(self.filled.min(now), now);
-        let before = end.since(self.filled).as_secs_f64() * self.rate;
-        let after = now.since(end.max(self.filled)).as_secs_f64() * self.floor;
-        let full = (self.rate(now) * BURST.as_secs_f64()).max(1.0);
-        self.saved = (self.saved + before + after).min(full);
-        self.filled = now;
+        let expires_at = self
+            .expires_at
+            .unwrap_or(now)
+            .clamp(self.filled_at.min(now), now);
+        let before = expires_at.since(self.filled_at).as_secs_f64() * self.rate;
+        let after = now.since(expires_at.max(self.filled_at)).as_secs_f64() * self.floor;
+        let full = (self.rate(now) * BURST_WINDOW.as_secs_f64()).max(1.0);
+        self.balance = (self.balance + before + after).min(full);
+        self.filled_at = now;
     }
 }
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -15,22 +15,22 @@
     format!("vm-{n}").parse().expect("a name")
 }
 
-fn home(vms: usize) -> SliceHome {
+fn allocator(vms: usize) -> SliceHome {
     SliceHome::new(LIMIT, (0..vms).map(vm).collect(), ms(0))
 }
 
-fn ask(home: &mut SliceHome, n: usize, demand: f64, at: Instant) -> SliceGrant {
+fn ask(allocator: &mut SliceHome, n: usize, demand: f64, at: Instant) -> SliceGrant {
     let request = SliceRequest {
         team: "counter".parse().expect("a name"),
         kind: LimitKind::Requests,
         vm: vm(n),
         demand,
     };
-    home.grant(&request, at).expect("a holder")
+    allocator.grant(&request, at).expect("a holder")
 }
 
 /// Number of admitted requests within a second, of `per_second` evenly spaced ones.
-fn let_through(slice: &mut TeamSlice, second: u64, per_second: u64) -> usize {
+fn admitted_in_second(slice: &mut TeamSlice, second: u64, per_second: u64) -> usize {
     (0..per_second)
         .filter(|n| {
             slice
@@ -41,12 +41,12 @@
 }
 
 #[gtest]
-fn the_limit_goes_where_the_demand_is() {
-    let mut home = home(8);
+fn the_limit_follows_the_demand() {
+    let mut allocator = allocator(8);
 
     let rates = [4000, 5000, 6000, 7000, 8000].map(|at| {
         (0..8)
-            .map(|n| ask(&mut home, n, if n == 3 { 90.0 } else { 0.0 }, ms(at)).rate)
+            .map(|n| ask(&mut allocator, n, if n == 3 { 90.0 } else { 0.0 }, ms(at)).rate)
             .collect::<Vec<_>>()
     });
 
@@ -56,11 +56,11 @@
 
 #[gtest]
 fn equal_demands_beyond_the_limit_share_it_evenly() {
-    let mut home = home(4);
+    let mut allocator = allocator(4);
 
     let rates = [4000, 5000, 6000, 7000, 8000, 9000].map(|at| {
         (0..4)
-            .map(|n| ask(&mut home, n, 80.0, ms(at)).rate)
+            .map(|n| ask(&mut allocator, n, 80.0, ms(at)).rate)
             .collect::<Vec<_>>()
     });
 
@@ -70,11 +70,11 @@
 /// Guards against exceeding the limit after the allocator crashed and another VM took over, while
 /// slices of the first are still in force: the team could then call at twice its limit.
 #[gtest]
-fn a_new_home_hands_out_floors_first() {
-    let mut home = home(4);
+fn a_new_allocator_grants_floors_first() {
+    let mut allocator = allocator(4);
 
-    let early = ask(&mut home, 0, 80.0, ms(2999));
-    let later = ask(&mut home, 0, 80.0, ms(6000));
+    let early = ask(&mut allocator, 0, 80.0, ms(2999));
+    let later = ask(&mut allocator, 0, 80.0, ms(6000));
 
     expect_that!(early.rate, near(6.25, 0.01));
     expect_that!(later.rate, gt(50.0));
@@ -83,15 +83,15 @@
 /// Guards against a VM that refuses all calls, or admits them without a limit, while it cannot reach
 /// the allocator. It continues with its slice and then with its minimum quota.
 #[gtest]
-fn a_vm_that_is_cut_off_goes_on_with_its_floor() {
-    let mut home = home(4);
-    let grant = ask(&mut home, 0, 80.0, ms(4000));
+fn an_unreachable_vm_continues_with_its_floor() {
+    let mut allocator = allocator(4);
+    let grant = ask(&mut allocator, 0, 80.0, ms(4000));
     let mut slice = TeamSlice::fixed(25.0, ms(0));
-    slice.granted(&grant, ms(4000), ms(4000));
+    slice.apply_grant(&grant, ms(4000), ms(4000));
 
     let with_slice = slice.rate(ms(6999));
     let cut_off = slice.rate(ms(7000));
-    let admitted = let_through(&mut slice, 20, 100);
+    let admitted = admitted_in_second(&mut slice, 20, 100);
 
     expect_that!(with_slice, gt(50.0));
     expect_that!(cut_off, near(6.25, 0.01));
@@ -99,19 +99,19 @@
 }
 
 #[gtest]
-fn a_slice_lets_its_rate_through() {
+fn a_slice_admits_its_rate() {
     let mut slice = TeamSlice::fixed(20.0, ms(0));
-    let_through(&mut slice, 0, 100);
+    admitted_in_second(&mut slice, 0, 100);
 
     let admitted = (1..11)
-        .map(|second| let_through(&mut slice, second, 100))
+        .map(|second| admitted_in_second(&mut slice, second, 100))
         .sum::<usize>();
 
     expect_that!(admitted, all![ge(199), le(201)]);
 }
 
 #[gtest]
-fn a_refusal_says_when_to_come_back() {
+fn a_refusal_says_when_to_retry() {
     let mut slice = TeamSlice::fixed(2.0, ms(0));
     while slice.take(1.0, ms(0)).is_ok() {}
 
@@ -121,12 +121,12 @@
 }
 
 #[gtest]
-fn a_large_request_goes_through_and_is_made_up_for() {
+fn a_large_request_is_admitted_and_repaid() {
     let mut slice = TeamSlice::fixed(10.0, ms(0));
 
     let large = slice.take(50.0, ms(0));
     let next = slice.take(1.0, ms(1000));
-    slice.give_back(45.0);
+    slice.refund(45.0);
     let after = slice.take(1.0, ms(1000));
 
     expect_that!(large, ok(anything()));
@@ -140,15 +140,15 @@
     fn slices_never_exceed_the_limit(
         asks in prop::collection::vec((0..900_u64, 0..6_usize, 0.0..300.0_f64, any::<bool>()), 1..120)
     ) {
-        let mut home = home(6);
-        let mut slices = (0..6).map(|_| TeamSlice::fixed(home.floor(), ms(0))).collect::<Vec<_>>();
+        let mut allocator = allocator(6);
+        let mut slices = (0..6).map(|_| TeamSlice::fixed(allocator.floor(), ms(0))).collect::<Vec<_>>();
         let mut now = 3000;
 
         for (wait, n, demand, lost) in asks {
             now += wait;
-            let grant = ask(&mut home, n, demand, ms(now));
+            let grant = ask(&mut allocator, n, demand, ms(now));
             if !lost {
-                slices[n].granted(&grant, ms(now), ms(now));
+                slices[n].apply_grant(&grant, ms(now), ms(now));
             }
 
             let sum = slices.iter().map(|slice| slice.rate(ms(now))).sum::<f64>();
