--- a/crates/decisions/src/retry_refusal.rs
+++ b/crates/decisions/src/retry_refusal.rs
@@ -10,9 +10,9 @@
     #[display("upstreams died under this request")]
     Poisoned,
     /// The call was sent the maximum number of times.
-    #[display("the call was sent as often as it may be")]
+    #[display("the call was sent the maximum number of times")]
     Attempts,
     /// The retry budget is exhausted.
-    #[display("the retry budget is used up")]
+    #[display("the retry budget is exhausted")]
     Budget,
 }
