--- a/crates/decisions/src/loan_desk.rs
+++ b/crates/decisions/src/loan_desk.rs
@@ -38,7 +38,7 @@
 
 impl LoanDesk {
     /// Opens a loan request to `lenders`; `None` if one for the service was sent within
-    /// [`MIN_REQUEST_INTERVAL`].
+    /// `MIN_REQUEST_INTERVAL`.
     pub fn request(
         &mut self,
         service: &ServiceId,
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/retry_budget.rs
@@ -64,8 +64,7 @@
         self.balance = (self.balance + 1).min(full);
     }
 
-    /// Takes a retry for a failed call from the budget and returns the delay before it is sent.
-    /// `random` is uniformly distributed from 0 to 1.
+    /// Takes a retry from the budget and returns its delay; `random` is uniform from 0 to 1.
     ///
     /// # Errors
     ///
--- a/crates/decisions/src/team_slice.rs
+++ b/crates/decisions/src/team_slice.rs
@@ -43,16 +43,17 @@
         self.expires_at = Some(requested_at.after(Duration::from_millis(grant.lease_ms.into())));
     }
 
-    /// Admits a request that costs `cost`. A request that costs more than the balance is admitted while
-    /// the balance is at least 1 and makes it negative, and later requests wait until the debt is repaid.
-    /// Otherwise a request larger than the bucket would never be admitted.
+    /// Admits a request and takes its cost from the balance.
     ///
     /// # Errors
     ///
-    /// Returns the time after which the request may be retried.
+    /// Returns the delay after which the refused request may be retried.
     pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), Duration> {
         self.record_demand(cost, now);
         self.refill(now);
+        // A request that costs more than the balance is admitted while the balance is at least 1, and
+        // later requests wait until the debt is repaid. Otherwise a request larger than the bucket
+        // would never be admitted.
         let least = cost.min(1.0);
         if self.balance >= least {
             self.balance -= cost;
