--- a/crates/decisions/examples/choice.rs
+++ b/crates/decisions/examples/choice.rs
@@ -1,5 +1,6 @@
-//! Measures the choice of an upstream: its time at 40 candidates, and the largest load after one
-//! stale report that shows one idle upstream of 40, for 8 and 64 VMs, beside two plain ways.
+//! Measures the selection of an upstream: the time per decision with 40 candidates, and the largest
+//! load after a stale report that shows one idle upstream of 40, for 8 and 64 VMs. Least-loaded and
+//! random selection serve as comparison.
 
 use catkin_decisions::{
     Candidate, ChoiceInput, Incarnation, Instant, UpstreamRecord, UpstreamReport, choose,
@@ -66,8 +67,8 @@
     rng.random_range(0..candidates.len())
 }
 
-/// Largest number of requests that one upstream gets before the next report.
-fn largest(vms: u64, decide: Decide) -> u32 {
+/// Largest number of requests that one upstream receives before the next report.
+fn max_load(vms: u64, decide: Decide) -> u32 {
     let mut got = [0; UPSTREAMS];
     for vm in 0..vms {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(vm);
@@ -87,9 +88,9 @@
         println!(
             "{vms} VMs, {REQUESTS} requests each on one report, mean {:.1}: largest {} by choice, {} least loaded, {} at random",
             f64::from(vms * REQUESTS) / 40.0,
-            largest(vms.into(), two_choices),
-            largest(vms.into(), least_loaded),
-            largest(vms.into(), at_random),
+            max_load(vms.into(), two_choices),
+            max_load(vms.into(), least_loaded),
+            max_load(vms.into(), at_random),
         );
     }
     let records = vec![record(4); UPSTREAMS];
--- a/crates/decisions/examples/slices.rs
+++ b/crates/decisions/examples/slices.rs
@@ -1,5 +1,5 @@
-//! Compares ways of keeping a team's limit over 8 VMs: fixed shares, a table write per request,
-//! batched table writes (the net use of 100 ms), and slices from a home. Then counts platform
+//! Compares strategies that enforce a team's limit over 8 VMs: fixed shares, a table write per request,
+//! batched table writes (the net use of 100 ms), and slices from an allocator. Then counts platform
 //! writes and slice requests at the target size.
 
 use catkin_decisions::{
@@ -14,7 +14,7 @@
 const PHASE: u64 = 20;
 const BATCH_MS: u64 = 100;
 
-/// Demand of each VM, a second, and the VMs that are cut off from the home and the platform.
+/// Demand of each VM per second, and the VMs that cannot reach the allocator and the platform.
 struct Phase {
     name: &'static str,
     demand: [f64; VMS],
@@ -52,37 +52,37 @@
     format!("vm-{n}").parse().expect("a name")
 }
 
-/// One way of keeping the limit.
-enum Way {
+/// A strategy that enforces the limit.
+enum Strategy {
     Fixed(Vec<TeamSlice>),
     PerRequest(PerRequest),
     Batched(Batched),
     Slices(Slices),
 }
 
-impl Way {
+impl Strategy {
     fn tick(&mut self, now: u64, cut_off: &[usize]) {
         match self {
             Self::Fixed(_) | Self::PerRequest(_) => {}
-            Self::Batched(way) => way.tick(now, cut_off),
-            Self::Slices(way) => way.tick(now, cut_off),
+            Self::Batched(strategy) => strategy.tick(now, cut_off),
+            Self::Slices(strategy) => strategy.tick(now, cut_off),
         }
     }
 
     fn admits(&mut self, vm: usize, now: u64, cut_off: bool) -> bool {
         match self {
             Self::Fixed(slices) => slices[vm].take(1.0, at(now)).is_ok(),
-            Self::PerRequest(way) => !cut_off && way.admits(now),
-            Self::Batched(way) => way.admits(vm),
-            Self::Slices(way) => way.slices[vm].take(1.0, at(now)).is_ok(),
+            Self::PerRequest(strategy) => !cut_off && strategy.admits(now),
+            Self::Batched(strategy) => strategy.admits(vm),
+            Self::Slices(strategy) => strategy.slices[vm].take(1.0, at(now)).is_ok(),
         }
     }
 
     fn writes(&self) -> u64 {
         match self {
             Self::Fixed(_) | Self::Slices(_) => 0,
-            Self::PerRequest(way) => way.writes,
-            Self::Batched(way) => way.writes,
+            Self::PerRequest(strategy) => strategy.writes,
+            Self::Batched(strategy) => strategy.writes,
         }
     }
 }
@@ -99,8 +99,8 @@
     }
 }
 
-/// The paper's way: admit by what was last read and the own net use since, and write that now and
-/// then.
+/// Admits by the total that was last read plus the VM's own net use since then, and periodically writes
+/// that use to the table.
 #[derive(Default)]
 struct Batched {
     second: u64,
@@ -147,7 +147,7 @@
     fn tick(&mut self, now: u64, cut_off: &[usize]) {
         let period = u64::try_from(SLICE_PERIOD.as_millis()).expect("short");
         for vm_number in (0..VMS).filter(|vm| !cut_off.contains(vm)) {
-            // Each VM asks at its own moment of the period.
+            // Each VM sends its request at a different time of the period.
             if now % period != u64::try_from(vm_number).expect("few") * 120 {
                 continue;
             }
@@ -158,7 +158,7 @@
                 demand: self.slices[vm_number].demand(at(now)),
             };
             let grant = self.home.grant(&request, at(now)).expect("a holder");
-            self.slices[vm_number].granted(&grant, at(now), at(now));
+            self.slices[vm_number].apply_grant(&grant, at(now), at(now));
         }
     }
 }
@@ -167,24 +167,25 @@
     vec![TeamSlice::fixed(LIMIT / 8.0, at(0)); VMS]
 }
 
-fn run(name: &str, mut way: Way) {
+fn run(name: &str, mut strategy: Strategy) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let mut now = 0;
     for phase in &PHASES {
         let (mut admitted, mut cut, mut peak, mut wanted) = (0_u32, 0_u32, 0_u32, 0_u32);
-        let writes = way.writes();
+        let writes = strategy.writes();
         for second in 0..PHASE {
-            // The first seconds of a phase count as well: a limit is kept while demand moves.
+            // The first seconds of a phase count as well, because the limit also holds while the demand
+            // moves.
             let mut in_second = 0;
             for _ in 0..1000 {
-                way.tick(now, phase.cut_off);
+                strategy.tick(now, phase.cut_off);
                 for vm in 0..VMS {
                     if !rng.random_bool(phase.demand[vm] / 1000.0) {
                         continue;
                     }
                     wanted += 1;
                     let cut_off = phase.cut_off.contains(&vm);
-                    if way.admits(vm, now, cut_off) {
+                    if strategy.admits(vm, now, cut_off) {
                         in_second += 1;
                         cut += u32::from(cut_off);
                     }
@@ -202,13 +203,13 @@
             phase.name,
             100.0 * (f64::from(admitted) / (LIMIT * 20.0) - 1.0).max(0.0),
             100.0 * (1.0 - f64::from(admitted) / allowed).max(0.0),
-            f64::from(u32::try_from(way.writes() - writes).expect("few")) / 20.0,
+            f64::from(u32::try_from(strategy.writes() - writes).expect("few")) / 20.0,
             f64::from(cut) / 20.0,
         );
     }
 }
 
-/// Distinct pairs of VM and team in each window of `window_ms`, a second, at the target size.
+/// Number of distinct pairs of VM and team in windows of `window_ms`, per second, at the target size.
 fn pairs_a_second(window_ms: u64) -> usize {
     const REQUESTS: u64 = 5800;
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(2);
@@ -237,16 +238,16 @@
 fn main() {
     println!("| way | phase | over | under | peak second | writes/s | cut off/s |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    run("fixed", Way::Fixed(fixed_slices()));
+    run("fixed", Strategy::Fixed(fixed_slices()));
     let table = TeamSlice::fixed(LIMIT, at(0));
     run(
         "per request",
-        Way::PerRequest(PerRequest { table, writes: 0 }),
+        Strategy::PerRequest(PerRequest { table, writes: 0 }),
     );
-    run("batched", Way::Batched(Batched::default()));
+    run("batched", Strategy::Batched(Batched::default()));
     let home = SliceHome::new(LIMIT, (0..VMS).map(vm).collect(), at(0));
     let slices = fixed_slices();
-    run("slices", Way::Slices(Slices { home, slices }));
+    run("slices", Strategy::Slices(Slices { home, slices }));
     println!(
         "target: 5800 writes/s per request, {} batched over 100 ms",
         pairs_a_second(100)
--- a/crates/decisions/src/call_budget.rs
+++ b/crates/decisions/src/call_budget.rs
@@ -1,113 +1,116 @@
-//! Budget of one VM's calls of the platform.
+//! Limiter of the calls that one VM sends to the platform: a token bucket with backoff.
 //!
-//! Load pattern: the platform is out or slow, and every VM has calls that wait for it. Without a
-//! budget all VMs call again and again while it is out, and at its end the calls of the whole
-//! outage come in one moment; it refuses most of them, and stays as good as out. With it a VM in an
-//! outage sends one call per pause, pauses grow and are jittered, and after the first answer its
-//! calls are held to its share of the platform's rate.
+//! While the platform is down or slow, calls of every VM wait for it. Without a limit all VMs retry
+//! throughout the outage, and at its end the accumulated calls arrive at once: the platform refuses
+//! most of them and remains unusable. With the limiter, a VM sends one call per pause during an
+//! outage, pauses grow exponentially with jitter, and after the first answer the VM keeps to its
+//! share of the platform's rate.
 //!
-//! Grounds for the figures: the platform does several hundred writes and about two thousand reads
-//! a second, so 8 VMs have about 40 and 200 each; half of the reads stay free for operators.
+//! The platform handles several hundred writes and about 2,000 reads per second. Among 8 VMs that is
+//! about 40 writes and 200 reads per second each; half of the reads are left to operators.
 
 use super::*;
 
 /// Settings of a [`CallBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallBudgetSettings {
-    /// Time in which one call is earned; of 400 VMs each earns less than one a second.
-    pub per_call: Duration,
-    /// Calls that may come at once.
+    /// Time after which another call is allowed. With 400 VMs, each is allowed less than one call a
+    /// second.
+    pub refill_interval: Duration,
+    /// Maximum number of calls that may be sent at once.
     pub burst: u32,
-    /// Faults in a row after which calls are paused. One lost answer must not pause the call that
-    /// settles it.
-    pub faults_before_pause: u32,
-    /// First pause; each further one is twice as long.
-    pub first_pause: Duration,
-    /// Longest pause, which bounds how late the end of an outage is noticed.
-    pub longest_pause: Duration,
+    /// Consecutive failures after which calls are paused. A single lost answer must not delay the
+    /// call that finds out whether the lost one took effect.
+    pub failures_before_backoff: u32,
+    /// Length of the first pause; each further one is twice as long.
+    pub initial_backoff: Duration,
+    /// Maximum pause, which bounds how late the end of an outage is noticed.
+    pub max_backoff: Duration,
 }
 
 impl Default for CallBudgetSettings {
     fn default() -> Self {
         Self {
-            per_call: Duration::from_millis(25),
+            refill_interval: Duration::from_millis(25),
             burst: 20,
-            faults_before_pause: 3,
-            first_pause: Duration::from_millis(100),
-            longest_pause: Duration::from_secs(1),
+            failures_before_backoff: 3,
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(1),
         }
     }
 }
 
-/// Budget of calls: a token bucket, closed for growing pauses while calls fail.
+/// Token bucket of calls that also pauses for growing intervals while calls fail.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     cfg: CallBudgetSettings,
     /// Time at which the bucket is full again.
     full_at: Duration,
-    faults: u32,
-    closed_until: Instant,
+    consecutive_failures: u32,
+    backoff_until: Instant,
 }
 
 impl CallBudget {
-    /// A full budget.
+    /// Creates a limiter with a full token bucket.
     #[must_use]
     pub fn new(cfg: CallBudgetSettings) -> Self {
         Self {
             cfg,
             full_at: Duration::ZERO,
-            faults: 0,
-            closed_until: Instant::default(),
+            consecutive_failures: 0,
+            backoff_until: Instant::default(),
         }
     }
 
-    /// Takes one call out of the budget; false if none is left now.
-    pub fn take(&mut self, now: Instant) -> bool {
-        let paused = self.faults >= self.cfg.faults_before_pause;
-        if paused && now < self.closed_until {
+    /// Takes the token of one call and returns whether the call may be sent now.
+    pub fn try_take(&mut self, now: Instant) -> bool {
+        let in_backoff = self.consecutive_failures >= self.cfg.failures_before_backoff;
+        if in_backoff && now < self.backoff_until {
             return false;
         }
-        let per_call = self.cfg.per_call;
-        let full_at = self.full_at.max(now.0) + per_call;
-        if full_at > now.0 + per_call * self.cfg.burst.max(1) {
+        let refill_interval = self.cfg.refill_interval;
+        let full_at = self.full_at.max(now.0) + refill_interval;
+        if full_at > now.0 + refill_interval * self.cfg.burst.max(1) {
             return false;
         }
         self.full_at = full_at;
-        if paused {
-            // One call only finds out whether the outage has ended.
-            self.closed_until = now.after(self.pause());
+        if in_backoff {
+            // A single call per pause probes whether the outage has ended.
+            self.backoff_until = now.after(self.backoff());
         }
         true
     }
 
-    /// Notes that a call was answered.
-    pub fn answered(&mut self) {
-        self.faults = 0;
+    /// Records that a call was answered, which ends any pause.
+    pub fn record_answer(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    /// Notes that a call failed; `jitter` from 0 to 1 moves the next one by up to half its pause,
-    /// so that the VMs don't call in step.
-    pub fn failed(&mut self, now: Instant, jitter: f64) {
-        self.faults = self.faults.saturating_add(1);
+    /// Records that a call failed. `jitter`, from 0 to 1, varies the pause between half and all of
+    /// its length, so that the VMs do not call simultaneously.
+    pub fn record_failure(&mut self, now: Instant, jitter: f64) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let factor = 0.5 + jitter.clamp(0.0, 1.0) / 2.0;
-        self.closed_until = now.after(self.pause().mul_f64(factor));
+        self.backoff_until = now.after(self.backoff().mul_f64(factor));
     }
 
-    /// Time until a call may be taken, if nothing else happens.
+    /// Time until a call may be sent, provided that no other call is sent, answered or fails.
     #[must_use]
-    pub fn wait(&self, now: Instant) -> Duration {
-        let per_call = self.cfg.per_call;
-        let full = self.full_at + per_call;
-        let bucket = full.saturating_sub(now.0 + per_call * self.cfg.burst.max(1));
-        if self.faults < self.cfg.faults_before_pause {
+    pub fn time_until_available(&self, now: Instant) -> Duration {
+        let refill_interval = self.cfg.refill_interval;
+        let full = self.full_at + refill_interval;
+        let bucket = full.saturating_sub(now.0 + refill_interval * self.cfg.burst.max(1));
+        if self.consecutive_failures < self.cfg.failures_before_backoff {
             return bucket;
         }
-        bucket.max(self.closed_until.since(now))
+        bucket.max(self.backoff_until.since(now))
     }
 
-    fn pause(&self) -> Duration {
-        let doublings = self.faults.saturating_sub(self.cfg.faults_before_pause);
+    fn backoff(&self) -> Duration {
+        let doublings = self
+            .consecutive_failures
+            .saturating_sub(self.cfg.failures_before_backoff);
         let factor = 1_u32.checked_shl(doublings.min(16)).unwrap_or(u32::MAX);
-        (self.cfg.first_pause * factor).min(self.cfg.longest_pause)
+        (self.cfg.initial_backoff * factor).min(self.cfg.max_backoff)
     }
 }
--- a/crates/decisions/src/team_slice.rs
+++ b/crates/decisions/src/team_slice.rs
@@ -1,106 +1,110 @@
 use super::*;
 
-/// How much of the rate can be saved up.
-const BURST: Duration = Duration::from_secs(1);
+/// Capacity of the bucket, as the time in which it fills at the slice's rate.
+const BURST_WINDOW: Duration = Duration::from_secs(1);
 
-/// Part of the newest second in the average demand.
-const DEMAND_PART: f64 = 0.5;
+/// Weight of the newest second in the moving average of the demand.
+const NEWEST_DEMAND_WEIGHT: f64 = 0.5;
 
-/// One VM's slice of a team's limit: a bucket that fills at the slice's rate.
+/// A VM's slice of a team's limit: a token bucket that fills at the slice's rate.
 #[derive(Clone, Debug)]
 pub struct TeamSlice {
     rate: f64,
     floor: f64,
-    end: Option<Instant>,
-    saved: f64,
-    filled: Instant,
+    expires_at: Option<Instant>,
+    balance: f64,
+    filled_at: Instant,
     demand: f64,
-    asked: f64,
-    second: Instant,
+    current_demand: f64,
+    second_start: Instant,
 }
 
 impl TeamSlice {
-    /// A slice of a fixed rate, a second, until one is granted. It starts full.
+    /// Creates a full slice with a fixed rate per second, which applies until a grant arrives.
     #[must_use]
     pub fn fixed(rate: f64, now: Instant) -> Self {
         Self {
             rate,
             floor: rate,
-            end: None,
-            saved: (rate * BURST.as_secs_f64()).max(1.0),
-            filled: now,
+            expires_at: None,
+            balance: (rate * BURST_WINDOW.as_secs_f64()).max(1.0),
+            filled_at: now,
             demand: 0.0,
-            asked: 0.0,
-            second: now,
+            current_demand: 0.0,
+            second_start: now,
         }
     }
 
-    /// Takes a grant that was asked for at `asked`.
-    pub fn granted(&mut self, grant: &SliceGrant, asked: Instant, now: Instant) {
-        self.fill(now);
+    /// Applies a grant that was requested at `requested_at`.
+    pub fn apply_grant(&mut self, grant: &SliceGrant, requested_at: Instant, now: Instant) {
+        self.refill(now);
         self.rate = grant.rate;
         self.floor = grant.floor;
-        self.end = Some(asked.after(Duration::from_millis(grant.lease_ms.into())));
+        self.expires_at = Some(requested_at.after(Duration::from_millis(grant.lease_ms.into())));
     }
 
-    /// Lets a request through that costs `cost`. One that costs more than is saved up goes through
-    /// while anything is, and those after it wait until that is made up for: else a request larger
-    /// than the bucket would never go through.
+    /// Admits a request and takes its cost from the balance.
     ///
     /// # Errors
     ///
-    /// When to come back.
+    /// Returns the delay after which the refused request may be retried.
     pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), Duration> {
-        self.note_demand(cost, now);
-        self.fill(now);
+        self.record_demand(cost, now);
+        self.refill(now);
+        // A request that costs more than the balance is admitted while the balance is at least 1, and
+        // later requests wait until the debt is repaid. Otherwise a request larger than the bucket
+        // would never be admitted.
         let least = cost.min(1.0);
-        if self.saved >= least {
-            self.saved -= cost;
+        if self.balance >= least {
+            self.balance -= cost;
             return Ok(());
         }
-        let wait = (least - self.saved) / self.rate(now).max(1e-3);
+        let wait = (least - self.balance) / self.rate(now).max(1e-3);
         Err(Duration::from_secs_f64(wait.clamp(0.001, 3600.0)))
     }
 
-    /// Gives back what a request did not use.
-    pub fn give_back(&mut self, cost: f64) {
-        self.saved += cost;
+    /// Returns the part of the cost that a request did not use.
+    pub fn refund(&mut self, cost: f64) {
+        self.balance += cost;
     }
 
-    /// What may go through now, a second.
+    /// Rate that may be admitted now, per second.
     #[must_use]
     pub fn rate(&self, now: Instant) -> f64 {
-        match self.end {
-            Some(end) if now >= end => self.floor,
+        match self.expires_at {
+            Some(expires_at) if now >= expires_at => self.floor,
             _ => self.rate,
         }
     }
 
-    /// What was lately asked for, a second.
+    /// Recent demand, per second.
     #[must_use]
     pub fn demand(&mut self, now: Instant) -> f64 {
-        self.note_demand(0.0, now);
-        self.demand.max(self.asked)
+        self.record_demand(0.0, now);
+        self.demand.max(self.current_demand)
     }
 
-    fn note_demand(&mut self, cost: f64, now: Instant) {
-        let seconds = now.since(self.second).as_secs_f64();
+    fn record_demand(&mut self, cost: f64, now: Instant) {
+        let seconds = now.since(self.second_start).as_secs_f64();
         if seconds >= 1.0 {
-            let newest = self.asked / seconds;
-            self.demand += DEMAND_PART * (newest - self.demand);
-            self.asked = 0.0;
-            self.second = now;
+            let newest = self.current_demand / seconds;
+            self.demand += NEWEST_DEMAND_WEIGHT * (newest - self.demand);
+            self.current_demand = 0.0;
+            self.second_start = now;
         }
-        self.asked += cost;
+        self.current_demand += cost;
     }
 
-    fn fill(&mut self, now: Instant) {
-        // Time after the end of the slice counts at the floor's rate only.
-        let end = self.end.unwrap_or(now).clamp(self.filled.min(now), now);
-        let before = end.since(self.filled).as_secs_f64() * self.rate;
-        let after = now.since(end.max(self.filled)).as_secs_f64() * self.floor;
-        let full = (self.rate(now) * BURST.as_secs_f64()).max(1.0);
-        self.saved = (self.saved + before + after).min(full);
-        self.filled = now;
+    fn refill(&mut self, now: Instant) {
+        // After the slice has expired, the bucket fills at the minimum rate.
+        let expires_at = self
+            .expires_at
+            .unwrap_or(now)
+            .clamp(self.filled_at.min(now), now);
+        let before = expires_at.since(self.filled_at).as_secs_f64() * self.rate;
+        let after = now.since(expires_at.max(self.filled_at)).as_secs_f64() * self.floor;
+        let full = (self.rate(now) * BURST_WINDOW.as_secs_f64()).max(1.0);
+        self.balance = (self.balance + before + after).min(full);
+        self.filled_at = now;
     }
 }
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -1,8 +1,9 @@
-//! A deterministic event loop that drives the admission decisions in virtual time, beside the plain
-//! baseline: one FIFO, fixed places, upstreams in turn, no lanes and no refusals.
+//! Deterministic discrete-event simulation of admission control in virtual time, with a baseline to
+//! compare it with: one FIFO, a fixed number of slots, round-robin over upstreams, no lanes and no
+//! refusals.
 //!
-//! Upstreams have some servers and a FIFO before them. Callers give up at their deadline; what an
-//! upstream runs for them after that is wasted.
+//! An upstream has a number of servers and a FIFO in front of them. Callers time out at their deadline,
+//! and the work of an upstream for a caller that has timed out is wasted.
 
 mod verdict;
 
@@ -20,7 +21,7 @@
     time::Duration,
 };
 
-/// Entry VMs before the upstreams.
+/// Number of router VMs in front of the upstreams.
 pub const NODES: usize = 8;
 
 /// One request of a scenario.
@@ -30,8 +31,9 @@
     pub team: usize,
     pub lane: Lane,
     pub service: Duration,
-    /// From the arrival on.
+    /// Relative to the arrival.
     pub deadline: Duration,
+    /// Call key, and whether the request is a read that may be coalesced.
     pub key: Option<(u32, bool)>,
 }
 
@@ -39,13 +41,13 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub upstreams: usize,
-    /// Requests that an upstream runs at once.
+    /// Number of requests that an upstream runs at once.
     pub servers: usize,
-    /// An upstream that takes this many times as long.
+    /// Index of a slow upstream and the factor by which its service times are longer.
     pub slow: Option<(usize, u32)>,
-    /// True for engines: they answer with a first token at once.
+    /// Whether the upstreams are engines, which send a first token before the answer is complete.
     pub engines: bool,
-    /// True if they report their capacity.
+    /// Whether the upstreams report their capacity.
     pub report: bool,
     pub teams: usize,
 }
@@ -53,10 +55,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     Baseline,
-    Product,
+    Admission,
 }
 
-/// What a caller received, and when.
+/// What a caller received, and the time of the answer or refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Received {
     #[default]
@@ -76,12 +78,12 @@
 
 struct Node {
     admission: AdmissionQueue<usize>,
-    merger: ReadMerger<usize>,
+    coalescer: ReadMerger<usize>,
     hot_keys: HotKeys,
     fifo: VecDeque<usize>,
     in_flight: Vec<u32>,
     latency: Vec<Duration>,
-    turn: usize,
+    next_upstream: usize,
 }
 
 #[derive(Default)]
@@ -102,20 +104,20 @@
     ids: Vec<UpstreamId>,
     teams: Vec<QueueTeam>,
     sent: Vec<Duration>,
-    begun: Vec<Duration>,
+    started: Vec<Duration>,
     received: Vec<Received>,
-    /// Time that an upstream spent on each job.
+    /// Service time that upstreams spent on each job.
     work: Vec<Duration>,
     rng: Xoshiro256PlusPlus,
 }
 
-/// Time that a request or an answer travels.
+/// One-way network delay of a request or an answer.
 const ONE_WAY: Duration = Duration::from_millis(1);
 
-/// Latency of an engine's first token without a queue.
+/// Latency of an engine's first token without queueing.
 const FIRST_TOKEN: Duration = Duration::from_millis(50);
 
-/// Runs all jobs under a policy.
+/// Simulates all jobs under a policy.
 pub fn run(site: &Site, policy: Policy, jobs: &[Job]) -> Verdict {
     let mut run = Run::new(site, policy, jobs);
     for (job, Job { arrival, .. }) in jobs.iter().enumerate() {
@@ -123,12 +125,12 @@
     }
     while let Some(Reverse((at, _, event))) = run.events.pop() {
         run.now = at;
-        run.take(event);
+        run.handle(event);
     }
     Verdict::new(site, jobs, &run.received, &run.work)
 }
 
-/// The node a job comes to.
+/// Index of the node at which a job arrives.
 fn node_of(job: usize) -> usize {
     job % NODES
 }
@@ -150,7 +152,7 @@
             teams: (0..site.teams).map(team).collect(),
             ids,
             sent: vec![Duration::ZERO; jobs.len()],
-            begun: vec![Duration::ZERO; jobs.len()],
+            started: vec![Duration::ZERO; jobs.len()],
             received: vec![Received::default(); jobs.len()],
             work: vec![Duration::ZERO; jobs.len()],
             rng: Xoshiro256PlusPlus::seed_from_u64(1),
@@ -162,7 +164,7 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let node = match event {
             Event::Arrive(job) => {
                 self.arrive(job);
@@ -170,12 +172,12 @@
             }
             Event::Reach { job, upstream } => {
                 self.upstreams[upstream].queue.push_back(job);
-                return self.begin(upstream);
+                return self.start_queued(upstream);
             }
             Event::Finish { job, upstream } => {
                 self.upstreams[upstream].running -= 1;
                 self.schedule(self.now + ONE_WAY, Event::Return { job, upstream });
-                return self.begin(upstream);
+                return self.start_queued(upstream);
             }
             Event::Return { job, upstream } => {
                 self.returned(job, upstream);
@@ -184,8 +186,8 @@
             Event::Wake(node) => node,
         };
         match self.policy {
-            Policy::Baseline => self.pump_baseline(node),
-            Policy::Product => self.pump(node),
+            Policy::Baseline => self.dispatch_baseline(node),
+            Policy::Admission => self.dispatch_queued(node),
         }
     }
 
@@ -197,7 +199,7 @@
         let node = &mut self.nodes[node_of(job)];
         match (&key, self.jobs[job].key) {
             (Some(key), Some((_, true))) => {
-                if node.merger.join(key, job).is_some() {
+                if node.coalescer.join(key, job).is_some() {
                     self.offer(job);
                 }
             }
@@ -242,7 +244,7 @@
         if !self.jobs[job].key.is_some_and(|(_, read)| read) {
             return node.hot_keys.leave(&key);
         }
-        if let Some(next) = node.merger.failed(&key) {
+        if let Some(next) = node.coalescer.fail_leader(&key) {
             self.offer(next);
         }
     }
@@ -251,13 +253,13 @@
         self.received[job] = Received::Refusal(self.now);
     }
 
-    fn pump(&mut self, node: usize) {
+    fn dispatch_queued(&mut self, node: usize) {
         let now = Instant(self.now);
         for not_run in self.nodes[node].admission.expire(now) {
             self.not_run(&not_run);
         }
         for lane in [Lane::Quick, Lane::Long] {
-            while self.nodes[node].admission.waiting(lane) > 0 {
+            while self.nodes[node].admission.queue_len(lane) > 0 {
                 let random = [self.rng.random(), self.rng.random()];
                 let Node {
                     admission,
@@ -278,18 +280,18 @@
         }
     }
 
-    fn pump_baseline(&mut self, node: usize) {
+    fn dispatch_baseline(&mut self, node: usize) {
         let places = u32::try_from(self.site.servers.div_ceil(NODES)).expect("a small number");
         while !self.nodes[node].fifo.is_empty() {
             let state = &mut self.nodes[node];
             let n = self.site.upstreams;
             let Some(upstream) = (0..n)
-                .map(|i| (state.turn + i) % n)
+                .map(|i| (state.next_upstream + i) % n)
                 .find(|i| state.in_flight[*i] < places)
             else {
                 return;
             };
-            state.turn = upstream + 1;
+            state.next_upstream = upstream + 1;
             if let Some(job) = state.fifo.pop_front() {
                 self.send(job, upstream);
             }
@@ -302,13 +304,13 @@
         self.schedule(self.now + ONE_WAY, Event::Reach { job, upstream });
     }
 
-    fn begin(&mut self, upstream: usize) {
+    fn start_queued(&mut self, upstream: usize) {
         while self.upstreams[upstream].running < self.site.servers {
             let Some(job) = self.upstreams[upstream].queue.pop_front() else {
                 return;
             };
             self.upstreams[upstream].running += 1;
-            self.begun[job] = self.now;
+            self.started[job] = self.now;
             let factor = match self.site.slow {
                 Some((slow, factor)) if slow == upstream => factor,
                 _ => 1,
@@ -323,7 +325,7 @@
         self.answer(job);
         let held = self.now.saturating_sub(self.sent[job]);
         let first_part = if self.site.engines {
-            self.begun[job].saturating_sub(self.sent[job]) + FIRST_TOKEN + ONE_WAY
+            self.started[job].saturating_sub(self.sent[job]) + FIRST_TOKEN + ONE_WAY
         } else {
             held
         };
@@ -334,8 +336,8 @@
             node.latency[upstream] = node.latency[upstream] / 8 * 7 + held / 8;
         }
         let id = &self.ids[upstream];
-        node.admission.answered(id, first_part);
-        node.admission.leave(lane, id, Some(held));
+        node.admission.record_latency(id, first_part);
+        node.admission.release_slot(lane, id, Some(held));
         if self.policy == Policy::Baseline {
             return;
         }
@@ -344,12 +346,12 @@
         if !self.jobs[job].key.is_some_and(|(_, read)| read) {
             return node.hot_keys.leave(&key);
         }
-        for follower in node.merger.answered(&key) {
+        for follower in node.coalescer.complete(&key) {
             self.answer(follower);
         }
     }
 
-    /// A caller who has given up receives nothing.
+    /// Delivers the answer unless the caller has timed out.
     fn answer(&mut self, job: usize) {
         let Job {
             arrival, deadline, ..
@@ -367,7 +369,7 @@
     }
 }
 
-/// The better of two random upstreams, by latency and own requests, of those that are not full.
+/// Selects the better of two random upstreams that are not full, by latency and requests in flight.
 fn choose(
     ids: &[UpstreamId],
     full: &[UpstreamId],
@@ -375,10 +377,11 @@
     in_flight: &[u32],
     random: [u32; 2],
 ) -> Option<usize> {
-    let roomy = (0..ids.len())
+    let available = (0..ids.len())
         .filter(|i| full.binary_search(&ids[*i]).is_err())
         .collect::<Vec<_>>();
-    let [first, second] = random.map(|n| roomy.get(n as usize % roomy.len().max(1)).copied());
+    let [first, second] =
+        random.map(|n| available.get(n as usize % available.len().max(1)).copied());
     [first?, second?]
         .into_iter()
         .min_by_key(|i| latency[*i] * (in_flight[*i] + 1))
@@ -396,16 +399,16 @@
                 capacity,
                 waiting: 0,
             };
-            admission.reported(id, report, CapacityShare::of(&vm, id, sharers));
+            admission.apply_report(id, report, CapacityShare::of(&vm, id, sharers));
         }
         Self {
             admission,
-            merger: ReadMerger::default(),
+            coalescer: ReadMerger::default(),
             hot_keys: HotKeys::default(),
             fifo: VecDeque::new(),
             in_flight: vec![0; ids.len()],
             latency: vec![Duration::from_millis(20); ids.len()],
-            turn: 0,
+            next_upstream: 0,
         }
     }
 }
@@ -417,8 +420,8 @@
     }
 }
 
-/// Poisson arrivals of `rate` requests a second from `start` to `end`, with service times half
-/// fixed and half exponential around their mean.
+/// Poisson arrivals of `rate` requests per second within `span`, given in seconds. Service times are
+/// half fixed and half exponential around their mean.
 pub fn arrivals(seed: u64, rate: f64, span: (f64, f64), job: &Job) -> Vec<Job> {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut exponential = move || -(1.0 - rng.random_range(0.0..1.0_f64)).ln();
@@ -437,8 +440,8 @@
     }
 }
 
-/// Jobs of several sources in the order of their arrival.
-pub fn merged(sources: impl IntoIterator<Item = Vec<Job>>) -> Vec<Job> {
+/// Merges the jobs of several sources in order of arrival.
+pub fn merge(sources: impl IntoIterator<Item = Vec<Job>>) -> Vec<Job> {
     let mut jobs = sources.into_iter().flatten().collect::<Vec<_>>();
     jobs.sort_by_key(|job| job.arrival);
     jobs
