--- a/crates/decisions/src/address_index.rs
+++ b/crates/decisions/src/address_index.rs
@@ -1,12 +1,12 @@
-//! Which upstreams show which address.
+//! Index of the upstreams by address.
 //!
-//! Each entry that is read asks whether another upstream shows the same address. Answered by a walk over all
-//! of them, a whole read costs the square of their number, and a VM with an eighth of a core stands still for
-//! seconds whenever the platform returns.
+//! For each entry that is read, the index finds other upstreams with the same address. With a scan over all
+//! upstreams instead, reading the whole table would take time quadratic in their number, and a VM with an
+//! eighth of a core would stall for seconds whenever the platform returns.
 
 use super::*;
 
-/// Upstreams by the address that they show.
+/// Upstreams by the address in their entry.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AddressIndex {
     /// Sorted by address, then by incarnation.
@@ -15,7 +15,7 @@
 }
 
 impl AddressIndex {
-    /// Sets all of them anew.
+    /// Replaces the contents of the index.
     pub(crate) fn set(&mut self, shown: impl Iterator<Item = (SocketAddr, UpstreamIncarnation)>) {
         self.shown = shown.collect();
         let comparisons = &self.comparisons;
@@ -23,7 +23,7 @@
             .sort_unstable_by(|a, b| comparisons.note(a.cmp(b)));
     }
 
-    /// Notes that an upstream shows an address.
+    /// Adds an upstream; adding it a second time has no effect.
     pub(crate) fn insert(&mut self, address: SocketAddr, id: UpstreamIncarnation) {
         let shows = (address, id);
         if let Err(index) = self.position(&shows) {
@@ -31,14 +31,14 @@
         }
     }
 
-    /// Notes that an upstream no longer shows an address.
+    /// Removes an upstream from an address.
     pub(crate) fn remove(&mut self, address: SocketAddr, id: &UpstreamIncarnation) {
         if let Ok(index) = self.position(&(address, id.clone())) {
             self.shown.remove(index);
         }
     }
 
-    /// The upstreams that show an address, sorted.
+    /// Upstreams with an address, sorted by incarnation.
     pub(crate) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &UpstreamIncarnation> {
         let start = self.shown.partition_point(|(other, _)| {
             self.comparisons.note(other.cmp(&address)) == std::cmp::Ordering::Less
@@ -49,7 +49,7 @@
             .map(|(_, id)| id)
     }
 
-    /// Comparisons made so far.
+    /// Number of comparisons made so far.
     pub(crate) fn comparisons(&self) -> u64 {
         self.comparisons.count()
     }
--- a/crates/decisions/src/born.rs
+++ b/crates/decisions/src/born.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 number_newtype!(
-    /// When the process of an upstream started, in Unix milliseconds by its own clock.
+    /// Start time of an upstream's process, in Unix milliseconds by the upstream's own clock.
     Born,
     "start of an upstream"
 );
--- a/crates/decisions/src/crash_tally.rs
+++ b/crates/decisions/src/crash_tally.rs
@@ -1,27 +1,28 @@
-//! Calls that crash each upstream that runs them.
+//! Counts the upstreams that crashed while running the same call.
 //!
-//! Load pattern: a call's body crashes its upstream, the caller sends it again to any VM, and so it
-//! takes down one upstream after the other, with all that runs beside it. Each VM counts the
-//! upstreams that died under a body, tells the others, and refuses the body from the third on. A
-//! body that was delivered well is innocent, whatever died under it before. Deaths that a refused
-//! body explains are not laid to those that ran beside it.
+//! A call whose body crashes its upstream is retried by its caller on any VM, and so takes down one
+//! upstream after the other, together with all calls that run there. Each VM records which upstreams
+//! crashed while running a call, sends these records to the other VMs, and rejects the call from the third
+//! crash on. A call that received a complete response is cleared, whichever upstreams crashed under it
+//! before. Crashes that a rejected call explains are not attributed to the calls that ran beside it.
 
 use super::*;
 
-/// Upstreams that may die under one body. Two may be chance: whole availability zones crash together.
+/// Number of crashed upstreams at which a call is rejected. Two may be a coincidence, because whole
+/// availability zones crash together.
 pub const MOST_CRASHES: usize = 3;
 
-/// How long a crash counts: far longer than callers go on asking.
+/// How long a crash counts: far longer than callers keep retrying.
 const EXPIRY: Duration = Duration::from_secs(600);
 
-/// How long a crash is told: longer than VMs are cut off or paused for, as a rule. Told for good, crashes
-/// of hours ago would fill every note.
+/// How long a crash is sent to other VMs: usually longer than a VM is partitioned or paused. Without a
+/// limit, crashes of hours ago would fill every heartbeat.
 const TOLD_FOR: Duration = Duration::from_secs(20);
 
-/// Crashes kept at most; the oldest go first.
+/// Maximum number of crashes that are kept; the oldest are evicted first.
 const MOST_KEPT: usize = 4096;
 
-/// Deaths of upstreams by the digest of the body that ran there.
+/// Crashes of upstreams by the digest of the call that ran there.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTally {
     /// Sorted by digest and upstream.
@@ -31,27 +32,27 @@
 #[derive(Clone, Debug)]
 struct KnownCrash {
     crash: Crash,
-    /// How often other VMs were told.
+    /// Number of times that the crash was sent to other VMs.
     told: u32,
 }
 
-/// The death of an upstream under a body.
+/// Crash of an upstream while it ran a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Digest of the call: path, team and body.
+    /// Digest of the call's path, team and body.
     pub digest: u64,
-    /// The upstream that died.
+    /// The upstream that crashed.
     pub upstream: UpstreamIncarnation,
-    /// When this process first heard of the death; the same for all bodies that ran there.
+    /// When this process learned of the crash; the same for all calls that ran there.
     #[serde(skip)]
     pub at: Instant,
-    /// Whether the body was delivered well since.
+    /// Whether the call has received a complete response since.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cleared: bool,
 }
 
 impl CrashTally {
-    /// Notes a death; tells whether it is news.
+    /// Records a crash, or that it is cleared; returns whether that is new.
     pub fn crashed(&mut self, crash: Crash) -> bool {
         let key = (crash.digest, &crash.upstream);
         match self.crashes.binary_search_by(|known| known.key().cmp(&key)) {
@@ -83,10 +84,11 @@
         self.crashes.insert(i, KnownCrash { crash, told: 0 });
     }
 
-    /// Crashes to be told to other VMs: those told least often, of these the latest.
+    /// Crashes to send to other VMs: those sent least often, and of these the latest.
     ///
-    /// Were it always the latest, those of a zone whose engines crash together under more calls than a
-    /// note holds would never be told, and each VM would lose upstreams to a body that is known to kill.
+    /// If always the latest were sent, then after a crash of a zone's engines under more calls than a
+    /// heartbeat holds, some crashes would never be sent, and each VM would lose upstreams to a call that
+    /// is known to crash them.
     pub fn to_tell(&mut self, most: usize, now: Instant) -> Vec<Crash> {
         let fresh = |known: &&mut KnownCrash| now.since(known.crash.at) < TOLD_FOR;
         let mut fresh = self.crashes.iter_mut().filter(fresh).collect::<Vec<_>>();
@@ -101,8 +103,8 @@
             .collect()
     }
 
-    /// Notes that a call was answered in whole. The crashes are kept, or what other VMs heard of them
-    /// would be taken for news.
+    /// Records that a call received a complete response. Its crashes are kept, because otherwise the same
+    /// crashes would count as new when other VMs report them.
     pub fn delivered(&mut self, digest: u64) {
         let range = self.range(digest);
         for known in &mut self.crashes[range] {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Upstreams that have died under a body, but for those that a body refused earlier explains.
+    /// Number of upstreams that crashed while running a call, without the crashes that are explained by a
+    /// call rejected earlier.
     #[must_use]
     pub fn crashes(&self, digest: u64, now: Instant) -> usize {
         let refused = self.refused_at(digest, now);
@@ -119,13 +122,13 @@
             .count()
     }
 
-    /// Whether a body is refused.
+    /// Whether a call is rejected because of its crashes.
     #[must_use]
     pub fn refuses(&self, digest: u64, now: Instant) -> bool {
         self.crashes(digest, now) >= MOST_CRASHES
     }
 
-    /// Whether a body that was to be refused earlier than this one ran on the same upstream.
+    /// Whether a call that reached the limit earlier than this one ran on the same upstream.
     fn is_explained(&self, crash: &Crash, refused: Option<Instant>, now: Instant) -> bool {
         self.crashes
             .iter()
@@ -135,7 +138,7 @@
             .any(|other| refused.is_none_or(|own| other < own))
     }
 
-    /// When so many upstreams had died under a body that it is refused, whoever ran beside it.
+    /// When the crashes under a call reached the limit, regardless of the calls that ran beside it.
     fn refused_at(&self, digest: u64, now: Instant) -> Option<Instant> {
         let times = self.counted(digest, now).map(|crash| crash.at);
         Instant::nth_smallest(times, MOST_CRASHES)
@@ -148,7 +151,7 @@
             .filter(move |crash| !crash.cleared && now.since(crash.at) < EXPIRY)
     }
 
-    /// Places of a body's crashes.
+    /// Index range of a call's crashes.
     fn range(&self, digest: u64) -> std::ops::Range<usize> {
         let start = self
             .crashes
@@ -165,7 +168,7 @@
         (self.crash.digest, &self.crash.upstream)
     }
 
-    /// Notes that the body was delivered well; tells whether that is news.
+    /// Marks the call as having received a complete response; returns whether that is new.
     fn clear(&mut self) -> bool {
         let news = !self.crash.cleared;
         if news {
--- a/crates/decisions/src/incarnation.rs
+++ b/crates/decisions/src/incarnation.rs
@@ -1,7 +1,8 @@
 use super::*;
 
 number_newtype!(
-    /// Number an upstream or VM draws when its process starts, so that a returned process is not taken for its former self.
+    /// Number that an upstream or VM draws when its process starts, so that a restarted process is not
+    /// taken for the former one.
     Incarnation,
     "incarnation"
 );
--- a/crates/decisions/src/kept_table.rs
+++ b/crates/decisions/src/kept_table.rs
@@ -1,25 +1,28 @@
+//! Replica of a platform table for peers whose own reads the platform rejects.
+//!
+//! Changes are useful only to a VM that has all earlier rows. A VM may have received these from elsewhere
+//! and then read only changes itself. If it stored just the changes, they would look like the complete
+//! table, and a peer that reads them would take all other rows for removed, or a configuration for
+//! unchanged. Changes that do not continue from the stored version therefore make the replica incomplete
+//! until the complete table is read again.
+
 use super::*;
 
-/// Rows of a table of the platform as one VM has read them, for others that the platform turns away.
-///
-/// Changes are of use only to one who has read all that was before them. A VM may have that from elsewhere,
-/// and then hear of changes itself: kept without the rest they would look like the whole table, and whoever
-/// reads them here would take all other rows for removed, or a configuration for unchanged. So what does not
-/// go on from what is kept makes it incomplete until the whole is read again.
+/// Rows of a platform table as this VM has read them, for peers whose reads the platform rejects.
 #[derive(Clone, Debug)]
 pub struct KeptTable<R> {
-    /// Sorted by key; removed rows are left out.
+    /// Sorted by key, without removed rows.
     rows: Vec<(Arc<str>, R)>,
-    /// Version up to which the rows are the whole table; none if they are not.
+    /// Version at which the rows are the complete table; `None` if they are incomplete.
     version: Option<u64>,
 }
 
-/// A table as it was at one version.
+/// The complete table at one version.
 #[derive(Clone, Copy, Debug)]
 pub struct WholeTable<'a, R> {
-    /// Its rows, sorted by key.
+    /// Rows, sorted by key.
     pub rows: &'a [(Arc<str>, R)],
-    /// The version.
+    /// Version of the store at which the rows were current.
     pub version: u64,
 }
 
@@ -33,14 +36,14 @@
 }
 
 impl<R> KeptTable<R> {
-    /// Takes in all rows as of a version.
+    /// Replaces all rows by those of a complete read at `version`.
     pub fn read(&mut self, rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>, version: u64) {
         self.rows.clear();
         self.put_all(rows);
         self.version = Some(version);
     }
 
-    /// Takes in the rows that changed after one version up to another.
+    /// Applies the rows that changed after version `after` and up to `version`.
     pub fn changed(
         &mut self,
         after: u64,
@@ -56,7 +59,7 @@
         self.version = Some(version);
     }
 
-    /// The whole table, if it is known here.
+    /// The complete table, if it is known here.
     #[must_use]
     pub fn whole(&self) -> Option<WholeTable<'_, R>> {
         self.version.map(|version| WholeTable {
--- a/crates/decisions/src/stall_detector.rs
+++ b/crates/decisions/src/stall_detector.rs
@@ -1,17 +1,19 @@
+//! Detects that a stream has been without any event for too long.
+//!
+//! Streams with steady small gaps run on engines whose steps grow with their batch, and connections may go
+//! silent for good while new ones work. With a fixed bound of a second, a caller waits a second at each
+//! silent connection; with a bound of a few steps, every long prefill on an engine makes all its streams
+//! fail over. The bound therefore follows the observed gaps, mean plus eight deviations, between a floor
+//! and a ceiling.
+//!
+//! Engines send a heartbeat every 250 ms, so a live engine is silent for little more than that; the floor
+//! leaves 150 ms for scheduling delays on a busy VM. The ceiling is four lost heartbeats in a row. The
+//! scenarios `silent-connection` and `engine-pause` of `catkin-load run` exercise it; `docs/RECOVERY.md`
+//! has the figures.
+
 use super::*;
 
-/// Tells when a stream has been without any event for too long.
-///
-/// Load pattern: streams of steady small gaps, on engines whose steps grow with their batch, and
-/// connections that go silent for good while new ones work. With a fixed bound of a second a caller
-/// waits a second at each silent connection; with one of a few steps every long prefill on an engine
-/// sends all its streams looking for another. So the bound follows the gaps seen, mean plus eight
-/// deviations, between a floor and a ceiling.
-///
-/// Grounds: engines say that they are there every 250 ms, so that a live engine is silent for little
-/// more than that; the floor leaves 150 ms for scheduling on a busy VM. The ceiling is four of those
-/// words lost in a row. Measured with `catkin-load run silent-connection` and `engine-pause`; the
-/// figures stand in `docs/RECOVERY.md`.
+/// Bound on the time between two events of a stream, adapted to the gaps observed so far.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     floor: Duration,
@@ -20,7 +22,7 @@
     deviation: Duration,
 }
 
-/// Floor of the bound: a heartbeat of 250 ms and what a busy VM may add.
+/// Floor of the bound: a heartbeat of 250 ms and the delay that a busy VM may add.
 const FLOOR: Duration = Duration::from_millis(400);
 
 /// Ceiling of the bound: four heartbeats.
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Takes in the gap before an event: a new gap weighs an eighth in the mean and a quarter in
+    /// Records the gap before an event. A new gap has a weight of an eighth in the mean and of a quarter in
     /// the deviation, as in the round-trip estimate of TCP (RFC 6298).
     pub fn observe(&mut self, gap: Duration) {
         let error = gap.abs_diff(self.mean);
@@ -59,7 +61,7 @@
         self.mean = (self.mean * 7 + gap) / 8;
     }
 
-    /// How long the stream may be without an event.
+    /// Maximum time that the stream may be without an event before it counts as stalled.
     #[must_use]
     pub fn bound(&self) -> Duration {
         (self.mean + self.deviation * DEVIATIONS).clamp(self.floor, self.ceiling)
--- a/crates/decisions/src/suspicion.rs
+++ b/crates/decisions/src/suspicion.rs
@@ -1,27 +1,27 @@
-//! Suspicion of an upstream that failed, and its slow way back.
+//! Ejects an upstream that failed, and brings it back gradually.
 //!
-//! Load pattern: an upstream fails every call within a millisecond and so looks idle; without
-//! suspicion the least loaded choice sends it most of the traffic. When it works again, all VMs
-//! would come back at once and find it cold. Here a failure takes it out for a doubling time, after
-//! which its weight climbs from a tenth to the whole. Out means last resort, not never: when all
-//! are suspected, all are used.
+//! An upstream that fails every call within a millisecond looks idle, so a choice by least load would send
+//! it most of the traffic. When it works again, all VMs would return at once and find it cold. A failure
+//! therefore ejects the upstream for a time that doubles with each failure, after which its weight climbs
+//! from a tenth to the full weight. An ejected upstream is a last resort, but still usable: when all
+//! upstreams are suspected, all are used.
 //!
-//! Grounds for the figures: the first time out covers a restart's first refusals, the largest keeps
-//! a returned upstream idle for no longer than a load report's lag times five. They follow from the
-//! report period of 500 ms and are not tuned by a measurement.
+//! The first ejection covers the connections that are refused at first during a restart. The longest keeps
+//! a recovered upstream idle for no longer than five times the lag of a load report. Both follow from the
+//! report period of 500 ms.
 
 use super::*;
 
-/// Time out after the first failure.
+/// Duration of the ejection after the first failure.
 const FIRST_OUT: Duration = Duration::from_millis(250);
 
-/// Longest time out.
+/// Longest duration of an ejection.
 const LONGEST_OUT: Duration = Duration::from_secs(8);
 
-/// Time of the climb back to the whole weight.
+/// Time in which the weight climbs back to the full weight.
 const CLIMB: Duration = Duration::from_secs(5);
 
-/// Failures of one upstream.
+/// Recent failures of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Suspicion {
     failures: u32,
@@ -29,8 +29,8 @@
 }
 
 impl Suspicion {
-    /// Notes a failure: no connection, a broken or silent stream, a garbled answer. Failures of
-    /// calls that were under way together count as one.
+    /// Records a failure: no connection, a broken or silent stream, or a malformed response. Failures of
+    /// calls that were in flight together count as one.
     pub fn failed(&mut self, now: Instant) {
         let back = self.back();
         if self.failures == 0 || now >= back.after(CLIMB) {
@@ -41,7 +41,7 @@
         self.last = now;
     }
 
-    /// Part of its capacity that the upstream counts with, from 0 (out) to 1.
+    /// Fraction of its capacity with which the upstream counts, from 0 (ejected) to 1.
     #[must_use]
     pub fn weight(&self, now: Instant) -> f64 {
         if self.failures == 0 {
--- a/crates/decisions/src/table_row.rs
+++ b/crates/decisions/src/table_row.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A row of a table of the platform as it was written once, or that it was removed.
+/// A row of a platform table as it was written at one version, or its removal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableRow<T> {
-    /// Its key.
+    /// Key of the row, unique in its table.
     #[serde(rename = "k")]
     pub key: Arc<str>,
-    /// Version of the store at which it was written or removed. Rows come late, twice and out of order; by this
-    /// one can tell which of two is the newer.
+    /// Version of the store at which the row was written or removed. Rows arrive late, repeatedly and out
+    /// of order; the version tells which of two is newer.
     #[serde(rename = "w")]
     pub written: u64,
-    /// What it holds; `None` if it was removed.
+    /// Content of the row; `None` if it was removed.
     #[serde(rename = "e", default = "none")]
     pub entry: Option<T>,
 }
--- a/crates/decisions/src/upstream.rs
+++ b/crates/decisions/src/upstream.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// An upstream of the bundle.
+/// Upstream as configured in the bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Id.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: AvailabilityZone,
     /// Services it serves, sorted.
     pub services: Vec<ServiceId>,
-    /// True if it refuses orders with an old fencing number.
+    /// True if it rejects orders with an old fencing number.
     pub enforces_fencing: bool,
-    /// True if it checks who orders.
+    /// True if it checks which VM sends an order.
     pub checks_orderer: bool,
 }
--- a/crates/decisions/src/upstream_death.rs
+++ b/crates/decisions/src/upstream_death.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Id of the death of one process of an upstream, the same on all VMs that notice it.
+/// Id of the crash of one upstream process, the same on all VMs that detect it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct UpstreamDeath(pub u64);
 
@@ -11,7 +11,7 @@
 }
 
 impl UpstreamDeath {
-    /// Death of that process.
+    /// Derives the id from the upstream and its incarnation.
     #[must_use]
     pub fn of(upstream: &UpstreamId, incarnation: Incarnation) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64_with_seed(
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -1,54 +1,53 @@
-//! Which upstreams there are, from entries that the platform keeps of them.
+//! Directory of the known upstreams, built from the entries that the platform stores for them.
 //!
-//! An entry that says "leaving" is believed for as long as that incarnation is known. An entry that
-//! is removed means that the upstream is gone, with one exception: entries lapse while the platform
-//! itself is away, although their upstreams live, and come back within [`LAPSE_GRACE`] of its return.
-//! Without that exception an outage of the platform would end with no upstream at all, seen as
-//! refusals of everything.
+//! An entry that says "leaving" applies for as long as that incarnation is known. A removed entry means
+//! that the upstream is gone, with one exception: during an outage of the platform, entries expire although
+//! their upstreams are alive, and return within [`LAPSE_GRACE`] of the platform's return. Without that
+//! exception an outage would end with no upstreams at all, and every call would be refused.
 //!
-//! An upstream that starts again under its id is a new incarnation: the earlier one is superseded for good,
-//! and an entry of the earlier one that is read late is left out. By the same rule an upstream whose clock
-//! stepped back between two starts, by more than the first of them lasted, gets no call until its entry is removed
-//! or it starts once more; to believe it would let a late entry bring back what has left.
+//! An upstream that restarts under its id is a new incarnation: it supersedes the earlier one permanently,
+//! and an entry of the earlier one that arrives late is ignored. By the same rule, an upstream whose clock
+//! stepped back between two starts, by more than the first process lived, gets no calls until its entry is
+//! removed or it restarts again. Accepting it would let a late entry restore an upstream that has left.
 //!
-//! Restart reports of other VMs carry no row, so an upstream that is known by a report alone is dropped unless
-//! its row is read within [`LAPSE_GRACE`] of the platform's return. Stale restart reports of removed upstreams are
-//! ignored, also where the upstream was never known here.
+//! Restart reports of other VMs carry no row, so an upstream that is known only from a report is dropped
+//! unless its row is read within [`LAPSE_GRACE`] of the platform's return. Stale restart reports of removed
+//! upstreams are ignored, even if the upstream was never known here.
 //!
-//! Two entries may show one address. Mostly the upstream at it crashed and started anew under another id, so the
-//! entry that is heard last replaces the other. But it may also be a foreign one, so that is not for good:
-//! an answer of the replaced upstream brings it back, and an upstream that answers for another id at
-//! its address is denied until its entry changes.
+//! Two entries may have the same address. Usually the upstream there crashed and restarted under another
+//! id, so the entry that arrives last replaces the other. The entry may also belong to an unrelated
+//! upstream, so a replacement is not final: a response of the replaced upstream restores it, and an
+//! upstream at whose address another id responds is denied until its entry changes.
 
 use super::*;
 
-/// Time after the platform's return within which entries that lapsed meanwhile come back; the
+/// Time after the platform's return within which entries that expired during the outage return; the
 /// platform promises about two seconds.
 pub const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// How long an upstream that is gone is remembered: longer than any entry is read late. Its id may come back
-/// afterwards, also where nobody says when a process started.
+/// How long a removed upstream is remembered: longer than any entry is delayed. Afterwards its id may be
+/// used again, also by upstreams that do not report when they started.
 const REMEMBERED: Duration = Duration::from_secs(30);
 
-/// An upstream's entry.
+/// Entry of an upstream in the platform's table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its incarnation.
+    /// Incarnation that the entry describes.
     #[serde(rename = "i")]
     pub id: UpstreamIncarnation,
     /// Service that it belongs to.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Where it takes calls.
+    /// Address at which it takes calls.
     #[serde(rename = "a")]
     pub address: SocketAddr,
     /// Its availability zone.
     #[serde(rename = "z")]
     pub zone: AvailabilityZone,
-    /// Calls that it serves at once.
+    /// Number of calls that it serves at once.
     #[serde(rename = "n")]
     pub slots: u32,
-    /// Whether it has said that it is leaving.
+    /// Whether it has announced that it is leaving.
     #[serde(rename = "l")]
     pub leaving: bool,
     /// Version of its software, where that matters.
@@ -56,37 +55,37 @@
     pub version: Option<SoftwareVersion>,
 }
 
-/// What became of an upstream.
+/// State of an upstream in the directory.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Presence {
     /// It takes calls.
     Present,
-    /// Its entry lapsed around an outage of the platform; it counts as present until then.
+    /// Its entry expired around an outage of the platform; it takes calls until the given time.
     Lapsed(Instant),
-    /// It is known by a restart report and no row of it was read yet. It takes calls, once the platform answers
-    /// until then only.
+    /// It is known from a restart report, and its row has not been read yet. It takes calls; once the
+    /// platform responds, only until the given time.
     Reported(Option<Instant>),
-    /// Another entry shows its address.
+    /// Another entry has its address.
     Replaced,
-    /// Another upstream answers at its address.
+    /// Another upstream responds at its address.
     Denied,
     /// It is leaving and takes no new calls.
     Leaving,
-    /// It is gone.
+    /// Its entry was removed.
     Gone,
-    /// It has started again under its id, so this incarnation is gone for good.
+    /// It has restarted under its id, so this incarnation is permanently gone.
     Superseded,
 }
 
-/// What has changed for an upstream.
+/// An upstream and its new presence.
 pub type PresenceChange = (UpstreamIncarnation, Presence);
 
-/// The upstreams known, sorted by incarnation.
+/// Known upstreams, sorted by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamDirectory {
     known: Vec<Known>,
-    /// Upstreams that were removed before they were known here, sorted, and when.
+    /// Upstreams that were removed before they were known here, sorted by id, with the time of the removal.
     tombstones: Vec<(UpstreamId, Instant)>,
     addresses: AddressIndex,
     outage: Outage,
@@ -97,9 +96,9 @@
 struct Known {
     entry: Arc<UpstreamEntry>,
     presence: Presence,
-    /// Whether its row was read.
+    /// Whether its row was read from the platform's table.
     has_row: bool,
-    /// Since when it was found to be gone.
+    /// When it was first found to be removed or superseded.
     gone_since: Option<Instant>,
 }
 
@@ -112,7 +111,7 @@
 }
 
 impl UpstreamDirectory {
-    /// Takes in an entry; returns what has changed by it.
+    /// Applies an entry; returns the resulting changes of presence.
     pub fn heard(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
         if let Ok(index) = self.tombstone(&entry.id.id) {
             self.tombstones.remove(index);
@@ -129,7 +128,8 @@
         changes
     }
 
-    /// Takes in an entry, but for its address; returns its incarnation unless an earlier one was read late.
+    /// Applies an entry except for its address; returns its incarnation, or `None` for a late entry of an
+    /// earlier incarnation.
     fn take(
         &mut self,
         mut entry: UpstreamEntry,
@@ -169,8 +169,9 @@
         Some(id)
     }
 
-    /// Notes that an upstream has started at `born`, by its own report or that of another VM. Its entry is
-    /// the one before until it is read anew. A report of an upstream that was removed is stale.
+    /// Records that an upstream has started at `born`, by its own report or that of another VM. The entry
+    /// of the earlier incarnation is used until the new one is read. A report of a removed upstream is
+    /// stale and is ignored.
     pub fn started(&mut self, id: &UpstreamId, born: Born, now: Instant) -> Vec<PresenceChange> {
         let Some(newest) = self.newest(id) else {
             return Vec::new();
@@ -192,12 +193,11 @@
         self.reported(entry)
     }
 
-    /// Takes in an upstream that was found at the address of `before`, by itself or by the report of another VM;
-    /// its row was not read yet.
+    /// Adds an upstream that was found at the address of `before` and whose row has not been read yet.
     ///
     /// # Errors
     ///
-    /// Why it is not taken in.
+    /// Returns why the restart is not accepted.
     pub fn restarted(
         &mut self,
         restart: &UpstreamRestart,
@@ -223,7 +223,7 @@
         Ok(changes)
     }
 
-    /// Takes in an upstream without a row of its own.
+    /// Adds an upstream whose row has not been read.
     fn reported(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
         let id = entry.id.clone();
         let mut changes = self.heard(entry);
@@ -238,7 +238,7 @@
         changes
     }
 
-    /// Notes that an entry was removed; returns the upstream's presence if that is new.
+    /// Records that an entry was removed; returns the upstream's presence if it changed.
     pub fn removed(&mut self, id: &UpstreamId, now: Instant) -> Option<PresenceChange> {
         let Some(newest) = self.newest(id) else {
             match self.tombstone(id) {
@@ -263,10 +263,10 @@
         (known.presence != before).then_some((newest, known.presence))
     }
 
-    /// Takes in all entries at once: those not among them were removed.
+    /// Applies a complete read of the entries; upstreams without an entry in it were removed.
     ///
-    /// Sorted before they are taken in, so that each is found by a search and new ones go to the end of a table
-    /// that was empty.
+    /// The entries are sorted first, so that each is found by binary search and new ones are appended to an
+    /// empty directory.
     pub fn snapshot(
         &mut self,
         mut entries: Vec<UpstreamEntry>,
@@ -274,8 +274,9 @@
     ) -> Vec<PresenceChange> {
         let comparisons = &self.comparisons;
         entries.sort_by(|a, b| comparisons.note(a.id.cmp(&b.id)));
-        // Of two entries at one address the order does not tell which is the newer: the older one is removed
-        // soon. Taken for replaced, the newer one would get no call as long as it lives.
+        // The order of two listed entries with one address does not tell which is newer, so neither
+        // replaces the other; the older one is removed soon. If the newer one counted as replaced, it would
+        // get no calls for as long as it lives.
         let listed = entries
             .iter()
             .map(|entry| entry.id.id.clone())
@@ -314,7 +315,7 @@
             .is_ok()
     }
 
-    /// Notes that an upstream answered by itself: no other one has its address.
+    /// Records a response of the upstream itself, which shows that no other upstream has its address.
     pub fn answered(&mut self, id: &UpstreamIncarnation) -> Vec<PresenceChange> {
         let mut changes = Vec::new();
         if let Ok(index) = self.position(id)
@@ -328,7 +329,7 @@
         changes
     }
 
-    /// Notes that `by` answered at the address of an upstream in its place, if it says who it is.
+    /// Records that another upstream responded at the address of `id`; `by` is its id, if it gave one.
     pub fn denied(
         &mut self,
         id: &UpstreamIncarnation,
@@ -347,18 +348,19 @@
         changes
     }
 
-    /// Whether an upstream of that id is known.
+    /// Whether an upstream with this id is known.
     #[must_use]
     pub fn knows(&self, id: &UpstreamId) -> bool {
         self.newest(id).is_some()
     }
 
-    /// Notes that the platform does not answer.
+    /// Records that the platform does not respond.
     pub fn platform_lost(&mut self) {
         self.outage = Outage::Now;
     }
 
-    /// Notes that the platform answers.
+    /// Records that the platform responds. Limits the time for which upstreams without a row are used, and
+    /// evicts upstreams that have been removed for long enough.
     pub fn platform_answers(&mut self, now: Instant) {
         match self.outage {
             Outage::Now => self.outage = Outage::Until(now.after(LAPSE_GRACE)),
@@ -398,7 +400,7 @@
         usable.count()
     }
 
-    /// Entry of an upstream that takes new calls.
+    /// Entry of an upstream, if it takes new calls.
     #[must_use]
     pub fn get_usable(
         &self,
@@ -409,7 +411,7 @@
         known.is_usable(now).then_some(&known.entry)
     }
 
-    /// Comparisons made so far: the work that reading entries costs, whatever the machine.
+    /// Number of comparisons made so far: the cost of reading entries, independent of the machine.
     #[must_use]
     pub fn comparisons(&self) -> u64 {
         self.comparisons.count() + self.addresses.comparisons()
@@ -424,7 +426,7 @@
         (last.id == *id).then(|| last.clone())
     }
 
-    /// Notes that the earlier incarnations of an upstream are gone.
+    /// Marks the earlier incarnations of an upstream as superseded.
     fn supersede(&mut self, id: &UpstreamIncarnation, changes: &mut Vec<PresenceChange>) {
         let end = self.position(id).unwrap_or_else(|index| index);
         for known in self.known[..end].iter_mut().rev() {
@@ -486,7 +488,7 @@
 }
 
 impl Known {
-    /// Its presence while it takes calls.
+    /// Presence of the upstream while it takes calls.
     fn present(&self) -> Presence {
         if self.has_row {
             Presence::Present
@@ -512,12 +514,13 @@
         }
     }
 
-    /// Takes in its entry once more; returns its presence if that is new.
+    /// Updates the entry; returns the presence if it changed.
     fn renew(&mut self, mut entry: UpstreamEntry) -> Option<Presence> {
         let before = self.presence;
         self.has_row = true;
         let moved = self.entry.address != entry.address;
-        // An entry read late may still say ready. Kept so, the next one like it would bring back what has left.
+        // A late entry may not say yet that the upstream is leaving. If it cleared the flag, the next entry
+        // like it would restore an upstream that has left.
         entry.leaving |= self.entry.leaving;
         self.presence = match before {
             Presence::Gone if entry.leaving => Presence::Gone,
@@ -531,7 +534,7 @@
         (self.presence != before).then_some(self.presence)
     }
 
-    /// Whether it has been gone for so long that nothing of it is needed any more.
+    /// Whether it has been removed or superseded for so long that it can be evicted.
     fn is_forgotten(&mut self, now: Instant) -> bool {
         if !self.is_removed(now) && self.presence != Presence::Superseded {
             self.gone_since = None;
@@ -541,7 +544,7 @@
         now.since(since) >= REMEMBERED
     }
 
-    /// Sets its presence; whether that is a change.
+    /// Sets the presence; returns whether it changed.
     fn is_new_after(&mut self, presence: Presence) -> bool {
         let before = std::mem::replace(&mut self.presence, presence);
         before != presence
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -1,28 +1,28 @@
-//! Which upstream may get new work.
+//! Decides whether an upstream may get new work.
 //!
-//! Load pattern: upstreams leave all day, by orders, crashes and restarts, and each of the ways in
-//! which a VM hears of it lags or fails at times. Without one rule over all of them, work goes on
-//! to an upstream that is about to end, and its callers pay with a resume each. Here new work needs
-//! a fresh word of the upstream itself, and no word of leaving from anyone.
+//! Upstreams leave all day, by orders, crashes and restarts, and each source from which a VM learns of it
+//! lags or fails at times. Without one rule for all sources, work is sent to upstreams that are about to
+//! end, and the callers pay with a resume each. New work therefore needs recent evidence from the upstream
+//! itself, and no notice of leaving from any source.
 //!
-//! Leaving is sticky per incarnation: reports and list entries come late and crossed, and an old
-//! "not leaving" must not undo a newer "leaving". A returned upstream has another incarnation.
+//! Leaving is permanent for an incarnation: reports and list entries arrive late and out of order, and an
+//! old "not leaving" must not undo a newer "leaving". An upstream that returns has another incarnation.
 //!
-//! Grounds for the figures: callers are promised no new work to a leaving upstream after a few
-//! seconds, here 3. The last dispatch happens at most [`EVIDENCE_BOUND`] (2 s) after the upstream's
-//! last word and takes at most 1 s to reach it; any other source alone has 3 s less its own lag.
-//! Reports are asked for twice a second, so four must be lost before a healthy upstream is taken
-//! for gone. Held by `tests/eligibility.rs`.
+//! Callers are promised that a leaving upstream gets no new work after a few seconds, here 3. The last
+//! dispatch happens at most [`EVIDENCE_BOUND`] (2 s) after the last evidence from the upstream and takes at
+//! most 1 s to reach it; any other source alone has 3 s minus its own lag. Reports are requested twice a
+//! second, so four must be lost before a healthy upstream counts as gone. `tests/eligibility.rs` checks
+//! these bounds.
 
 use super::*;
 
-/// How old the last word of an upstream may be for it to get new work.
+/// Maximum age of the last evidence from an upstream that gets new work.
 pub const EVIDENCE_BOUND: Duration = Duration::from_secs(2);
 
-/// How many former incarnations are remembered.
+/// Number of former and of leaving incarnations that are remembered.
 const FORMER: usize = 16;
 
-/// All that bears on whether an upstream may get new work.
+/// Evidence on whether an upstream may get new work.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamEvidence {
     current: Option<Incarnation>,
@@ -33,23 +33,23 @@
     listed: Listed,
 }
 
-/// What the platform's list says; it knows no incarnations.
+/// State of the upstream in the platform's list, which contains no incarnations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Listed {
     #[default]
     Live,
     /// Leaving since before any incarnation was known here.
     LeavingUnknown,
-    /// Leaving, and noted with the incarnation that was current.
+    /// Leaving, and recorded for the incarnation that was current.
     LeavingNoted,
 }
 
 impl UpstreamEvidence {
-    /// Takes a load report that was asked for at `asked`. Its evidence dates from then: an upstream
-    /// that was paused may answer long after it was asked.
+    /// Records a load report that was requested at `asked`. Its evidence dates from then: an upstream that
+    /// was paused may respond long after the request.
     ///
-    /// Returns the former incarnation if the report is the first of another one; the former
-    /// process is then gone.
+    /// Returns the former incarnation if this is the first report of another one; the former process is
+    /// then gone.
     pub fn reported(
         &mut self,
         incarnation: Incarnation,
@@ -75,20 +75,21 @@
         former
     }
 
-    /// Takes a reply of the process that was given work as `incarnation`; it was sent after `sent`.
+    /// Records a reply of the process that was given work as `incarnation`; the reply was sent after
+    /// `sent`.
     pub fn replied(&mut self, incarnation: Incarnation, sent: Instant) {
         if self.current == Some(incarnation) {
             self.heard = self.heard.max(sent);
         }
     }
 
-    /// Notes for good that this process of the upstream is leaving. Returns whether that was new.
+    /// Records permanently that this process of the upstream is leaving; returns whether that is new.
     pub fn note_leaving(&mut self, incarnation: Incarnation, source: LeavingSource) -> bool {
         if self.leaving.iter().any(|(known, _)| *known == incarnation) {
             return false;
         }
-        // The note about the present process must outlast any number of others, or an upstream that
-        // leaves would get work again.
+        // The record of the current process must outlast any number of others, or an upstream that is
+        // leaving would get work again.
         if self.leaving.len() >= FORMER {
             let i = usize::from(self.current == Some(self.leaving[0].0));
             self.leaving.remove(i);
@@ -97,8 +98,8 @@
         true
     }
 
-    /// Takes the state in the platform's list. The list lags and knows no incarnations, so a word
-    /// of leaving is about the process that was known when the list began to say so.
+    /// Records the state in the platform's list. The list lags and contains no incarnations, so "leaving"
+    /// refers to the process that was known when the list began to say so.
     pub fn listed(&mut self, leaving: bool) {
         self.listed = match (leaving, self.listed, self.current) {
             (false, _, _) => Listed::Live,
@@ -111,7 +112,7 @@
         };
     }
 
-    /// Notes that the process is certainly gone; only another incarnation counts from now on.
+    /// Records that the process is certainly gone; only another incarnation counts from now on.
     pub fn gone(&mut self, incarnation: Incarnation) {
         if self.current == Some(incarnation) {
             self.current = None;
@@ -121,11 +122,11 @@
         }
     }
 
-    /// The one decision whether the upstream may get new work now.
+    /// Whether the upstream may get new work now. No other code decides this.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns why it may not.
     pub fn eligible(&self, now: Instant) -> Result<Eligible, Ineligible> {
         let incarnation = self.current.ok_or(Ineligible::Unheard)?;
         if now.since(self.heard) > EVIDENCE_BOUND {
@@ -140,25 +141,25 @@
         })
     }
 
-    /// The process last heard of.
+    /// Incarnation of the process that reported last.
     #[must_use]
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.current
     }
 
-    /// When that process was first heard of.
+    /// When the first report of that process was requested.
     #[must_use]
     pub fn since(&self) -> Instant {
         self.since
     }
 
-    /// When it was last heard of.
+    /// Time of the latest evidence from that process.
     #[must_use]
     pub fn heard(&self) -> Instant {
         self.heard
     }
 
-    /// Processes known to be leaving, the one last noted at the end.
+    /// Processes known to be leaving, the latest record at the end.
     #[must_use]
     pub fn leaving(&self) -> &[(Incarnation, LeavingSource)] {
         &self.leaving
--- a/crates/decisions/src/upstream_health.rs
+++ b/crates/decisions/src/upstream_health.rs
@@ -1,26 +1,27 @@
-//! Failure detector of an upstream: when to probe it.
+//! Failure detector that decides when an upstream is probed.
 //!
-//! A dead VM, a network partition and an engine that reads a long prompt look alike: nothing comes. A caller in
-//! the middle of a stream bears a pause of well under a second, so silence on all connections to an upstream
-//! starts one probe (its load report, over a connection of its own), however many calls wait there. Its
-//! streams fail over only if the probe fails.
+//! A dead VM, a network partition and an engine that processes a long prompt look alike: no data arrives. A
+//! caller in the middle of a stream tolerates a pause of well under a second, so silence on all connections
+//! to an upstream starts one probe (a request for its load report, on a separate connection), however many
+//! calls wait there. The streams fail over only if the probe fails.
 
 use super::*;
 
-/// Silence of an upstream with calls in flight after which it is probed. Events of a stream come every
-/// 30 to 200 ms; a longer bound would leave too little of a caller's patience for the resume.
+/// Silence of an upstream with calls in flight after which it is probed. Events of a stream arrive every 30
+/// to 200 ms; a longer bound would leave too little time for the resume within the pause that a caller
+/// tolerates.
 pub const SILENCE: Duration = Duration::from_millis(200);
 
-/// Timeout of a probe; an answer takes 2 to 10 ms.
+/// Timeout of a probe; a response takes 2 to 10 ms.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(180);
 
-/// Backoff before an upstream whose probe failed is probed again; doubles each time.
+/// First backoff before an upstream whose probe failed is probed again; it doubles each time.
 const FIRST_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Longest backoff between probes of an upstream that does not answer.
+/// Longest backoff between probes of an upstream that does not respond.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(1600);
 
-/// Health of an upstream.
+/// Health of one upstream, from the calls of this VM there and from its probes.
 #[derive(Clone, Debug)]
 pub struct UpstreamHealth {
     last_seen: Instant,
@@ -36,7 +37,7 @@
 }
 
 impl UpstreamHealth {
-    /// An upstream that was just heard of.
+    /// An upstream that was heard from at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Notes that a call was sent there.
+    /// Records that a call was sent to the upstream.
     pub fn sent(&mut self, now: Instant) {
         if self.in_flight == 0 {
             self.last_seen = self.last_seen.max(now);
@@ -55,18 +56,18 @@
         self.in_flight += 1;
     }
 
-    /// Notes that a call there ended.
+    /// Records that a call to the upstream ended.
     pub fn ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Notes that anything came from it; it is no suspect any more.
+    /// Records that data arrived from the upstream; it is no longer suspect.
     pub fn heard(&mut self, now: Instant) {
         self.last_seen = now;
         self.suspect = None;
     }
 
-    /// Notes that a connection to it broke, or that a probe failed. Returns whether it was no suspect before.
+    /// Records a broken connection or a failed probe; returns whether the upstream was not suspect before.
     pub fn doubt(&mut self, now: Instant) -> bool {
         let backoff = match self.suspect {
             Some(suspect) => (suspect.backoff * 2).min(LONGEST_BACKOFF),
@@ -80,7 +81,7 @@
         new
     }
 
-    /// Whether a probe is due. If so, it counts as begun.
+    /// Whether a probe is due; if so, it is marked as started.
     pub fn probe_due(&mut self, now: Instant) -> bool {
         let due = match (self.probing, self.suspect) {
             (Some(_), _) => false,
@@ -93,7 +94,7 @@
         due
     }
 
-    /// Whether a probe may begin at once, for a reason other than silence; if so it counts as begun.
+    /// Whether a probe may start at once, for a reason other than silence; if so, it is marked as started.
     pub fn probe_now(&mut self, now: Instant) -> bool {
         let free = self.probing.is_none();
         if free {
@@ -102,18 +103,18 @@
         free
     }
 
-    /// Notes the end of a probe.
+    /// Records the end of a probe.
     pub fn probed(&mut self) {
         self.probing = None;
     }
 
-    /// Whether it is a suspect.
+    /// Whether the upstream is suspected of having failed.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
         self.suspect.is_some()
     }
 
-    /// Calls in flight there.
+    /// Number of calls in flight to the upstream.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
--- a/crates/decisions/src/upstream_incarnation.rs
+++ b/crates/decisions/src/upstream_incarnation.rs
@@ -1,31 +1,35 @@
+//! Tells the successive processes of one upstream apart.
+//!
+//! An upstream may restart under its id. The new process has no state of the earlier one, so what is known
+//! about the earlier process (its load, its silence, the memory that it keeps, that it is leaving) must not
+//! be applied to the new one. Such knowledge is therefore keyed by [`UpstreamIncarnation`] and not by the
+//! id.
+
 use super::*;
 
-/// One run of an upstream's process: its id, and when it started.
-///
-/// An upstream may start again under its id. It then knows nothing of before, so whatever is believed of the
-/// earlier process (its load, its silence, the memory that it keeps, that it is leaving) must not be applied to
-/// the later one. Beliefs are kept by this type and not by the id, so that they cannot be.
+/// One process of an upstream, identified by the upstream's id and the start time of the process.
 ///
-/// Incarnations of one id are ordered by their start. Not every upstream says when it started; then the id
-/// alone tells incarnations apart.
+/// Incarnations of one id are ordered by start time. Not every upstream reports when it started; without a
+/// start time only the id tells incarnations apart.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct UpstreamIncarnation {
     /// Id of the upstream.
     #[serde(rename = "i")]
     pub id: UpstreamId,
-    /// When it started, if it says so.
+    /// Start time, if the upstream reports it.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Born>,
 }
 
 impl UpstreamIncarnation {
-    /// Text of the id.
+    /// The upstream's id as text, without the start time.
     #[must_use]
     pub fn as_str(&self) -> &str {
         self.id.as_str()
     }
 
-    /// Whether this is surely an earlier incarnation of the same upstream than one that started at `born`.
+    /// Whether this is certainly an earlier incarnation of the same upstream than one that started at
+    /// `born`.
     #[must_use]
     pub fn is_before(&self, born: Option<Born>) -> bool {
         matches!((self.born, born), (Some(own), Some(other)) if own < other)
--- a/crates/decisions/src/upstream_places.rs
+++ b/crates/decisions/src/upstream_places.rs
@@ -1,46 +1,46 @@
-//! Places of one upstream: the limit on it, divided between the lanes.
+//! Concurrency slots of one upstream, divided between the lanes.
 //!
-//! Load pattern: long generations take every place of an engine that quick calls use too. Without a
-//! reserve the next quick call waits for a generation to end, for minutes. A fifth of the places is
-//! therefore not given to long requests for as long as quick calls have been seen within the last
-//! minute; an engine without quick calls is used whole.
+//! Long generations can take every slot of an engine that quick calls use too. Without a reserve the next
+//! quick call would wait minutes for a generation to end. A fifth of the slots is therefore withheld from
+//! long requests for as long as quick calls have been seen within the last minute; an engine without quick
+//! calls is used in full.
 //!
-//! Teams that have had less than their share are kept apart from those that have not, too. Beside a
-//! hot team every place is always taken, and a call of another team waits for one and then inside an
-//! upstream that is filled beyond what it runs at once. So its call may be sent beyond the limit by a
-//! quarter, and while there are such calls the others are held to what the upstream runs at once.
+//! Teams that have had less than their share are separated from the others, too. While a busy team keeps
+//! every slot taken, a call of another team would wait for a slot and then again inside an upstream that is
+//! filled beyond what it runs at once. Such a call may therefore exceed the limit by a quarter, and while
+//! there are such calls, the other teams are held to what the upstream runs at once.
 //!
-//! The reserve has to hold the quick calls that run at once, and to leave room for their bursts.
+//! The reserve has to hold the quick calls that run at once, and to leave room for bursts of them.
 
 use super::*;
 
-/// Share of the places that is kept for quick calls, as a divisor.
+/// Divisor of the limit that gives the slots reserved for quick calls.
 const RESERVE_DIVISOR: u32 = 5;
 
-/// Extra places for quick requests of teams below their share, as a divisor of the limit.
+/// Divisor of the limit that gives the extra slots for quick requests of teams below their share.
 const EXTRA_DIVISOR: u32 = 4;
 
-/// How long after a request of a team below its share the others are held to the base part.
+/// How long after a request of a team below its share the other teams are held to the base part.
 const LIGHT_MEMORY: Duration = Duration::from_secs(1);
 
 /// How long after the last quick call the reserve is kept.
 const RESERVE_MEMORY: Duration = Duration::from_secs(60);
 
-/// What an upstream reports of its room.
+/// Capacity and queue length that an upstream reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CapacityReport {
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub capacity: u32,
-    /// Requests that wait in it.
+    /// Number of requests that are queued in it.
     pub waiting: u32,
 }
 
-/// The places of one upstream.
+/// Concurrency slots of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamPlaces {
     limit: ConcurrencyLimit,
     part: Option<u32>,
-    /// The part without what makes up for the time that requests travel.
+    /// The part without the extra slots that compensate for the time that requests travel.
     base_part: Option<u32>,
     in_flight: [u32; Lane::COUNT],
     quick_seen: Option<Instant>,
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Takes a load report. The limit is bounded by this node's part of the capacity reported.
+    /// Records a load report. The limit is bounded by this node's part of the reported capacity.
     ///
-    /// A limit that learns from latency alone learns too late for generations: an engine that was
-    /// sent too many stays too full for minutes. And where nodes find their limits each by itself,
-    /// one that came late may stay below its part (see `docs/LOAD.md`, rows without load reports).
+    /// A limit learned from latency alone adapts too late for generations: an overfilled engine stays
+    /// overfilled for minutes. And where nodes find their limits separately, one that joined late may stay
+    /// below its part (see `docs/LOAD.md`, rows without load reports).
     pub fn reported(&mut self, report: CapacityReport, share: CapacityShare) {
         let CapacityReport { capacity, waiting } = report;
         self.limit.reported(waiting);
@@ -72,14 +72,14 @@
         self.base_part = Some(share.part(capacity, Lane::Long));
     }
 
-    /// Requests that may be in flight.
+    /// Maximum number of requests in flight.
     #[must_use]
     pub fn limit(&self) -> u32 {
         let limit = self.limit.limit();
         self.part.map_or(limit, |part| limit.min(part))
     }
 
-    /// Whether a request of this lane may be sent there now.
+    /// Whether a request of this lane may be sent to the upstream now.
     #[must_use]
     pub fn has_room(&self, now: Instant, lane: Lane) -> bool {
         let total: u32 = self.in_flight.iter().sum();
@@ -91,8 +91,8 @@
         total < limit && self.in_flight[lane.index()] < self.share(now, lane)
     }
 
-    /// Whether a quick request of a team that has had less than its share may be sent there now,
-    /// though other requests may not.
+    /// Whether a quick request of a team that has had less than its share may be sent now, even though
+    /// other requests may not.
     #[must_use]
     pub fn has_extra_room(&self) -> bool {
         let total: u32 = self.in_flight.iter().sum();
@@ -100,7 +100,7 @@
         total < limit + limit.div_ceil(EXTRA_DIVISOR)
     }
 
-    /// Places that this lane may take at most.
+    /// Maximum number of slots for this lane.
     #[must_use]
     pub fn share(&self, now: Instant, lane: Lane) -> u32 {
         let limit = self.limit();
@@ -113,44 +113,44 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests of this lane in flight.
     #[must_use]
     pub fn in_flight(&self, lane: Lane) -> u32 {
         self.in_flight[lane.index()]
     }
 
-    /// Takes a place.
+    /// Takes a slot for a request of this lane.
     pub fn enter(&mut self, now: Instant, lane: Lane) {
         self.in_flight[lane.index()] += 1;
         self.note_arrival(now, lane);
     }
 
-    /// Notes that a request of this lane wants a place, so that the reserve is there for the next.
+    /// Records that a request of this lane wants a slot, so that the reserve is there for the next one.
     pub fn note_arrival(&mut self, now: Instant, lane: Lane) {
         if lane == Lane::Quick {
             self.quick_seen = Some(now);
         }
     }
 
-    /// Notes a quick request of a team that has had less than its share. While there are such,
-    /// requests of other teams do not fill the upstream beyond what it runs at once.
+    /// Records a quick request of a team that has had less than its share. While there are such requests,
+    /// those of other teams do not fill the upstream beyond what it runs at once.
     pub fn note_light(&mut self, now: Instant) {
         self.light_seen = Some(now);
     }
 
-    /// Gives a place back.
+    /// Returns the slot of a request of this lane.
     pub fn leave(&mut self, lane: Lane) {
         let count = &mut self.in_flight[lane.index()];
         *count = count.saturating_sub(1);
     }
 
-    /// Takes the latency until the first part of an answer.
+    /// Records the latency until the first part of a response.
     pub fn answered(&mut self, latency: Duration) {
         let in_flight = self.in_flight.iter().sum();
         self.limit.answered(latency, in_flight);
     }
 
-    /// Notes that the upstream refused for want of room, or did not answer in time.
+    /// Records that the upstream rejected a request for lack of capacity, or did not respond in time.
     pub fn overloaded(&mut self) {
         self.limit.overloaded();
     }
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -1,44 +1,43 @@
-//! What one VM knows of one upstream, brought down to a [`Candidate`].
+//! What one VM knows of one upstream, summarized as a [`Candidate`].
 //!
-//! Load pattern: load reports lag by up to half a second, in which a VM dispatches many requests.
-//! Without the VM's own dispatches since the report, all of them go to the upstream that looked
-//! idle in it. A fresh process has cold caches and would be flooded just because it is idle; its
-//! weight climbs. An upstream that is slow without being busy shows in its answers' latency.
+//! Load reports lag by up to half a second, in which a VM dispatches many requests. If the VM's own
+//! dispatches since the report did not count, all of them would go to the upstream that looked idle in it.
+//! A new process has cold caches and would be flooded just because it is idle, so its weight climbs. An
+//! upstream that is slow without being busy is recognized by the latency of its responses.
 //!
-//! Grounds for the figures: the slow start is as long as 20 report periods; the pace is forgotten
-//! after as long, so that a slow upstream is tried again by then. Neither is tuned by a
-//! measurement.
+//! The slow start lasts 20 report periods. Latencies expire after the same time, so that a slow upstream is
+//! tried again by then.
 
 use super::*;
 use crate::suspicion::climb;
 
-/// Time in which a fresh process climbs to its whole weight.
+/// Time in which a new process climbs to its full weight.
 const SLOW_START: Duration = Duration::from_secs(10);
 
 /// How long an observed latency counts.
 const PACE_BOUND: Duration = Duration::from_secs(10);
 
-/// Requests without an answer whose mean wait says little.
+/// Number of unanswered requests below which their mean wait says little.
 const FEW_UNANSWERED: u32 = 3;
 
-/// Part of a new latency in the average.
+/// Weight of a new latency in the moving average.
 const PACE_PART: f64 = 0.2;
 
-/// What is known of one upstream.
+/// What this VM knows of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamRecord {
-    /// Whether it may get new work.
+    /// Evidence on whether the upstream may get new work.
     pub evidence: UpstreamEvidence,
     suspicion: Suspicion,
     report: UpstreamReport,
     own: u32,
     own_in_report: u32,
     pace: Option<(f64, Instant)>,
-    /// Requests that have no answer yet, and the sum of the seconds at which they were sent.
+    /// Number of requests without a response, and the sum of the times at which they were sent, in seconds.
     unanswered: (u32, f64),
 }
 
-/// A load report that was asked for and has not come yet.
+/// A load report that was requested and has not arrived yet.
 #[derive(Clone, Copy, Debug)]
 pub struct AskedReport {
     at: Instant,
@@ -46,8 +45,8 @@
 }
 
 impl UpstreamRecord {
-    /// Notes that a load report is asked for now. Also taken at the dispatch of a request whose
-    /// reply may bring one.
+    /// Marks the request of a load report. Also called when a request is dispatched whose reply may carry a
+    /// load report.
     #[must_use]
     pub fn ask(&self, now: Instant) -> AskedReport {
         AskedReport {
@@ -56,7 +55,7 @@
         }
     }
 
-    /// Takes a load report. Returns the former incarnation if it has just been replaced.
+    /// Records a load report. Returns the former incarnation if the report shows that it was replaced.
     pub fn reported(&mut self, asked: AskedReport, report: UpstreamReport) -> Option<Incarnation> {
         let former = self
             .evidence
@@ -68,31 +67,31 @@
         former
     }
 
-    /// Counts a request that is dispatched there.
+    /// Counts a request that is dispatched to the upstream.
     pub fn dispatched(&mut self) {
         self.own += 1;
     }
 
-    /// Counts it no more.
+    /// Stops counting a request that was dispatched.
     pub fn finished(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Counts a request sent at `sent` whose answer is due.
+    /// Counts a request sent at `sent` whose response is outstanding.
     pub fn awaits(&mut self, sent: Instant) {
         self.unanswered.0 += 1;
         self.unanswered.1 += sent.0.as_secs_f64();
     }
 
-    /// Counts it no more: it was answered, or given up.
+    /// Stops counting a request sent at `sent`, which was answered or given up.
     pub fn awaits_no_more(&mut self, sent: Instant) {
         self.unanswered.0 = self.unanswered.0.saturating_sub(1);
         self.unanswered.1 -= sent.0.as_secs_f64();
     }
 
-    /// Seconds that an answer takes, as far as that is known. An upstream that becomes slow answers
-    /// nothing for as long as its answers take now, and would get its full share meanwhile; so the
-    /// mean wait of those that have no answer yet counts where it is the longer one.
+    /// Seconds that a response takes, if known. An upstream that becomes slow sends no response for as long
+    /// as its responses take by then, and would get its full share meanwhile; so the mean wait of the
+    /// unanswered requests counts where it is longer.
     fn pace(&self, now: Instant) -> Option<f64> {
         let (pace, _) = self.pace.filter(|(_, at)| now.since(*at) <= PACE_BOUND)?;
         let (count, sum) = self.unanswered;
@@ -102,7 +101,7 @@
         Some(pace.max(now.0.as_secs_f64() - sum / f64::from(count)))
     }
 
-    /// Takes the latency of an answer.
+    /// Records the latency of a response.
     pub fn answered(&mut self, incarnation: Incarnation, sent: Instant, now: Instant) {
         self.evidence.replied(incarnation, sent);
         let latency = now.since(sent).as_secs_f64();
@@ -113,24 +112,24 @@
         self.pace = Some((pace, now));
     }
 
-    /// Notes that it failed a request.
+    /// Records that the upstream failed a request.
     pub fn failed(&mut self, now: Instant) {
         self.suspicion.failed(now);
     }
 
-    /// Requests of this VM there.
+    /// Number of requests of this VM in flight there.
     #[must_use]
     pub fn own(&self) -> u32 {
         self.own
     }
 
-    /// The last load report.
+    /// Latest load report.
     #[must_use]
     pub fn report(&self) -> &UpstreamReport {
         &self.report
     }
 
-    /// Models that a new request may get here; `None` if it may get no new work.
+    /// Models that a new request may use here; `None` if the upstream may get no new work.
     #[must_use]
     pub fn models(&self, now: Instant) -> Option<&[Model]> {
         self.evidence.eligible(now).ok()?;
@@ -141,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// Why it may not get it.
+    /// Returns why the upstream may not get the request.
     pub fn candidate(&self, model: Option<&Model>, now: Instant) -> Result<Candidate, Ineligible> {
         let eligible = self.evidence.eligible(now)?;
         if !self.report.suits(model) {
--- a/crates/decisions/src/upstream_report.rs
+++ b/crates/decisions/src/upstream_report.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// A load report, as far as decisions use it.
+/// The fields of a load report on which decisions depend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpstreamReport {
-    /// The process that reports.
+    /// Incarnation of the process that reports.
     pub incarnation: Incarnation,
-    /// Requests being run or queued there.
+    /// Number of requests that run or are queued there.
     pub load: u32,
-    /// Those of them that are queued there.
+    /// Number of requests that are queued there.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub capacity: u32,
-    /// True once it wants no new work.
+    /// True once it is leaving and wants no new work.
     pub leaving: bool,
     /// True if its role is to serve.
     pub serves: bool,
-    /// Loaded models.
+    /// Models that are loaded.
     pub models: Vec<Model>,
 }
 
--- a/crates/decisions/src/upstream_restart.rs
+++ b/crates/decisions/src/upstream_restart.rs
@@ -1,39 +1,39 @@
 use super::*;
 
-/// Report of a VM that found another upstream at the address of one it knew, before any row of the platform says
-/// so.
+/// Report of a VM that found another upstream at the address of one it knew, before the platform's table
+/// shows the change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamRestart {
-    /// Who had the address before.
+    /// Upstream that had the address before.
     #[serde(rename = "b")]
     pub before: UpstreamIncarnation,
-    /// Who has it now.
+    /// Entry of the upstream that has the address now.
     #[serde(rename = "e")]
     pub entry: UpstreamEntry,
-    /// Version of the store up to which the reporting VM knew the table of upstreams.
+    /// Version of the store up to which the reporting VM had read the table of upstreams.
     #[serde(rename = "v", default)]
     pub version: u64,
 }
 
-/// What a restart is known by.
+/// Evidence for a restart.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RestartEvidence {
-    /// The upstream's own answer to this VM.
+    /// The upstream's own response to this VM.
     OwnProbe,
-    /// The report of another VM, beside what this one knows of the table.
+    /// The report of another VM, with this VM's view of the table.
     PeerReport(TableView),
 }
 
-/// How far a VM knows the table of upstreams.
+/// How recent a VM's view of the table of upstreams is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TableView {
-    /// Version of the store up to which it is known.
+    /// Version of the store up to which the table has been read.
     pub version: u64,
-    /// Whether it is being kept up to date.
+    /// Whether the view is kept up to date.
     pub current: bool,
 }
 
-/// Why a restart is not believed.
+/// Reason for which a restart report is rejected.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum StaleRestart {
@@ -43,10 +43,10 @@
     /// The upstream was removed.
     #[display("the upstream was removed")]
     Removed,
-    /// The table is kept up to date here and does not name the upstream.
+    /// The table is kept up to date here and does not contain the upstream.
     #[display("the table is current and does not name the upstream")]
     TableIsCurrent,
-    /// The table is known here to a later version than to the reporting VM.
+    /// The table has been read here up to a later version than by the reporting VM.
     #[display("the table is known to a later version than the report's")]
     TableIsNewer,
 }
--- a/crates/decisions/src/upstream_table.rs
+++ b/crates/decisions/src/upstream_table.rs
@@ -1,23 +1,24 @@
-//! What the platform's table of upstreams says, as one VM has read it, with a digest by which VMs find
-//! out whether they have read the same.
+//! The platform's table of upstreams as one VM has read it, with a digest by which VMs compare what they
+//! have read.
 //!
-//! Load pattern: upstreams write their entries anew every second or so, most of the time with nothing
-//! new in them. Were each VM to read all of these, 400 VMs before 900 upstreams would read 270 kB/s each,
-//! and most calls of the platform's store would be theirs. So in each zone one or two VMs read the
-//! table and tell the others what has changed in it, and the digest of the whole: a VM that missed
-//! something finds out with the next word, and reads the table itself.
+//! Upstreams rewrite their entries every second or so, most of the time without a change. If each VM read
+//! all of these, 400 VMs in front of 900 upstreams would read 270 kB/s each, and most calls to the
+//! platform's store would be theirs. So in each zone one or two VMs read the table and send the others its
+//! changes and the digest of the whole. A VM that missed a change notices at the next update and reads the
+//! table itself.
 //!
-//! Words come late and out of order: datagrams overtake each other, and a VM that was cut off or did not run for a
-//! while tells what it reads then, which others may know better. So each row bears the version at which it was
-//! written, and an older row never takes the place of a newer one, nor that of one that was removed since. Without
-//! that a lagging reader brought an upstream back that had left, and no later read of changes took it out again.
+//! Updates arrive late and out of order: datagrams overtake each other, and a VM that was partitioned or
+//! paused sends what it reads then, which may be older than what others know. So each row carries the
+//! version at which it was written, and an older row never replaces a newer one, nor one that was removed
+//! since. Otherwise a lagging reader could restore an upstream that had left, and no later read of changes
+//! would remove it again.
 
 use super::*;
 
-/// The rows of the table.
+/// Rows of the table, with the version up to which they have been read and their digest.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamTable {
-    /// Sorted by key. Removed ones are kept until the table is known up to their removal.
+    /// Sorted by key. Removed rows are kept until the table has been read up to their removal.
     rows: Vec<Row>,
     version: u64,
     digest: u64,
@@ -25,49 +26,50 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    /// Of what it says; 0 if it was removed.
+    /// Hash of the entry; 0 if the row was removed.
     hash: u64,
     row: UpstreamChange,
 }
 
-/// A change of the table: an entry, or that it was removed.
+/// A change of the table: an entry that was written, or its removal.
 pub type UpstreamChange = TableRow<UpstreamEntry>;
 
-/// What a read of the table gave.
+/// Result of a read of the table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableRead {
-    /// Rows that are not older than what was known, among them those that were written anew with nothing new in
-    /// them: a sign of life.
+    /// Rows that are not older than the known ones, including those rewritten without a change, which show
+    /// that the upstream is alive.
     pub current: Vec<UpstreamChange>,
-    /// Those of them that say something new.
+    /// Rows of `current` whose content is new.
     pub news: Vec<UpstreamChange>,
 }
 
 impl UpstreamTable {
-    /// Version of the store up to which it holds.
+    /// Version of the store up to which the table has been read.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All entries.
+    /// Rows of the upstreams that are present, without removals.
     #[must_use]
     pub fn entries(&self) -> Vec<UpstreamChange> {
         let present = self.rows.iter().filter(|row| row.row.entry.is_some());
         present.map(|row| row.row.clone()).collect()
     }
 
-    /// Digest of what it says, whatever the order in which it was read.
+    /// Digest of the contents, independent of the order in which they were read.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes in all rows, or those that were written after a version up to which the table was known.
+    /// Applies all rows if `whole`, otherwise those written after a version up to which the table was
+    /// known.
     pub fn read(&mut self, rows: &[UpstreamChange], whole: bool, version: u64) -> TableRead {
         let mut read = TableRead::default();
         if version < self.version {
-            // Its question was answered before what others have told since.
+            // The store served this read before it served changes that other VMs have sent since.
             return read;
         }
         let mut rows = rows.to_vec();
@@ -82,8 +84,8 @@
         read
     }
 
-    /// Takes in another VM's word: changes, and the digest and version with them. Returns the changes
-    /// that are news.
+    /// Applies an update of another VM: changes, with the digest and version of its table. Returns the
+    /// changes that are new here.
     pub fn told(
         &mut self,
         changes: &[UpstreamChange],
@@ -91,7 +93,7 @@
         digest: u64,
     ) -> Vec<UpstreamChange> {
         let mut changes = changes.to_vec();
-        // What was written up to the own version is known here, also if it was removed and forgotten since.
+        // Rows written up to this VM's version are known here, also if they were removed and dropped since.
         changes.retain(|change| change.written > self.version);
         let mut told = TableRead::default();
         self.take_all(changes, &mut told);
@@ -101,14 +103,15 @@
         told.news
     }
 
-    /// Whether the word of another VM, which has read up to `version`, shows that something is missing.
+    /// Whether the digest of another VM, which has read up to `version`, shows that a change was missed
+    /// here.
     #[must_use]
     pub fn is_behind(&self, version: u64, digest: u64) -> bool {
         version > self.version && digest != self.digest
     }
 
-    /// Whether a row is known just as it was written then. One that is not, and is older than the table, was
-    /// overwritten or removed since.
+    /// Whether the row is known as it was written at that version. A row that is not, and is older than the
+    /// table, was overwritten or removed since.
     fn holds(&self, change: &UpstreamChange) -> bool {
         let place = self.position(&change.key);
         place.is_ok_and(|index| self.rows[index].row.written == change.written)
@@ -119,7 +122,7 @@
             .binary_search_by(|row| row.row.key.as_ref().cmp(key))
     }
 
-    /// Removals of the rows that a whole table as of `version` does not hold.
+    /// Removals of the known rows that the complete table as of `version` does not contain.
     fn missing_in(&self, rows: &[UpstreamChange], version: u64) -> Vec<UpstreamChange> {
         let mut keys = rows.iter().map(|row| &row.key).collect::<Vec<_>>();
         keys.sort_unstable();
@@ -155,7 +158,7 @@
             .retain(|row| row.row.entry.is_some() || row.row.written > known);
     }
 
-    /// Sets a row.
+    /// Sets a row unless a newer one is known.
     fn put(&mut self, change: &UpstreamChange) -> Put {
         let place = self.position(&change.key);
         let before = place.ok().map_or(0, |index| self.rows[index].hash);
@@ -171,19 +174,19 @@
             Ok(index) => self.rows[index] = row,
             Err(index) => self.rows.insert(index, row),
         }
-        // Sums in any order are the same.
+        // A sum does not depend on the order in which the rows were read.
         self.digest = self.digest.wrapping_sub(before).wrapping_add(hash);
         if before == hash { Put::Same } else { Put::News }
     }
 }
 
-/// What became of a row that was to be set.
+/// Outcome of setting a row.
 enum Put {
-    /// A newer one is known.
+    /// A newer row is known.
     Older,
-    /// It says what was known.
+    /// The content of the row is unchanged.
     Same,
-    /// It says something new.
+    /// The content of the row is new.
     News,
 }
 
--- a/crates/decisions/src/wake_detector.rs
+++ b/crates/decisions/src/wake_detector.rs
@@ -1,25 +1,26 @@
-//! Notices that this process did not run for a while.
+//! Detects that this process did not run for a while, because its VM was suspended or the process was
+//! stopped.
 //!
-//! A VM is suspended, or its process is stopped, and both go on as if no time had passed: what the process
-//! believes of configurations, upstreams and other VMs is as old as the gap, and looks fresh. Its steady
-//! clock stands still in a suspension, but not the clock that counts from the boot; and while a process is
-//! stopped its steady clock runs on, but nothing looks at it.
+//! Such a process continues as if no time had passed: its view of configurations, upstreams and other VMs
+//! is as old as the gap, but looks fresh. The steady clock stands still while the VM is suspended, whereas
+//! the clock that counts from boot goes on. While a process is stopped, its steady clock goes on, but
+//! nothing reads it.
 
 use super::*;
 
-/// Gap that counts. Looks come every 50 ms, and some 100 ms late on a VM that is five times slower than
-/// usual; beliefs that are older by less do no harm.
+/// Minimum gap that is reported. Readings are taken every 50 ms, and some 100 ms late on a VM that is five
+/// times slower than usual; a view that is older by less does no harm.
 const GAP: Duration = Duration::from_millis(400);
 
-/// Looks at two clocks.
+/// Compares successive readings of the steady clock and of the clock that counts from boot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WakeDetector {
     last: Option<(Instant, Duration)>,
 }
 
 impl WakeDetector {
-    /// Looks at the steady clock and at the time since the boot, suspensions counted in; tells how long
-    /// the process did not run, if that is long.
+    /// Takes a reading of the steady clock and of the time since boot, which includes suspensions; returns
+    /// how long the process did not run, if that is at least the minimum gap.
     pub fn look(&mut self, steady: Instant, since_boot: Duration) -> Option<Duration> {
         let (last, last_boot) = self.last.replace((steady, since_boot))?;
         let stopped = steady.since(last);
--- a/crates/decisions/src/wall_time.rs
+++ b/crates/decisions/src/wall_time.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 number_newtype!(
-    /// Milliseconds since 1970 by a VM's clock. Clocks of VMs differ, so it only ever decides what
-    /// is safe with any clock: how long rows are kept, and when to stop waiting for a holder.
+    /// Milliseconds since 1970 by a VM's clock. Clocks of VMs differ, so it decides only what is safe with
+    /// any clock: how long rows are kept, and when to stop waiting for a holder.
     WallTime,
     "time"
 );
--- a/crates/decisions/src/zone_alarm.rs
+++ b/crates/decisions/src/zone_alarm.rs
@@ -1,32 +1,33 @@
-//! Losses that come together in an availability zone.
+//! Detects that several upstreams of an availability zone are lost together.
 //!
-//! Load pattern: most upstreams of a zone die or go silent at the same moment. Each is noticed by
-//! itself, a few hundred milliseconds apart, and meanwhile calls that lost one upstream are sent to
-//! the next one in the same zone and lose that too. After a few losses within a short time the whole
-//! zone comes last for a while.
+//! Most upstreams of a zone may die or go silent at the same moment. Each loss is detected separately, a
+//! few hundred milliseconds apart, and meanwhile calls that lost one upstream are sent to the next one in
+//! the same zone and lose that too. After a few losses within a short time, the whole zone is used only as
+//! a last resort for a while.
 
 use super::*;
 
-/// Upstreams lost together that make a zone suspect. Two may be chance with dozens of upstreams.
+/// Number of upstreams lost together that makes a zone suspect. Two may be a coincidence with dozens of
+/// upstreams.
 const LOSSES: usize = 3;
 
-/// How close together: longer than the detection of silence takes, which spreads them.
+/// Window in which losses count as simultaneous: longer than the detection of silence, which spreads them.
 const TOGETHER: Duration = Duration::from_millis(600);
 
-/// How long a zone comes last. Upstreams that crash are back after about a second.
+/// How long a zone is used only as a last resort. Upstreams that crash are back after about a second.
 const AVOIDED: Duration = Duration::from_millis(1500);
 
-/// Losses in each availability zone.
+/// Recent losses of upstreams in each availability zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneAlarm {
     /// Latest losses, one for each upstream.
     losses: Vec<(AvailabilityZone, UpstreamIncarnation, Instant)>,
-    /// Zones that come last, with the end of that.
+    /// Zones that are used only as a last resort, with the time at which that ends.
     avoided: Vec<(AvailabilityZone, Instant)>,
 }
 
 impl ZoneAlarm {
-    /// Notes the loss of an upstream; tells whether its zone became suspect by it.
+    /// Records the loss of an upstream; returns whether its zone became suspect by it.
     pub fn lost(
         &mut self,
         zone: &AvailabilityZone,
@@ -46,7 +47,7 @@
         !before
     }
 
-    /// Whether a zone comes last now.
+    /// Whether the upstreams of a zone are used only as a last resort now.
     #[must_use]
     pub fn is_suspect(&self, zone: &AvailabilityZone, now: Instant) -> bool {
         self.avoided
--- a/crates/decisions/tests/crash_tally.rs
+++ b/crates/decisions/tests/crash_tally.rs
@@ -1,4 +1,4 @@
-//! Calls that crash each upstream that runs them.
+//! Counting of upstreams that crash while running the same call.
 
 use catkin_decisions::{Crash, CrashTally, Instant, UpstreamIncarnation};
 use googletest::prelude::*;
@@ -32,7 +32,7 @@
     tally
 }
 
-/// Tells another VM what this one knows, as it is told.
+/// Sends crashes from one VM to another, as a heartbeat does.
 fn tell(from: &mut CrashTally, to: &mut CrashTally, seconds: u64) {
     for crash in from.to_tell(12, at(seconds)) {
         to.crashed(Crash {
@@ -52,8 +52,9 @@
     expect_that!(refused, eq([false, true]));
 }
 
-/// A zone's engines crash together under forty calls. Notes hold twelve crashes, and were always the latest
-/// twelve: a body that kills, noted before the others, was never told, and cost each VM three engines.
+/// A zone's engines crash together under forty calls, and a heartbeat holds twelve crashes. If always the
+/// latest twelve were sent, a call recorded before the others would never be reported and would cost each
+/// VM three engines.
 #[gtest]
 fn every_crash_is_told_however_many_there_are() {
     let mut here = tally((0..40).map(|n| crash(n, n % 5, 0)));
@@ -67,8 +68,8 @@
     expect_that!(heard.count(), eq(40));
 }
 
-/// Engines crash under a call by chance, and it is answered in whole in the end. Another VM had heard of the
-/// crashes and told of them again, so that the same call was refused when its caller asked once more.
+/// Engines crash under a call by coincidence, and it receives a complete response in the end. Crashes that
+/// another VM received and sends back must not cause the call to be rejected when its caller repeats it.
 #[gtest]
 fn a_body_that_was_answered_is_not_blamed_again_by_what_others_heard() {
     let mut here = tally((0..3).map(|n| crash(INNOCENT, n, 0)));
@@ -81,7 +82,7 @@
     expect_that!(here.refuses(INNOCENT, at(1)), eq(false));
 }
 
-/// The same seen from the other VM: it hears that the call was answered, and serves it as well.
+/// The other VM learns that the call received a response, and serves it as well.
 #[gtest]
 fn others_hear_that_a_body_was_answered() {
     let mut here = tally((0..3).map(|n| crash(INNOCENT, n, 0)));
@@ -96,7 +97,7 @@
     expect_that!(there.refuses(INNOCENT, at(1)), eq(false));
 }
 
-/// A crash that comes after a good answer counts like any other.
+/// A crash after a complete response counts like any other.
 #[gtest]
 fn crashes_after_an_answer_count() {
     let mut tally = tally((0..2).map(|n| crash(CULPRIT, n, 0)));
@@ -109,8 +110,9 @@
     expect_that!(tally.refuses(CULPRIT, at(2)), eq(true));
 }
 
-/// A stream ran beside the one that kills when its third engine died, and lost two more engines by chance
-/// since. It did not kill the first; were that laid to it, its caller would be refused for ten minutes.
+/// A stream ran beside the call that crashes engines when the third of them crashed, and has lost two more
+/// engines by coincidence since. If the first crash were attributed to it, its caller would be rejected for
+/// ten minutes.
 #[gtest]
 fn crashes_that_a_refused_body_explains_are_not_laid_to_those_beside_it() {
     let culprit = (0..3).map(|n| crash(CULPRIT, n, n));
@@ -122,7 +124,7 @@
     expect_that!(tally.refuses(INNOCENT, at(6)), eq(false));
 }
 
-/// Nothing tells two bodies apart under which the same engines died.
+/// Two calls under which the same engines crashed cannot be distinguished.
 #[gtest]
 fn of_two_bodies_with_the_same_crashes_both_are_refused() {
     let both = [CULPRIT, INNOCENT].map(|digest| (0..3).map(move |n| crash(digest, n, n)));
--- a/crates/decisions/tests/kept_table.rs
+++ b/crates/decisions/tests/kept_table.rs
@@ -1,4 +1,4 @@
-//! What a VM keeps of the platform's tables for others.
+//! Replicas of platform tables that a VM serves to its peers.
 
 use catkin_decisions::KeptTable;
 use googletest::prelude::*;
@@ -12,7 +12,7 @@
     (key.into(), None)
 }
 
-/// The table's keys, if it is known in whole.
+/// Keys of the table, if it is complete.
 fn keys(table: &KeptTable<u32>) -> Option<Vec<&str>> {
     let whole = table.whole()?;
     Some(whole.rows.iter().map(|(key, _)| key.as_ref()).collect())
@@ -29,8 +29,8 @@
     expect_that!(table.whole().map(|whole| whole.version), some(eq(13)));
 }
 
-/// A VM has the table from a peer and hears of changes itself. Another VM that asks it took these changes for
-/// the whole table, dropped all its upstreams, and refused every call from then on.
+/// A VM has the table from a peer and reads only changes itself. If it served these changes as the complete
+/// table, a VM that asks for it would drop all its upstreams and refuse every call from then on.
 #[gtest]
 fn changes_alone_are_no_table() {
     let mut table = KeptTable::default();
@@ -40,8 +40,8 @@
     expect_that!(keys(&table), none());
 }
 
-/// A VM relied on another one's word for a while and reads by itself again. What changed meanwhile never
-/// came through here.
+/// A VM received changes from a peer for a while and then reads them itself again. The changes in between
+/// never reached this table.
 #[gtest]
 fn a_table_with_a_gap_is_not_shown_until_it_is_read_again() {
     let mut table = KeptTable::default();
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -1,4 +1,4 @@
-//! Restart reports that arrive late, beside a table of upstreams that some VMs cannot read.
+//! Late restart reports, combined with a table of upstreams that some VMs cannot read.
 
 use catkin_decisions::{
     Born, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableView, UpstreamChange,
@@ -19,7 +19,7 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// Upstreams in pairs share an address, as one that crashed and the one that started in its place.
+/// Pairs of upstreams share an address, as one that crashed and the one that was started in its place do.
 fn entry(n: u8) -> UpstreamEntry {
     UpstreamEntry {
         id: format!("engine-{n}").parse().unwrap(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A report that upstream `n` has the address of the one before it.
+/// Report that upstream `n` has taken the address of the other one of its pair.
 fn restart(n: u8, version: u64) -> UpstreamRestart {
     UpstreamRestart {
         before: entry(n ^ 1).id,
@@ -51,7 +51,7 @@
     usable.map(|entry| entry.id.to_string()).collect()
 }
 
-/// A VM misses an upstream's whole life at the store and learns of its removal alone.
+/// A VM reads nothing of an upstream but its removal.
 #[gtest]
 fn report_of_an_upstream_removed_unseen_is_ignored() {
     let mut directory = UpstreamDirectory::default();
@@ -64,7 +64,7 @@
     expect_that!(usable(&directory, at(1000)), eq(&["engine-0"]));
 }
 
-/// A report arrives at a VM that reads the table, which alone says who is there.
+/// A report arrives at a VM that reads the table, which alone decides there which upstreams exist.
 #[gtest]
 fn report_against_a_current_table_is_ignored() {
     let mut directory = UpstreamDirectory::default();
@@ -75,7 +75,7 @@
     expect_that!(outcome, err(eq(&StaleRestart::TableIsCurrent)));
 }
 
-/// The reporting VM has not read the table for as long as this one.
+/// The reporting VM has read the table up to an earlier version than this one.
 #[gtest]
 fn report_from_an_older_table_is_ignored() {
     let mut directory = UpstreamDirectory::default();
@@ -86,7 +86,7 @@
     expect_that!(outcome, err(eq(&StaleRestart::TableIsNewer)));
 }
 
-/// An upstream is known by a report alone, and its row never comes.
+/// An upstream is known only by a report, and its row is never read.
 #[gtest]
 fn reported_upstream_without_a_row_is_dropped_after_the_platforms_return() {
     let mut directory = UpstreamDirectory::default();
@@ -108,7 +108,7 @@
     expect_that!(later, is_empty());
 }
 
-/// The row of a reported upstream is read: it stays.
+/// A reported upstream stays once its row is read.
 #[gtest]
 fn reported_upstream_with_a_row_stays() {
     let mut directory = UpstreamDirectory::default();
@@ -123,7 +123,7 @@
     expect_that!(usable(&directory, at(60_000)), eq(&["engine-1"]));
 }
 
-/// An upstream was removed; a peer's note still names a later process of it.
+/// An upstream was removed, and a peer's note still names a later process of it.
 #[gtest]
 fn later_process_of_a_removed_upstream_is_ignored() {
     let mut directory = UpstreamDirectory::default();
@@ -143,11 +143,11 @@
 enum Step {
     /// An upstream registers, then drains, then is removed.
     Advance(u8),
-    /// The store begins or ends to reject a VM.
+    /// The store begins or ceases to reject a VM.
     Reject(usize, bool),
-    /// A VM reads what changed, or all.
+    /// A VM reads the changes, or the complete table.
     Read(usize, bool),
-    /// A VM is turned away by an upstream at another one's address and reports it.
+    /// A VM finds the upstream at the address of the other one of its pair, and reports it.
     Report(usize, u8),
     /// The n-th report arrives at a VM.
     Deliver(usize, usize),
@@ -163,11 +163,11 @@
     ]
 }
 
-/// The store: each write, in order; the version is the number of writes.
+/// The store, with each write in order; its version is the number of writes.
 #[derive(Default)]
 struct Store {
     writes: Vec<UpstreamChange>,
-    /// How often each upstream has advanced.
+    /// Number of stages that each upstream has passed: registered, draining, removed.
     stages: [u8; UPSTREAMS as usize],
 }
 
@@ -195,7 +195,7 @@
         self.writes.len() as u64
     }
 
-    /// The newest row of each upstream that was written after a version.
+    /// The newest row of each upstream, if it was written after a version.
     fn rows(&self, after: u64) -> Vec<UpstreamChange> {
         let newest = |row: &&UpstreamChange| {
             let mut others = self.writes.iter().filter(|other| other.key == row.key);
@@ -216,8 +216,8 @@
     table: UpstreamTable,
     directory: UpstreamDirectory,
     rejected: bool,
-    /// Upstreams whose leaving or removal it has read, and from when on it must not use them: entries that were
-    /// removed may have lapsed with the platform.
+    /// Upstreams that this VM has read to be leaving or removed, and the time from which it must not use
+    /// them: removed entries may have lapsed with the platform.
     left: Vec<(String, Instant)>,
 }
 
@@ -259,7 +259,7 @@
             version: self.table.version(),
             current: !self.rejected,
         };
-        // What comes of it shows in what is used.
+        // The outcome is checked by the upstreams that are used.
         let _ = self
             .directory
             .restarted(restart, RestartEvidence::PeerReport(table));
--- a/crates/decisions/tests/stall_detector.rs
+++ b/crates/decisions/tests/stall_detector.rs
@@ -1,4 +1,4 @@
-//! When a silent stream counts as stalled.
+//! Bound after which a silent stream counts as stalled.
 
 use catkin_decisions::StallDetector;
 use googletest::prelude::*;
@@ -17,8 +17,8 @@
     Duration::from_millis(ms)
 }
 
-/// A connection goes silent in a stream of one token each 10 ms. The caller should not wait a
-/// second for that to be noticed.
+/// A connection goes silent in a stream of one token each 10 ms. The caller should not wait a second for
+/// that to be detected.
 #[gtest]
 fn steady_stream_is_missed_soon() {
     let detector = detector_after([10; 100]);
@@ -26,8 +26,8 @@
     expect_that!(detector.bound(), eq(ms(400)));
 }
 
-/// An engine is busy with long prompts and its streams come in bursts. Taking each pause for a
-/// stall would start second attempts that only add to its load.
+/// An engine is busy with long prompts and its streams come in bursts. Taking each pause for a stall would
+/// start second attempts that only add to its load.
 #[gtest]
 fn bursty_stream_gets_more_time() {
     let detector = detector_after([10, 10, 10, 300].into_iter().cycle().take(100));
@@ -46,8 +46,8 @@
 }
 
 proptest! {
-    /// Whatever the gaps, no live engine that sends its heartbeats is taken for silent, and no
-    /// caller waits longer than the ceiling.
+    /// Whatever the gaps, no live engine that sends its heartbeats is taken for silent, and no caller waits
+    /// longer than the ceiling.
     #[test]
     fn bound_stays_within_its_limits(gaps in prop::collection::vec(0..100_000_u64, 0..50)) {
         let bound = detector_after(gaps).bound();
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -1,4 +1,4 @@
-//! Which upstreams there are, from entries that come late, lapse and return.
+//! Directory of upstreams, with entries that arrive late, lapse and return.
 
 use catkin_decisions::{
     Born, Instant, LAPSE_GRACE, Presence, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation,
@@ -31,8 +31,8 @@
         .collect()
 }
 
-/// A leaving upstream's older entry is read once more, from a store that answers stale. It stays
-/// leaving, or it would get calls that it cannot finish.
+/// An older entry of a leaving upstream is read again from a stale store. The upstream stays leaving, or it
+/// would get calls that it cannot finish.
 #[gtest]
 fn leaving_is_sticky() {
     let mut directory = UpstreamDirectory::default();
@@ -43,7 +43,7 @@
     expect_that!(usable(&directory, at(0)).is_empty(), eq(true));
 }
 
-/// An entry is removed while the platform answers: its upstream is gone.
+/// An entry that is removed while the platform responds means that its upstream is gone.
 #[gtest]
 fn removed_entry_means_gone() {
     let mut directory = UpstreamDirectory::default();
@@ -55,8 +55,8 @@
     expect_that!(usable(&directory, at(5000)).is_empty(), eq(true));
 }
 
-/// The platform is away and forgets entries of upstreams that live. They are served on until they had
-/// time to come back; one that does not come back is gone.
+/// The platform is unavailable and loses entries of live upstreams. These stay in use until they had time
+/// to return; one that does not return is gone.
 #[gtest]
 fn entries_that_lapse_with_the_platform_count_for_a_while() {
     let mut directory = UpstreamDirectory::default();
@@ -74,8 +74,8 @@
     expect_that!(later, eq(&["back"]));
 }
 
-/// An upstream crashed and started anew at its address. Calls for the old incarnation would be
-/// refused there.
+/// An upstream crashed and restarted under another id at its address. Calls for the old incarnation would
+/// be refused there.
 #[gtest]
 fn new_incarnation_replaces_the_one_at_its_address() {
     let mut directory = UpstreamDirectory::default();
@@ -86,7 +86,7 @@
     expect_that!(usable(&directory, at(0)), eq(&["u2"]));
 }
 
-/// All entries are read anew after a gap in the changes. Those that are missing were removed in it.
+/// All entries are read again after a gap in the changes. Missing entries were removed in the gap.
 #[gtest]
 fn entries_missing_from_a_whole_read_are_gone() {
     let mut directory = UpstreamDirectory::default();
@@ -99,9 +99,9 @@
     expect_that!(usable(&directory, at(9000)), eq(&["u2"]));
 }
 
-/// An upstream has crashed and started anew at its address, and the entries of both lives are listed until
-/// the older one lapses. Whatever their order, the new life gets calls; taken for replaced by the older one, it
-/// would get none as long as it lived.
+/// An upstream crashed and restarted at its address, and the entries of both processes are listed until the
+/// older one lapses. In either order the new process gets calls; if the older one replaced it, it would get
+/// none while it lives.
 #[gtest]
 fn both_entries_of_one_address_in_one_list_are_present() {
     for order in [["new", "old"], ["old", "new"]] {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Entry of an upstream that says when it started.
+/// Entry of an upstream that reports when it started.
 fn born(id: &str, port: u16, born: u64, leaving: bool) -> UpstreamEntry {
     UpstreamEntry {
         id: incarnation(id, born),
@@ -130,8 +130,8 @@
     }
 }
 
-/// An upstream drains, ends, and starts again under its id. Taken for still leaving, it would get no call for as
-/// long as this process lives.
+/// An upstream drains, ends, and restarts under its id. If it still counted as leaving, it would get no
+/// calls for as long as this process lives.
 #[gtest]
 fn upstream_that_drained_and_started_again_is_usable() {
     let mut directory = UpstreamDirectory::default();
@@ -144,8 +144,8 @@
     expect_that!(usable(&directory, at(0)), eq(&["u1@5000"]));
 }
 
-/// An upstream has started again and is leaving; then an entry of its earlier process is read late. It must not
-/// bring that back.
+/// An upstream has restarted and is leaving; then an entry of its earlier process is read late. The entry
+/// must not bring it back.
 #[gtest]
 fn late_entry_of_an_earlier_process_is_left_out() {
     let mut directory = UpstreamDirectory::default();
@@ -157,7 +157,7 @@
     expect_that!(usable(&directory, at(0)), is_empty());
 }
 
-/// An entry lost the moment of its start on the way: it is of the newest process known, whose drain still counts.
+/// An entry without a start time belongs to the newest process known, whose drain still applies.
 #[gtest]
 fn entry_without_a_start_is_of_the_newest_process() {
     let mut directory = UpstreamDirectory::default();
@@ -169,7 +169,7 @@
 }
 
 /// An upstream's load report is of a later process than its entry, which is read a second later. Calls that
-/// wait for the earlier one are lost, and the later one takes calls at once.
+/// wait for the earlier process are lost, and the later process takes calls at once.
 #[gtest]
 fn report_of_a_later_process_supersedes_the_earlier() {
     let mut directory = UpstreamDirectory::default();
@@ -185,8 +185,9 @@
     expect_that!(usable(&directory, at(0)), eq(&["u1@5000"]));
 }
 
-/// A foreign entry shows the address of an upstream that lives. Its answers bring the upstream back, or the
-/// first call that is turned away there; the foreign entry gets no second one, however often it is read.
+/// An unrelated entry has the address of a live upstream. The upstream is restored by its responses, or by
+/// the first call that is rejected there; the unrelated entry gets no second call, however often it is
+/// read.
 #[gtest]
 fn foreign_entry_at_the_address_of_an_upstream_does_not_throw_it_out() {
     let mut directory = UpstreamDirectory::default();
@@ -202,7 +203,7 @@
     expect_that!(usable(&directory, at(0)), eq(&["u1"]));
 }
 
-/// The same, while a stream runs there: its next event shows who has the address.
+/// A stream runs at the replaced upstream, whose next event shows that it still has the address.
 #[gtest]
 fn answer_of_a_replaced_upstream_brings_it_back() {
     let mut directory = UpstreamDirectory::default();
@@ -214,8 +215,8 @@
     expect_that!(usable(&directory, at(0)), eq(&["u1"]));
 }
 
-/// A leaving upstream's older entry is read once more before its entry is removed, and again afterwards. It has
-/// left all the same.
+/// An older entry of a leaving upstream is read again before its entry is removed, and once more
+/// afterwards. The upstream stays gone.
 #[gtest]
 fn late_entries_do_not_bring_back_what_has_left() {
     let mut directory = UpstreamDirectory::default();
@@ -228,8 +229,8 @@
     expect_that!(usable(&directory, at(1)), is_empty());
 }
 
-/// Upstreams without a known start come back under an id that drained. Half a minute later no entry of before
-/// is read any more.
+/// Upstreams without a known start time return under an id that drained. Half a minute later no earlier
+/// entry can arrive any more.
 #[gtest]
 fn an_id_that_is_gone_for_long_may_come_back() {
     let mut directory = UpstreamDirectory::default();
@@ -247,16 +248,16 @@
     expect_that!(usable(&directory, at(31_000)), eq(&["u1"]));
 }
 
-/// What one reader sees of one upstream, in any order.
+/// What one VM reads about one upstream, in any order.
 #[derive(Clone, Debug)]
 enum Word {
-    /// An entry of its n-th process, late or not.
+    /// An entry of its n-th process, possibly late, and whether it is leaving.
     Entry(u64, bool),
-    /// A report of its n-th process.
+    /// A load report of its n-th process.
     Report(u64),
-    /// A foreign entry at its address.
+    /// An entry of an unrelated upstream at its address.
     Foreign,
-    /// A whole table in which its n-th process stands.
+    /// A complete read of the table that contains its n-th process, and whether it is leaving.
     Table(u64, bool),
 }
 
@@ -270,8 +271,8 @@
 }
 
 proptest! {
-    /// In whatever order words of its processes come, an upstream whose newest known process was said to be leaving
-    /// gets no call, and one whose newest process never was gets them after its own next answer.
+    /// In whatever order reads and reports arrive, an upstream whose newest known process was reported as
+    /// leaving gets no calls, and one whose newest process never was gets them after its next own response.
     #[test]
     fn only_the_newest_process_counts(words in prop::collection::vec(word(), 1..30)) {
         let mut directory = UpstreamDirectory::default();
@@ -312,8 +313,8 @@
     }
 }
 
-/// An upstream moves to another address, and a new one takes its old address. Found there by what was known of it
-/// before, it would be taken for replaced and get no call.
+/// An upstream moves to another address, and a new one takes its old address. If the index still contained
+/// the old address, the upstream that moved would count as replaced and get no calls.
 #[gtest]
 fn upstream_that_moved_is_not_replaced_at_its_old_address() {
     let mut directory = UpstreamDirectory::default();
@@ -328,8 +329,9 @@
     expect_that!(usable(&directory, at(0)), eq(&["u2", "u3"]));
 }
 
-/// The platform returns and one table lists an upstream at the address of another one whose entry has lapsed. That
-/// one crashed while the platform was away; its grace would have calls sent to an address that turns them away.
+/// When the platform returns, the table lists an upstream at the address of another one whose entry has
+/// lapsed. That one crashed during the outage; within its grace period, calls would be sent to an address
+/// that rejects them.
 #[gtest]
 fn listed_upstream_replaces_a_lapsed_one_at_its_address() {
     let mut directory = UpstreamDirectory::default();
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -1,4 +1,4 @@
-//! When upstreams are asked whether they live, and what their losses are taken for.
+//! When upstreams are probed, and how their losses affect their zone and the calls that ran there.
 
 use catkin_decisions::{
     AvailabilityZone, Crash, CrashTally, Instant, SILENCE, UpstreamHealth, UpstreamIncarnation,
@@ -15,7 +15,7 @@
     name.parse().unwrap()
 }
 
-/// Many calls wait at an upstream that says nothing. It is asked once, not once for each of them.
+/// Many calls wait at a silent upstream. It is probed once, not once for each of them.
 #[gtest]
 fn silent_upstream_is_asked_once() {
     let mut health = UpstreamHealth::new(at(0));
@@ -33,7 +33,7 @@
     expect_that!(asked, eq([false, true, false]));
 }
 
-/// Nothing runs at an upstream, so its silence means nothing.
+/// No call is in flight to an upstream, so its silence means nothing.
 #[gtest]
 fn idle_upstream_is_not_asked() {
     let mut health = UpstreamHealth::new(at(0));
@@ -45,7 +45,7 @@
     expect_that!(asked, eq(false));
 }
 
-/// An upstream does not answer. It is asked again, ever more rarely, and is trusted again as soon as
+/// An upstream does not respond. It is probed at growing intervals, and is trusted again as soon as
 /// anything comes from it.
 #[gtest]
 fn suspect_is_asked_ever_more_rarely() {
@@ -67,8 +67,8 @@
     expect_that!(health.is_suspect(), eq(false));
 }
 
-/// One upstream breaks again and again. That says nothing of its zone; three that are lost together
-/// do, and the zone is used again soon after.
+/// One upstream fails repeatedly, which says nothing about its zone. Three that are lost together make the
+/// zone suspect, which is used again soon after.
 #[gtest]
 fn zone_is_suspect_after_several_upstreams_are_lost_together() {
     let zone: AvailabilityZone = "a".parse().unwrap();
@@ -84,8 +84,8 @@
     expect_that!(alarm.is_suspect(&"b".parse().unwrap(), at(2500)), eq(false));
 }
 
-/// A call crashes each upstream that runs it, and its caller sends it again to any VM. From the third
-/// upstream on it is refused, whichever VM saw the deaths.
+/// A call crashes each upstream that runs it, and its caller retries it on any VM. After three upstreams
+/// have crashed it is rejected, whichever VM observed the crashes.
 #[gtest]
 fn body_is_refused_after_three_upstreams_died_under_it() {
     let mut tally = CrashTally::default();
@@ -108,8 +108,8 @@
     expect_that!(tally.refuses(8, at(10)), eq(false));
 }
 
-/// A call's upstreams died under it in zone after zone, by chance, and then it was answered in whole.
-/// It is innocent and may come again.
+/// A call's upstreams crashed in zone after zone by coincidence, and then it received a complete response.
+/// It is cleared and may be sent again.
 #[gtest]
 fn delivered_body_is_innocent() {
     let mut tally = CrashTally::default();
--- a/crates/decisions/tests/wake_detector.rs
+++ b/crates/decisions/tests/wake_detector.rs
@@ -1,4 +1,4 @@
-//! A process that did not run for a while.
+//! Detection that the process did not run for a while.
 
 use catkin_decisions::{Instant, WakeDetector};
 use googletest::prelude::*;
@@ -8,7 +8,7 @@
     Duration::from_millis(ms)
 }
 
-/// Gaps told by looks at these times of the steady clock and of the one since the boot.
+/// Gaps reported for readings of the steady clock and of the clock that counts from boot, in milliseconds.
 fn gaps(looks: &[(u64, u64)]) -> Vec<Option<Duration>> {
     let mut detector = WakeDetector::default();
     let look = |(steady, boot): &(u64, u64)| detector.look(Instant(ms(*steady)), ms(*boot));
@@ -22,7 +22,7 @@
     expect_that!(gaps, each(none()));
 }
 
-/// A process is stopped by a signal and goes on later.
+/// A process is stopped by a signal and continues later.
 #[gtest]
 fn a_stopped_process_notices() {
     let gaps = gaps(&[(1000, 5000), (3000, 7000), (3050, 7050)]);
@@ -30,7 +30,7 @@
     expect_that!(gaps, eq(&vec![None, Some(ms(2000)), None]));
 }
 
-/// A VM is suspended: its steady clock does not count that time, so all bounds seem to be kept.
+/// A VM is suspended. Its steady clock does not count that time, so no time-out seems to have passed.
 #[gtest]
 fn a_suspended_vm_notices() {
     let gaps = gaps(&[(1000, 5000), (1050, 9050), (1100, 9100)]);
--- a/crates/decisions/tests/whole_read.rs
+++ b/crates/decisions/tests/whole_read.rs
@@ -1,4 +1,4 @@
-//! What it costs a VM to read the whole table of a large deployment.
+//! Cost of reading the complete table of upstreams in a large deployment.
 
 use catkin_decisions::{
     Born, Instant, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
@@ -6,7 +6,8 @@
 use googletest::prelude::*;
 use std::{net::SocketAddr, time::Duration};
 
-/// Entries of `count` upstreams whose ids are in no order, as the platform gives them, started at `born`.
+/// Entries of `count` upstreams in random order of their ids, as the platform returns them, started at
+/// `born`.
 fn table(count: u32, born: u64) -> Vec<UpstreamEntry> {
     let entry = |n: u32| UpstreamEntry {
         id: UpstreamIncarnation {
@@ -29,8 +30,8 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// Comparisons for each of: a first read, the same table once more, one in which each upstream has started
-/// again, one in which all others are new, and the entries one by one.
+/// Comparisons made by a first read, the same table again, one in which each upstream has restarted, one in
+/// which all upstreams are new, and the entries one by one.
 fn comparisons(count: u32) -> [u64; 5] {
     let mut directory = UpstreamDirectory::default();
     let mut before = 0;
@@ -57,9 +58,9 @@
     f64::from(count) * f64::from(count).log2()
 }
 
-/// The platform was away, and each VM reads the whole table at its return. With a walk over all upstreams for
-/// each entry, a VM with an eighth of a core stands still for seconds before 900 of them, and its callers leave.
-/// From 150 entries to 3,000 the work grows no faster than the work of sorting them.
+/// Each VM reads the complete table when the platform returns. With a scan over all upstreams for each
+/// entry, a VM with an eighth of a core stalls for seconds in front of 900 of them, and its callers give
+/// up. From 150 entries to 3,000, the work may grow no faster than that of sorting them.
 #[gtest]
 fn work_of_a_whole_read_grows_like_that_of_sorting() {
     let few = comparisons(150);
