--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -241,7 +241,7 @@
         }
         state.directory_read = DirectoryRead::Whole;
         self.known.send_replace(state.is_current());
-        let changes = state.directory.snapshot(entries, now);
+        let changes = state.directory.apply_snapshot(entries, now);
         state.forget_gone(now);
         drop(state);
         self.presence_changed(&changes);
@@ -257,7 +257,7 @@
         let mut changes = Vec::new();
         for entry in rows.into_iter().filter_map(|row| row.entry) {
             state.rollouts.version_seen(&entry, true, now);
-            changes.extend(state.directory.heard(entry));
+            changes.extend(state.directory.apply_entry(entry));
         }
         state.directory_read = DirectoryRead::FirstRows;
         self.known.send_replace(state.is_current());
@@ -270,7 +270,7 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         state.rollouts.version_seen(&entry, false, now);
-        let changes = state.directory.heard(entry);
+        let changes = state.directory.apply_entry(entry);
         drop(state);
         self.presence_changed(&changes);
     }
@@ -278,7 +278,7 @@
     /// Takes in when the process of an upstream started, as it or another VM says.
     pub(crate) fn upstream_started(&self, id: &UpstreamId, born: Born) {
         let now = self.timer.now();
-        let changes = self.state.lock().directory.started(id, born, now);
+        let changes = self.state.lock().directory.record_start(id, born, now);
         self.presence_changed(&changes);
     }
 
@@ -286,7 +286,7 @@
     pub fn upstream_removed(&self, id: &UpstreamId) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let change = state.directory.removed(id, now);
+        let change = state.directory.remove_entry(id, now);
         let gone = change
             .as_ref()
             .filter(|(_, presence)| *presence == Presence::Gone);
@@ -314,9 +314,9 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         if answers {
-            state.directory.platform_answers(now);
+            state.directory.record_platform_response(now);
         } else {
-            state.directory.platform_lost();
+            state.directory.record_platform_outage();
         }
     }
 
@@ -339,7 +339,7 @@
         let service = route.service_for(draw).ok_or(Reply::NoRoute)?.clone();
         state.budget(&service).called(&self.settings.repeats, now);
         let digest = call.digest(team.as_ref());
-        if state.crashes.refuses(digest, now) {
+        if state.crashes.is_rejected(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
         }
         if !self.takes(route.timeout) {
@@ -460,11 +460,11 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
-        upstream.health.heard(now);
+        upstream.health.record_activity(now);
         if let Some(load) = load {
-            upstream.load.reading(load, now);
+            upstream.load.record_report(load, now);
         }
-        let changes = state.directory.answered(&entry.id);
+        let changes = state.directory.record_response(&entry.id);
         drop(state);
         self.presence_changed(&changes);
     }
@@ -472,15 +472,19 @@
     /// Notes whether a call succeeded on an upstream.
     pub(crate) fn outcome(&self, entry: &Arc<UpstreamEntry>, failed: bool) {
         let now = self.timer.now();
-        self.state.lock().upstream(entry, now).load.outcome(failed);
+        self.state
+            .lock()
+            .upstream(entry, now)
+            .load
+            .record_outcome(failed);
     }
 
     /// Notes that another incarnation has the address of an upstream. If it says which, it is asked who
     /// it is: a VM that is cut off from the platform learns of upstreams that start anew only so.
     pub(crate) fn replaced(self: &Arc<Self>, entry: &Arc<UpstreamEntry>, by: Option<UpstreamId>) {
         let mut state = self.state.lock();
-        let changes = state.directory.denied(&entry.id, by.as_ref());
-        let unknown = by.filter(|by| !state.directory.knows(by));
+        let changes = state.directory.record_denial(&entry.id, by.as_ref());
+        let unknown = by.filter(|by| !state.directory.contains(by));
         drop(state);
         self.presence_changed(&changes);
         self.process_ended(&entry.id);
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -14,7 +14,7 @@
         let Some(gateway) = gateway.upgrade() else {
             return;
         };
-        if let Some(gap) = clocks.look(now, since_boot()) {
+        if let Some(gap) = clocks.check(now, since_boot()) {
             gateway.woke(gap);
         }
         for entry in due_probes(&gateway, now) {
@@ -34,7 +34,7 @@
     let mut state = gateway.state.lock();
     let mut due = Vec::new();
     for upstream in state.upstreams_mut() {
-        if upstream.health.probe_due(now) {
+        if upstream.health.start_probe_if_due(now) {
             due.push(upstream.entry.clone());
         }
     }
@@ -44,7 +44,7 @@
         let upstream = state.upstream(entry, now);
         let wanted = usable || upstream.health.in_flight() > 0;
         if !wanted {
-            upstream.health.probed();
+            upstream.health.probe_ended();
         }
         wanted
     });
@@ -75,7 +75,7 @@
     };
     let mut state = gateway.state.lock();
     let upstream = state.upstream(&entry, now);
-    upstream.health.probed();
+    upstream.health.probe_ended();
     let in_flight = upstream.health.in_flight();
     drop(state);
     if gateway.log.admits(LineKind::Probe, now) {
@@ -141,10 +141,10 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
-        let new = upstream.health.doubt(now);
+        let new = upstream.health.record_failure(now);
         upstream.given_up.send_modify(|count| *count += 1);
         let crashes = state.died(&entry.id, now);
-        let zone_alarm = new && state.zones.lost(&entry.zone, &entry.id, now);
+        let zone_alarm = new && state.zones.record_loss(&entry.zone, &entry.id, now);
         drop(state);
         self.tell_crashes(&entry.id, crashes);
         self.log_suspect(entry, new, zone_alarm);
@@ -183,7 +183,7 @@
     /// Takes in an upstream that has started at the address of another one; whether it is believed.
     fn take_in(&self, restart: &UpstreamRestart, evidence: RestartEvidence) -> bool {
         let upstream = &restart.entry.id.id;
-        let outcome = self.state.lock().directory.restarted(restart, evidence);
+        let outcome = self.state.lock().directory.apply_restart(restart, evidence);
         let changes = match outcome {
             Ok(changes) => changes,
             Err(StaleRestart::Known) => return false,
@@ -208,7 +208,7 @@
         let mut state = self.state.lock();
         let crashes = state.died(id, now);
         if let Some(upstream) = state.known_upstream(id) {
-            upstream.health.doubt(now);
+            upstream.health.record_failure(now);
             upstream.given_up.send_modify(|count| *count += 1);
         }
         drop(state);
@@ -221,9 +221,9 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
-        let new = upstream.health.doubt(now);
-        let probe_now = new && upstream.health.probe_now(now);
-        let zone_alarm = new && state.zones.lost(&entry.zone, &entry.id, now);
+        let new = upstream.health.record_failure(now);
+        let probe_now = new && upstream.health.start_probe(now);
+        let zone_alarm = new && state.zones.record_loss(&entry.zone, &entry.id, now);
         drop(state);
         self.log_suspect(entry, new, zone_alarm);
         if probe_now {
@@ -280,6 +280,6 @@
 
     /// Notes that a call was answered in whole.
     pub(crate) fn delivered(&self, digest: u64) {
-        self.state.lock().crashes.delivered(digest);
+        self.state.lock().crashes.record_complete_response(digest);
     }
 }
--- a/crates/catkinward/src/gateway/kept_copy.rs
+++ b/crates/catkinward/src/gateway/kept_copy.rs
@@ -47,7 +47,7 @@
             .lock()
             .upstream(&holder, now)
             .load
-            .copy_begins();
+            .copy_added();
         Self {
             gateway: gateway.clone(),
             holder,
@@ -71,7 +71,7 @@
     fn drop(&mut self) {
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
-        state.upstream(&self.holder, now).load.copy_ends();
+        state.upstream(&self.holder, now).load.copy_removed();
         drop(state);
         if self.to_free && self.gateway.settings.policy.freed_copies {
             tokio::spawn((self.gateway.transport.free)(self.source.clone()));
--- a/crates/catkinward/src/gateway/peer_notes.rs
+++ b/crates/catkinward/src/gateway/peer_notes.rs
@@ -130,7 +130,7 @@
         let mut loads = Vec::new();
         let mut suspects = Vec::new();
         for upstream in state.upstreams_mut() {
-            let reading = upstream.load.reading_left(now);
+            let reading = upstream.load.prefill_left(now);
             let calls = upstream.load.streams();
             if calls > 0 || !reading.is_zero() {
                 loads.push(PeerLoad {
@@ -150,7 +150,7 @@
             number,
             loads,
             suspects,
-            crashes: state.crashes.to_tell(MOST_TOLD, now),
+            crashes: state.crashes.next_to_send(MOST_TOLD, now),
             members: if with_members {
                 state
                     .peers
@@ -179,7 +179,7 @@
             .upstreams_mut()
             // Copies weigh little and lie in other zones: those who share their holders hear of them with
             // the next stream there.
-            .filter(|upstream| upstream.load.own() > 0)
+            .filter(|upstream| upstream.load.own_calls() > 0)
             .map(|upstream| upstream.entry.clone())
             .collect::<Vec<_>>();
         drop(state);
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -19,8 +19,8 @@
         let now = gateway.timer.now();
         let mut state = gateway.state.lock();
         let upstream = state.upstream(&entry, now);
-        upstream.health.sent(now);
-        upstream.load.begin(prompt_tokens, now);
+        upstream.health.call_started(now);
+        upstream.load.call_started(prompt_tokens, now);
         let given_up = upstream.given_up.subscribe();
         drop(state);
         if prompt_tokens > 0 {
@@ -47,7 +47,7 @@
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
         let upstream = state.upstream(&self.entry, now);
-        upstream.health.ended();
-        upstream.load.end();
+        upstream.health.call_ended();
+        upstream.load.call_ended();
     }
 }
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -140,9 +140,9 @@
     /// Takes in a death of an upstream under a call, seen here or by another VM; tells whether it is news.
     pub(crate) fn heard_of_crash(&mut self, crash: Crash) -> bool {
         let (digest, now) = (crash.digest, crash.at);
-        let news = self.crashes.crashed(crash);
-        if news && self.crashes.refuses(digest, now) {
-            let crashes = self.crashes.crashes(digest, now);
+        let news = self.crashes.record_crash(crash);
+        if news && self.crashes.is_rejected(digest, now) {
+            let crashes = self.crashes.crash_count(digest, now);
             tracing::warn!(body = %format_args!("{digest:016x}"), crashes, "body is refused from now on");
         }
         news
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -51,7 +51,7 @@
     pub(crate) fn table_read(&self, page: &FeedPage<UpstreamEntry>, whole: bool, from_store: bool) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let read = state.table.read(&page.rows, whole, page.version);
+        let read = state.table.apply_read(&page.rows, whole, page.version);
         let entries = whole.then(|| state.table.entries());
         if from_store {
             state.gossip.read_here();
@@ -65,7 +65,7 @@
             self.take_changes(read.current);
         }
         if from_store {
-            self.tell_zone(&read.news);
+            self.tell_zone(&read.changed);
         }
     }
 
@@ -152,12 +152,12 @@
         state.peers.take_members(&[teller], zone, now);
         let changes = state
             .table
-            .told(&gossip.changes, gossip.version, gossip.digest);
+            .apply_update(&gossip.changes, gossip.version, gossip.digest);
         let table = std::mem::take(&mut state.table);
         state.gossip.take(gossip, &table, now);
         state.table = table;
         if matches!(state.gossip.state(GOSSIP_AGE, now), GossipState::Fresh(_)) {
-            state.directory.platform_answers(now);
+            state.directory.record_platform_response(now);
         }
         drop(state);
         if !changes.is_empty() {
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -346,7 +346,7 @@
         let mut stalls = StallDetector::default();
         loop {
             let waiting = self.node.timer.now();
-            let mut event = attempt.stream.next(stalls.bound()).await?;
+            let mut event = attempt.stream.next(stalls.timeout()).await?;
             stalls.observe(self.node.timer.now().since(waiting));
             let mut finish = None;
             // All that has come already goes on together, with one round of copies.
--- a/crates/catkinward/src/known.rs
+++ b/crates/catkinward/src/known.rs
@@ -75,7 +75,7 @@
         if leaving {
             self.note_leaving(state, incarnation, LeavingSource::Report);
         }
-        let former = state.record.lock().reported(asked, report);
+        let former = state.record.lock().record_report(asked, report);
         if let Some(former) = former {
             self.died(state, former);
         }
@@ -88,7 +88,7 @@
         source: LeavingSource,
     ) {
         let evidence = &mut state.record.lock().evidence;
-        if evidence.note_leaving(incarnation, source) {
+        if evidence.record_leaving(incarnation, source) {
             tracing::info!(upstream = %state.entry.id, %source, "upstream is leaving");
             self.timeline.record(Event {
                 upstream: Some(state.entry.id.clone()),
@@ -104,7 +104,7 @@
 
     /// Notes that a process of an upstream died, under whatever runs there.
     pub(crate) fn died(&self, state: &UpstreamState, incarnation: Incarnation) {
-        state.record.lock().evidence.gone(incarnation);
+        state.record.lock().evidence.record_gone(incarnation);
         let now = self.timer.now();
         let marks = self.poison.lock().died(&state.entry.id, incarnation, now);
         self.news.notify_one();
@@ -118,7 +118,7 @@
 
     /// Asks an upstream whether a process of it lives.
     pub(crate) async fn find_out(&self, state: &UpstreamState, incarnation: Incarnation) {
-        let asked = state.record.lock().ask(self.timer.now());
+        let asked = state.record.lock().report_requested(self.timer.now());
         let load = self
             .connections
             .call_json(load_call(state.entry.address))
@@ -144,7 +144,7 @@
     /// Asks an upstream for its load, after a random part of `jitter`.
     pub(crate) async fn poll(&self, state: &UpstreamState, jitter: Duration) {
         tokio::time::sleep(jitter.mul_f64(rand::random())).await;
-        let asked = state.record.lock().ask(self.timer.now());
+        let asked = state.record.lock().report_requested(self.timer.now());
         let call = HttpCall {
             address: state.entry.address,
             path: "/v1/load".to_owned(),
@@ -160,7 +160,7 @@
                 tracing::debug!(upstream = %state.entry.id, %fault, "no load report");
                 // New work goes elsewhere at once, and not only when its last word is too old.
                 if matches!(fault, http_client::HttpError::Call { .. }) {
-                    state.record.lock().failed(self.timer.now());
+                    state.record.lock().record_failure(self.timer.now());
                 }
             }
         }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -34,7 +34,7 @@
         let mut handle = Self::held(known, state, eligible.incarnation());
         handle.eligible = Some(eligible);
         handle.awaits.store(true, Ordering::Relaxed);
-        handle.state.record.lock().awaits(handle.sent);
+        handle.state.record.lock().response_awaited(handle.sent);
         handle.run = run;
         handle
     }
@@ -47,7 +47,7 @@
     ) -> Self {
         let now = known.timer.now();
         let mut record = state.record.lock();
-        record.dispatched();
+        record.record_dispatch();
         Self {
             known: known.clone(),
             state: state.clone(),
@@ -55,7 +55,7 @@
             eligible: None,
             sent: now,
             awaits: AtomicBool::new(false),
-            asked: record.ask(now),
+            asked: record.report_requested(now),
             run: None,
         }
     }
@@ -87,14 +87,17 @@
 
     /// Notes that it failed this request.
     pub fn failed(&self) {
-        self.state.record.lock().failed(self.known.timer.now());
+        self.state
+            .record
+            .lock()
+            .record_failure(self.known.timer.now());
     }
 
     /// Notes that it has begun to answer.
     pub fn answered(&self) {
         let now = self.known.timer.now();
         let mut record = self.state.record.lock();
-        record.answered(self.incarnation, self.sent, now);
+        record.record_response(self.incarnation, self.sent, now);
         self.awaits_no_more(&mut record);
         drop(record);
         if let Some(run) = self.run {
@@ -104,7 +107,7 @@
 
     fn awaits_no_more(&self, record: &mut UpstreamRecord) {
         if self.awaits.swap(false, Ordering::Relaxed) {
-            record.awaits_no_more(self.sent);
+            record.response_settled(self.sent);
         }
     }
 
@@ -128,7 +131,7 @@
             .record
             .lock()
             .evidence
-            .replied(self.incarnation, now);
+            .record_reply(self.incarnation, now);
         if let Some(run) = self.run {
             self.known.poison.lock().finished(run);
         }
@@ -189,7 +192,11 @@
         if !self.known.poison.lock().needs_proof(run) {
             return Ok(());
         }
-        let asked = self.state.record.lock().ask(self.known.timer.now());
+        let asked = self
+            .state
+            .record
+            .lock()
+            .report_requested(self.known.timer.now());
         let load = self
             .known
             .connections
@@ -246,7 +253,7 @@
 impl Drop for UpstreamHandle {
     fn drop(&mut self) {
         let mut record = self.state.record.lock();
-        record.finished();
+        record.record_end();
         self.awaits_no_more(&mut record);
         drop(record);
         self.forget_run();
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -103,7 +103,7 @@
             operator::UpstreamStatus {
                 availability_zone: state.entry.zone.to_string(),
                 id: state.entry.id.to_string(),
-                in_flight: u64::from(record.own()),
+                in_flight: u64::from(record.own_requests()),
                 takes_new_work: record.candidate(None, now).is_ok(),
             }
         };
@@ -155,7 +155,7 @@
     /// Takes an upstream's state in the platform's list, which knows no incarnations.
     pub fn listed(&self, id: &UpstreamId, leaving: bool) {
         if let Some(state) = self.state(id) {
-            state.record.lock().evidence.listed(leaving);
+            state.record.lock().evidence.record_listed(leaving);
         }
     }
 
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -90,7 +90,7 @@
     /// What a VM tells that has just read the table.
     fn news(&self, changes: &[UpstreamChange]) -> ZoneGossip {
         let mut table = UpstreamTable::default();
-        table.read(&self.rows.lock(), true, *self.version.lock());
+        table.apply_read(&self.rows.lock(), true, *self.version.lock());
         ZoneGossip {
             vm: reader(),
             config: Some(ConfigVersion(1)),
--- a/crates/decisions/examples/choice.rs
+++ b/crates/decisions/examples/choice.rs
@@ -26,8 +26,8 @@
     };
     let mut record = UpstreamRecord::default();
     for at in [Instant::default(), NOW] {
-        let asked = record.ask(at);
-        record.reported(asked, report.clone());
+        let asked = record.report_requested(at);
+        record.record_report(asked, report.clone());
     }
     record
 }
@@ -75,7 +75,7 @@
         records[13] = record(0);
         for _ in 0..REQUESTS {
             let i = decide(&candidates(&records, 0), &mut rng);
-            records[i].dispatched();
+            records[i].record_dispatch();
             got[i] += 1;
         }
     }
--- a/crates/decisions/examples/whole_read.rs
+++ b/crates/decisions/examples/whole_read.rs
@@ -16,11 +16,11 @@
     for count in SIZES {
         let entries = (0..count).map(entry).collect::<Vec<_>>();
         let mut directory = UpstreamDirectory::default();
-        let first = time(|| directory.snapshot(entries.clone(), at(0)));
-        let again = time(|| directory.snapshot(entries.clone(), at(1000)));
+        let first = time(|| directory.apply_snapshot(entries.clone(), at(0)));
+        let again = time(|| directory.apply_snapshot(entries.clone(), at(1000)));
         let singly = time(|| {
             for entry in &entries {
-                directory.heard(entry.clone());
+                directory.apply_entry(entry.clone());
             }
         });
         let rows = entries
@@ -32,8 +32,8 @@
             })
             .collect::<Vec<_>>();
         let mut table = UpstreamTable::default();
-        table.read(&rows, true, 1);
-        let shared = time(|| table.read(&rows, true, 2));
+        table.apply_read(&rows, true, 1);
+        let shared = time(|| table.apply_read(&rows, true, 2));
         println!("{count:7}  {first:10?}  {again:10?}  {singly:10?}  {shared:12?}");
     }
 }
--- a/crates/decisions/src/address_index.rs
+++ b/crates/decisions/src/address_index.rs
@@ -10,40 +10,43 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AddressIndex {
     /// Sorted by address, then by incarnation.
-    shown: Vec<(SocketAddr, UpstreamIncarnation)>,
+    entries: Vec<(SocketAddr, UpstreamIncarnation)>,
     comparisons: Comparisons,
 }
 
 impl AddressIndex {
     /// Replaces the contents of the index.
-    pub(crate) fn set(&mut self, shown: impl Iterator<Item = (SocketAddr, UpstreamIncarnation)>) {
-        self.shown = shown.collect();
+    pub(crate) fn rebuild(
+        &mut self,
+        entries: impl Iterator<Item = (SocketAddr, UpstreamIncarnation)>,
+    ) {
+        self.entries = entries.collect();
         let comparisons = &self.comparisons;
-        self.shown
+        self.entries
             .sort_unstable_by(|a, b| comparisons.note(a.cmp(b)));
     }
 
     /// Adds an upstream; adding it a second time has no effect.
     pub(crate) fn insert(&mut self, address: SocketAddr, id: UpstreamIncarnation) {
-        let shows = (address, id);
-        if let Err(index) = self.position(&shows) {
-            self.shown.insert(index, shows);
+        let entry = (address, id);
+        if let Err(index) = self.position(&entry) {
+            self.entries.insert(index, entry);
         }
     }
 
     /// Removes an upstream from an address.
     pub(crate) fn remove(&mut self, address: SocketAddr, id: &UpstreamIncarnation) {
         if let Ok(index) = self.position(&(address, id.clone())) {
-            self.shown.remove(index);
+            self.entries.remove(index);
         }
     }
 
     /// Upstreams with an address, sorted by incarnation.
     pub(crate) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &UpstreamIncarnation> {
-        let start = self.shown.partition_point(|(other, _)| {
+        let start = self.entries.partition_point(|(other, _)| {
             self.comparisons.note(other.cmp(&address)) == std::cmp::Ordering::Less
         });
-        self.shown[start..]
+        self.entries[start..]
             .iter()
             .take_while(move |(other, _)| self.comparisons.note(*other == address))
             .map(|(_, id)| id)
@@ -54,8 +57,8 @@
         self.comparisons.count()
     }
 
-    fn position(&self, shows: &(SocketAddr, UpstreamIncarnation)) -> Result<usize, usize> {
-        self.shown
-            .binary_search_by(|other| self.comparisons.note(other.cmp(shows)))
+    fn position(&self, entry: &(SocketAddr, UpstreamIncarnation)) -> Result<usize, usize> {
+        self.entries
+            .binary_search_by(|other| self.comparisons.note(other.cmp(entry)))
     }
 }
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -107,7 +107,7 @@
         share: CapacityShare,
     ) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.reported(report, share);
+            self.upstreams[i].1.record_report(report, share);
         }
     }
 
@@ -124,7 +124,7 @@
     ) -> Result<QueuePlace, NotRun<T>> {
         let lane = arrival.lane;
         for (_, places) in &mut self.upstreams {
-            places.note_arrival(now, lane);
+            places.record_arrival(now, lane);
         }
         let latest = match self.check(now, arrival) {
             Ok(latest) => latest,
@@ -134,7 +134,7 @@
         let ticket = queue.push(arrival, latest, request);
         if lane == Lane::Quick && queue.queue.is_light(ticket) {
             for (_, places) in &mut self.upstreams {
-                places.note_light(now);
+                places.record_below_share(now);
             }
         }
         Ok(QueuePlace { lane, ticket })
@@ -174,7 +174,7 @@
     pub fn full(&self, now: Instant, lane: Lane) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
-            .filter(|(_, places)| !places.has_room(now, lane))
+            .filter(|(_, places)| !places.has_free_slot(now, lane))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -183,7 +183,7 @@
     #[must_use]
     pub fn has_room(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
         self.find(upstream)
-            .is_ok_and(|i| self.upstreams[i].1.has_room(now, lane))
+            .is_ok_and(|i| self.upstreams[i].1.has_free_slot(now, lane))
     }
 
     /// Takes the next request of a lane out of the queue and gives it a place at `upstream`.
@@ -247,7 +247,7 @@
     fn quite_full(&self) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
-            .filter(|(_, places)| !places.has_extra_room())
+            .filter(|(_, places)| !places.has_extra_slot())
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -261,13 +261,13 @@
             self.upstreams.insert(i, (upstream.clone(), places));
             i
         });
-        self.upstreams[i].1.enter(now, lane);
+        self.upstreams[i].1.acquire(now, lane);
     }
 
     /// Gives a place back that a request had held for `held`, if it was answered.
     pub fn leave(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.leave(lane);
+            self.upstreams[i].1.release(lane);
         }
         if let Some(held) = held {
             self.lanes[lane.index()].service_time.observe(held);
@@ -277,14 +277,14 @@
     /// Takes the latency until the first part of an answer.
     pub fn answered(&mut self, upstream: &UpstreamId, latency: Duration) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.answered(latency);
+            self.upstreams[i].1.record_latency(latency);
         }
     }
 
     /// Notes that an upstream refused for want of room, or did not answer in time.
     pub fn overloaded(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.overloaded();
+            self.upstreams[i].1.record_overload();
         }
     }
 
@@ -335,7 +335,7 @@
         let lane = &self.lanes[arrival.lane.index()];
         let shares = self.upstreams.iter();
         let places = shares
-            .map(|(_, places)| places.share(now, arrival.lane))
+            .map(|(_, places)| places.lane_limit(now, arrival.lane))
             .sum();
         if lane.queue.is_empty() && self.any_room(now, arrival.lane) {
             return Duration::ZERO;
@@ -360,7 +360,7 @@
     fn any_room(&self, now: Instant, lane: Lane) -> bool {
         self.upstreams
             .iter()
-            .any(|(_, places)| places.has_room(now, lane))
+            .any(|(_, places)| places.has_free_slot(now, lane))
     }
 
     fn find(&self, id: &UpstreamId) -> Result<usize, usize> {
--- a/crates/decisions/src/crash_tally.rs
+++ b/crates/decisions/src/crash_tally.rs
@@ -13,27 +13,27 @@
 pub const MOST_CRASHES: usize = 3;
 
 /// How long a crash counts: far longer than callers keep retrying.
-const EXPIRY: Duration = Duration::from_secs(600);
+const CRASH_TTL: Duration = Duration::from_secs(600);
 
 /// How long a crash is sent to other VMs: usually longer than a VM is partitioned or paused. Without a
 /// limit, crashes of hours ago would fill every heartbeat.
-const TOLD_FOR: Duration = Duration::from_secs(20);
+const SEND_PERIOD: Duration = Duration::from_secs(20);
 
 /// Maximum number of crashes that are kept; the oldest are evicted first.
-const MOST_KEPT: usize = 4096;
+const MAX_TRACKED: usize = 4096;
 
 /// Crashes of upstreams by the digest of the call that ran there.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTally {
     /// Sorted by digest and upstream.
-    crashes: Vec<KnownCrash>,
+    crashes: Vec<TrackedCrash>,
 }
 
 #[derive(Clone, Debug)]
-struct KnownCrash {
+struct TrackedCrash {
     crash: Crash,
     /// Number of times that the crash was sent to other VMs.
-    told: u32,
+    times_sent: u32,
 }
 
 /// Crash of an upstream while it ran a call.
@@ -53,9 +53,12 @@
 
 impl CrashTally {
     /// Records a crash, or that it is cleared; returns whether that is new.
-    pub fn crashed(&mut self, crash: Crash) -> bool {
+    pub fn record_crash(&mut self, crash: Crash) -> bool {
         let key = (crash.digest, &crash.upstream);
-        match self.crashes.binary_search_by(|known| known.key().cmp(&key)) {
+        match self
+            .crashes
+            .binary_search_by(|tracked| tracked.key().cmp(&key))
+        {
             Ok(i) if crash.cleared => self.crashes[i].clear(),
             Ok(_) => false,
             Err(_) => {
@@ -68,20 +71,27 @@
     fn insert(&mut self, mut crash: Crash) {
         let now = crash.at;
         self.crashes
-            .retain(|known| now.since(known.crash.at) < EXPIRY);
-        if self.crashes.len() == MOST_KEPT {
-            let oldest = self.crashes.iter().map(|known| known.crash.at).min();
-            self.crashes.retain(|known| Some(known.crash.at) != oldest);
+            .retain(|tracked| now.since(tracked.crash.at) < CRASH_TTL);
+        if self.crashes.len() == MAX_TRACKED {
+            let oldest = self.crashes.iter().map(|tracked| tracked.crash.at).min();
+            self.crashes
+                .retain(|tracked| Some(tracked.crash.at) != oldest);
         }
-        for known in &mut self.crashes {
-            if known.crash.upstream == crash.upstream {
-                crash.at = crash.at.min(known.crash.at);
-                known.crash.at = crash.at;
+        for tracked in &mut self.crashes {
+            if tracked.crash.upstream == crash.upstream {
+                crash.at = crash.at.min(tracked.crash.at);
+                tracked.crash.at = crash.at;
             }
         }
         let key = (crash.digest, &crash.upstream);
-        let i = self.crashes.partition_point(|known| known.key() < key);
-        self.crashes.insert(i, KnownCrash { crash, told: 0 });
+        let i = self.crashes.partition_point(|tracked| tracked.key() < key);
+        self.crashes.insert(
+            i,
+            TrackedCrash {
+                crash,
+                times_sent: 0,
+            },
+        );
     }
 
     /// Crashes to send to other VMs: those sent least often, and of these the latest.
@@ -89,92 +99,97 @@
     /// If always the latest were sent, then after a crash of a zone's engines under more calls than a
     /// heartbeat holds, some crashes would never be sent, and each VM would lose upstreams to a call that
     /// is known to crash them.
-    pub fn to_tell(&mut self, most: usize, now: Instant) -> Vec<Crash> {
-        let fresh = |known: &&mut KnownCrash| now.since(known.crash.at) < TOLD_FOR;
+    pub fn next_to_send(&mut self, max: usize, now: Instant) -> Vec<Crash> {
+        let fresh = |tracked: &&mut TrackedCrash| now.since(tracked.crash.at) < SEND_PERIOD;
         let mut fresh = self.crashes.iter_mut().filter(fresh).collect::<Vec<_>>();
-        fresh.sort_by_key(|known| (known.told, std::cmp::Reverse(known.crash.at)));
-        fresh.truncate(most);
+        fresh.sort_by_key(|tracked| (tracked.times_sent, std::cmp::Reverse(tracked.crash.at)));
+        fresh.truncate(max);
         fresh
             .into_iter()
-            .map(|known| {
-                known.told += 1;
-                known.crash.clone()
+            .map(|tracked| {
+                tracked.times_sent += 1;
+                tracked.crash.clone()
             })
             .collect()
     }
 
     /// Records that a call received a complete response. Its crashes are kept, because otherwise the same
     /// crashes would count as new when other VMs report them.
-    pub fn delivered(&mut self, digest: u64) {
+    pub fn record_complete_response(&mut self, digest: u64) {
         let range = self.range(digest);
-        for known in &mut self.crashes[range] {
-            known.clear();
+        for tracked in &mut self.crashes[range] {
+            tracked.clear();
         }
     }
 
     /// Number of upstreams that crashed while running a call, without the crashes that are explained by a
     /// call rejected earlier.
     #[must_use]
-    pub fn crashes(&self, digest: u64, now: Instant) -> usize {
-        let refused = self.refused_at(digest, now);
-        self.counted(digest, now)
-            .filter(|crash| !self.is_explained(crash, refused, now))
+    pub fn crash_count(&self, digest: u64, now: Instant) -> usize {
+        let own_limit_at = self.limit_reached_at(digest, now);
+        self.active_crashes(digest, now)
+            .filter(|crash| !self.is_explained_by_another(crash, own_limit_at, now))
             .count()
     }
 
     /// Whether a call is rejected because of its crashes.
     #[must_use]
-    pub fn refuses(&self, digest: u64, now: Instant) -> bool {
-        self.crashes(digest, now) >= MOST_CRASHES
+    pub fn is_rejected(&self, digest: u64, now: Instant) -> bool {
+        self.crash_count(digest, now) >= MOST_CRASHES
     }
 
     /// Whether a call that reached the limit earlier than this one ran on the same upstream.
-    fn is_explained(&self, crash: &Crash, refused: Option<Instant>, now: Instant) -> bool {
+    fn is_explained_by_another(
+        &self,
+        crash: &Crash,
+        own_limit_at: Option<Instant>,
+        now: Instant,
+    ) -> bool {
         self.crashes
             .iter()
-            .map(|known| &known.crash)
+            .map(|tracked| &tracked.crash)
             .filter(|other| other.upstream == crash.upstream && other.digest != crash.digest)
-            .filter_map(|other| self.refused_at(other.digest, now))
-            .any(|other| refused.is_none_or(|own| other < own))
+            .filter_map(|other| self.limit_reached_at(other.digest, now))
+            .any(|other| own_limit_at.is_none_or(|own| other < own))
     }
 
     /// When the crashes under a call reached the limit, regardless of the calls that ran beside it.
-    fn refused_at(&self, digest: u64, now: Instant) -> Option<Instant> {
-        let times = self.counted(digest, now).map(|crash| crash.at);
+    fn limit_reached_at(&self, digest: u64, now: Instant) -> Option<Instant> {
+        let times = self.active_crashes(digest, now).map(|crash| crash.at);
         Instant::nth_smallest(times, MOST_CRASHES)
     }
 
-    fn counted(&self, digest: u64, now: Instant) -> impl Iterator<Item = &Crash> {
+    fn active_crashes(&self, digest: u64, now: Instant) -> impl Iterator<Item = &Crash> {
         self.crashes[self.range(digest)]
             .iter()
-            .map(|known| &known.crash)
-            .filter(move |crash| !crash.cleared && now.since(crash.at) < EXPIRY)
+            .map(|tracked| &tracked.crash)
+            .filter(move |crash| !crash.cleared && now.since(crash.at) < CRASH_TTL)
     }
 
     /// Index range of a call's crashes.
     fn range(&self, digest: u64) -> std::ops::Range<usize> {
         let start = self
             .crashes
-            .partition_point(|known| known.crash.digest < digest);
+            .partition_point(|tracked| tracked.crash.digest < digest);
         let end = self
             .crashes
-            .partition_point(|known| known.crash.digest <= digest);
+            .partition_point(|tracked| tracked.crash.digest <= digest);
         start..end
     }
 }
 
-impl KnownCrash {
+impl TrackedCrash {
     fn key(&self) -> (u64, &UpstreamIncarnation) {
         (self.crash.digest, &self.crash.upstream)
     }
 
     /// Marks the call as having received a complete response; returns whether that is new.
     fn clear(&mut self) -> bool {
-        let news = !self.crash.cleared;
-        if news {
+        let is_new = !self.crash.cleared;
+        if is_new {
             self.crash.cleared = true;
-            self.told = 0;
+            self.times_sent = 0;
         }
-        news
+        is_new
     }
 }
--- a/crates/decisions/src/kept_table.rs
+++ b/crates/decisions/src/kept_table.rs
@@ -37,14 +37,18 @@
 
 impl<R> KeptTable<R> {
     /// Replaces all rows by those of a complete read at `version`.
-    pub fn read(&mut self, rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>, version: u64) {
+    pub fn replace_all(
+        &mut self,
+        rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>,
+        version: u64,
+    ) {
         self.rows.clear();
-        self.put_all(rows);
+        self.apply_rows(rows);
         self.version = Some(version);
     }
 
     /// Applies the rows that changed after version `after` and up to `version`.
-    pub fn changed(
+    pub fn apply_changes(
         &mut self,
         after: u64,
         rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>,
@@ -55,23 +59,23 @@
             self.version = None;
             return;
         }
-        self.put_all(rows);
+        self.apply_rows(rows);
         self.version = Some(version);
     }
 
     /// The complete table, if it is known here.
     #[must_use]
-    pub fn whole(&self) -> Option<WholeTable<'_, R>> {
+    pub fn snapshot(&self) -> Option<WholeTable<'_, R>> {
         self.version.map(|version| WholeTable {
             rows: &self.rows,
             version,
         })
     }
 
-    fn put_all(&mut self, rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>) {
+    fn apply_rows(&mut self, rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>) {
         for (key, row) in rows {
-            let place = self.rows.binary_search_by(|(other, _)| other.cmp(&key));
-            match (place, row) {
+            let position = self.rows.binary_search_by(|(other, _)| other.cmp(&key));
+            match (position, row) {
                 (Ok(index), Some(row)) => self.rows[index].1 = row,
                 (Ok(index), None) => {
                     self.rows.remove(index);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -183,7 +183,7 @@
     upstream_health::{PROBE_TIMEOUT, SILENCE, UpstreamHealth},
     upstream_id::UpstreamId,
     upstream_incarnation::UpstreamIncarnation,
-    upstream_load::{LoadReading, UpstreamLoad, reading_time},
+    upstream_load::{LoadReading, UpstreamLoad, prefill_time},
     upstream_places::{CapacityReport, UpstreamPlaces},
     upstream_record::{AskedReport, UpstreamRecord},
     upstream_report::UpstreamReport,
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -83,7 +83,7 @@
 
 impl PlacementCandidate<'_> {
     fn streams(&self, now: Instant) -> u32 {
-        let known = self.load.own() + self.peer_calls;
+        let known = self.load.own_calls() + self.peer_calls;
         if self.all_tell {
             known
         } else {
@@ -183,7 +183,7 @@
 fn load_cost(candidate: &PlacementCandidate, who: &PlacementFor) -> f64 {
     let (load, now) = (candidate.load, who.now);
     let stream_cost = who.policy.stream_cost;
-    let reading = load.reading_left(now) + candidate.peer_reading;
+    let reading = load.prefill_left(now) + candidate.peer_reading;
     reading.as_secs_f64() * 1000.0
         + stream_cost * f64::from(candidate.streams(now))
         + 0.5 * stream_cost * f64::from(load.copies())
@@ -216,7 +216,7 @@
     if !candidate.all_tell {
         cost = cost.max(usual);
     }
-    cost -= reading_time(candidate.cached).as_secs_f64() * 1000.0;
+    cost -= prefill_time(candidate.cached).as_secs_f64() * 1000.0;
     cost += match (
         other_zone,
         rank_of_vm(&candidate.entry.id, who.vm, who.zone_vms),
@@ -237,7 +237,7 @@
     let mut cost =
         CALL_COST * f64::from(load.calls(who.now)) / f64::from(candidate.entry.slots.max(1));
     cost += CALL_COST * f64::from(beyond_slots);
-    cost += FAILING * load.failures();
+    cost += FAILING * load.failure_rate();
     if other_zone {
         cost += OTHER_ZONE_CALL;
     }
--- a/crates/decisions/src/stall_detector.rs
+++ b/crates/decisions/src/stall_detector.rs
@@ -1,10 +1,10 @@
 //! Detects that a stream has been without any event for too long.
 //!
 //! Streams with steady small gaps run on engines whose steps grow with their batch, and connections may go
-//! silent for good while new ones work. With a fixed bound of a second, a caller waits a second at each
-//! silent connection; with a bound of a few steps, every long prefill on an engine makes all its streams
-//! fail over. The bound therefore follows the observed gaps, mean plus eight deviations, between a floor
-//! and a ceiling.
+//! silent permanently while new ones work. With a fixed timeout of a second, a caller waits a second at
+//! each silent connection; with a timeout of a few steps, every long prefill on an engine makes all its
+//! streams fail over. The timeout therefore follows the observed gaps, mean plus eight deviations, between
+//! a floor and a ceiling.
 //!
 //! Engines send a heartbeat every 250 ms, so a live engine is silent for little more than that; the floor
 //! leaves 150 ms for scheduling delays on a busy VM. The ceiling is four lost heartbeats in a row. The
@@ -13,7 +13,7 @@
 
 use super::*;
 
-/// Bound on the time between two events of a stream, adapted to the gaps observed so far.
+/// Timeout between two events of a stream, adapted to the gaps observed so far.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     floor: Duration,
@@ -22,10 +22,10 @@
     deviation: Duration,
 }
 
-/// Floor of the bound: a heartbeat of 250 ms and the delay that a busy VM may add.
+/// Floor of the timeout: a heartbeat of 250 ms and the delay that a busy VM may add.
 const FLOOR: Duration = Duration::from_millis(400);
 
-/// Ceiling of the bound: four heartbeats.
+/// Ceiling of the timeout: four heartbeats.
 const CEILING: Duration = Duration::from_secs(1);
 
 /// Deviations above the mean at which a gap counts as a stall.
@@ -63,7 +63,7 @@
 
     /// Maximum time that the stream may be without an event before it counts as stalled.
     #[must_use]
-    pub fn bound(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         (self.mean + self.deviation * DEVIATIONS).clamp(self.floor, self.ceiling)
     }
 }
--- a/crates/decisions/src/suspicion.rs
+++ b/crates/decisions/src/suspicion.rs
@@ -13,13 +13,13 @@
 use super::*;
 
 /// Duration of the ejection after the first failure.
-const FIRST_OUT: Duration = Duration::from_millis(250);
+const FIRST_EJECTION: Duration = Duration::from_millis(250);
 
 /// Longest duration of an ejection.
-const LONGEST_OUT: Duration = Duration::from_secs(8);
+const MAX_EJECTION: Duration = Duration::from_secs(8);
 
 /// Time in which the weight climbs back to the full weight.
-const CLIMB: Duration = Duration::from_secs(5);
+const SLOW_START: Duration = Duration::from_secs(5);
 
 /// Recent failures of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,11 +31,11 @@
 impl Suspicion {
     /// Records a failure: no connection, a broken or silent stream, or a malformed response. Failures of
     /// calls that were in flight together count as one.
-    pub fn failed(&mut self, now: Instant) {
-        let back = self.back();
-        if self.failures == 0 || now >= back.after(CLIMB) {
+    pub fn record_failure(&mut self, now: Instant) {
+        let ejected_until = self.ejected_until();
+        if self.failures == 0 || now >= ejected_until.after(SLOW_START) {
             self.failures = 1;
-        } else if now >= back {
+        } else if now >= ejected_until {
             self.failures += 1;
         }
         self.last = now;
@@ -47,21 +47,23 @@
         if self.failures == 0 {
             return 1.0;
         }
-        climb(self.back(), CLIMB, now)
+        slow_start_weight(self.ejected_until(), SLOW_START, now)
     }
 
-    fn back(&self) -> Instant {
+    fn ejected_until(&self) -> Instant {
         let doublings = self.failures.saturating_sub(1).min(16);
-        let out = FIRST_OUT.saturating_mul(1 << doublings).min(LONGEST_OUT);
-        self.last.after(out)
+        let ejection = FIRST_EJECTION
+            .saturating_mul(1 << doublings)
+            .min(MAX_EJECTION);
+        self.last.after(ejection)
     }
 }
 
 /// Weight that climbs from a tenth at `start` to 1 after `time`; 0 before `start`.
-pub(crate) fn climb(start: Instant, time: Duration, now: Instant) -> f64 {
+pub(crate) fn slow_start_weight(start: Instant, time: Duration, now: Instant) -> f64 {
     if now < start {
         return 0.0;
     }
-    let part = now.since(start).as_secs_f64() / time.as_secs_f64();
-    (0.1 + 0.9 * part).min(1.0)
+    let progress = now.since(start).as_secs_f64() / time.as_secs_f64();
+    (0.1 + 0.9 * progress).min(1.0)
 }
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -27,7 +27,7 @@
 
 /// How long a removed upstream is remembered: longer than any entry is delayed. Afterwards its id may be
 /// used again, also by upstreams that do not report when they started.
-const REMEMBERED: Duration = Duration::from_secs(30);
+const REMOVED_RETENTION: Duration = Duration::from_secs(30);
 
 /// Entry of an upstream in the platform's table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -84,7 +84,7 @@
 /// Known upstreams, sorted by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamDirectory {
-    known: Vec<Known>,
+    known: Vec<KnownUpstream>,
     /// Upstreams that were removed before they were known here, sorted by id, with the time of the removal.
     tombstones: Vec<(UpstreamId, Instant)>,
     addresses: AddressIndex,
@@ -93,7 +93,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownUpstream {
     entry: Arc<UpstreamEntry>,
     presence: Presence,
     /// Whether its row was read from the platform's table.
@@ -112,12 +112,12 @@
 
 impl UpstreamDirectory {
     /// Applies an entry; returns the resulting changes of presence.
-    pub fn heard(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
-        if let Ok(index) = self.tombstone(&entry.id.id) {
+    pub fn apply_entry(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
+        if let Ok(index) = self.tombstone_position(&entry.id.id) {
             self.tombstones.remove(index);
         }
         let mut changes = Vec::new();
-        let Some(id) = self.take(entry, &mut changes) else {
+        let Some(id) = self.apply_without_address(entry, &mut changes) else {
             return changes;
         };
         if let Ok(index) = self.position(&id) {
@@ -130,17 +130,17 @@
 
     /// Applies an entry except for its address; returns its incarnation, or `None` for a late entry of an
     /// earlier incarnation.
-    fn take(
+    fn apply_without_address(
         &mut self,
         mut entry: UpstreamEntry,
         changes: &mut Vec<PresenceChange>,
     ) -> Option<UpstreamIncarnation> {
-        if let Some(newest) = self.newest(&entry.id.id) {
-            if entry.id.is_before(newest.born) {
+        if let Some(latest) = self.latest(&entry.id.id) {
+            if entry.id.is_before(latest.born) {
                 return None;
             }
             if entry.id.born.is_none() {
-                entry.id = newest;
+                entry.id = latest;
             }
         }
         self.supersede(&entry.id, changes);
@@ -151,11 +151,11 @@
                 if known.entry.address != entry.address {
                     self.addresses.remove(known.entry.address, &id);
                 }
-                known.renew(entry)
+                known.update(entry)
             }
             Err(index) => {
-                let presence = presence_of(&entry);
-                let known = Known {
+                let presence = initial_presence(&entry);
+                let known = KnownUpstream {
                     entry: Arc::new(entry),
                     presence,
                     has_row: true,
@@ -172,14 +172,19 @@
     /// Records that an upstream has started at `born`, by its own report or that of another VM. The entry
     /// of the earlier incarnation is used until the new one is read. A report of a removed upstream is
     /// stale and is ignored.
-    pub fn started(&mut self, id: &UpstreamId, born: Born, now: Instant) -> Vec<PresenceChange> {
-        let Some(newest) = self.newest(id) else {
+    pub fn record_start(
+        &mut self,
+        id: &UpstreamId,
+        born: Born,
+        now: Instant,
+    ) -> Vec<PresenceChange> {
+        let Some(latest) = self.latest(id) else {
             return Vec::new();
         };
-        let Ok(index) = self.position(&newest) else {
+        let Ok(index) = self.position(&latest) else {
             return Vec::new();
         };
-        if !newest.is_before(Some(born)) || self.known[index].is_removed(now) {
+        if !latest.is_before(Some(born)) || self.known[index].is_removed(now) {
             return Vec::new();
         }
         let entry = UpstreamEntry {
@@ -190,7 +195,7 @@
             leaving: false,
             ..UpstreamEntry::clone(&self.known[index].entry)
         };
-        self.reported(entry)
+        self.add_without_row(entry)
     }
 
     /// Adds an upstream that was found at the address of `before` and whose row has not been read yet.
@@ -198,16 +203,16 @@
     /// # Errors
     ///
     /// Returns why the restart is not accepted.
-    pub fn restarted(
+    pub fn apply_restart(
         &mut self,
         restart: &UpstreamRestart,
         evidence: RestartEvidence,
     ) -> Result<Vec<PresenceChange>, StaleRestart> {
         let id = &restart.entry.id.id;
-        if self.knows(id) {
+        if self.contains(id) {
             return Err(StaleRestart::Known);
         }
-        if self.tombstone(id).is_ok() {
+        if self.tombstone_position(id).is_ok() {
             return Err(StaleRestart::Removed);
         }
         if let RestartEvidence::PeerReport(table) = evidence {
@@ -218,19 +223,19 @@
                 return Err(StaleRestart::TableIsNewer);
             }
         }
-        let mut changes = self.denied(&restart.before, Some(id));
-        changes.extend(self.reported(restart.entry.clone()));
+        let mut changes = self.record_denial(&restart.before, Some(id));
+        changes.extend(self.add_without_row(restart.entry.clone()));
         Ok(changes)
     }
 
     /// Adds an upstream whose row has not been read.
-    fn reported(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
+    fn add_without_row(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
         let id = entry.id.clone();
-        let mut changes = self.heard(entry);
+        let mut changes = self.apply_entry(entry);
         if let Ok(index) = self.position(&id) {
             let known = &mut self.known[index];
             known.has_row = false;
-            known.presence = known.present();
+            known.presence = known.usable_presence();
         }
         for (_, presence) in changes.iter_mut().filter(|(changed, _)| *changed == id) {
             *presence = Presence::Reported(None);
@@ -239,15 +244,15 @@
     }
 
     /// Records that an entry was removed; returns the upstream's presence if it changed.
-    pub fn removed(&mut self, id: &UpstreamId, now: Instant) -> Option<PresenceChange> {
-        let Some(newest) = self.newest(id) else {
-            match self.tombstone(id) {
+    pub fn remove_entry(&mut self, id: &UpstreamId, now: Instant) -> Option<PresenceChange> {
+        let Some(latest) = self.latest(id) else {
+            match self.tombstone_position(id) {
                 Ok(index) => self.tombstones[index].1 = now,
                 Err(index) => self.tombstones.insert(index, (id.clone(), now)),
             }
             return None;
         };
-        let index = self.position(&newest).ok()?;
+        let index = self.position(&latest).ok()?;
         let grace = match self.outage {
             Outage::Now => Some(now.after(LAPSE_GRACE)),
             Outage::Until(until) if now < until => Some(until),
@@ -260,14 +265,14 @@
             (Presence::Lapsed(until), _) if now < until => before,
             _ => Presence::Gone,
         };
-        (known.presence != before).then_some((newest, known.presence))
+        (known.presence != before).then_some((latest, known.presence))
     }
 
     /// Applies a complete read of the entries; upstreams without an entry in it were removed.
     ///
     /// The entries are sorted first, so that each is found by binary search and new ones are appended to an
     /// empty directory.
-    pub fn snapshot(
+    pub fn apply_snapshot(
         &mut self,
         mut entries: Vec<UpstreamEntry>,
         now: Instant,
@@ -285,16 +290,16 @@
             .known
             .iter()
             .map(|known| known.entry.id.id.clone())
-            .filter(|id| !self.is_among(&listed, id))
+            .filter(|id| !self.is_listed(&listed, id))
             .collect::<Vec<_>>();
         missing.dedup();
         let mut changes = Vec::new();
         for id in missing {
-            changes.extend(self.removed(&id, now));
+            changes.extend(self.remove_entry(&id, now));
         }
         let taken = entries
             .into_iter()
-            .filter_map(|entry| self.take(entry, &mut changes))
+            .filter_map(|entry| self.apply_without_address(entry, &mut changes))
             .collect::<Vec<_>>();
         self.index_addresses();
         for id in taken {
@@ -304,24 +309,25 @@
     }
 
     fn index_addresses(&mut self) {
-        let shown = |known: &Known| (known.entry.address, known.entry.id.clone());
-        self.addresses.set(self.known.iter().map(shown));
+        let address_and_id = |known: &KnownUpstream| (known.entry.address, known.entry.id.clone());
+        self.addresses
+            .rebuild(self.known.iter().map(address_and_id));
     }
 
     /// Whether an id is in a sorted list.
-    fn is_among(&self, listed: &[UpstreamId], id: &UpstreamId) -> bool {
+    fn is_listed(&self, listed: &[UpstreamId], id: &UpstreamId) -> bool {
         listed
             .binary_search_by(|other| self.comparisons.note(other.cmp(id)))
             .is_ok()
     }
 
     /// Records a response of the upstream itself, which shows that no other upstream has its address.
-    pub fn answered(&mut self, id: &UpstreamIncarnation) -> Vec<PresenceChange> {
+    pub fn record_response(&mut self, id: &UpstreamIncarnation) -> Vec<PresenceChange> {
         let mut changes = Vec::new();
         if let Ok(index) = self.position(id)
             && self.known[index].presence == Presence::Replaced
         {
-            let presence = self.known[index].present();
+            let presence = self.known[index].usable_presence();
             self.known[index].presence = presence;
             changes.push((id.clone(), presence));
             self.replace_at_address(id, &[], &mut changes);
@@ -330,7 +336,7 @@
     }
 
     /// Records that another upstream responded at the address of `id`; `by` is its id, if it gave one.
-    pub fn denied(
+    pub fn record_denial(
         &mut self,
         id: &UpstreamIncarnation,
         by: Option<&UpstreamId>,
@@ -338,30 +344,30 @@
         let mut changes = Vec::new();
         if let Ok(index) = self.position(id) {
             let known = &mut self.known[index];
-            if known.is_new_after(Presence::Denied) {
+            if known.set_presence(Presence::Denied) {
                 changes.push((id.clone(), Presence::Denied));
             }
         }
-        if let Some(by) = by.and_then(|by| self.newest(by)) {
-            changes.extend(self.answered(&by));
+        if let Some(by) = by.and_then(|by| self.latest(by)) {
+            changes.extend(self.record_response(&by));
         }
         changes
     }
 
     /// Whether an upstream with this id is known.
     #[must_use]
-    pub fn knows(&self, id: &UpstreamId) -> bool {
-        self.newest(id).is_some()
+    pub fn contains(&self, id: &UpstreamId) -> bool {
+        self.latest(id).is_some()
     }
 
     /// Records that the platform does not respond.
-    pub fn platform_lost(&mut self) {
+    pub fn record_platform_outage(&mut self) {
         self.outage = Outage::Now;
     }
 
     /// Records that the platform responds. Limits the time for which upstreams without a row are used, and
     /// evicts upstreams that have been removed for long enough.
-    pub fn platform_answers(&mut self, now: Instant) {
+    pub fn record_platform_response(&mut self, now: Instant) {
         match self.outage {
             Outage::Now => self.outage = Outage::Until(now.after(LAPSE_GRACE)),
             Outage::Until(until) if now >= until => self.outage = Outage::None,
@@ -373,9 +379,9 @@
             }
         }
         self.tombstones
-            .retain(|(_, removed)| now.since(*removed) < REMEMBERED);
+            .retain(|(_, removed)| now.since(*removed) < REMOVED_RETENTION);
         let before = self.known.len();
-        self.known.retain_mut(|known| !known.is_forgotten(now));
+        self.known.retain_mut(|known| !known.is_evictable(now));
         if self.known.len() < before {
             self.index_addresses();
         }
@@ -418,7 +424,7 @@
     }
 
     /// The latest incarnation of an upstream.
-    fn newest(&self, id: &UpstreamId) -> Option<UpstreamIncarnation> {
+    fn latest(&self, id: &UpstreamId) -> Option<UpstreamIncarnation> {
         let end = self
             .known
             .partition_point(|known| self.comparisons.note(known.entry.id.id <= *id));
@@ -433,7 +439,7 @@
             if self.comparisons.note(known.entry.id.id != id.id) {
                 break;
             }
-            if known.is_new_after(Presence::Superseded) {
+            if known.set_presence(Presence::Superseded) {
                 changes.push((known.entry.id.clone(), Presence::Superseded));
             }
         }
@@ -458,7 +464,7 @@
         let replaced = self
             .addresses
             .at(address)
-            .filter(|other| other.id != id.id && !self.is_among(except, &other.id))
+            .filter(|other| other.id != id.id && !self.is_listed(except, &other.id))
             .cloned()
             .collect::<Vec<_>>();
         for other in replaced {
@@ -476,7 +482,7 @@
         }
     }
 
-    fn tombstone(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn tombstone_position(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.tombstones
             .binary_search_by(|(removed, _)| removed.cmp(id))
     }
@@ -487,9 +493,9 @@
     }
 }
 
-impl Known {
+impl KnownUpstream {
     /// Presence of the upstream while it takes calls.
-    fn present(&self) -> Presence {
+    fn usable_presence(&self) -> Presence {
         if self.has_row {
             Presence::Present
         } else {
@@ -515,7 +521,7 @@
     }
 
     /// Updates the entry; returns the presence if it changed.
-    fn renew(&mut self, mut entry: UpstreamEntry) -> Option<Presence> {
+    fn update(&mut self, mut entry: UpstreamEntry) -> Option<Presence> {
         let before = self.presence;
         self.has_row = true;
         let moved = self.entry.address != entry.address;
@@ -526,7 +532,7 @@
             Presence::Gone if entry.leaving => Presence::Gone,
             Presence::Superseded => Presence::Superseded,
             Presence::Denied if !moved => Presence::Denied,
-            _ => presence_of(&entry),
+            _ => initial_presence(&entry),
         };
         if *self.entry != entry {
             self.entry = Arc::new(entry);
@@ -535,23 +541,23 @@
     }
 
     /// Whether it has been removed or superseded for so long that it can be evicted.
-    fn is_forgotten(&mut self, now: Instant) -> bool {
+    fn is_evictable(&mut self, now: Instant) -> bool {
         if !self.is_removed(now) && self.presence != Presence::Superseded {
             self.gone_since = None;
             return false;
         }
         let since = *self.gone_since.get_or_insert(now);
-        now.since(since) >= REMEMBERED
+        now.since(since) >= REMOVED_RETENTION
     }
 
     /// Sets the presence; returns whether it changed.
-    fn is_new_after(&mut self, presence: Presence) -> bool {
+    fn set_presence(&mut self, presence: Presence) -> bool {
         let before = std::mem::replace(&mut self.presence, presence);
         before != presence
     }
 }
 
-fn presence_of(entry: &UpstreamEntry) -> Presence {
+fn initial_presence(entry: &UpstreamEntry) -> Presence {
     if entry.leaving {
         Presence::Leaving
     } else {
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -20,28 +20,28 @@
 pub const EVIDENCE_BOUND: Duration = Duration::from_secs(2);
 
 /// Number of former and of leaving incarnations that are remembered.
-const FORMER: usize = 16;
+const MAX_REMEMBERED: usize = 16;
 
 /// Evidence on whether an upstream may get new work.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamEvidence {
     current: Option<Incarnation>,
     since: Instant,
-    heard: Instant,
+    last_seen: Instant,
     replaced: Vec<Incarnation>,
     leaving: Vec<(Incarnation, LeavingSource)>,
-    listed: Listed,
+    listed: ListedState,
 }
 
 /// State of the upstream in the platform's list, which contains no incarnations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Listed {
+enum ListedState {
     #[default]
     Live,
     /// Leaving since before any incarnation was known here.
-    LeavingUnknown,
+    LeavingUnattributed,
     /// Leaving, and recorded for the incarnation that was current.
-    LeavingNoted,
+    LeavingRecorded,
 }
 
 impl UpstreamEvidence {
@@ -50,7 +50,7 @@
     ///
     /// Returns the former incarnation if this is the first report of another one; the former process is
     /// then gone.
-    pub fn reported(
+    pub fn record_report(
         &mut self,
         incarnation: Incarnation,
         leaving: bool,
@@ -60,10 +60,10 @@
             return None;
         }
         if leaving {
-            self.note_leaving(incarnation, LeavingSource::Report);
+            self.record_leaving(incarnation, LeavingSource::Report);
         }
         if self.current == Some(incarnation) {
-            self.heard = self.heard.max(asked);
+            self.last_seen = self.last_seen.max(asked);
             return None;
         }
         let former = self.current.replace(incarnation);
@@ -71,26 +71,26 @@
             push_bounded(&mut self.replaced, former);
         }
         self.since = asked;
-        self.heard = asked;
+        self.last_seen = asked;
         former
     }
 
     /// Records a reply of the process that was given work as `incarnation`; the reply was sent after
     /// `sent`.
-    pub fn replied(&mut self, incarnation: Incarnation, sent: Instant) {
+    pub fn record_reply(&mut self, incarnation: Incarnation, sent: Instant) {
         if self.current == Some(incarnation) {
-            self.heard = self.heard.max(sent);
+            self.last_seen = self.last_seen.max(sent);
         }
     }
 
     /// Records permanently that this process of the upstream is leaving; returns whether that is new.
-    pub fn note_leaving(&mut self, incarnation: Incarnation, source: LeavingSource) -> bool {
+    pub fn record_leaving(&mut self, incarnation: Incarnation, source: LeavingSource) -> bool {
         if self.leaving.iter().any(|(known, _)| *known == incarnation) {
             return false;
         }
         // The record of the current process must outlast any number of others, or an upstream that is
         // leaving would get work again.
-        if self.leaving.len() >= FORMER {
+        if self.leaving.len() >= MAX_REMEMBERED {
             let i = usize::from(self.current == Some(self.leaving[0].0));
             self.leaving.remove(i);
         }
@@ -100,20 +100,20 @@
 
     /// Records the state in the platform's list. The list lags and contains no incarnations, so "leaving"
     /// refers to the process that was known when the list began to say so.
-    pub fn listed(&mut self, leaving: bool) {
+    pub fn record_listed(&mut self, leaving: bool) {
         self.listed = match (leaving, self.listed, self.current) {
-            (false, _, _) => Listed::Live,
-            (true, Listed::Live, Some(incarnation)) => {
-                self.note_leaving(incarnation, LeavingSource::Platform);
-                Listed::LeavingNoted
+            (false, _, _) => ListedState::Live,
+            (true, ListedState::Live, Some(incarnation)) => {
+                self.record_leaving(incarnation, LeavingSource::Platform);
+                ListedState::LeavingRecorded
             }
-            (true, Listed::Live, None) => Listed::LeavingUnknown,
+            (true, ListedState::Live, None) => ListedState::LeavingUnattributed,
             (true, listed, _) => listed,
         };
     }
 
     /// Records that the process is certainly gone; only another incarnation counts from now on.
-    pub fn gone(&mut self, incarnation: Incarnation) {
+    pub fn record_gone(&mut self, incarnation: Incarnation) {
         if self.current == Some(incarnation) {
             self.current = None;
         }
@@ -129,7 +129,7 @@
     /// Returns why it may not.
     pub fn eligible(&self, now: Instant) -> Result<Eligible, Ineligible> {
         let incarnation = self.current.ok_or(Ineligible::Unheard)?;
-        if now.since(self.heard) > EVIDENCE_BOUND {
+        if now.since(self.last_seen) > EVIDENCE_BOUND {
             return Err(Ineligible::Stale);
         }
         if let Some(source_of_word) = self.leaving_source(incarnation) {
@@ -137,7 +137,7 @@
         }
         Ok(Eligible {
             incarnation,
-            until: self.heard.after(EVIDENCE_BOUND),
+            until: self.last_seen.after(EVIDENCE_BOUND),
         })
     }
 
@@ -155,8 +155,8 @@
 
     /// Time of the latest evidence from that process.
     #[must_use]
-    pub fn heard(&self) -> Instant {
-        self.heard
+    pub fn last_seen(&self) -> Instant {
+        self.last_seen
     }
 
     /// Processes known to be leaving, the latest record at the end.
@@ -166,7 +166,7 @@
     }
 
     fn leaving_source(&self, incarnation: Incarnation) -> Option<LeavingSource> {
-        if self.listed == Listed::LeavingUnknown {
+        if self.listed == ListedState::LeavingUnattributed {
             return Some(LeavingSource::Platform);
         }
         self.leaving
@@ -177,7 +177,7 @@
 }
 
 fn push_bounded<T>(list: &mut Vec<T>, entry: T) {
-    if list.len() >= FORMER {
+    if list.len() >= MAX_REMEMBERED {
         list.remove(0);
     }
     list.push(entry);
--- a/crates/decisions/src/upstream_health.rs
+++ b/crates/decisions/src/upstream_health.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 /// Silence of an upstream with calls in flight after which it is probed. Events of a stream arrive every 30
-/// to 200 ms; a longer bound would leave too little time for the resume within the pause that a caller
+/// to 200 ms; a longer timeout would leave too little time for the resume within the pause that a caller
 /// tolerates.
 pub const SILENCE: Duration = Duration::from_millis(200);
 
@@ -19,7 +19,7 @@
 const FIRST_BACKOFF: Duration = Duration::from_millis(400);
 
 /// Longest backoff between probes of an upstream that does not respond.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(1600);
+const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 
 /// Health of one upstream, from the calls of this VM there and from its probes.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     }
 
     /// Records that a call was sent to the upstream.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn call_started(&mut self, now: Instant) {
         if self.in_flight == 0 {
             self.last_seen = self.last_seen.max(now);
         }
@@ -57,20 +57,20 @@
     }
 
     /// Records that a call to the upstream ended.
-    pub fn ended(&mut self) {
+    pub fn call_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Records that data arrived from the upstream; it is no longer suspect.
-    pub fn heard(&mut self, now: Instant) {
+    pub fn record_activity(&mut self, now: Instant) {
         self.last_seen = now;
         self.suspect = None;
     }
 
     /// Records a broken connection or a failed probe; returns whether the upstream was not suspect before.
-    pub fn doubt(&mut self, now: Instant) -> bool {
+    pub fn record_failure(&mut self, now: Instant) -> bool {
         let backoff = match self.suspect {
-            Some(suspect) => (suspect.backoff * 2).min(LONGEST_BACKOFF),
+            Some(suspect) => (suspect.backoff * 2).min(MAX_BACKOFF),
             None => FIRST_BACKOFF,
         };
         let new = self.suspect.is_none();
@@ -82,7 +82,7 @@
     }
 
     /// Whether a probe is due; if so, it is marked as started.
-    pub fn probe_due(&mut self, now: Instant) -> bool {
+    pub fn start_probe_if_due(&mut self, now: Instant) -> bool {
         let due = match (self.probing, self.suspect) {
             (Some(_), _) => false,
             (None, Some(suspect)) => now >= suspect.probe_at,
@@ -95,7 +95,7 @@
     }
 
     /// Whether a probe may start at once, for a reason other than silence; if so, it is marked as started.
-    pub fn probe_now(&mut self, now: Instant) -> bool {
+    pub fn start_probe(&mut self, now: Instant) -> bool {
         let free = self.probing.is_none();
         if free {
             self.probing = Some(now);
@@ -104,7 +104,7 @@
     }
 
     /// Records the end of a probe.
-    pub fn probed(&mut self) {
+    pub fn probe_ended(&mut self) {
         self.probing = None;
     }
 
--- a/crates/decisions/src/upstream_load.rs
+++ b/crates/decisions/src/upstream_load.rs
@@ -6,12 +6,12 @@
 
 /// Time that an otherwise idle engine takes to process a prompt of this length.
 #[must_use]
-pub fn reading_time(prompt_tokens: u32) -> Duration {
+pub fn prefill_time(prompt_tokens: u32) -> Duration {
     Duration::from_secs_f64(f64::from(prompt_tokens) / TOKENS_PER_MS / 1000.0)
 }
 
 /// How long a load report of an upstream counts. Calls of other VMs last about as long.
-const READING_AGE: Duration = Duration::from_millis(1500);
+const REPORT_MAX_AGE: Duration = Duration::from_millis(1500);
 
 /// Weight of the latest outcome in the failure rate, which covers about the last ten calls.
 const OUTCOME_WEIGHT: f64 = 0.1;
@@ -30,49 +30,52 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamLoad {
     /// Calls of this VM in flight.
-    own: u32,
+    own_calls: u32,
     /// Calls of this VM for which the upstream keeps a KV copy.
     copies: u32,
     /// When the prompts that this VM has sent there will have been processed.
-    read_until: Instant,
+    prefill_until: Instant,
     /// Calls of other VMs at the last report, with its time.
     others: Option<(u32, Instant)>,
     /// Failure rate of recent calls, from 0 to 1.
-    failures: f64,
+    failure_rate: f64,
 }
 
 impl UpstreamLoad {
     /// Records the start of a call, with the prompt tokens that are to be processed for it.
-    pub fn begin(&mut self, prompt_tokens: u32, now: Instant) {
-        self.own += 1;
-        self.read_until = self.read_until.max(now).after(reading_time(prompt_tokens));
+    pub fn call_started(&mut self, prompt_tokens: u32, now: Instant) {
+        self.own_calls += 1;
+        self.prefill_until = self
+            .prefill_until
+            .max(now)
+            .after(prefill_time(prompt_tokens));
     }
 
     /// Records the end of a call.
-    pub fn end(&mut self) {
-        self.own = self.own.saturating_sub(1);
+    pub fn call_ended(&mut self) {
+        self.own_calls = self.own_calls.saturating_sub(1);
     }
 
     /// Records that the upstream keeps a KV copy for a call.
-    pub fn copy_begins(&mut self) {
+    pub fn copy_added(&mut self) {
         self.copies += 1;
     }
 
     /// Records that the upstream no longer keeps a KV copy for a call.
-    pub fn copy_ends(&mut self) {
+    pub fn copy_removed(&mut self) {
         self.copies = self.copies.saturating_sub(1);
     }
 
     /// Records a load report of the upstream.
-    pub fn reading(&mut self, reading: LoadReading, now: Instant) {
+    pub fn record_report(&mut self, reading: LoadReading, now: Instant) {
         let all = reading.running + reading.waiting;
-        self.others = Some((all.saturating_sub(self.own), now));
+        self.others = Some((all.saturating_sub(self.own_calls), now));
     }
 
     /// Records whether a call there failed.
-    pub fn outcome(&mut self, failed: bool) {
+    pub fn record_outcome(&mut self, failed: bool) {
         let outcome = if failed { 1.0 } else { 0.0 };
-        self.failures += OUTCOME_WEIGHT * (outcome - self.failures);
+        self.failure_rate += OUTCOME_WEIGHT * (outcome - self.failure_rate);
     }
 
     /// Number of calls there from all VMs, as far as known.
@@ -80,21 +83,21 @@
     pub fn calls(&self, now: Instant) -> u32 {
         let others = self
             .others
-            .filter(|(_, at)| now.since(*at) < READING_AGE)
+            .filter(|(_, at)| now.since(*at) < REPORT_MAX_AGE)
             .map_or(0, |(others, _)| others);
-        self.own + others
+        self.own_calls + others
     }
 
     /// Number of calls of this VM there.
     #[must_use]
-    pub fn own(&self) -> u32 {
-        self.own
+    pub fn own_calls(&self) -> u32 {
+        self.own_calls
     }
 
     /// Number of calls of this VM there and of KV copies that it keeps there, as sent to other VMs.
     #[must_use]
     pub fn streams(&self) -> u32 {
-        self.own + self.copies
+        self.own_calls + self.copies
     }
 
     /// Number of calls of this VM for which the upstream keeps a KV copy.
@@ -105,13 +108,13 @@
 
     /// Time until the prompts that this VM has sent there are processed.
     #[must_use]
-    pub fn reading_left(&self, now: Instant) -> Duration {
-        self.read_until.since(now)
+    pub fn prefill_left(&self, now: Instant) -> Duration {
+        self.prefill_until.since(now)
     }
 
     /// Failure rate of recent calls, from 0 to 1.
     #[must_use]
-    pub fn failures(&self) -> f64 {
-        self.failures
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/crates/decisions/src/upstream_places.rs
+++ b/crates/decisions/src/upstream_places.rs
@@ -21,10 +21,10 @@
 const EXTRA_DIVISOR: u32 = 4;
 
 /// How long after a request of a team below its share the other teams are held to the base part.
-const LIGHT_MEMORY: Duration = Duration::from_secs(1);
+const BELOW_SHARE_PERIOD: Duration = Duration::from_secs(1);
 
 /// How long after the last quick call the reserve is kept.
-const RESERVE_MEMORY: Duration = Duration::from_secs(60);
+const RESERVE_PERIOD: Duration = Duration::from_secs(60);
 
 /// Capacity and queue length that an upstream reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -44,7 +44,7 @@
     base_part: Option<u32>,
     in_flight: [u32; Lane::COUNT],
     quick_seen: Option<Instant>,
-    light_seen: Option<Instant>,
+    below_share_seen: Option<Instant>,
 }
 
 impl UpstreamPlaces {
@@ -62,7 +62,7 @@
     /// A limit learned from latency alone adapts too late for generations: an overfilled engine stays
     /// overfilled for minutes. And where nodes find their limits separately, one that joined late may stay
     /// below its part (see `docs/LOAD.md`, rows without load reports).
-    pub fn reported(&mut self, report: CapacityReport, share: CapacityShare) {
+    pub fn record_report(&mut self, report: CapacityReport, share: CapacityShare) {
         let CapacityReport { capacity, waiting } = report;
         self.limit.reported(waiting);
         let part = share.part(capacity, Lane::Quick);
@@ -81,20 +81,20 @@
 
     /// Whether a request of this lane may be sent to the upstream now.
     #[must_use]
-    pub fn has_room(&self, now: Instant, lane: Lane) -> bool {
+    pub fn has_free_slot(&self, now: Instant, lane: Lane) -> bool {
         let total: u32 = self.in_flight.iter().sum();
-        let limit = if self.is_shared_with_light(now) {
+        let limit = if self.has_recent_below_share(now) {
             self.base_limit()
         } else {
             self.limit()
         };
-        total < limit && self.in_flight[lane.index()] < self.share(now, lane)
+        total < limit && self.in_flight[lane.index()] < self.lane_limit(now, lane)
     }
 
     /// Whether a quick request of a team that has had less than its share may be sent now, even though
     /// other requests may not.
     #[must_use]
-    pub fn has_extra_room(&self) -> bool {
+    pub fn has_extra_slot(&self) -> bool {
         let total: u32 = self.in_flight.iter().sum();
         let limit = self.limit();
         total < limit + limit.div_ceil(EXTRA_DIVISOR)
@@ -102,7 +102,7 @@
 
     /// Maximum number of slots for this lane.
     #[must_use]
-    pub fn share(&self, now: Instant, lane: Lane) -> u32 {
+    pub fn lane_limit(&self, now: Instant, lane: Lane) -> u32 {
         let limit = self.limit();
         match lane {
             Lane::Quick => limit,
@@ -120,13 +120,13 @@
     }
 
     /// Takes a slot for a request of this lane.
-    pub fn enter(&mut self, now: Instant, lane: Lane) {
+    pub fn acquire(&mut self, now: Instant, lane: Lane) {
         self.in_flight[lane.index()] += 1;
-        self.note_arrival(now, lane);
+        self.record_arrival(now, lane);
     }
 
     /// Records that a request of this lane wants a slot, so that the reserve is there for the next one.
-    pub fn note_arrival(&mut self, now: Instant, lane: Lane) {
+    pub fn record_arrival(&mut self, now: Instant, lane: Lane) {
         if lane == Lane::Quick {
             self.quick_seen = Some(now);
         }
@@ -134,24 +134,24 @@
 
     /// Records a quick request of a team that has had less than its share. While there are such requests,
     /// those of other teams do not fill the upstream beyond what it runs at once.
-    pub fn note_light(&mut self, now: Instant) {
-        self.light_seen = Some(now);
+    pub fn record_below_share(&mut self, now: Instant) {
+        self.below_share_seen = Some(now);
     }
 
     /// Returns the slot of a request of this lane.
-    pub fn leave(&mut self, lane: Lane) {
+    pub fn release(&mut self, lane: Lane) {
         let count = &mut self.in_flight[lane.index()];
         *count = count.saturating_sub(1);
     }
 
     /// Records the latency until the first part of a response.
-    pub fn answered(&mut self, latency: Duration) {
+    pub fn record_latency(&mut self, latency: Duration) {
         let in_flight = self.in_flight.iter().sum();
         self.limit.answered(latency, in_flight);
     }
 
     /// Records that the upstream rejected a request for lack of capacity, or did not respond in time.
-    pub fn overloaded(&mut self) {
+    pub fn record_overload(&mut self) {
         self.limit.overloaded();
     }
 
@@ -160,16 +160,16 @@
         self.base_part.map_or(limit, |part| limit.min(part))
     }
 
-    fn is_shared_with_light(&self, now: Instant) -> bool {
-        self.light_seen
-            .is_some_and(|seen| now.since(seen) < LIGHT_MEMORY)
+    fn has_recent_below_share(&self, now: Instant) -> bool {
+        self.below_share_seen
+            .is_some_and(|seen| now.since(seen) < BELOW_SHARE_PERIOD)
     }
 
     fn reserve(&self, limit: u32, now: Instant) -> u32 {
-        let quick_in_use = self
+        let has_recent_quick = self
             .quick_seen
-            .is_some_and(|seen| now.since(seen) < RESERVE_MEMORY);
-        if quick_in_use && limit > 1 {
+            .is_some_and(|seen| now.since(seen) < RESERVE_PERIOD);
+        if has_recent_quick && limit > 1 {
             limit.div_ceil(RESERVE_DIVISOR)
         } else {
             0
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -9,19 +9,19 @@
 //! tried again by then.
 
 use super::*;
-use crate::suspicion::climb;
+use crate::suspicion::slow_start_weight;
 
 /// Time in which a new process climbs to its full weight.
 const SLOW_START: Duration = Duration::from_secs(10);
 
 /// How long an observed latency counts.
-const PACE_BOUND: Duration = Duration::from_secs(10);
+const RESPONSE_TIME_TTL: Duration = Duration::from_secs(10);
 
 /// Number of unanswered requests below which their mean wait says little.
-const FEW_UNANSWERED: u32 = 3;
+const MIN_UNANSWERED: u32 = 3;
 
 /// Weight of a new latency in the moving average.
-const PACE_PART: f64 = 0.2;
+const RESPONSE_TIME_WEIGHT: f64 = 0.2;
 
 /// What this VM knows of one upstream.
 #[derive(Clone, Debug, Default)]
@@ -30,9 +30,9 @@
     pub evidence: UpstreamEvidence,
     suspicion: Suspicion,
     report: UpstreamReport,
-    own: u32,
-    own_in_report: u32,
-    pace: Option<(f64, Instant)>,
+    own_requests: u32,
+    own_requests_in_report: u32,
+    response_time: Option<(f64, Instant)>,
     /// Number of requests without a response, and the sum of the times at which they were sent, in seconds.
     unanswered: (u32, f64),
 }
@@ -41,50 +41,54 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AskedReport {
     at: Instant,
-    own: u32,
+    own_requests: u32,
 }
 
 impl UpstreamRecord {
     /// Marks the request of a load report. Also called when a request is dispatched whose reply may carry a
     /// load report.
     #[must_use]
-    pub fn ask(&self, now: Instant) -> AskedReport {
+    pub fn report_requested(&self, now: Instant) -> AskedReport {
         AskedReport {
             at: now,
-            own: self.own,
+            own_requests: self.own_requests,
         }
     }
 
     /// Records a load report. Returns the former incarnation if the report shows that it was replaced.
-    pub fn reported(&mut self, asked: AskedReport, report: UpstreamReport) -> Option<Incarnation> {
+    pub fn record_report(
+        &mut self,
+        asked: AskedReport,
+        report: UpstreamReport,
+    ) -> Option<Incarnation> {
         let former = self
             .evidence
-            .reported(report.incarnation, report.leaving, asked.at);
+            .record_report(report.incarnation, report.leaving, asked.at);
         if self.evidence.incarnation() == Some(report.incarnation) {
-            self.own_in_report = asked.own;
+            self.own_requests_in_report = asked.own_requests;
             self.report = report;
         }
         former
     }
 
     /// Counts a request that is dispatched to the upstream.
-    pub fn dispatched(&mut self) {
-        self.own += 1;
+    pub fn record_dispatch(&mut self) {
+        self.own_requests += 1;
     }
 
     /// Stops counting a request that was dispatched.
-    pub fn finished(&mut self) {
-        self.own = self.own.saturating_sub(1);
+    pub fn record_end(&mut self) {
+        self.own_requests = self.own_requests.saturating_sub(1);
     }
 
     /// Counts a request sent at `sent` whose response is outstanding.
-    pub fn awaits(&mut self, sent: Instant) {
+    pub fn response_awaited(&mut self, sent: Instant) {
         self.unanswered.0 += 1;
         self.unanswered.1 += sent.0.as_secs_f64();
     }
 
     /// Stops counting a request sent at `sent`, which was answered or given up.
-    pub fn awaits_no_more(&mut self, sent: Instant) {
+    pub fn response_settled(&mut self, sent: Instant) {
         self.unanswered.0 = self.unanswered.0.saturating_sub(1);
         self.unanswered.1 -= sent.0.as_secs_f64();
     }
@@ -92,35 +96,39 @@
     /// Seconds that a response takes, if known. An upstream that becomes slow sends no response for as long
     /// as its responses take by then, and would get its full share meanwhile; so the mean wait of the
     /// unanswered requests counts where it is longer.
-    fn pace(&self, now: Instant) -> Option<f64> {
-        let (pace, _) = self.pace.filter(|(_, at)| now.since(*at) <= PACE_BOUND)?;
+    fn response_time(&self, now: Instant) -> Option<f64> {
+        let (response_time, _) = self
+            .response_time
+            .filter(|(_, at)| now.since(*at) <= RESPONSE_TIME_TTL)?;
         let (count, sum) = self.unanswered;
-        if count < FEW_UNANSWERED {
-            return Some(pace);
+        if count < MIN_UNANSWERED {
+            return Some(response_time);
         }
-        Some(pace.max(now.0.as_secs_f64() - sum / f64::from(count)))
+        Some(response_time.max(now.0.as_secs_f64() - sum / f64::from(count)))
     }
 
     /// Records the latency of a response.
-    pub fn answered(&mut self, incarnation: Incarnation, sent: Instant, now: Instant) {
-        self.evidence.replied(incarnation, sent);
+    pub fn record_response(&mut self, incarnation: Incarnation, sent: Instant, now: Instant) {
+        self.evidence.record_reply(incarnation, sent);
         let latency = now.since(sent).as_secs_f64();
-        let pace = match self.pace {
-            Some((pace, at)) if now.since(at) <= PACE_BOUND => pace + PACE_PART * (latency - pace),
+        let response_time = match self.response_time {
+            Some((response_time, at)) if now.since(at) <= RESPONSE_TIME_TTL => {
+                response_time + RESPONSE_TIME_WEIGHT * (latency - response_time)
+            }
             _ => latency,
         };
-        self.pace = Some((pace, now));
+        self.response_time = Some((response_time, now));
     }
 
     /// Records that the upstream failed a request.
-    pub fn failed(&mut self, now: Instant) {
-        self.suspicion.failed(now);
+    pub fn record_failure(&mut self, now: Instant) {
+        self.suspicion.record_failure(now);
     }
 
     /// Number of requests of this VM in flight there.
     #[must_use]
-    pub fn own(&self) -> u32 {
-        self.own
+    pub fn own_requests(&self) -> u32 {
+        self.own_requests
     }
 
     /// Latest load report.
@@ -143,16 +151,16 @@
     /// Returns why the upstream may not get the request.
     pub fn candidate(&self, model: Option<&Model>, now: Instant) -> Result<Candidate, Ineligible> {
         let eligible = self.evidence.eligible(now)?;
-        if !self.report.suits(model) {
+        if !self.report.can_run(model) {
             return Err(Ineligible::Unsuited);
         }
-        let others = self.report.load.saturating_sub(self.own_in_report);
+        let others = self.report.load.saturating_sub(self.own_requests_in_report);
         Ok(Candidate {
-            load: others + self.own,
+            load: others + self.own_requests,
             capacity: self.report.capacity.max(1),
             weight: self.suspicion.weight(now)
-                * climb(self.evidence.since(), SLOW_START, now).max(0.1),
-            pace: self.pace(now),
+                * slow_start_weight(self.evidence.since(), SLOW_START, now).max(0.1),
+            pace: self.response_time(now),
             own_zone: true,
             affinity: 0,
             eligible,
--- a/crates/decisions/src/upstream_report.rs
+++ b/crates/decisions/src/upstream_report.rs
@@ -22,7 +22,7 @@
 impl UpstreamReport {
     /// Whether it can run a request for `model`; a request of a plain service names none.
     #[must_use]
-    pub fn suits(&self, model: Option<&Model>) -> bool {
+    pub fn can_run(&self, model: Option<&Model>) -> bool {
         self.serves && model.is_none_or(|model| self.models.iter().any(|m| m.satisfies(model)))
     }
 }
--- a/crates/decisions/src/upstream_table.rs
+++ b/crates/decisions/src/upstream_table.rs
@@ -28,7 +28,7 @@
 struct Row {
     /// Hash of the entry; 0 if the row was removed.
     hash: u64,
-    row: UpstreamChange,
+    change: UpstreamChange,
 }
 
 /// A change of the table: an entry that was written, or its removal.
@@ -41,7 +41,7 @@
     /// that the upstream is alive.
     pub current: Vec<UpstreamChange>,
     /// Rows of `current` whose content is new.
-    pub news: Vec<UpstreamChange>,
+    pub changed: Vec<UpstreamChange>,
 }
 
 impl UpstreamTable {
@@ -54,8 +54,8 @@
     /// Rows of the upstreams that are present, without removals.
     #[must_use]
     pub fn entries(&self) -> Vec<UpstreamChange> {
-        let present = self.rows.iter().filter(|row| row.row.entry.is_some());
-        present.map(|row| row.row.clone()).collect()
+        let present = self.rows.iter().filter(|row| row.change.entry.is_some());
+        present.map(|row| row.change.clone()).collect()
     }
 
     /// Digest of the contents, independent of the order in which they were read.
@@ -66,7 +66,7 @@
 
     /// Applies all rows if `whole`, otherwise those written after a version up to which the table was
     /// known.
-    pub fn read(&mut self, rows: &[UpstreamChange], whole: bool, version: u64) -> TableRead {
+    pub fn apply_read(&mut self, rows: &[UpstreamChange], whole: bool, version: u64) -> TableRead {
         let mut read = TableRead::default();
         if version < self.version {
             // The store served this read before it served changes that other VMs have sent since.
@@ -74,19 +74,19 @@
         }
         let mut rows = rows.to_vec();
         if whole {
-            let gone = self.missing_in(&rows, version);
-            self.take_all(gone, &mut read);
+            let gone = self.removals_absent_from(&rows, version);
+            self.set_rows(gone, &mut read);
         } else {
-            rows.retain(|row| row.written > self.version || self.holds(row));
+            rows.retain(|row| row.written > self.version || self.is_current_version(row));
         }
-        self.take_all(rows, &mut read);
-        self.known_up_to(version);
+        self.set_rows(rows, &mut read);
+        self.advance_version(version);
         read
     }
 
     /// Applies an update of another VM: changes, with the digest and version of its table. Returns the
     /// changes that are new here.
-    pub fn told(
+    pub fn apply_update(
         &mut self,
         changes: &[UpstreamChange],
         version: u64,
@@ -95,12 +95,12 @@
         let mut changes = changes.to_vec();
         // Rows written up to this VM's version are known here, also if they were removed and dropped since.
         changes.retain(|change| change.written > self.version);
-        let mut told = TableRead::default();
-        self.take_all(changes, &mut told);
+        let mut read = TableRead::default();
+        self.set_rows(changes, &mut read);
         if version > self.version && self.digest == digest {
-            self.known_up_to(version);
+            self.advance_version(version);
         }
-        told.news
+        read.changed
     }
 
     /// Whether the digest of another VM, which has read up to `version`, shows that a change was missed
@@ -112,82 +112,86 @@
 
     /// Whether the row is known as it was written at that version. A row that is not, and is older than the
     /// table, was overwritten or removed since.
-    fn holds(&self, change: &UpstreamChange) -> bool {
-        let place = self.position(&change.key);
-        place.is_ok_and(|index| self.rows[index].row.written == change.written)
+    fn is_current_version(&self, change: &UpstreamChange) -> bool {
+        let found = self.position(&change.key);
+        found.is_ok_and(|index| self.rows[index].change.written == change.written)
     }
 
     fn position(&self, key: &str) -> Result<usize, usize> {
         self.rows
-            .binary_search_by(|row| row.row.key.as_ref().cmp(key))
+            .binary_search_by(|row| row.change.key.as_ref().cmp(key))
     }
 
     /// Removals of the known rows that the complete table as of `version` does not contain.
-    fn missing_in(&self, rows: &[UpstreamChange], version: u64) -> Vec<UpstreamChange> {
+    fn removals_absent_from(&self, rows: &[UpstreamChange], version: u64) -> Vec<UpstreamChange> {
         let mut keys = rows.iter().map(|row| &row.key).collect::<Vec<_>>();
         keys.sort_unstable();
-        let missing = |row: &&Row| keys.binary_search(&&row.row.key).is_err();
-        let present = self.rows.iter().filter(|row| row.row.entry.is_some());
+        let missing = |row: &&Row| keys.binary_search(&&row.change.key).is_err();
+        let present = self.rows.iter().filter(|row| row.change.entry.is_some());
         present
             .filter(missing)
             .map(|row| UpstreamChange {
-                key: row.row.key.clone(),
+                key: row.change.key.clone(),
                 written: version,
                 entry: None,
             })
             .collect()
     }
 
-    fn take_all(&mut self, changes: Vec<UpstreamChange>, read: &mut TableRead) {
+    fn set_rows(&mut self, changes: Vec<UpstreamChange>, read: &mut TableRead) {
         for change in changes {
-            match self.put(&change) {
-                Put::Older => {}
-                Put::Same => read.current.push(change),
-                Put::News => {
+            match self.set_row(&change) {
+                SetOutcome::Older => {}
+                SetOutcome::Unchanged => read.current.push(change),
+                SetOutcome::Changed => {
                     read.current.push(change.clone());
-                    read.news.push(change);
+                    read.changed.push(change);
                 }
             }
         }
     }
 
-    fn known_up_to(&mut self, version: u64) {
+    fn advance_version(&mut self, version: u64) {
         self.version = self.version.max(version);
         let known = self.version;
         self.rows
-            .retain(|row| row.row.entry.is_some() || row.row.written > known);
+            .retain(|row| row.change.entry.is_some() || row.change.written > known);
     }
 
     /// Sets a row unless a newer one is known.
-    fn put(&mut self, change: &UpstreamChange) -> Put {
-        let place = self.position(&change.key);
-        let before = place.ok().map_or(0, |index| self.rows[index].hash);
-        if place.is_ok_and(|index| self.rows[index].row.written > change.written) {
-            return Put::Older;
+    fn set_row(&mut self, change: &UpstreamChange) -> SetOutcome {
+        let found = self.position(&change.key);
+        let before = found.ok().map_or(0, |index| self.rows[index].hash);
+        if found.is_ok_and(|index| self.rows[index].change.written > change.written) {
+            return SetOutcome::Older;
         }
         let hash = hash(change);
         let row = Row {
             hash,
-            row: change.clone(),
+            change: change.clone(),
         };
-        match place {
+        match found {
             Ok(index) => self.rows[index] = row,
             Err(index) => self.rows.insert(index, row),
         }
         // A sum does not depend on the order in which the rows were read.
         self.digest = self.digest.wrapping_sub(before).wrapping_add(hash);
-        if before == hash { Put::Same } else { Put::News }
+        if before == hash {
+            SetOutcome::Unchanged
+        } else {
+            SetOutcome::Changed
+        }
     }
 }
 
 /// Outcome of setting a row.
-enum Put {
+enum SetOutcome {
     /// A newer row is known.
     Older,
     /// The content of the row is unchanged.
-    Same,
+    Unchanged,
     /// The content of the row is new.
-    News,
+    Changed,
 }
 
 fn hash(change: &UpstreamChange) -> u64 {
--- a/crates/decisions/src/wake_detector.rs
+++ b/crates/decisions/src/wake_detector.rs
@@ -10,7 +10,7 @@
 
 /// Minimum gap that is reported. Readings are taken every 50 ms, and some 100 ms late on a VM that is five
 /// times slower than usual; a view that is older by less does no harm.
-const GAP: Duration = Duration::from_millis(400);
+const MIN_GAP: Duration = Duration::from_millis(400);
 
 /// Compares successive readings of the steady clock and of the clock that counts from boot.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,11 +21,11 @@
 impl WakeDetector {
     /// Takes a reading of the steady clock and of the time since boot, which includes suspensions; returns
     /// how long the process did not run, if that is at least the minimum gap.
-    pub fn look(&mut self, steady: Instant, since_boot: Duration) -> Option<Duration> {
+    pub fn check(&mut self, steady: Instant, since_boot: Duration) -> Option<Duration> {
         let (last, last_boot) = self.last.replace((steady, since_boot))?;
         let stopped = steady.since(last);
         let passed = since_boot.saturating_sub(last_boot);
         let gap = stopped.max(passed);
-        (gap >= GAP).then_some(gap)
+        (gap >= MIN_GAP).then_some(gap)
     }
 }
--- a/crates/decisions/src/zone_alarm.rs
+++ b/crates/decisions/src/zone_alarm.rs
@@ -9,13 +9,13 @@
 
 /// Number of upstreams lost together that makes a zone suspect. Two may be a coincidence with dozens of
 /// upstreams.
-const LOSSES: usize = 3;
+const MIN_LOSSES: usize = 3;
 
 /// Window in which losses count as simultaneous: longer than the detection of silence, which spreads them.
-const TOGETHER: Duration = Duration::from_millis(600);
+const LOSS_WINDOW: Duration = Duration::from_millis(600);
 
 /// How long a zone is used only as a last resort. Upstreams that crash are back after about a second.
-const AVOIDED: Duration = Duration::from_millis(1500);
+const SUSPECT_PERIOD: Duration = Duration::from_millis(1500);
 
 /// Recent losses of upstreams in each availability zone.
 #[derive(Clone, Debug, Default)]
@@ -23,34 +23,36 @@
     /// Latest losses, one for each upstream.
     losses: Vec<(AvailabilityZone, UpstreamIncarnation, Instant)>,
     /// Zones that are used only as a last resort, with the time at which that ends.
-    avoided: Vec<(AvailabilityZone, Instant)>,
+    suspect_zones: Vec<(AvailabilityZone, Instant)>,
 }
 
 impl ZoneAlarm {
     /// Records the loss of an upstream; returns whether its zone became suspect by it.
-    pub fn lost(
+    pub fn record_loss(
         &mut self,
         zone: &AvailabilityZone,
         upstream: &UpstreamIncarnation,
         now: Instant,
     ) -> bool {
         self.losses
-            .retain(|(_, id, at)| now.since(*at) < TOGETHER && id != upstream);
+            .retain(|(_, id, at)| now.since(*at) < LOSS_WINDOW && id != upstream);
         self.losses.push((zone.clone(), upstream.clone(), now));
         let together = self.losses.iter().filter(|(z, ..)| z == zone).count();
-        if together < LOSSES {
+        if together < MIN_LOSSES {
             return false;
         }
         let before = self.is_suspect(zone, now);
-        self.avoided.retain(|(z, until)| z != zone && now < *until);
-        self.avoided.push((zone.clone(), now.after(AVOIDED)));
+        self.suspect_zones
+            .retain(|(z, until)| z != zone && now < *until);
+        self.suspect_zones
+            .push((zone.clone(), now.after(SUSPECT_PERIOD)));
         !before
     }
 
     /// Whether the upstreams of a zone are used only as a last resort now.
     #[must_use]
     pub fn is_suspect(&self, zone: &AvailabilityZone, now: Instant) -> bool {
-        self.avoided
+        self.suspect_zones
             .iter()
             .any(|(z, until)| z == zone && now < *until)
     }
--- a/crates/decisions/tests/capacity_share.rs
+++ b/crates/decisions/tests/capacity_share.rs
@@ -56,7 +56,7 @@
         sharers: 1,
         draw: 999,
     };
-    places.reported(report, share);
+    places.record_report(report, share);
     places
 }
 
@@ -66,14 +66,14 @@
 fn teams_below_their_share_find_room_that_others_do_not_fill() {
     let mut places = places();
     let now = Instant::default();
-    let alone = places.share(now, Lane::Quick);
-    places.note_light(now);
+    let alone = places.lane_limit(now, Lane::Quick);
+    places.record_below_share(now);
 
-    while places.has_room(now, Lane::Quick) {
-        places.enter(now, Lane::Quick);
+    while places.has_free_slot(now, Lane::Quick) {
+        places.acquire(now, Lane::Quick);
     }
 
     expect_that!(alone, eq(12));
     expect_that!(places.in_flight(Lane::Quick), eq(10));
-    expect_that!(places.has_extra_room(), eq(true));
+    expect_that!(places.has_extra_slot(), eq(true));
 }
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -38,10 +38,10 @@
 /// An upstream that has been there for long and has just reported `load`.
 fn record(load: u32) -> UpstreamRecord {
     let mut record = UpstreamRecord::default();
-    let asked = record.ask(ms(0));
-    record.reported(asked, report(load));
-    let asked = record.ask(NOW);
-    record.reported(asked, report(load));
+    let asked = record.report_requested(ms(0));
+    record.record_report(asked, report(load));
+    let asked = record.report_requested(NOW);
+    record.record_report(asked, report(load));
     record
 }
 
@@ -98,7 +98,7 @@
                 .map(|record| record.candidate(None, NOW).expect("eligible"))
                 .collect::<Vec<_>>();
             let index = decide(&candidates, input(&mut rng));
-            records[index].dispatched();
+            records[index].record_dispatch();
             got[index] += 1;
         }
     }
@@ -135,7 +135,7 @@
 #[gtest]
 fn own_dispatches_count_before_the_next_report() {
     let mut busy = record(0);
-    (0..6).for_each(|_| busy.dispatched());
+    (0..6).for_each(|_| busy.record_dispatch());
 
     let candidate = busy.candidate(None, NOW).expect("eligible");
 
@@ -145,10 +145,10 @@
 #[gtest]
 fn own_requests_in_a_report_are_not_counted_twice() {
     let mut record = record(0);
-    (0..6).for_each(|_| record.dispatched());
-    let asked = record.ask(NOW);
-    record.reported(asked, report(8));
-    record.finished();
+    (0..6).for_each(|_| record.record_dispatch());
+    let asked = record.report_requested(NOW);
+    record.record_report(asked, report(8));
+    record.record_end();
 
     let candidate = record.candidate(None, NOW).expect("eligible");
 
@@ -201,13 +201,13 @@
 #[gtest]
 fn a_failed_upstream_is_left_alone_and_comes_back_slowly() {
     let mut records = [record(2), record(2), record(0)];
-    records[2].failed(NOW);
+    records[2].record_failure(NOW);
     let candidates = records
         .iter()
         .map(|record| record.candidate(None, NOW).expect("eligible"))
         .collect::<Vec<_>>();
     let mut suspicion = Suspicion::default();
-    suspicion.failed(NOW);
+    suspicion.record_failure(NOW);
 
     let counts = chosen(&candidates, false);
     let weights =
@@ -226,7 +226,7 @@
 fn suspected_upstreams_are_the_last_resort() {
     let mut records = [record(2), record(2)];
     for record in &mut records {
-        record.failed(NOW);
+        record.record_failure(NOW);
     }
     let candidates = records
         .iter()
@@ -243,12 +243,12 @@
 #[gtest]
 fn a_fresh_process_starts_slowly() {
     let mut fresh = record(0);
-    let asked = fresh.ask(NOW);
+    let asked = fresh.report_requested(NOW);
     let restarted = UpstreamReport {
         incarnation: Incarnation(2),
         ..report(0)
     };
-    fresh.reported(asked, restarted);
+    fresh.record_report(asked, restarted);
 
     let weight = |after| {
         let now = NOW.after(Duration::from_millis(after));
@@ -270,7 +270,7 @@
     let mut records = [record(2), record(2), record(2)];
     for (i, latency) in [20, 20, 200].into_iter().enumerate() {
         let now = NOW.after(Duration::from_millis(latency));
-        records[i].answered(Incarnation(1), NOW, now);
+        records[i].record_response(Incarnation(1), NOW, now);
     }
 
     expect_that!(chosen(&weighed(&records, NOW), false)[2], eq(0));
@@ -283,12 +283,12 @@
     let mut records = [record(2), record(2), record(2)];
     let later = NOW.after(Duration::from_millis(150));
     for record in &mut records {
-        record.answered(Incarnation(1), NOW, NOW.after(Duration::from_millis(20)));
-        (0..4).for_each(|_| record.awaits(later));
+        record.record_response(Incarnation(1), NOW, NOW.after(Duration::from_millis(20)));
+        (0..4).for_each(|_| record.response_awaited(later));
     }
     let before = chosen(&weighed(&records, later), false)[2];
-    (0..4).for_each(|_| records[2].awaits_no_more(later));
-    (0..4).for_each(|_| records[2].awaits(NOW));
+    (0..4).for_each(|_| records[2].response_settled(later));
+    (0..4).for_each(|_| records[2].response_awaited(NOW));
 
     let after = chosen(&weighed(&records, later), false)[2];
 
@@ -330,13 +330,13 @@
 #[gtest]
 fn only_an_engine_that_serves_is_eligible() {
     let mut record = record(0);
-    let asked = record.ask(NOW);
+    let asked = record.report_requested(NOW);
     let standby = UpstreamReport {
         serves: false,
         ..report(0)
     };
 
-    record.reported(asked, standby);
+    record.record_report(asked, standby);
 
     expect_that!(record.candidate(None, NOW), err(eq(&Ineligible::Unsuited)));
 }
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -89,7 +89,7 @@
         waiting: 0,
     };
     let draw = 999;
-    places.reported(report, CapacityShare { sharers, draw });
+    places.record_report(report, CapacityShare { sharers, draw });
     places
 }
 
@@ -99,21 +99,21 @@
 fn long_requests_leave_places_to_quick_calls() {
     let mut places = places(10, 1);
     let now = Instant::default();
-    places.note_arrival(now, Lane::Quick);
+    places.record_arrival(now, Lane::Quick);
 
-    while places.has_room(now, Lane::Long) {
-        places.enter(now, Lane::Long);
+    while places.has_free_slot(now, Lane::Long) {
+        places.acquire(now, Lane::Long);
     }
 
     expect_that!(places.in_flight(Lane::Long), eq(8));
-    expect_that!(places.has_room(now, Lane::Quick), eq(true));
+    expect_that!(places.has_free_slot(now, Lane::Quick), eq(true));
 }
 
 #[gtest]
 fn engine_without_quick_calls_is_used_whole() {
     let places = places(10, 1);
 
-    let share = places.share(Instant(Duration::from_secs(100)), Lane::Long);
+    let share = places.lane_limit(Instant(Duration::from_secs(100)), Lane::Long);
 
     expect_that!(share, eq(10));
 }
--- a/crates/decisions/tests/crash_tally.rs
+++ b/crates/decisions/tests/crash_tally.rs
@@ -4,8 +4,8 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-const CULPRIT: u64 = 1;
-const INNOCENT: u64 = 2;
+const CRASHING: u64 = 1;
+const HARMLESS: u64 = 2;
 
 fn at(seconds: u64) -> Instant {
     Instant(Duration::from_secs(seconds))
@@ -27,15 +27,15 @@
 fn tally(crashes: impl IntoIterator<Item = Crash>) -> CrashTally {
     let mut tally = CrashTally::default();
     for crash in crashes {
-        tally.crashed(crash);
+        tally.record_crash(crash);
     }
     tally
 }
 
 /// Sends crashes from one VM to another, as a heartbeat does.
-fn tell(from: &mut CrashTally, to: &mut CrashTally, seconds: u64) {
-    for crash in from.to_tell(12, at(seconds)) {
-        to.crashed(Crash {
+fn send_crashes(from: &mut CrashTally, to: &mut CrashTally, seconds: u64) {
+    for crash in from.next_to_send(12, at(seconds)) {
+        to.record_crash(Crash {
             at: at(seconds),
             ..crash
         });
@@ -43,94 +43,94 @@
 }
 
 #[gtest]
-fn the_third_crash_refuses_a_body() {
-    let refused = [2, 3].map(|n| {
-        let tally = tally((0..n).map(|n| crash(CULPRIT, n, 0)));
-        tally.refuses(CULPRIT, at(1))
+fn third_crash_rejects_the_call() {
+    let rejected = [2, 3].map(|n| {
+        let tally = tally((0..n).map(|n| crash(CRASHING, n, 0)));
+        tally.is_rejected(CRASHING, at(1))
     });
 
-    expect_that!(refused, eq([false, true]));
+    expect_that!(rejected, eq([false, true]));
 }
 
 /// A zone's engines crash together under forty calls, and a heartbeat holds twelve crashes. If always the
 /// latest twelve were sent, a call recorded before the others would never be reported and would cost each
 /// VM three engines.
 #[gtest]
-fn every_crash_is_told_however_many_there_are() {
-    let mut here = tally((0..40).map(|n| crash(n, n % 5, 0)));
-    let mut there = CrashTally::default();
+fn every_crash_is_sent_eventually() {
+    let mut local = tally((0..40).map(|n| crash(n, n % 5, 0)));
+    let mut peer = CrashTally::default();
 
     for _ in 0..4 {
-        tell(&mut here, &mut there, 1);
+        send_crashes(&mut local, &mut peer, 1);
     }
 
-    let heard = (0..40).filter(|n| there.crashes(*n, at(1)) == 1);
-    expect_that!(heard.count(), eq(40));
+    let received = (0..40).filter(|n| peer.crash_count(*n, at(1)) == 1);
+    expect_that!(received.count(), eq(40));
 }
 
 /// Engines crash under a call by coincidence, and it receives a complete response in the end. Crashes that
 /// another VM received and sends back must not cause the call to be rejected when its caller repeats it.
 #[gtest]
-fn a_body_that_was_answered_is_not_blamed_again_by_what_others_heard() {
-    let mut here = tally((0..3).map(|n| crash(INNOCENT, n, 0)));
-    let mut there = CrashTally::default();
-    tell(&mut here, &mut there, 0);
-    here.delivered(INNOCENT);
+fn completed_call_is_not_rejected_for_crashes_sent_back() {
+    let mut local = tally((0..3).map(|n| crash(HARMLESS, n, 0)));
+    let mut peer = CrashTally::default();
+    send_crashes(&mut local, &mut peer, 0);
+    local.record_complete_response(HARMLESS);
 
-    tell(&mut there, &mut here, 1);
+    send_crashes(&mut peer, &mut local, 1);
 
-    expect_that!(here.refuses(INNOCENT, at(1)), eq(false));
+    expect_that!(local.is_rejected(HARMLESS, at(1)), eq(false));
 }
 
 /// The other VM learns that the call received a response, and serves it as well.
 #[gtest]
-fn others_hear_that_a_body_was_answered() {
-    let mut here = tally((0..3).map(|n| crash(INNOCENT, n, 0)));
-    let mut there = CrashTally::default();
-    tell(&mut here, &mut there, 0);
-    let before = there.refuses(INNOCENT, at(1));
+fn peers_learn_that_a_call_completed() {
+    let mut local = tally((0..3).map(|n| crash(HARMLESS, n, 0)));
+    let mut peer = CrashTally::default();
+    send_crashes(&mut local, &mut peer, 0);
+    let before = peer.is_rejected(HARMLESS, at(1));
 
-    here.delivered(INNOCENT);
-    tell(&mut here, &mut there, 1);
+    local.record_complete_response(HARMLESS);
+    send_crashes(&mut local, &mut peer, 1);
 
     expect_that!(before, eq(true));
-    expect_that!(there.refuses(INNOCENT, at(1)), eq(false));
+    expect_that!(peer.is_rejected(HARMLESS, at(1)), eq(false));
 }
 
 /// A crash after a complete response counts like any other.
 #[gtest]
-fn crashes_after_an_answer_count() {
-    let mut tally = tally((0..2).map(|n| crash(CULPRIT, n, 0)));
-    tally.delivered(CULPRIT);
+fn crashes_after_a_complete_response_count() {
+    let mut tally = tally((0..2).map(|n| crash(CRASHING, n, 0)));
+    tally.record_complete_response(CRASHING);
 
     for n in 2..5 {
-        tally.crashed(crash(CULPRIT, n, 1));
+        tally.record_crash(crash(CRASHING, n, 1));
     }
 
-    expect_that!(tally.refuses(CULPRIT, at(2)), eq(true));
+    expect_that!(tally.is_rejected(CRASHING, at(2)), eq(true));
 }
 
 /// A stream ran beside the call that crashes engines when the third of them crashed, and has lost two more
 /// engines by coincidence since. If the first crash were attributed to it, its caller would be rejected for
 /// ten minutes.
 #[gtest]
-fn crashes_that_a_refused_body_explains_are_not_laid_to_those_beside_it() {
-    let culprit = (0..3).map(|n| crash(CULPRIT, n, n));
-    let beside = [(2, 2), (3, 4), (4, 5)].map(|(n, seconds)| crash(INNOCENT, n, seconds));
+fn crashes_explained_by_a_rejected_call_are_not_attributed_to_others() {
+    let crashing = (0..3).map(|n| crash(CRASHING, n, n));
+    let beside = [(2, 2), (3, 4), (4, 5)].map(|(n, seconds)| crash(HARMLESS, n, seconds));
 
-    let tally = tally(culprit.chain(beside));
+    let tally = tally(crashing.chain(beside));
 
-    expect_that!(tally.refuses(CULPRIT, at(6)), eq(true));
-    expect_that!(tally.refuses(INNOCENT, at(6)), eq(false));
+    expect_that!(tally.is_rejected(CRASHING, at(6)), eq(true));
+    expect_that!(tally.is_rejected(HARMLESS, at(6)), eq(false));
 }
 
 /// Two calls under which the same engines crashed cannot be distinguished.
 #[gtest]
-fn of_two_bodies_with_the_same_crashes_both_are_refused() {
-    let both = [CULPRIT, INNOCENT].map(|digest| (0..3).map(move |n| crash(digest, n, n)));
+fn calls_with_the_same_crashes_are_both_rejected() {
+    let both = [CRASHING, HARMLESS].map(|digest| (0..3).map(move |n| crash(digest, n, n)));
 
     let tally = tally(both.into_iter().flatten());
 
-    let refused = [CULPRIT, INNOCENT].map(|digest| tally.refuses(digest, at(4)));
-    expect_that!(refused, eq([true, true]));
+    let rejected = [CRASHING, HARMLESS].map(|digest| tally.is_rejected(digest, at(4)));
+    expect_that!(rejected, eq([true, true]));
 }
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -22,26 +22,26 @@
 
 fn heard_at(at: Instant) -> UpstreamEvidence {
     let mut evidence = UpstreamEvidence::default();
-    evidence.reported(FIRST, false, at);
+    evidence.record_report(FIRST, false, at);
     evidence
 }
 
 fn speak(evidence: &mut UpstreamEvidence, source: LeavingSource, at: Instant) {
     match source {
-        LeavingSource::Platform => evidence.listed(true),
+        LeavingSource::Platform => evidence.record_listed(true),
         LeavingSource::Report => {
-            evidence.reported(FIRST, true, at);
+            evidence.record_report(FIRST, true, at);
         }
         LeavingSource::Refusal | LeavingSource::Peer => {
-            evidence.note_leaving(FIRST, source);
+            evidence.record_leaving(FIRST, source);
         }
     }
 }
 
 /// Reports and replies that lag and still say nothing of leaving.
 fn lagging_words(evidence: &mut UpstreamEvidence, at: Instant) {
-    evidence.reported(FIRST, false, at);
-    evidence.replied(FIRST, at);
+    evidence.record_report(FIRST, false, at);
+    evidence.record_reply(FIRST, at);
 }
 
 /// An upstream begins to leave and just one source knows; all others lag and still call it live.
@@ -92,7 +92,7 @@
 fn a_late_answer_dates_from_its_question() {
     let mut evidence = heard_at(ms(0));
 
-    evidence.reported(FIRST, false, ms(500));
+    evidence.record_report(FIRST, false, ms(500));
 
     expect_that!(evidence.eligible(ms(10_500)), err(eq(&Ineligible::Stale)));
 }
@@ -101,10 +101,10 @@
 #[gtest]
 fn a_returned_upstream_gets_work_again() {
     let mut evidence = heard_at(ms(0));
-    evidence.listed(true);
+    evidence.record_listed(true);
 
-    let former = evidence.reported(SECOND, false, ms(500));
-    evidence.listed(true);
+    let former = evidence.record_report(SECOND, false, ms(500));
+    evidence.record_listed(true);
 
     expect_that!(former, some(eq(FIRST)));
     expect_that!(evidence.eligible(ms(600)), ok(anything()));
@@ -114,9 +114,9 @@
 #[gtest]
 fn a_replaced_process_does_not_come_back() {
     let mut evidence = heard_at(ms(0));
-    evidence.reported(SECOND, false, ms(500));
+    evidence.record_report(SECOND, false, ms(500));
 
-    let former = evidence.reported(FIRST, false, ms(600));
+    let former = evidence.record_report(FIRST, false, ms(600));
 
     expect_that!(former, none());
     expect_that!(evidence.incarnation(), some(eq(SECOND)));
@@ -127,11 +127,11 @@
 #[gtest]
 fn a_list_heard_first_holds_until_it_changes() {
     let mut evidence = UpstreamEvidence::default();
-    evidence.listed(true);
-    evidence.reported(FIRST, false, ms(0));
+    evidence.record_listed(true);
+    evidence.record_report(FIRST, false, ms(0));
 
     let before = evidence.eligible(ms(1)).is_ok();
-    evidence.listed(false);
+    evidence.record_listed(false);
     let after = evidence.eligible(ms(2)).is_ok();
 
     expect_that!((before, after), eq((false, true)));
@@ -141,10 +141,10 @@
 #[gtest]
 fn words_about_other_processes_do_not_undo_it() {
     let mut evidence = heard_at(ms(0));
-    evidence.note_leaving(FIRST, LeavingSource::Peer);
+    evidence.record_leaving(FIRST, LeavingSource::Peer);
 
     for n in 100..200 {
-        evidence.note_leaving(Incarnation(n), LeavingSource::Peer);
+        evidence.record_leaving(Incarnation(n), LeavingSource::Peer);
     }
 
     expect_that!(evidence.eligible(ms(1)), err(anything()));
@@ -155,8 +155,8 @@
 fn a_dead_process_gets_nothing() {
     let mut evidence = heard_at(ms(0));
 
-    evidence.gone(FIRST);
-    evidence.reported(FIRST, false, ms(10));
+    evidence.record_gone(FIRST);
+    evidence.record_report(FIRST, false, ms(10));
 
     expect_that!(evidence.eligible(ms(20)), err(eq(&Ineligible::Unheard)));
 }
@@ -192,24 +192,24 @@
             now += wait;
             match word {
                 Word::Report(leaving) => {
-                    evidence.reported(FIRST, leaving, ms(now));
+                    evidence.record_report(FIRST, leaving, ms(now));
                     left |= leaving;
                     heard = now;
                 }
                 Word::Reply => {
-                    evidence.replied(FIRST, ms(now));
+                    evidence.record_reply(FIRST, ms(now));
                     heard = now;
                 }
                 Word::Listed(leaving) => {
-                    evidence.listed(leaving);
+                    evidence.record_listed(leaving);
                     left |= leaving;
                 }
                 Word::Refusal => {
-                    evidence.note_leaving(FIRST, LeavingSource::Refusal);
+                    evidence.record_leaving(FIRST, LeavingSource::Refusal);
                     left = true;
                 }
                 Word::Peer => {
-                    evidence.note_leaving(FIRST, LeavingSource::Peer);
+                    evidence.record_leaving(FIRST, LeavingSource::Peer);
                     left = true;
                 }
             }
--- a/crates/decisions/tests/kept_table.rs
+++ b/crates/decisions/tests/kept_table.rs
@@ -14,28 +14,31 @@
 
 /// Keys of the table, if it is complete.
 fn keys(table: &KeptTable<u32>) -> Option<Vec<&str>> {
-    let whole = table.whole()?;
-    Some(whole.rows.iter().map(|(key, _)| key.as_ref()).collect())
+    let snapshot = table.snapshot()?;
+    Some(snapshot.rows.iter().map(|(key, _)| key.as_ref()).collect())
 }
 
 #[gtest]
-fn changes_go_on_from_what_was_read() {
+fn changes_extend_a_complete_read() {
     let mut table = KeptTable::default();
-    table.read([row("b", 1), row("a", 1)], 10);
+    table.replace_all([row("b", 1), row("a", 1)], 10);
 
-    table.changed(10, [row("c", 1), removed("a"), row("b", 2)], 13);
+    table.apply_changes(10, [row("c", 1), removed("a"), row("b", 2)], 13);
 
     expect_that!(keys(&table), some(elements_are![eq(&"b"), eq(&"c")]));
-    expect_that!(table.whole().map(|whole| whole.version), some(eq(13)));
+    expect_that!(
+        table.snapshot().map(|snapshot| snapshot.version),
+        some(eq(13))
+    );
 }
 
 /// A VM has the table from a peer and reads only changes itself. If it served these changes as the complete
 /// table, a VM that asks for it would drop all its upstreams and refuse every call from then on.
 #[gtest]
-fn changes_alone_are_no_table() {
+fn changes_alone_are_not_a_complete_table() {
     let mut table = KeptTable::default();
 
-    table.changed(10, [], 12);
+    table.apply_changes(10, [], 12);
 
     expect_that!(keys(&table), none());
 }
@@ -43,13 +46,13 @@
 /// A VM received changes from a peer for a while and then reads them itself again. The changes in between
 /// never reached this table.
 #[gtest]
-fn a_table_with_a_gap_is_not_shown_until_it_is_read_again() {
+fn table_with_a_gap_is_incomplete_until_it_is_read_again() {
     let mut table = KeptTable::default();
-    table.read([row("a", 1)], 10);
+    table.replace_all([row("a", 1)], 10);
 
-    table.changed(20, [row("c", 1)], 21);
+    table.apply_changes(20, [row("c", 1)], 21);
     let with_gap = keys(&table).is_some();
-    table.read([row("a", 1), row("b", 1), row("c", 1)], 22);
+    table.replace_all([row("a", 1), row("b", 1), row("c", 1)], 22);
 
     expect_that!(with_gap, eq(false));
     expect_that!(keys(&table), some(len(eq(3))));
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -91,7 +91,7 @@
         };
         let chosen = place(&candidates, &who).unwrap().clone();
         let index = entries.iter().position(|e| e.id == chosen.id).unwrap();
-        self.loads[index].begin(PROMPT, now);
+        self.loads[index].call_started(PROMPT, now);
         index
     }
 
@@ -104,11 +104,11 @@
             incarnation: 1,
             number: self.notes,
             loads: loads
-                .filter(|(_, load)| load.own() > 0)
+                .filter(|(_, load)| load.own_calls() > 0)
                 .map(|(entry, load)| PeerLoad {
                     upstream: entry.id.clone(),
-                    calls: load.own(),
-                    reading_ms: u32::try_from(load.reading_left(now).as_millis()).unwrap(),
+                    calls: load.own_calls(),
+                    reading_ms: u32::try_from(load.prefill_left(now).as_millis()).unwrap(),
                 })
                 .collect(),
             suspects: Vec::new(),
@@ -203,7 +203,7 @@
 fn prompt_goes_to_another_zone_rather_than_wait_for_one() {
     let entries = entries(&["a", "b"], 1);
     let mut busy = UpstreamLoad::default();
-    busy.begin(PROMPT, at(1000));
+    busy.call_started(PROMPT, at(1000));
     let idle = UpstreamLoad::default();
     let candidates = [candidate(&entries[0], &busy), candidate(&entries[1], &idle)];
     let vms = ["vm-1".into()];
@@ -252,7 +252,7 @@
         Arc::clone(best.unwrap())
     };
     let mut running = UpstreamLoad::default();
-    running.begin(0, at(1000));
+    running.call_started(0, at(1000));
     let idle = UpstreamLoad::default();
     let vm = owner(&entries[0]);
     let who = PlacementFor {
@@ -269,7 +269,7 @@
         candidate(&entries[1], &idle),
     ];
     let mut twice = running.clone();
-    twice.begin(0, at(1000));
+    twice.call_started(0, at(1000));
     let all_busy = [
         candidate(&entries[0], &twice),
         candidate(&entries[2], &idle),
@@ -319,8 +319,8 @@
         .collect::<Vec<Arc<str>>>();
     let own_zone = zone("a");
     let (mut busy, unknown) = (UpstreamLoad::default(), UpstreamLoad::default());
-    busy.begin(0, at(1000));
-    busy.begin(0, at(1000));
+    busy.call_started(0, at(1000));
+    busy.call_started(0, at(1000));
     let who = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
@@ -404,7 +404,7 @@
             .id
             .clone();
         let index = entries.iter().position(|e| e.id == holder).unwrap();
-        loads[index].copy_begins();
+        loads[index].copy_added();
         held.push(holder.to_string());
     }
     held.sort();
@@ -419,8 +419,8 @@
     let entries = entries(&["a", "b", "c"], 2);
     let mut loads = vec![UpstreamLoad::default(); entries.len()];
     for load in &mut loads[..2] {
-        load.begin(PROMPT, at(1000));
-        load.copy_begins();
+        load.call_started(PROMPT, at(1000));
+        load.copy_added();
     }
     let candidates = entries
         .iter()
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -55,10 +55,10 @@
 #[gtest]
 fn report_of_an_upstream_removed_unseen_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
-    directory.removed(&entry(1).id.id, at(1000));
+    directory.apply_entry(entry(0));
+    directory.remove_entry(&entry(1).id.id, at(1000));
 
-    let outcome = directory.restarted(&restart(1, 0), report(0, false));
+    let outcome = directory.apply_restart(&restart(1, 0), report(0, false));
 
     expect_that!(outcome, err(eq(&StaleRestart::Removed)));
     expect_that!(usable(&directory, at(1000)), eq(&["engine-0"]));
@@ -68,9 +68,9 @@
 #[gtest]
 fn report_against_a_current_table_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
+    directory.apply_entry(entry(0));
 
-    let outcome = directory.restarted(&restart(1, 9), report(7, true));
+    let outcome = directory.apply_restart(&restart(1, 9), report(7, true));
 
     expect_that!(outcome, err(eq(&StaleRestart::TableIsCurrent)));
 }
@@ -79,9 +79,9 @@
 #[gtest]
 fn report_from_an_older_table_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
+    directory.apply_entry(entry(0));
 
-    let outcome = directory.restarted(&restart(1, 6), report(7, false));
+    let outcome = directory.apply_restart(&restart(1, 6), report(7, false));
 
     expect_that!(outcome, err(eq(&StaleRestart::TableIsNewer)));
 }
@@ -90,14 +90,14 @@
 #[gtest]
 fn reported_upstream_without_a_row_is_dropped_after_the_platforms_return() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
-    directory.platform_lost();
+    directory.apply_entry(entry(0));
+    directory.record_platform_outage();
     directory
-        .restarted(&restart(1, 0), RestartEvidence::OwnProbe)
+        .apply_restart(&restart(1, 0), RestartEvidence::OwnProbe)
         .unwrap();
     let while_away = usable(&directory, at(60_000));
 
-    directory.platform_answers(at(60_000));
+    directory.record_platform_response(at(60_000));
     let at_first = usable(&directory, at(60_000));
     let later = usable(&directory, at(60_000).after(LAPSE_GRACE));
 
@@ -112,13 +112,13 @@
 #[gtest]
 fn reported_upstream_with_a_row_stays() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
+    directory.apply_entry(entry(0));
     directory
-        .restarted(&restart(1, 0), RestartEvidence::OwnProbe)
+        .apply_restart(&restart(1, 0), RestartEvidence::OwnProbe)
         .unwrap();
 
-    directory.heard(entry(1));
-    directory.platform_answers(at(1000));
+    directory.apply_entry(entry(1));
+    directory.record_platform_response(at(1000));
 
     expect_that!(usable(&directory, at(60_000)), eq(&["engine-1"]));
 }
@@ -131,10 +131,10 @@
         born: Some(Born(1000)),
         ..entry(0).id
     };
-    directory.heard(UpstreamEntry { id, ..entry(0) });
-    directory.removed(&entry(0).id.id, at(1000));
+    directory.apply_entry(UpstreamEntry { id, ..entry(0) });
+    directory.remove_entry(&entry(0).id.id, at(1000));
 
-    directory.started(&entry(0).id.id, Born(2000), at(1000));
+    directory.record_start(&entry(0).id.id, Born(2000), at(1000));
 
     expect_that!(usable(&directory, at(1000)), is_empty());
 }
@@ -224,21 +224,21 @@
 impl Vm {
     fn read(&mut self, store: &Store, whole: bool, now: Instant) {
         if self.rejected {
-            self.directory.platform_lost();
+            self.directory.record_platform_outage();
             return;
         }
-        self.directory.platform_answers(now);
+        self.directory.record_platform_response(now);
         let rows = if whole {
             let rows = store.rows(0).into_iter();
             rows.filter(|row| row.entry.is_some()).collect()
         } else {
             store.rows(self.table.version())
         };
-        let read = self.table.read(&rows, whole, store.version());
+        let read = self.table.apply_read(&rows, whole, store.version());
         if whole {
             let entries = self.table.entries().into_iter();
             self.directory
-                .snapshot(entries.filter_map(|row| row.entry).collect(), now);
+                .apply_snapshot(entries.filter_map(|row| row.entry).collect(), now);
         }
         for row in read.current {
             let since = match &row.entry {
@@ -248,8 +248,8 @@
             self.left
                 .extend(since.map(|since| (row.key.to_string(), since)));
             match row.entry {
-                Some(entry) => _ = self.directory.heard(entry),
-                None => _ = self.directory.removed(&row.key.parse().unwrap(), now),
+                Some(entry) => _ = self.directory.apply_entry(entry),
+                None => _ = self.directory.remove_entry(&row.key.parse().unwrap(), now),
             }
         }
     }
@@ -262,14 +262,14 @@
         // The outcome is checked by the upstreams that are used.
         let _ = self
             .directory
-            .restarted(restart, RestartEvidence::PeerReport(table));
+            .apply_restart(restart, RestartEvidence::PeerReport(table));
     }
 }
 
 proptest! {
     /// Reads, removals and late restart reports in any order, with VMs that the store rejects.
     #[test]
-    fn reports_resurrect_no_upstream(steps in prop::collection::vec(step(), 1..60)) {
+    fn reports_restore_no_removed_upstream(steps in prop::collection::vec(step(), 1..60)) {
         let mut store = Store::default();
         let mut vms: [Vm; VMS] = Default::default();
         let mut reports: Vec<UpstreamRestart> = Vec::new();
@@ -303,8 +303,8 @@
             let later = now.after(LAPSE_GRACE * 2);
             vm.read(&store, false, later);
             let used = usable(&vm.directory, later);
-            let resurrected = used.iter().find(|id| !store.is_ready(id));
-            prop_assert_eq!(resurrected, None);
+            let restored = used.iter().find(|id| !store.is_ready(id));
+            prop_assert_eq!(restored, None);
         }
     }
 }
--- a/crates/decisions/tests/stall_detector.rs
+++ b/crates/decisions/tests/stall_detector.rs
@@ -1,4 +1,4 @@
-//! Bound after which a silent stream counts as stalled.
+//! Timeout after which a silent stream counts as stalled.
 
 use catkin_decisions::StallDetector;
 use googletest::prelude::*;
@@ -20,37 +20,37 @@
 /// A connection goes silent in a stream of one token each 10 ms. The caller should not wait a second for
 /// that to be detected.
 #[gtest]
-fn steady_stream_is_missed_soon() {
+fn steady_stream_gets_the_shortest_timeout() {
     let detector = detector_after([10; 100]);
 
-    expect_that!(detector.bound(), eq(ms(400)));
+    expect_that!(detector.timeout(), eq(ms(400)));
 }
 
 /// An engine is busy with long prompts and its streams come in bursts. Taking each pause for a stall would
 /// start second attempts that only add to its load.
 #[gtest]
-fn bursty_stream_gets_more_time() {
+fn bursty_stream_gets_a_longer_timeout() {
     let detector = detector_after([10, 10, 10, 300].into_iter().cycle().take(100));
 
-    expect_that!(detector.bound(), gt(ms(700)));
+    expect_that!(detector.timeout(), gt(ms(700)));
 }
 
 #[gtest]
-fn bound_recovers_when_the_stream_is_steady_again() {
+fn timeout_recovers_when_the_stream_is_steady_again() {
     let mut gaps = vec![300; 20];
     gaps.extend([10; 60]);
 
     let detector = detector_after(gaps);
 
-    expect_that!(detector.bound(), eq(ms(400)));
+    expect_that!(detector.timeout(), eq(ms(400)));
 }
 
 proptest! {
     /// Whatever the gaps, no live engine that sends its heartbeats is taken for silent, and no caller waits
     /// longer than the ceiling.
     #[test]
-    fn bound_stays_within_its_limits(gaps in prop::collection::vec(0..100_000_u64, 0..50)) {
-        let bound = detector_after(gaps).bound();
+    fn timeout_stays_within_its_limits(gaps in prop::collection::vec(0..100_000_u64, 0..50)) {
+        let bound = detector_after(gaps).timeout();
 
         prop_assert!(bound >= ms(400) && bound <= ms(1000));
     }
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -34,22 +34,22 @@
 /// An older entry of a leaving upstream is read again from a stale store. The upstream stays leaving, or it
 /// would get calls that it cannot finish.
 #[gtest]
-fn leaving_is_sticky() {
+fn leaving_is_permanent() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, true));
+    directory.apply_entry(entry("u1", 1, true));
 
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
 
     expect_that!(usable(&directory, at(0)).is_empty(), eq(true));
 }
 
 /// An entry that is removed while the platform responds means that its upstream is gone.
 #[gtest]
-fn removed_entry_means_gone() {
+fn removed_entry_removes_its_upstream() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
 
-    let change = directory.removed(&"u1".parse().unwrap(), at(5000));
+    let change = directory.remove_entry(&"u1".parse().unwrap(), at(5000));
 
     expect_that!(change, some(eq(&("u1".parse().unwrap(), Presence::Gone))));
     expect_that!(usable(&directory, at(5000)).is_empty(), eq(true));
@@ -58,16 +58,16 @@
 /// The platform is unavailable and loses entries of live upstreams. These stay in use until they had time
 /// to return; one that does not return is gone.
 #[gtest]
-fn entries_that_lapse_with_the_platform_count_for_a_while() {
+fn expired_entries_stay_usable_within_the_grace_period() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("back", 1, false));
-    directory.heard(entry("gone", 2, false));
-    directory.platform_lost();
-    directory.platform_answers(at(10_000));
+    directory.apply_entry(entry("back", 1, false));
+    directory.apply_entry(entry("gone", 2, false));
+    directory.record_platform_outage();
+    directory.record_platform_response(at(10_000));
 
-    directory.snapshot(Vec::new(), at(10_010));
+    directory.apply_snapshot(Vec::new(), at(10_010));
     let at_once = usable(&directory, at(10_010));
-    directory.heard(entry("back", 1, false));
+    directory.apply_entry(entry("back", 1, false));
     let later = usable(&directory, at(10_010).after(LAPSE_GRACE));
 
     expect_that!(at_once, eq(&["back", "gone"]));
@@ -79,21 +79,21 @@
 #[gtest]
 fn new_incarnation_replaces_the_one_at_its_address() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
 
-    directory.heard(entry("u2", 1, false));
+    directory.apply_entry(entry("u2", 1, false));
 
     expect_that!(usable(&directory, at(0)), eq(&["u2"]));
 }
 
 /// All entries are read again after a gap in the changes. Missing entries were removed in the gap.
 #[gtest]
-fn entries_missing_from_a_whole_read_are_gone() {
+fn entries_missing_from_a_complete_read_are_removed() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, false));
-    directory.heard(entry("u2", 2, false));
+    directory.apply_entry(entry("u1", 1, false));
+    directory.apply_entry(entry("u2", 2, false));
 
-    let changes = directory.snapshot(vec![entry("u2", 2, false)], at(9000));
+    let changes = directory.apply_snapshot(vec![entry("u2", 2, false)], at(9000));
 
     expect_that!(changes, eq(&vec![("u1".parse().unwrap(), Presence::Gone)]));
     expect_that!(usable(&directory, at(9000)), eq(&["u2"]));
@@ -103,13 +103,13 @@
 /// older one lapses. In either order the new process gets calls; if the older one replaced it, it would get
 /// none while it lives.
 #[gtest]
-fn both_entries_of_one_address_in_one_list_are_present() {
+fn entries_listed_together_do_not_replace_each_other() {
     for order in [["new", "old"], ["old", "new"]] {
         let mut directory = UpstreamDirectory::default();
         let listed = order.map(|id| entry(id, 1, false));
 
-        directory.snapshot(listed.to_vec(), at(1000));
-        directory.removed(&"old".parse().unwrap(), at(2000));
+        directory.apply_snapshot(listed.to_vec(), at(1000));
+        directory.remove_entry(&"old".parse().unwrap(), at(2000));
 
         expect_that!(usable(&directory, at(2001)), eq(&["new"]), "{order:?}");
     }
@@ -135,9 +135,9 @@
 #[gtest]
 fn upstream_that_drained_and_started_again_is_usable() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(born("u1", 1, 1000, true));
+    directory.apply_entry(born("u1", 1, 1000, true));
 
-    let changes = directory.heard(born("u1", 1, 5000, false));
+    let changes = directory.apply_entry(born("u1", 1, 5000, false));
 
     let superseded = (incarnation("u1", 1000), Presence::Superseded);
     expect_that!(changes, contains(eq(&superseded)));
@@ -147,11 +147,11 @@
 /// An upstream has restarted and is leaving; then an entry of its earlier process is read late. The entry
 /// must not bring it back.
 #[gtest]
-fn late_entry_of_an_earlier_process_is_left_out() {
+fn late_entry_of_an_earlier_process_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(born("u1", 1, 5000, true));
+    directory.apply_entry(born("u1", 1, 5000, true));
 
-    let changes = directory.heard(born("u1", 1, 1000, false));
+    let changes = directory.apply_entry(born("u1", 1, 1000, false));
 
     expect_that!(changes, is_empty());
     expect_that!(usable(&directory, at(0)), is_empty());
@@ -159,11 +159,11 @@
 
 /// An entry without a start time belongs to the newest process known, whose drain still applies.
 #[gtest]
-fn entry_without_a_start_is_of_the_newest_process() {
+fn entry_without_a_start_time_applies_to_the_newest_process() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(born("u1", 1, 5000, true));
+    directory.apply_entry(born("u1", 1, 5000, true));
 
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
 
     expect_that!(usable(&directory, at(0)), is_empty());
 }
@@ -173,11 +173,11 @@
 #[gtest]
 fn report_of_a_later_process_supersedes_the_earlier() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(born("u1", 1, 1000, false));
+    directory.apply_entry(born("u1", 1, 1000, false));
 
-    let changes = directory.started(&"u1".parse().unwrap(), Born(5000), at(0));
-    let again = directory.started(&"u1".parse().unwrap(), Born(5000), at(0));
-    let earlier = directory.started(&"u1".parse().unwrap(), Born(1000), at(0));
+    let changes = directory.record_start(&"u1".parse().unwrap(), Born(5000), at(0));
+    let again = directory.record_start(&"u1".parse().unwrap(), Born(5000), at(0));
+    let earlier = directory.record_start(&"u1".parse().unwrap(), Born(1000), at(0));
 
     let superseded = (incarnation("u1", 1000), Presence::Superseded);
     expect_that!(changes, contains(eq(&superseded)));
@@ -189,15 +189,15 @@
 /// the first call that is rejected there; the unrelated entry gets no second call, however often it is
 /// read.
 #[gtest]
-fn foreign_entry_at_the_address_of_an_upstream_does_not_throw_it_out() {
+fn unrelated_entry_does_not_displace_a_live_upstream() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, false));
-    directory.heard(entry("foreign", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
+    directory.apply_entry(entry("foreign", 1, false));
 
     let by: UpstreamIncarnation = "u1".parse().unwrap();
-    directory.denied(&"foreign".parse().unwrap(), Some(&by.id));
+    directory.record_denial(&"foreign".parse().unwrap(), Some(&by.id));
     let after_the_call = usable(&directory, at(0));
-    directory.heard(entry("foreign", 1, false));
+    directory.apply_entry(entry("foreign", 1, false));
 
     expect_that!(after_the_call, eq(&["u1"]));
     expect_that!(usable(&directory, at(0)), eq(&["u1"]));
@@ -205,12 +205,12 @@
 
 /// A stream runs at the replaced upstream, whose next event shows that it still has the address.
 #[gtest]
-fn answer_of_a_replaced_upstream_brings_it_back() {
+fn response_of_a_replaced_upstream_restores_it() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, false));
-    directory.heard(entry("foreign", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
+    directory.apply_entry(entry("foreign", 1, false));
 
-    directory.answered(&"u1".parse().unwrap());
+    directory.record_response(&"u1".parse().unwrap());
 
     expect_that!(usable(&directory, at(0)), eq(&["u1"]));
 }
@@ -218,13 +218,13 @@
 /// An older entry of a leaving upstream is read again before its entry is removed, and once more
 /// afterwards. The upstream stays gone.
 #[gtest]
-fn late_entries_do_not_bring_back_what_has_left() {
+fn late_entries_do_not_restore_a_removed_upstream() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, true));
-    directory.heard(entry("u1", 1, false));
-    directory.removed(&"u1".parse().unwrap(), at(0));
+    directory.apply_entry(entry("u1", 1, true));
+    directory.apply_entry(entry("u1", 1, false));
+    directory.remove_entry(&"u1".parse().unwrap(), at(0));
 
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
 
     expect_that!(usable(&directory, at(1)), is_empty());
 }
@@ -232,17 +232,17 @@
 /// Upstreams without a known start time return under an id that drained. Half a minute later no earlier
 /// entry can arrive any more.
 #[gtest]
-fn an_id_that_is_gone_for_long_may_come_back() {
+fn id_is_reusable_after_the_retention_period() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry("u1", 1, true));
-    directory.removed(&"u1".parse().unwrap(), at(0));
-    directory.platform_answers(at(1000));
-    directory.heard(entry("u1", 1, false));
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, true));
+    directory.remove_entry(&"u1".parse().unwrap(), at(0));
+    directory.record_platform_response(at(1000));
+    directory.apply_entry(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
     let soon = usable(&directory, at(2000)).len();
-    directory.platform_answers(at(31_000));
+    directory.record_platform_response(at(31_000));
 
-    directory.heard(entry("u1", 1, false));
+    directory.apply_entry(entry("u1", 1, false));
 
     expect_that!(soon, eq(0));
     expect_that!(usable(&directory, at(31_000)), eq(&["u1"]));
@@ -250,23 +250,23 @@
 
 /// What one VM reads about one upstream, in any order.
 #[derive(Clone, Debug)]
-enum Word {
+enum Observation {
     /// An entry of its n-th process, possibly late, and whether it is leaving.
     Entry(u64, bool),
     /// A load report of its n-th process.
     Report(u64),
     /// An entry of an unrelated upstream at its address.
-    Foreign,
+    Unrelated,
     /// A complete read of the table that contains its n-th process, and whether it is leaving.
     Table(u64, bool),
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn observation() -> impl Strategy<Value = Observation> {
     prop_oneof![
-        (0_u64..4, any::<bool>()).prop_map(|(n, leaving)| Word::Entry(n, leaving)),
-        (0_u64..4).prop_map(Word::Report),
-        prop::strategy::Just(Word::Foreign),
-        (0_u64..4, any::<bool>()).prop_map(|(n, leaving)| Word::Table(n, leaving)),
+        (0_u64..4, any::<bool>()).prop_map(|(n, leaving)| Observation::Entry(n, leaving)),
+        (0_u64..4).prop_map(Observation::Report),
+        prop::strategy::Just(Observation::Unrelated),
+        (0_u64..4, any::<bool>()).prop_map(|(n, leaving)| Observation::Table(n, leaving)),
     ]
 }
 
@@ -274,10 +274,10 @@
     /// In whatever order reads and reports arrive, an upstream whose newest known process was reported as
     /// leaving gets no calls, and one whose newest process never was gets them after its next own response.
     #[test]
-    fn only_the_newest_process_counts(words in prop::collection::vec(word(), 1..30)) {
+    fn only_the_newest_process_counts(observations in prop::collection::vec(observation(), 1..30)) {
         let mut directory = UpstreamDirectory::default();
         let (mut newest, mut leaving) = (None, false);
-        let mut hear = |n: u64, says_leaving: bool| {
+        let mut observe = |n: u64, says_leaving: bool| {
             if newest < Some(n) {
                 (newest, leaving) = (Some(n), false);
             }
@@ -285,29 +285,29 @@
             (newest, leaving)
         };
         let mut expected = (None, false);
-        for word in words {
-            match word {
-                Word::Entry(n, says_leaving) => {
-                    directory.heard(born("u1", 1, n, says_leaving));
-                    expected = hear(n, says_leaving);
+        for observation in observations {
+            match observation {
+                Observation::Entry(n, says_leaving) => {
+                    directory.apply_entry(born("u1", 1, n, says_leaving));
+                    expected = observe(n, says_leaving);
                 }
-                Word::Table(n, says_leaving) => {
-                    directory.snapshot(vec![born("u1", 1, n, says_leaving)], at(0));
-                    expected = hear(n, says_leaving);
+                Observation::Table(n, says_leaving) => {
+                    directory.apply_snapshot(vec![born("u1", 1, n, says_leaving)], at(0));
+                    expected = observe(n, says_leaving);
                 }
-                Word::Report(n) => {
-                    directory.started(&"u1".parse().unwrap(), Born(n), at(0));
+                Observation::Report(n) => {
+                    directory.record_start(&"u1".parse().unwrap(), Born(n), at(0));
                     if expected.0.is_some() {
-                        expected = hear(n, false);
+                        expected = observe(n, false);
                     }
                 }
-                Word::Foreign => {
-                    directory.heard(entry("foreign", 1, false));
+                Observation::Unrelated => {
+                    directory.apply_entry(entry("foreign", 1, false));
                 }
             }
         }
         let Some(newest) = expected.0 else { return Ok(()) };
-        directory.answered(&incarnation("u1", newest));
+        directory.record_response(&incarnation("u1", newest));
         let usable = usable(&directory, at(0)).contains(&format!("u1@{newest}"));
         prop_assert_eq!(usable, !expected.1);
     }
@@ -318,12 +318,12 @@
 #[gtest]
 fn upstream_that_moved_is_not_replaced_at_its_old_address() {
     let mut directory = UpstreamDirectory::default();
-    directory.snapshot(vec![entry("u1", 1, false)], at(0));
-    directory.heard(entry("u1", 2, false));
+    directory.apply_snapshot(vec![entry("u1", 1, false)], at(0));
+    directory.apply_entry(entry("u1", 2, false));
 
-    directory.heard(entry("u2", 1, false));
+    directory.apply_entry(entry("u2", 1, false));
     let apart = usable(&directory, at(0));
-    directory.heard(entry("u3", 2, false));
+    directory.apply_entry(entry("u3", 2, false));
 
     expect_that!(apart, eq(&["u1", "u2"]));
     expect_that!(usable(&directory, at(0)), eq(&["u2", "u3"]));
@@ -335,10 +335,10 @@
 #[gtest]
 fn listed_upstream_replaces_a_lapsed_one_at_its_address() {
     let mut directory = UpstreamDirectory::default();
-    directory.snapshot(vec![entry("u1", 1, false), entry("u2", 2, false)], at(0));
-    directory.platform_lost();
+    directory.apply_snapshot(vec![entry("u1", 1, false), entry("u2", 2, false)], at(0));
+    directory.record_platform_outage();
 
-    directory.snapshot(vec![entry("u3", 1, false)], at(5000));
+    directory.apply_snapshot(vec![entry("u3", 1, false)], at(5000));
 
     expect_that!(usable(&directory, at(5001)), eq(&["u2", "u3"]));
 }
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -17,52 +17,52 @@
 
 /// Many calls wait at a silent upstream. It is probed once, not once for each of them.
 #[gtest]
-fn silent_upstream_is_asked_once() {
+fn silent_upstream_is_probed_once() {
     let mut health = UpstreamHealth::new(at(0));
     for _ in 0..50 {
-        health.sent(at(1000));
+        health.call_started(at(1000));
     }
     let silent = at(1000).after(SILENCE);
 
-    let asked = [
-        health.probe_due(at(1100)),
-        health.probe_due(silent),
-        health.probe_due(silent.after(SILENCE)),
+    let probed = [
+        health.start_probe_if_due(at(1100)),
+        health.start_probe_if_due(silent),
+        health.start_probe_if_due(silent.after(SILENCE)),
     ];
 
-    expect_that!(asked, eq([false, true, false]));
+    expect_that!(probed, eq([false, true, false]));
 }
 
 /// No call is in flight to an upstream, so its silence means nothing.
 #[gtest]
-fn idle_upstream_is_not_asked() {
+fn idle_upstream_is_not_probed() {
     let mut health = UpstreamHealth::new(at(0));
-    health.sent(at(10));
-    health.ended();
+    health.call_started(at(10));
+    health.call_ended();
 
-    let asked = health.probe_due(at(60_000));
+    let probed = health.start_probe_if_due(at(60_000));
 
-    expect_that!(asked, eq(false));
+    expect_that!(probed, eq(false));
 }
 
 /// An upstream does not respond. It is probed at growing intervals, and is trusted again as soon as
 /// anything comes from it.
 #[gtest]
-fn suspect_is_asked_ever_more_rarely() {
+fn suspect_is_probed_with_backoff() {
     let mut health = UpstreamHealth::new(at(0));
-    let mut asked = Vec::new();
-    health.doubt(at(0));
+    let mut probe_times = Vec::new();
+    health.record_failure(at(0));
     for ms in (0..8000).step_by(50) {
-        if health.probe_due(at(ms)) {
-            asked.push(ms);
-            health.probed();
-            health.doubt(at(ms));
+        if health.start_probe_if_due(at(ms)) {
+            probe_times.push(ms);
+            health.probe_ended();
+            health.record_failure(at(ms));
         }
     }
     let suspect = health.is_suspect();
-    health.heard(at(8000));
+    health.record_activity(at(8000));
 
-    expect_that!(asked, eq(&[400, 1200, 2800, 4400, 6000, 7600]));
+    expect_that!(probe_times, eq(&[400, 1200, 2800, 4400, 6000, 7600]));
     expect_that!(suspect, eq(true));
     expect_that!(health.is_suspect(), eq(false));
 }
@@ -74,9 +74,11 @@
     let zone: AvailabilityZone = "a".parse().unwrap();
     let mut alarm = ZoneAlarm::default();
 
-    let one = (0..5).any(|n| alarm.lost(&zone, &id("u1"), at(100 * n)));
-    let apart = alarm.lost(&zone, &id("u2"), at(1500)) || alarm.lost(&zone, &id("u3"), at(2200));
-    let together = alarm.lost(&zone, &id("u4"), at(2300)) || alarm.lost(&zone, &id("u5"), at(2400));
+    let one = (0..5).any(|n| alarm.record_loss(&zone, &id("u1"), at(100 * n)));
+    let apart = alarm.record_loss(&zone, &id("u2"), at(1500))
+        || alarm.record_loss(&zone, &id("u3"), at(2200));
+    let together = alarm.record_loss(&zone, &id("u4"), at(2300))
+        || alarm.record_loss(&zone, &id("u5"), at(2400));
 
     expect_that!((one, apart, together), eq((false, false, true)));
     expect_that!(alarm.is_suspect(&zone, at(2500)), eq(true));
@@ -87,7 +89,7 @@
 /// A call crashes each upstream that runs it, and its caller retries it on any VM. After three upstreams
 /// have crashed it is rejected, whichever VM observed the crashes.
 #[gtest]
-fn body_is_refused_after_three_upstreams_died_under_it() {
+fn call_is_rejected_after_three_crashes() {
     let mut tally = CrashTally::default();
     let crash = |upstream: &str| Crash {
         digest: 7,
@@ -96,25 +98,25 @@
         cleared: false,
     };
 
-    tally.crashed(crash("u1"));
-    tally.crashed(crash("u2"));
-    let heard_twice = tally.crashed(crash("u2"));
-    let two = tally.refuses(7, at(10));
-    tally.crashed(crash("u3"));
+    tally.record_crash(crash("u1"));
+    tally.record_crash(crash("u2"));
+    let repeated_is_new = tally.record_crash(crash("u2"));
+    let rejected_after_two = tally.is_rejected(7, at(10));
+    tally.record_crash(crash("u3"));
 
-    expect_that!(heard_twice, eq(false));
-    expect_that!(two, eq(false));
-    expect_that!(tally.refuses(7, at(10)), eq(true));
-    expect_that!(tally.refuses(8, at(10)), eq(false));
+    expect_that!(repeated_is_new, eq(false));
+    expect_that!(rejected_after_two, eq(false));
+    expect_that!(tally.is_rejected(7, at(10)), eq(true));
+    expect_that!(tally.is_rejected(8, at(10)), eq(false));
 }
 
 /// A call's upstreams crashed in zone after zone by coincidence, and then it received a complete response.
 /// It is cleared and may be sent again.
 #[gtest]
-fn delivered_body_is_innocent() {
+fn completed_call_is_cleared() {
     let mut tally = CrashTally::default();
     for upstream in ["u1", "u2", "u3"] {
-        tally.crashed(Crash {
+        tally.record_crash(Crash {
             digest: 7,
             upstream: id(upstream),
             at: at(0),
@@ -122,7 +124,7 @@
         });
     }
 
-    tally.delivered(7);
+    tally.record_complete_response(7);
 
-    expect_that!(tally.refuses(7, at(10)), eq(false));
+    expect_that!(tally.is_rejected(7, at(10)), eq(false));
 }
--- a/crates/decisions/tests/wake_detector.rs
+++ b/crates/decisions/tests/wake_detector.rs
@@ -9,14 +9,14 @@
 }
 
 /// Gaps reported for readings of the steady clock and of the clock that counts from boot, in milliseconds.
-fn gaps(looks: &[(u64, u64)]) -> Vec<Option<Duration>> {
+fn gaps(readings: &[(u64, u64)]) -> Vec<Option<Duration>> {
     let mut detector = WakeDetector::default();
-    let look = |(steady, boot): &(u64, u64)| detector.look(Instant(ms(*steady)), ms(*boot));
-    looks.iter().map(look).collect()
+    let reading = |(steady, boot): &(u64, u64)| detector.check(Instant(ms(*steady)), ms(*boot));
+    readings.iter().map(reading).collect()
 }
 
 #[gtest]
-fn looks_that_are_a_little_late_are_no_gap() {
+fn slightly_late_readings_are_no_gap() {
     let gaps = gaps(&[(1000, 5000), (1050, 5050), (1200, 5200)]);
 
     expect_that!(gaps, each(none()));
@@ -24,7 +24,7 @@
 
 /// A process is stopped by a signal and continues later.
 #[gtest]
-fn a_stopped_process_notices() {
+fn stopped_process_reports_a_gap() {
     let gaps = gaps(&[(1000, 5000), (3000, 7000), (3050, 7050)]);
 
     expect_that!(gaps, eq(&vec![None, Some(ms(2000)), None]));
@@ -32,7 +32,7 @@
 
 /// A VM is suspended. Its steady clock does not count that time, so no time-out seems to have passed.
 #[gtest]
-fn a_suspended_vm_notices() {
+fn suspended_vm_reports_a_gap() {
     let gaps = gaps(&[(1000, 5000), (1050, 9050), (1100, 9100)]);
 
     expect_that!(gaps, eq(&vec![None, Some(ms(4050)), None]));
--- a/crates/decisions/tests/whole_read.rs
+++ b/crates/decisions/tests/whole_read.rs
@@ -40,16 +40,16 @@
         before = directory.comparisons();
         made
     };
-    directory.snapshot(table(count, 1), at(0));
+    directory.apply_snapshot(table(count, 1), at(0));
     let first = step(&directory);
-    directory.snapshot(table(count, 1), at(1000));
+    directory.apply_snapshot(table(count, 1), at(1000));
     let same = step(&directory);
-    directory.snapshot(table(count, 2), at(2000));
+    directory.apply_snapshot(table(count, 2), at(2000));
     let restarted = step(&directory);
-    directory.snapshot(table(2 * count, 2).split_off(count as usize), at(3000));
+    directory.apply_snapshot(table(2 * count, 2).split_off(count as usize), at(3000));
     let others = step(&directory);
     for entry in table(count, 3) {
-        directory.heard(entry);
+        directory.apply_entry(entry);
     }
     [first, same, restarted, others, step(&directory)]
 }
@@ -62,7 +62,7 @@
 /// entry, a VM with an eighth of a core stalls for seconds in front of 900 of them, and its callers give
 /// up. From 150 entries to 3,000, the work may grow no faster than that of sorting them.
 #[gtest]
-fn work_of_a_whole_read_grows_like_that_of_sorting() {
+fn cost_of_a_complete_read_grows_like_sorting() {
     let few = comparisons(150);
 
     let many = comparisons(3000);
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -49,14 +49,16 @@
 /// A VM that has read engines 1 to 3 at version 10.
 fn table() -> UpstreamTable {
     let mut table = UpstreamTable::default();
-    table.read(&[1, 2, 3].map(|n| entry(n, false)), true, 10);
+    table.apply_read(&[1, 2, 3].map(|n| entry(n, false)), true, 10);
     table
 }
 
 /// What a VM tells that has read `changes` up to `version` after the same beginning.
 fn news(changes: &[UpstreamChange], version: u64) -> ZoneGossip {
     let mut table = table();
-    let changes = table.read(&written(version, changes), false, version).news;
+    let changes = table
+        .apply_read(&written(version, changes), false, version)
+        .changed;
     ZoneGossip {
         vm: "vm-1".into(),
         config: Some(ConfigVersion(1)),
@@ -73,7 +75,7 @@
 fn after(taken: &[(u64, ZoneGossip)], now: Instant) -> (UpstreamTable, GossipState) {
     let (mut table, mut heard) = (table(), GossipView::default());
     for (ms, gossip) in taken {
-        table.told(&gossip.changes, gossip.version, gossip.digest);
+        table.apply_update(&gossip.changes, gossip.version, gossip.digest);
         heard.take(gossip, &table, at(*ms));
     }
     (table, heard.state(GOSSIP_AGE, now))
@@ -87,9 +89,9 @@
 
     let rows = written(11, &[entry(1, false), entry(2, true)]);
 
-    let read = table.read(&rows, false, 11);
+    let read = table.apply_read(&rows, false, 11);
 
-    expect_that!(read.news, eq(&written(11, &[entry(2, true)])));
+    expect_that!(read.changed, eq(&written(11, &[entry(2, true)])));
     expect_that!(read.current, eq(&rows));
 }
 
@@ -188,14 +190,14 @@
 #[gtest]
 fn an_upstream_that_has_gone_is_not_brought_back_by_late_words() {
     let mut table = table();
-    table.read(&written(12, &[removed(2)]), false, 12);
+    table.apply_read(&written(12, &[removed(2)]), false, 12);
     let before = table.digest();
     let (present, gone) = (written(11, &[entry(2, true)]), written(12, &[removed(2)]));
 
     for late in [&gone, &present] {
-        table.told(late, 13, before);
+        table.apply_update(late, 13, before);
     }
-    table.read(&written(14, &[entry(1, false)]), false, 14);
+    table.apply_read(&written(14, &[entry(1, false)]), false, 14);
 
     expect_that!(table.digest(), eq(before));
 }
@@ -207,9 +209,9 @@
     let (present, gone) = (written(11, &[entry(4, false)]), written(12, &[removed(4)]));
 
     for late in [&gone, &present] {
-        table.told(late, 13, 0);
+        table.apply_update(late, 13, 0);
     }
-    table.read(&[], false, 13);
+    table.apply_read(&[], false, 13);
 
     expect_that!(table.entries().len(), eq(3));
 }
@@ -219,10 +221,10 @@
 fn a_removal_is_remembered_until_the_table_is_known_beyond_it() {
     let mut table = table();
     let (present, gone) = (written(13, &[entry(2, true)]), written(14, &[removed(2)]));
-    table.told(&gone, 15, 0);
+    table.apply_update(&gone, 15, 0);
 
-    table.read(&[], false, 11);
-    table.told(&present, 15, 0);
+    table.apply_read(&[], false, 11);
+    table.apply_update(&present, 15, 0);
 
     expect_that!(table.entries().len(), eq(2));
 }
@@ -232,16 +234,16 @@
 #[gtest]
 fn rows_of_a_page_that_are_known_better_are_no_news() {
     let mut table = table();
-    table.read(&written(12, &[removed(2)]), false, 12);
+    table.apply_read(&written(12, &[removed(2)]), false, 12);
     let page = [
         written(11, &[entry(2, true)]),
         written(12, &[removed(2)]),
         written(13, &[entry(3, true)]),
     ];
 
-    let read = table.read(&page.concat(), false, 13);
+    let read = table.apply_read(&page.concat(), false, 13);
 
-    expect_that!(read.news, eq(&written(13, &[entry(3, true)])));
+    expect_that!(read.changed, eq(&written(13, &[entry(3, true)])));
     expect_that!(table.entries().len(), eq(2));
 }
 
@@ -251,14 +253,14 @@
     for whole in [false, true] {
         let mut table = table();
         let newer = news(&[entry(2, true), removed(3)], 12);
-        table.told(&newer.changes, newer.version, newer.digest);
+        table.apply_update(&newer.changes, newer.version, newer.digest);
 
         let page = written(11, &[entry(1, false), entry(2, false), entry(3, false)]);
-        let read = table.read(&page, whole, 11);
+        let read = table.apply_read(&page, whole, 11);
 
         expect_that!(table.digest(), eq(newer.digest), "whole: {whole}");
         expect_that!(table.version(), eq(12));
-        expect_that!(read.news, is_empty());
+        expect_that!(read.changed, is_empty());
     }
 }
 
@@ -335,14 +337,14 @@
                     } else {
                         store.rows(known, version)
                     };
-                    *told = table.read(&rows, whole, version as u64).news;
+                    *told = table.apply_read(&rows, whole, version as u64).changed;
                 }
                 Step::Hear(vm, from, order) => {
                     let (table, told) = vms[from].clone();
                     for piece in order {
                         let piece = told.iter().skip(usize::from(piece)).take(1);
                         let piece = piece.cloned().collect::<Vec<_>>();
-                        vms[vm].0.told(&piece, table.version(), table.digest());
+                        vms[vm].0.apply_update(&piece, table.version(), table.digest());
                     }
                 }
             }
@@ -350,7 +352,7 @@
         let version = store.0.len();
         for (table, _) in &mut vms {
             let known = usize::try_from(table.version()).unwrap();
-            table.read(&store.rows(known, version), false, version as u64);
+            table.apply_read(&store.rows(known, version), false, version as u64);
             let mut rows = store.whole(version);
             rows.sort_by(|a, b| a.key.cmp(&b.key));
             let entries = |rows: Vec<UpstreamChange>| {
@@ -372,8 +374,8 @@
                 1 => entry(n, false),
                 _ => entry(n, true),
             };
-            let read = reader.read(&written(version, &[change]), false, version);
-            told.told(&read.news, version, reader.digest());
+            let read = reader.apply_read(&written(version, &[change]), false, version);
+            told.apply_update(&read.changed, version, reader.digest());
             prop_assert!(!told.is_behind(version, reader.digest()));
         }
         prop_assert_eq!(told.digest(), reader.digest());
