--- a/crates/decisions/src/suspicion.rs
+++ b/crates/decisions/src/suspicion.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Suspicion {
     failures: u32,
-    last: Instant,
+    last_failure: Instant,
 }
 
 impl Suspicion {
@@ -38,7 +38,7 @@
         } else if now >= ejected_until {
             self.failures += 1;
         }
-        self.last = now;
+        self.last_failure = now;
     }
 
     /// Fraction of its capacity with which the upstream counts, from 0 (ejected) to 1.
@@ -55,7 +55,7 @@
         let ejection = FIRST_EJECTION
             .saturating_mul(1 << doublings)
             .min(MAX_EJECTION);
-        self.last.after(ejection)
+        self.last_failure.after(ejection)
     }
 }
 
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -45,8 +45,8 @@
 }
 
 impl UpstreamEvidence {
-    /// Records a load report that was requested at `asked`. Its evidence dates from then: an upstream that
-    /// was paused may respond long after the request.
+    /// Records a load report that was requested at `requested_at`. Its evidence dates from then: an
+    /// upstream that was paused may respond long after the request.
     ///
     /// Returns the former incarnation if this is the first report of another one; the former process is
     /// then gone.
@@ -54,7 +54,7 @@
         &mut self,
         incarnation: Incarnation,
         leaving: bool,
-        asked: Instant,
+        requested_at: Instant,
     ) -> Option<Incarnation> {
         if self.replaced.contains(&incarnation) {
             return None;
@@ -63,15 +63,15 @@
             self.record_leaving(incarnation, LeavingSource::Report);
         }
         if self.current == Some(incarnation) {
-            self.last_seen = self.last_seen.max(asked);
+            self.last_seen = self.last_seen.max(requested_at);
             return None;
         }
         let former = self.current.replace(incarnation);
         if let Some(former) = former {
             push_bounded(&mut self.replaced, former);
         }
-        self.since = asked;
-        self.last_seen = asked;
+        self.since = requested_at;
+        self.last_seen = requested_at;
         former
     }
 
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -58,14 +58,14 @@
     /// Records a load report. Returns the former incarnation if the report shows that it was replaced.
     pub fn record_report(
         &mut self,
-        asked: AskedReport,
+        request: AskedReport,
         report: UpstreamReport,
     ) -> Option<Incarnation> {
         let former = self
             .evidence
-            .record_report(report.incarnation, report.leaving, asked.at);
+            .record_report(report.incarnation, report.leaving, request.at);
         if self.evidence.incarnation() == Some(report.incarnation) {
-            self.own_requests_in_report = asked.own_requests;
+            self.own_requests_in_report = request.own_requests;
             self.report = report;
         }
         former
--- a/crates/decisions/tests/crash_tally.rs
+++ b/crates/decisions/tests/crash_tally.rs
@@ -24,12 +24,12 @@
     }
 }
 
-fn tally(crashes: impl IntoIterator<Item = Crash>) -> CrashTally {
-    let mut tally = CrashTally::default();
+fn tracker(crashes: impl IntoIterator<Item = Crash>) -> CrashTally {
+    let mut tracker = CrashTally::default();
     for crash in crashes {
-        tally.record_crash(crash);
+        tracker.record_crash(crash);
     }
-    tally
+    tracker
 }
 
 /// Sends crashes from one VM to another, as a heartbeat does.
@@ -45,8 +45,8 @@
 #[gtest]
 fn third_crash_rejects_the_call() {
     let rejected = [2, 3].map(|n| {
-        let tally = tally((0..n).map(|n| crash(CRASHING, n, 0)));
-        tally.is_rejected(CRASHING, at(1))
+        let tracker = tracker((0..n).map(|n| crash(CRASHING, n, 0)));
+        tracker.is_rejected(CRASHING, at(1))
     });
 
     expect_that!(rejected, eq([false, true]));
@@ -57,7 +57,7 @@
 /// VM three engines.
 #[gtest]
 fn every_crash_is_sent_eventually() {
-    let mut local = tally((0..40).map(|n| crash(n, n % 5, 0)));
+    let mut local = tracker((0..40).map(|n| crash(n, n % 5, 0)));
     let mut peer = CrashTally::default();
 
     for _ in 0..4 {
@@ -72,7 +72,7 @@
 /// another VM received and sends back must not cause the call to be rejected when its caller repeats it.
 #[gtest]
 fn completed_call_is_not_rejected_for_crashes_sent_back() {
-    let mut local = tally((0..3).map(|n| crash(HARMLESS, n, 0)));
+    let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
     let mut peer = CrashTally::default();
     send_crashes(&mut local, &mut peer, 0);
     local.record_complete_response(HARMLESS);
@@ -85,7 +85,7 @@
 /// The other VM learns that the call received a response, and serves it as well.
 #[gtest]
 fn peers_learn_that_a_call_completed() {
-    let mut local = tally((0..3).map(|n| crash(HARMLESS, n, 0)));
+    let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
     let mut peer = CrashTally::default();
     send_crashes(&mut local, &mut peer, 0);
     let before = peer.is_rejected(HARMLESS, at(1));
@@ -100,14 +100,14 @@
 /// A crash after a complete response counts like any other.
 #[gtest]
 fn crashes_after_a_complete_response_count() {
-    let mut tally = tally((0..2).map(|n| crash(CRASHING, n, 0)));
-    tally.record_complete_response(CRASHING);
+    let mut tracker = tracker((0..2).map(|n| crash(CRASHING, n, 0)));
+    tracker.record_complete_response(CRASHING);
 
     for n in 2..5 {
-        tally.record_crash(crash(CRASHING, n, 1));
+        tracker.record_crash(crash(CRASHING, n, 1));
     }
 
-    expect_that!(tally.is_rejected(CRASHING, at(2)), eq(true));
+    expect_that!(tracker.is_rejected(CRASHING, at(2)), eq(true));
 }
 
 /// A stream ran beside the call that crashes engines when the third of them crashed, and has lost two more
@@ -118,10 +118,10 @@
     let crashing = (0..3).map(|n| crash(CRASHING, n, n));
     let beside = [(2, 2), (3, 4), (4, 5)].map(|(n, seconds)| crash(HARMLESS, n, seconds));
 
-    let tally = tally(crashing.chain(beside));
+    let tracker = tracker(crashing.chain(beside));
 
-    expect_that!(tally.is_rejected(CRASHING, at(6)), eq(true));
-    expect_that!(tally.is_rejected(HARMLESS, at(6)), eq(false));
+    expect_that!(tracker.is_rejected(CRASHING, at(6)), eq(true));
+    expect_that!(tracker.is_rejected(HARMLESS, at(6)), eq(false));
 }
 
 /// Two calls under which the same engines crashed cannot be distinguished.
@@ -129,8 +129,8 @@
 fn calls_with_the_same_crashes_are_both_rejected() {
     let both = [CRASHING, HARMLESS].map(|digest| (0..3).map(move |n| crash(digest, n, n)));
 
-    let tally = tally(both.into_iter().flatten());
+    let tracker = tracker(both.into_iter().flatten());
 
-    let rejected = [CRASHING, HARMLESS].map(|digest| tally.is_rejected(digest, at(4)));
+    let rejected = [CRASHING, HARMLESS].map(|digest| tracker.is_rejected(digest, at(4)));
     expect_that!(rejected, eq([true, true]));
 }
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -123,7 +123,7 @@
 }
 
 /// Entry of an upstream that reports when it started.
-fn born(id: &str, port: u16, born: u64, leaving: bool) -> UpstreamEntry {
+fn entry_started_at(id: &str, port: u16, born: u64, leaving: bool) -> UpstreamEntry {
     UpstreamEntry {
         id: incarnation(id, born),
         ..entry(id, port, leaving)
@@ -135,9 +135,9 @@
 #[gtest]
 fn upstream_that_drained_and_started_again_is_usable() {
     let mut directory = UpstreamDirectory::default();
-    directory.apply_entry(born("u1", 1, 1000, true));
+    directory.apply_entry(entry_started_at("u1", 1, 1000, true));
 
-    let changes = directory.apply_entry(born("u1", 1, 5000, false));
+    let changes = directory.apply_entry(entry_started_at("u1", 1, 5000, false));
 
     let superseded = (incarnation("u1", 1000), Presence::Superseded);
     expect_that!(changes, contains(eq(&superseded)));
@@ -149,9 +149,9 @@
 #[gtest]
 fn late_entry_of_an_earlier_process_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.apply_entry(born("u1", 1, 5000, true));
+    directory.apply_entry(entry_started_at("u1", 1, 5000, true));
 
-    let changes = directory.apply_entry(born("u1", 1, 1000, false));
+    let changes = directory.apply_entry(entry_started_at("u1", 1, 1000, false));
 
     expect_that!(changes, is_empty());
     expect_that!(usable(&directory, at(0)), is_empty());
@@ -161,7 +161,7 @@
 #[gtest]
 fn entry_without_a_start_time_applies_to_the_newest_process() {
     let mut directory = UpstreamDirectory::default();
-    directory.apply_entry(born("u1", 1, 5000, true));
+    directory.apply_entry(entry_started_at("u1", 1, 5000, true));
 
     directory.apply_entry(entry("u1", 1, false));
 
@@ -173,7 +173,7 @@
 #[gtest]
 fn report_of_a_later_process_supersedes_the_earlier() {
     let mut directory = UpstreamDirectory::default();
-    directory.apply_entry(born("u1", 1, 1000, false));
+    directory.apply_entry(entry_started_at("u1", 1, 1000, false));
 
     let changes = directory.record_start(&"u1".parse().unwrap(), Born(5000), at(0));
     let again = directory.record_start(&"u1".parse().unwrap(), Born(5000), at(0));
@@ -288,11 +288,11 @@
         for observation in observations {
             match observation {
                 Observation::Entry(n, says_leaving) => {
-                    directory.apply_entry(born("u1", 1, n, says_leaving));
+                    directory.apply_entry(entry_started_at("u1", 1, n, says_leaving));
                     expected = observe(n, says_leaving);
                 }
                 Observation::Table(n, says_leaving) => {
-                    directory.apply_snapshot(vec![born("u1", 1, n, says_leaving)], at(0));
+                    directory.apply_snapshot(vec![entry_started_at("u1", 1, n, says_leaving)], at(0));
                     expected = observe(n, says_leaving);
                 }
                 Observation::Report(n) => {
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -90,7 +90,7 @@
 /// have crashed it is rejected, whichever VM observed the crashes.
 #[gtest]
 fn call_is_rejected_after_three_crashes() {
-    let mut tally = CrashTally::default();
+    let mut tracker = CrashTally::default();
     let crash = |upstream: &str| Crash {
         digest: 7,
         upstream: id(upstream),
@@ -98,25 +98,25 @@
         cleared: false,
     };
 
-    tally.record_crash(crash("u1"));
-    tally.record_crash(crash("u2"));
-    let repeated_is_new = tally.record_crash(crash("u2"));
-    let rejected_after_two = tally.is_rejected(7, at(10));
-    tally.record_crash(crash("u3"));
+    tracker.record_crash(crash("u1"));
+    tracker.record_crash(crash("u2"));
+    let repeated_is_new = tracker.record_crash(crash("u2"));
+    let rejected_after_two = tracker.is_rejected(7, at(10));
+    tracker.record_crash(crash("u3"));
 
     expect_that!(repeated_is_new, eq(false));
     expect_that!(rejected_after_two, eq(false));
-    expect_that!(tally.is_rejected(7, at(10)), eq(true));
-    expect_that!(tally.is_rejected(8, at(10)), eq(false));
+    expect_that!(tracker.is_rejected(7, at(10)), eq(true));
+    expect_that!(tracker.is_rejected(8, at(10)), eq(false));
 }
 
 /// A call's upstreams crashed in zone after zone by coincidence, and then it received a complete response.
 /// It is cleared and may be sent again.
 #[gtest]
 fn completed_call_is_cleared() {
-    let mut tally = CrashTally::default();
+    let mut tracker = CrashTally::default();
     for upstream in ["u1", "u2", "u3"] {
-        tally.record_crash(Crash {
+        tracker.record_crash(Crash {
             digest: 7,
             upstream: id(upstream),
             at: at(0),
@@ -124,7 +124,7 @@
         });
     }
 
-    tally.record_complete_response(7);
+    tracker.record_complete_response(7);
 
-    expect_that!(tally.is_rejected(7, at(10)), eq(false));
+    expect_that!(tracker.is_rejected(7, at(10)), eq(false));
 }
