--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -108,7 +108,7 @@
         share: CapacityShare,
     ) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.reported(report, share);
+            self.upstreams[i].1.record_report(report, share);
         }
     }
 
@@ -125,7 +125,7 @@
     ) -> Result<QueuePlace, NotRun<T>> {
         let lane = arrival.lane;
         for (_, slots) in &mut self.upstreams {
-            slots.note_arrival(now, lane);
+            slots.record_arrival(now, lane);
         }
         let latest = match self.check(now, arrival) {
             Ok(latest) => latest,
@@ -135,7 +135,7 @@
         let ticket = queue.push(arrival, latest, request);
         if lane == Lane::Quick && queue.queue.is_below_share(ticket) {
             for (_, slots) in &mut self.upstreams {
-                slots.note_light(now);
+                slots.record_below_share(now);
             }
         }
         Ok(QueuePlace { lane, ticket })
@@ -175,7 +175,7 @@
     pub fn full_upstreams(&self, now: Instant, lane: Lane) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
-            .filter(|(_, slots)| !slots.has_room(now, lane))
+            .filter(|(_, slots)| !slots.has_free_slot(now, lane))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -184,7 +184,7 @@
     #[must_use]
     pub fn has_room(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
         self.find(upstream)
-            .is_ok_and(|i| self.upstreams[i].1.has_room(now, lane))
+            .is_ok_and(|i| self.upstreams[i].1.has_free_slot(now, lane))
     }
 
     /// Dequeues the next request of a lane and takes a slot of `upstream` for it.
@@ -248,7 +248,7 @@
     fn without_extra_slots(&self) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
-            .filter(|(_, slots)| !slots.has_extra_room())
+            .filter(|(_, slots)| !slots.has_extra_slot())
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -262,13 +262,13 @@
             self.upstreams.insert(i, (upstream.clone(), slots));
             i
         });
-        self.upstreams[i].1.enter(now, lane);
+        self.upstreams[i].1.acquire(now, lane);
     }
 
     /// Releases a slot; `held` is how long an answered request occupied it, `None` if unanswered.
     pub fn release_slot(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.leave(lane);
+            self.upstreams[i].1.release(lane);
         }
         if let Some(held) = held {
             self.lanes[lane.index()].service_time.observe(held);
@@ -278,14 +278,14 @@
     /// Records the latency until the first part of an answer.
     pub fn record_latency(&mut self, upstream: &UpstreamId, latency: Duration) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.answered(latency);
+            self.upstreams[i].1.record_latency(latency);
         }
     }
 
     /// Records that an upstream refused a request because it is full, or did not answer in time.
     pub fn record_overload(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.find(upstream) {
-            self.upstreams[i].1.overloaded();
+            self.upstreams[i].1.record_overload();
         }
     }
 
@@ -336,7 +336,7 @@
         let lane = &self.lanes[arrival.lane.index()];
         let shares = self.upstreams.iter();
         let slots = shares
-            .map(|(_, slots)| slots.share(now, arrival.lane))
+            .map(|(_, slots)| slots.lane_limit(now, arrival.lane))
             .sum();
         if lane.queue.is_empty() && self.has_free_slot(now, arrival.lane) {
             return Duration::ZERO;
@@ -361,7 +361,7 @@
     fn has_free_slot(&self, now: Instant, lane: Lane) -> bool {
         self.upstreams
             .iter()
-            .any(|(_, slots)| slots.has_room(now, lane))
+            .any(|(_, slots)| slots.has_free_slot(now, lane))
     }
 
     fn find(&self, id: &UpstreamId) -> Result<usize, usize> {
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -1,54 +1,53 @@
-//! Which upstreams there are, from entries that the platform keeps of them.
+//! Directory of the known upstreams, built from the entries that the platform stores for them.
 //!
-//! An entry that says "leaving" is believed for as long as that incarnation is known. An entry that
-//! is removed means that the upstream is gone, with one exception: entries lapse while the platform
-//! itself is away, although their upstreams live, and come back within [`LAPSE_GRACE`] of its return.
-//! Without that exception an outage of the platform would end with no upstream at all, seen as
-//! refusals of everything.
+//! An entry that says "leaving" applies for as long as that incarnation is known. A removed entry means
+//! that the upstream is gone, with one exception: during an outage of the platform, entries expire although
+//! their upstreams are alive, and return within [`LAPSE_GRACE`] of the platform's return. Without that
+//! exception an outage would end with no upstreams at all, and every call would be refused.
 //!
-//! An upstream that starts again under its id is a new incarnation: the earlier one is superseded for good,
-//! and an entry of the earlier one that is read late is left out. By the same rule an upstream whose clock
-//! stepped back between two starts, by more than the first of them lasted, gets no call until its entry is removed
-//! or it starts once more; to believe it would let a late entry bring back what has left.
+//! An upstream that restarts under its id is a new incarnation: it supersedes the earlier one permanently,
+//! and an entry of the earlier one that arrives late is ignored. By the same rule, an upstream whose clock
+//! stepped back between two starts, by more than the first process lived, gets no calls until its entry is
+//! removed or it restarts again. Accepting it would let a late entry restore an upstream that has left.
 //!
-//! Restart reports of other VMs carry no row, so an upstream that is known by a report alone is dropped unless
-//! its row is read within [`LAPSE_GRACE`] of the platform's return. Stale restart reports of removed upstreams are
-//! ignored, also where the upstream was never known here.
+//! Restart reports of other VMs carry no row, so an upstream that is known only from a report is dropped
+//! unless its row is read within [`LAPSE_GRACE`] of the platform's return. Stale restart reports of removed
+//! upstreams are ignored, even if the upstream was never known here.
 //!
-//! Two entries may show one address. Mostly the upstream at it crashed and started anew under another id, so the
-//! entry that is heard last replaces the other. But it may also be a foreign one, so that is not for good:
-//! an answer of the replaced upstream brings it back, and an upstream that answers for another id at
-//! its address is denied until its entry changes.
+//! Two entries may have the same address. Usually the upstream there crashed and restarted under another
+//! id, so the entry that arrives last replaces the other. The entry may also belong to an unrelated
+//! upstream, so a replacement is not final: a response of the replaced upstream restores it, and an
+//! upstream at whose address another id responds is denied until its entry changes.
 
 use super::*;
 
-/// Time after the platform's return within which entries that lapsed meanwhile come back; the
+/// Time after the platform's return within which entries that expired during the outage return; the
 /// platform promises about two seconds.
 pub const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// How long an upstream that is gone is remembered: longer than any entry is read late. Its id may come back
-/// afterwards, also where nobody says when a process started.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// How long a removed upstream is remembered: longer than any entry is delayed. Afterwards its id may be
+/// used again, also by upstreams that do not report when they started.
+const REMOVED_RETENTION: Duration = Duration::from_secs(30);
 
-/// An upstream's entry.
+/// Entry of an upstream in the platform's table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its incarnation.
+    /// Incarnation that the entry describes.
     #[serde(rename = "i")]
     pub id: UpstreamIncarnation,
     /// Service that it belongs to.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Where it takes calls.
+    /// Address at which it takes calls.
     #[serde(rename = "a")]
     pub address: SocketAddr,
     /// Its availability zone.
     #[serde(rename = "z")]
     pub zone: AvailabilityZone,
-    /// Calls that it serves at once.
+    /// Number of calls that it serves at once.
     #[serde(rename = "n")]
     pub slots: u32,
-    /// Whether it has said that it is leaving.
+    /// Whether it has announced that it is leaving.
     #[serde(rename = "l")]
     pub leaving: bool,
     /// Version of its software, where that matters.
@@ -56,37 +55,37 @@
     pub version: Option<SoftwareVersion>,
 }
 
-/// What became of an upstream.
+/// State of an upstream in the directory.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Presence {
     /// It takes calls.
     Present,
-    /// Its entry lapsed around an outage of the platform; it counts as present until then.
+    /// Its entry expired around an outage of the platform; it takes calls until the given time.
     Lapsed(Instant),
-    /// It is known by a restart report and no row of it was read yet. It takes calls, once the platform answers
-    /// until then only.
+    /// It is known from a restart report, and its row has not been read yet. It takes calls; once the
+    /// platform responds, only until the given time.
     Reported(Option<Instant>),
-    /// Another entry shows its address.
+    /// Another entry has its address.
     Replaced,
-    /// Another upstream answers at its address.
+    /// Another upstream responds at its address.
     Denied,
     /// It is leaving and takes no new calls.
     Leaving,
-    /// It is gone.
+    /// Its entry was removed.
     Gone,
-    /// It has started again under its id, so this incarnation is gone for good.
+    /// It has restarted under its id, so this incarnation is permanently gone.
     Superseded,
 }
 
-/// What has changed for an upstream.
+/// An upstream and its new presence.
 pub type PresenceChange = (UpstreamIncarnation, Presence);
 
-/// The upstreams known, sorted by incarnation.
+/// Known upstreams, sorted by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamDirectory {
-    known: Vec<Known>,
-    /// Upstreams that were removed before they were known here, sorted, and when.
+    known: Vec<KnownUpstream>,
+    /// Upstreams that were removed before they were known here, sorted by id, with the time of the removal.
     tombstones: Vec<(UpstreamId, Instant)>,
     addresses: AddressIndex,
     outage: Outage,
@@ -94,12 +93,12 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownUpstream {
     entry: Arc<UpstreamEntry>,
     presence: Presence,
-    /// Whether its row was read.
+    /// Whether its row was read from the platform's table.
     has_row: bool,
-    /// Since when it was found to be gone.
+    /// When it was first found to be removed or superseded.
     gone_since: Option<Instant>,
 }
 
@@ -112,13 +111,13 @@
 }
 
 impl UpstreamDirectory {
-    /// Takes in an entry; returns what has changed by it.
-    pub fn heard(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
-        if let Ok(index) = self.tombstone(&entry.id.id) {
+    /// Applies an entry; returns the resulting changes of presence.
+    pub fn apply_entry(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
+        if let Ok(index) = self.tombstone_position(&entry.id.id) {
             self.tombstones.remove(index);
         }
         let mut changes = Vec::new();
-        let Some(id) = self.take(entry, &mut changes) else {
+        let Some(id) = self.apply_without_address(entry, &mut changes) else {
             return changes;
         };
         if let Ok(index) = self.position(&id) {
@@ -129,18 +128,19 @@
         changes
     }
 
-    /// Takes in an entry, but for its address; returns its incarnation unless an earlier one was read late.
-    fn take(
+    /// Applies an entry except for its address; returns its incarnation, or `None` for a late entry of an
+    /// earlier incarnation.
+    fn apply_without_address(
         &mut self,
         mut entry: UpstreamEntry,
         changes: &mut Vec<PresenceChange>,
     ) -> Option<UpstreamIncarnation> {
-        if let Some(newest) = self.newest(&entry.id.id) {
-            if entry.id.is_before(newest.born) {
+        if let Some(latest) = self.latest(&entry.id.id) {
+            if entry.id.is_before(latest.born) {
                 return None;
             }
             if entry.id.born.is_none() {
-                entry.id = newest;
+                entry.id = latest;
             }
         }
         self.supersede(&entry.id, changes);
@@ -151,11 +151,11 @@
                 if known.entry.address != entry.address {
                     self.addresses.remove(known.entry.address, &id);
                 }
-                known.renew(entry)
+                known.update(entry)
             }
             Err(index) => {
-                let presence = presence_of(&entry);
-                let known = Known {
+                let presence = initial_presence(&entry);
+                let known = KnownUpstream {
                     entry: Arc::new(entry),
                     presence,
                     has_row: true,
@@ -169,16 +169,22 @@
         Some(id)
     }
 
-    /// Notes that an upstream has started at `born`, by its own report or that of another VM. Its entry is
-    /// the one before until it is read anew. A report of an upstream that was removed is stale.
-    pub fn started(&mut self, id: &UpstreamId, born: Born, now: Instant) -> Vec<PresenceChange> {
-        let Some(newest) = self.newest(id) else {
+    /// Records that an upstream has started at `born`, by its own report or that of another VM. The entry
+    /// of the earlier incarnation is used until the new one is read. A report of a removed upstream is
+    /// stale and is ignored.
+    pub fn record_start(
+        &mut self,
+        id: &UpstreamId,
+        born: Born,
+        now: Instant,
+    ) -> Vec<PresenceChange> {
+        let Some(latest) = self.latest(id) else {
             return Vec::new();
         };
-        let Ok(index) = self.position(&newest) else {
+        let Ok(index) = self.position(&latest) else {
             return Vec::new();
         };
-        if !newest.is_before(Some(born)) || self.known[index].is_removed(now) {
+        if !latest.is_before(Some(born)) || self.known[index].is_removed(now) {
             return Vec::new();
         }
         let entry = UpstreamEntry {
@@ -189,25 +195,24 @@
             leaving: false,
             ..UpstreamEntry::clone(&self.known[index].entry)
         };
-        self.reported(entry)
+        self.add_without_row(entry)
     }
 
-    /// Takes in an upstream that was found at the address of `before`, by itself or by the report of another VM;
-    /// its row was not read yet.
+    /// Adds an upstream that was found at the address of `before` and whose row has not been read yet.
     ///
     /// # Errors
     ///
-    /// Why it is not taken in.
-    pub fn restarted(
+    /// Returns why the restart is not accepted.
+    pub fn apply_restart(
         &mut self,
         restart: &UpstreamRestart,
         evidence: RestartEvidence,
     ) -> Result<Vec<PresenceChange>, StaleRestart> {
         let id = &restart.entry.id.id;
-        if self.knows(id) {
+        if self.contains(id) {
             return Err(StaleRestart::Known);
         }
-        if self.tombstone(id).is_ok() {
+        if self.tombstone_position(id).is_ok() {
             return Err(StaleRestart::Removed);
         }
         if let RestartEvidence::PeerReport(table) = evidence {
@@ -218,19 +223,19 @@
                 return Err(StaleRestart::TableIsNewer);
             }
         }
-        let mut changes = self.denied(&restart.before, Some(id));
-        changes.extend(self.reported(restart.entry.clone()));
+        let mut changes = self.record_denial(&restart.before, Some(id));
+        changes.extend(self.add_without_row(restart.entry.clone()));
         Ok(changes)
     }
 
-    /// Takes in an upstream without a row of its own.
-    fn reported(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
+    /// Adds an upstream whose row has not been read.
+    fn add_without_row(&mut self, entry: UpstreamEntry) -> Vec<PresenceChange> {
         let id = entry.id.clone();
-        let mut changes = self.heard(entry);
+        let mut changes = self.apply_entry(entry);
         if let Ok(index) = self.position(&id) {
             let known = &mut self.known[index];
             known.has_row = false;
-            known.presence = known.present();
+            known.presence = known.usable_presence();
         }
         for (_, presence) in changes.iter_mut().filter(|(changed, _)| *changed == id) {
             *presence = Presence::Reported(None);
@@ -238,16 +243,16 @@
         changes
     }
 
-    /// Notes that an entry was removed; returns the upstream's presence if that is new.
-    pub fn removed(&mut self, id: &UpstreamId, now: Instant) -> Option<PresenceChange> {
-        let Some(newest) = self.newest(id) else {
-            match self.tombstone(id) {
+    /// Records that an entry was removed; returns the upstream's presence if it changed.
+    pub fn remove_entry(&mut self, id: &UpstreamId, now: Instant) -> Option<PresenceChange> {
+        let Some(latest) = self.latest(id) else {
+            match self.tombstone_position(id) {
                 Ok(index) => self.tombstones[index].1 = now,
                 Err(index) => self.tombstones.insert(index, (id.clone(), now)),
             }
             return None;
         };
-        let index = self.position(&newest).ok()?;
+        let index = self.position(&latest).ok()?;
         let grace = match self.outage {
             Outage::Now => Some(now.after(LAPSE_GRACE)),
             Outage::Until(until) if now < until => Some(until),
@@ -260,22 +265,23 @@
             (Presence::Lapsed(until), _) if now < until => before,
             _ => Presence::Gone,
         };
-        (known.presence != before).then_some((newest, known.presence))
+        (known.presence != before).then_some((latest, known.presence))
     }
 
-    /// Takes in all entries at once: those not among them were removed.
+    /// Applies a complete read of the entries; upstreams without an entry in it were removed.
     ///
-    /// Sorted before they are taken in, so that each is found by a search and new ones go to the end of a table
-    /// that was empty.
-    pub fn snapshot(
+    /// The entries are sorted first, so that each is found by binary search and new ones are appended to an
+    /// empty directory.
+    pub fn apply_snapshot(
         &mut self,
         mut entries: Vec<UpstreamEntry>,
         now: Instant,
     ) -> Vec<PresenceChange> {
         let comparisons = &self.comparisons;
         entries.sort_by(|a, b| comparisons.note(a.id.cmp(&b.id)));
-        // Of two entries at one address the order does not tell which is the newer: the older one is removed
-        // soon. Taken for replaced, the newer one would get no call as long as it lives.
+        // The order of two listed entries with one address does not tell which is newer, so neither
+        // replaces the other; the older one is removed soon. If the newer one counted as replaced, it would
+        // get no calls for as long as it lives.
         let listed = entries
             .iter()
             .map(|entry| entry.id.id.clone())
@@ -284,16 +290,16 @@
             .known
             .iter()
             .map(|known| known.entry.id.id.clone())
-            .filter(|id| !self.is_among(&listed, id))
+            .filter(|id| !self.is_listed(&listed, id))
             .collect::<Vec<_>>();
         missing.dedup();
         let mut changes = Vec::new();
         for id in missing {
-            changes.extend(self.removed(&id, now));
+            changes.extend(self.remove_entry(&id, now));
         }
         let taken = entries
             .into_iter()
-            .filter_map(|entry| self.take(entry, &mut changes))
+            .filter_map(|entry| self.apply_without_address(entry, &mut changes))
             .collect::<Vec<_>>();
         self.index_addresses();
         for id in taken {
@@ -303,24 +309,25 @@
     }
 
     fn index_addresses(&mut self) {
-        let shown = |known: &Known| (known.entry.address, known.entry.id.clone());
-        self.addresses.set(self.known.iter().map(shown));
+        let address_and_id = |known: &KnownUpstream| (known.entry.address, known.entry.id.clone());
+        self.addresses
+            .rebuild(self.known.iter().map(address_and_id));
     }
 
     /// Whether an id is in a sorted list.
-    fn is_among(&self, listed: &[UpstreamId], id: &UpstreamId) -> bool {
+    fn is_listed(&self, listed: &[UpstreamId], id: &UpstreamId) -> bool {
         listed
             .binary_search_by(|other| self.comparisons.note(other.cmp(id)))
             .is_ok()
     }
 
-    /// Notes that an upstream answered by itself: no other one has its address.
-    pub fn answered(&mut self, id: &UpstreamIncarnation) -> Vec<PresenceChange> {
+    /// Records a response of the upstream itself, which shows that no other upstream has its address.
+    pub fn record_response(&mut self, id: &UpstreamIncarnation) -> Vec<PresenceChange> {
         let mut changes = Vec::new();
         if let Ok(index) = self.position(id)
             && self.known[index].presence == Presence::Replaced
         {
-            let presence = self.known[index].present();
+            let presence = self.known[index].usable_presence();
             self.known[index].presence = presence;
             changes.push((id.clone(), presence));
             self.replace_at_address(id, &[], &mut changes);
@@ -328,8 +335,8 @@
         changes
     }
 
-    /// Notes that `by` answered at the address of an upstream in its place, if it says who it is.
-    pub fn denied(
+    /// Records that another upstream responded at the address of `id`; `by` is its id, if it gave one.
+    pub fn record_denial(
         &mut self,
         id: &UpstreamIncarnation,
         by: Option<&UpstreamId>,
@@ -337,29 +344,30 @@
         let mut changes = Vec::new();
         if let Ok(index) = self.position(id) {
             let known = &mut self.known[index];
-            if known.is_new_after(Presence::Denied) {
+            if known.set_presence(Presence::Denied) {
                 changes.push((id.clone(), Presence::Denied));
             }
         }
-        if let Some(by) = by.and_then(|by| self.newest(by)) {
-            changes.extend(self.answered(&by));
+        if let Some(by) = by.and_then(|by| self.latest(by)) {
+            changes.extend(self.record_response(&by));
         }
         changes
     }
 
-    /// Whether an upstream of that id is known.
+    /// Whether an upstream with this id is known.
     #[must_use]
-    pub fn knows(&self, id: &UpstreamId) -> bool {
-        self.newest(id).is_some()
+    pub fn contains(&self, id: &UpstreamId) -> bool {
+        self.latest(id).is_some()
     }
 
-    /// Notes that the platform does not answer.
-    pub fn platform_lost(&mut self) {
+    /// Records that the platform does not respond.
+    pub fn record_platform_outage(&mut self) {
         self.outage = Outage::Now;
     }
 
-    /// Notes that the platform answers.
-    pub fn platform_answers(&mut self, now: Instant) {
+    /// Records that the platform responds. Limits the time for which upstreams without a row are used, and
+    /// evicts upstreams that have been removed for long enough.
+    pub fn record_platform_response(&mut self, now: Instant) {
         match self.outage {
             Outage::Now => self.outage = Outage::Until(now.after(LAPSE_GRACE)),
             Outage::Until(until) if now >= until => self.outage = Outage::None,
@@ -371,9 +379,9 @@
             }
         }
         self.tombstones
-            .retain(|(_, removed)| now.since(*removed) < REMEMBERED);
+            .retain(|(_, removed)| now.since(*removed) < REMOVED_RETENTION);
         let before = self.known.len();
-        self.known.retain_mut(|known| !known.is_forgotten(now));
+        self.known.retain_mut(|known| !known.is_evictable(now));
         if self.known.len() < before {
             self.index_addresses();
         }
@@ -398,7 +406,7 @@
         usable.count()
     }
 
-    /// Entry of an upstream that takes new calls.
+    /// Entry of an upstream, if it takes new calls.
     #[must_use]
     pub fn get_usable(
         &self,
@@ -409,14 +417,14 @@
         known.is_usable(now).then_some(&known.entry)
     }
 
-    /// Comparisons made so far: the work that reading entries costs, whatever the machine.
+    /// Number of comparisons made so far: the cost of reading entries, independent of the machine.
     #[must_use]
     pub fn comparisons(&self) -> u64 {
         self.comparisons.count() + self.addresses.comparisons()
     }
 
     /// The latest incarnation of an upstream.
-    fn newest(&self, id: &UpstreamId) -> Option<UpstreamIncarnation> {
+    fn latest(&self, id: &UpstreamId) -> Option<UpstreamIncarnation> {
         let end = self
             .known
             .partition_point(|known| self.comparisons.note(known.entry.id.id <= *id));
@@ -424,14 +432,14 @@
         (last.id == *id).then(|| last.clone())
     }
 
-    /// Notes that the earlier incarnations of an upstream are gone.
+    /// Marks the earlier incarnations of an upstream as superseded.
     fn supersede(&mut self, id: &UpstreamIncarnation, changes: &mut Vec<PresenceChange>) {
         let end = self.position(id).unwrap_or_else(|index| index);
         for known in self.known[..end].iter_mut().rev() {
             if self.comparisons.note(known.entry.id.id != id.id) {
                 break;
             }
-            if known.is_new_after(Presence::Superseded) {
+            if known.set_presence(Presence::Superseded) {
                 changes.push((known.entry.id.clone(), Presence::Superseded));
             }
         }
@@ -456,7 +464,7 @@
         let replaced = self
             .addresses
             .at(address)
-            .filter(|other| other.id != id.id && !self.is_among(except, &other.id))
+            .filter(|other| other.id != id.id && !self.is_listed(except, &other.id))
             .cloned()
             .collect::<Vec<_>>();
         for other in replaced {
@@ -474,7 +482,7 @@
         }
     }
 
-    fn tombstone(&self, id: &UpstreamId) -> Result<usize, usize> {
+    fn tombstone_position(&self, id: &UpstreamId) -> Result<usize, usize> {
         self.tombstones
             .binary_search_by(|(removed, _)| removed.cmp(id))
     }
@@ -485,9 +493,9 @@
     }
 }
 
-impl Known {
-    /// Its presence while it takes calls.
-    fn present(&self) -> Presence {
+impl KnownUpstream {
+    /// Presence of the upstream while it takes calls.
+    fn usable_presence(&self) -> Presence {
         if self.has_row {
             Presence::Present
         } else {
@@ -512,18 +520,19 @@
         }
     }
 
-    /// Takes in its entry once more; returns its presence if that is new.
-    fn renew(&mut self, mut entry: UpstreamEntry) -> Option<Presence> {
+    /// Updates the entry; returns the presence if it changed.
+    fn update(&mut self, mut entry: UpstreamEntry) -> Option<Presence> {
         let before = self.presence;
         self.has_row = true;
         let moved = self.entry.address != entry.address;
-        // An entry read late may still say ready. Kept so, the next one like it would bring back what has left.
+        // A late entry may not say yet that the upstream is leaving. If it cleared the flag, the next entry
+        // like it would restore an upstream that has left.
         entry.leaving |= self.entry.leaving;
         self.presence = match before {
             Presence::Gone if entry.leaving => Presence::Gone,
             Presence::Superseded => Presence::Superseded,
             Presence::Denied if !moved => Presence::Denied,
-            _ => presence_of(&entry),
+            _ => initial_presence(&entry),
         };
         if *self.entry != entry {
             self.entry = Arc::new(entry);
@@ -531,24 +540,24 @@
         (self.presence != before).then_some(self.presence)
     }
 
-    /// Whether it has been gone for so long that nothing of it is needed any more.
-    fn is_forgotten(&mut self, now: Instant) -> bool {
+    /// Whether it has been removed or superseded for so long that it can be evicted.
+    fn is_evictable(&mut self, now: Instant) -> bool {
         if !self.is_removed(now) && self.presence != Presence::Superseded {
             self.gone_since = None;
             return false;
         }
         let since = *self.gone_since.get_or_insert(now);
-        now.since(since) >= REMEMBERED
+        now.since(since) >= REMOVED_RETENTION
     }
 
-    /// Sets its presence; whether that is a change.
-    fn is_new_after(&mut self, presence: Presence) -> bool {
+    /// Sets the presence; returns whether it changed.
+    fn set_presence(&mut self, presence: Presence) -> bool {
         let before = std::mem::replace(&mut self.presence, presence);
         before != presence
     }
 }
 
-fn presence_of(entry: &UpstreamEntry) -> Presence {
+fn initial_presence(entry: &UpstreamEntry) -> Presence {
     if entry.leaving {
         Presence::Leaving
     } else {
--- a/crates/decisions/src/upstream_load.rs
+++ b/crates/decisions/src/upstream_load.rs
@@ -1,117 +1,120 @@
 use super::*;
 
-/// Prompt tokens that an engine reads in a millisecond, until it is known better: the figure of the
-/// engines served today.
+/// Prompt tokens that an engine processes in a millisecond, until its rate is known better; the rate of the
+/// engines in service.
 pub const TOKENS_PER_MS: f64 = 8.0;
 
-/// How long an engine takes to read so many tokens with nothing else to do.
+/// Time that an otherwise idle engine takes to process a prompt of this length.
 #[must_use]
-pub fn reading_time(prompt_tokens: u32) -> Duration {
+pub fn prefill_time(prompt_tokens: u32) -> Duration {
     Duration::from_secs_f64(f64::from(prompt_tokens) / TOKENS_PER_MS / 1000.0)
 }
 
-/// How long a reading of an upstream's load counts. Calls of other VMs last about as long.
-const READING_AGE: Duration = Duration::from_millis(1500);
+/// How long a load report of an upstream counts. Calls of other VMs last about as long.
+const REPORT_MAX_AGE: Duration = Duration::from_millis(1500);
 
-/// Weight of the latest outcome in the share of failures: the last ten or so calls count.
+/// Weight of the latest outcome in the failure rate, which covers about the last ten calls.
 const OUTCOME_WEIGHT: f64 = 0.1;
 
-/// An upstream's word on its load.
+/// Load that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReading {
-    /// Calls that run there.
+    /// Number of calls that run there.
     pub running: u32,
-    /// Calls that wait there.
+    /// Number of calls that are queued there.
     pub waiting: u32,
 }
 
-/// What this VM knows of the load of an upstream: its own dispatches, exactly, and the upstream's
-/// word, late.
+/// What this VM knows of the load of an upstream: its own dispatches, which are exact, and the upstream's
+/// reports, which lag.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamLoad {
-    /// Own calls in flight.
-    own: u32,
-    /// Own calls that a copy of their memory is kept for there.
+    /// Calls of this VM in flight.
+    own_calls: u32,
+    /// Calls of this VM for which the upstream keeps a KV copy.
     copies: u32,
-    /// When the prompts that this VM has sent there will have been read.
-    read_until: Instant,
-    /// Calls of others at the last reading, with its time.
+    /// When the prompts that this VM has sent there will have been processed.
+    prefill_until: Instant,
+    /// Calls of other VMs at the last report, with its time.
     others: Option<(u32, Instant)>,
-    /// Share of calls that failed lately.
-    failures: f64,
+    /// Failure rate of recent calls, from 0 to 1.
+    failure_rate: f64,
 }
 
 impl UpstreamLoad {
-    /// Notes a call that begins there, with the prompt tokens that are to be read for it.
-    pub fn begin(&mut self, prompt_tokens: u32, now: Instant) {
-        self.own += 1;
-        self.read_until = self.read_until.max(now).after(reading_time(prompt_tokens));
+    /// Records the start of a call, with the prompt tokens that are to be processed for it.
+    pub fn call_started(&mut self, prompt_tokens: u32, now: Instant) {
+        self.own_calls += 1;
+        self.prefill_until = self
+            .prefill_until
+            .max(now)
+            .after(prefill_time(prompt_tokens));
     }
 
-    /// Notes the end of a call there.
-    pub fn end(&mut self) {
-        self.own = self.own.saturating_sub(1);
+    /// Records the end of a call.
+    pub fn call_ended(&mut self) {
+        self.own_calls = self.own_calls.saturating_sub(1);
     }
 
-    /// Notes that a call keeps a copy there.
-    pub fn copy_begins(&mut self) {
+    /// Records that the upstream keeps a KV copy for a call.
+    pub fn copy_added(&mut self) {
         self.copies += 1;
     }
 
-    /// Notes that a copy there is no longer kept for a call.
-    pub fn copy_ends(&mut self) {
+    /// Records that the upstream no longer keeps a KV copy for a call.
+    pub fn copy_removed(&mut self) {
         self.copies = self.copies.saturating_sub(1);
     }
 
-    /// Takes in the upstream's word.
-    pub fn reading(&mut self, reading: LoadReading, now: Instant) {
+    /// Records a load report of the upstream.
+    pub fn record_report(&mut self, reading: LoadReading, now: Instant) {
         let all = reading.running + reading.waiting;
-        self.others = Some((all.saturating_sub(self.own), now));
+        self.others = Some((all.saturating_sub(self.own_calls), now));
     }
 
-    /// Takes in whether a call succeeded there.
-    pub fn outcome(&mut self, failed: bool) {
+    /// Records whether a call there failed.
+    pub fn record_outcome(&mut self, failed: bool) {
         let outcome = if failed { 1.0 } else { 0.0 };
-        self.failures += OUTCOME_WEIGHT * (outcome - self.failures);
+        self.failure_rate += OUTCOME_WEIGHT * (outcome - self.failure_rate);
     }
 
-    /// Calls there, as far as known.
+    /// Number of calls there from all VMs, as far as known.
     #[must_use]
     pub fn calls(&self, now: Instant) -> u32 {
         let others = self
             .others
-            .filter(|(_, at)| now.since(*at) < READING_AGE)
+            .filter(|(_, at)| now.since(*at) < REPORT_MAX_AGE)
             .map_or(0, |(others, _)| others);
-        self.own + others
+        self.own_calls + others
     }
 
-    /// Own calls there.
+    /// Number of calls of this VM there.
     #[must_use]
-    pub fn own(&self) -> u32 {
-        self.own
+    pub fn own_calls(&self) -> u32 {
+        self.own_calls
     }
 
-    /// Own calls there and copies of the memory of others, as other VMs are told.
+    /// Number of calls of this VM there and of KV copies that it keeps there, as sent to other VMs.
     #[must_use]
     pub fn streams(&self) -> u32 {
-        self.own + self.copies
+        self.own_calls + self.copies
     }
 
-    /// Own copies there.
+    /// Number of calls of this VM for which the upstream keeps a KV copy.
     #[must_use]
     pub fn copies(&self) -> u32 {
         self.copies
     }
 
-    /// Time until the prompts that this VM has sent there are read.
+    /// Time until the prompts that this VM has sent there are processed.
     #[must_use]
-    pub fn reading_left(&self, now: Instant) -> Duration {
-        self.read_until.since(now)
+    pub fn prefill_left(&self, now: Instant) -> Duration {
+        self.prefill_until.since(now)
     }
 
-    /// Share of calls that failed lately, from 0 to 1.
+    /// Failure rate of recent calls, from 0 to 1.
     #[must_use]
-    pub fn failures(&self) -> f64 {
-        self.failures
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -1,136 +1,143 @@
-//! What one VM knows of one upstream, brought down to a [`Candidate`].
+//! What one VM knows of one upstream, summarized as a [`Candidate`].
 //!
-//! Load pattern: load reports lag by up to half a second, in which a VM dispatches many requests.
-//! Without the VM's own dispatches since the report, all of them go to the upstream that looked
-//! idle in it. A fresh process has cold caches and would be flooded just because it is idle; its
-//! weight climbs. An upstream that is slow without being busy shows in its answers' latency.
+//! Load reports lag by up to half a second, in which a VM dispatches many requests. If the VM's own
+//! dispatches since the report did not count, all of them would go to the upstream that looked idle in it.
+//! A new process has cold caches and would be flooded just because it is idle, so its weight climbs. An
+//! upstream that is slow without being busy is recognized by the latency of its responses.
 //!
-//! Grounds for the figures: the slow start is as long as 20 report periods; the pace is forgotten
-//! after as long, so that a slow upstream is tried again by then. Neither is tuned by a
-//! measurement.
+//! The slow start lasts 20 report periods. Latencies expire after the same time, so that a slow upstream is
+//! tried again by then.
 
 use super::*;
-use crate::suspicion::climb;
+use crate::suspicion::slow_start_weight;
 
-/// Time in which a fresh process climbs to its whole weight.
+/// Time in which a new process climbs to its full weight.
 const SLOW_START: Duration = Duration::from_secs(10);
 
 /// How long an observed latency counts.
-const PACE_BOUND: Duration = Duration::from_secs(10);
+const RESPONSE_TIME_TTL: Duration = Duration::from_secs(10);
 
-/// Requests without an answer whose mean wait says little.
-const FEW_UNANSWERED: u32 = 3;
+/// Number of unanswered requests below which their mean wait says little.
+const MIN_UNANSWERED: u32 = 3;
 
-/// Part of a new latency in the average.
-const PACE_PART: f64 = 0.2;
+/// Weight of a new latency in the moving average.
+const RESPONSE_TIME_WEIGHT: f64 = 0.2;
 
-/// What is known of one upstream.
+/// What this VM knows of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamRecord {
-    /// Whether it may get new work.
+    /// Evidence on whether the upstream may get new work.
     pub evidence: UpstreamEvidence,
     suspicion: Suspicion,
     report: UpstreamReport,
-    own: u32,
-    own_in_report: u32,
-    pace: Option<(f64, Instant)>,
-    /// Requests that have no answer yet, and the sum of the seconds at which they were sent.
+    own_requests: u32,
+    own_requests_in_report: u32,
+    response_time: Option<(f64, Instant)>,
+    /// Number of requests without a response, and the sum of the times at which they were sent, in seconds.
     unanswered: (u32, f64),
 }
 
-/// A load report that was asked for and has not come yet.
+/// A load report that was requested and has not arrived yet.
 #[derive(Clone, Copy, Debug)]
 pub struct AskedReport {
     at: Instant,
-    own: u32,
+    own_requests: u32,
 }
 
 impl UpstreamRecord {
-    /// Notes that a load report is asked for now. Also taken at the dispatch of a request whose
-    /// reply may bring one.
+    /// Marks the request of a load report. Also called when a request is dispatched whose reply may carry a
+    /// load report.
     #[must_use]
-    pub fn ask(&self, now: Instant) -> AskedReport {
+    pub fn report_requested(&self, now: Instant) -> AskedReport {
         AskedReport {
             at: now,
-            own: self.own,
+            own_requests: self.own_requests,
         }
     }
 
-    /// Takes a load report. Returns the former incarnation if it has just been replaced.
-    pub fn reported(&mut self, asked: AskedReport, report: UpstreamReport) -> Option<Incarnation> {
+    /// Records a load report. Returns the former incarnation if the report shows that it was replaced.
+    pub fn record_report(
+        &mut self,
+        request: AskedReport,
+        report: UpstreamReport,
+    ) -> Option<Incarnation> {
         let former = self
             .evidence
-            .reported(report.incarnation, report.leaving, asked.at);
+            .record_report(report.incarnation, report.leaving, request.at);
         if self.evidence.incarnation() == Some(report.incarnation) {
-            self.own_in_report = asked.own;
+            self.own_requests_in_report = request.own_requests;
             self.report = report;
         }
         former
     }
 
-    /// Counts a request that is dispatched there.
-    pub fn dispatched(&mut self) {
-        self.own += 1;
+    /// Counts a request that is dispatched to the upstream.
+    pub fn record_dispatch(&mut self) {
+        self.own_requests += 1;
     }
 
-    /// Counts it no more.
-    pub fn finished(&mut self) {
-        self.own = self.own.saturating_sub(1);
+    /// Stops counting a request that was dispatched.
+    pub fn record_end(&mut self) {
+        self.own_requests = self.own_requests.saturating_sub(1);
     }
 
-    /// Counts a request sent at `sent` whose answer is due.
-    pub fn awaits(&mut self, sent: Instant) {
+    /// Counts a request sent at `sent` whose response is outstanding.
+    pub fn response_awaited(&mut self, sent: Instant) {
         self.unanswered.0 += 1;
         self.unanswered.1 += sent.0.as_secs_f64();
     }
 
-    /// Counts it no more: it was answered, or given up.
-    pub fn awaits_no_more(&mut self, sent: Instant) {
+    /// Stops counting a request sent at `sent`, which was answered or given up.
+    pub fn response_settled(&mut self, sent: Instant) {
         self.unanswered.0 = self.unanswered.0.saturating_sub(1);
         self.unanswered.1 -= sent.0.as_secs_f64();
     }
 
-    /// Seconds that an answer takes, as far as that is known. An upstream that becomes slow answers
-    /// nothing for as long as its answers take now, and would get its full share meanwhile; so the
-    /// mean wait of those that have no answer yet counts where it is the longer one.
-    fn pace(&self, now: Instant) -> Option<f64> {
-        let (pace, _) = self.pace.filter(|(_, at)| now.since(*at) <= PACE_BOUND)?;
+    /// Seconds that a response takes, if known. An upstream that becomes slow sends no response for as long
+    /// as its responses take by then, and would get its full share meanwhile; so the mean wait of the
+    /// unanswered requests counts where it is longer.
+    fn response_time(&self, now: Instant) -> Option<f64> {
+        let (response_time, _) = self
+            .response_time
+            .filter(|(_, at)| now.since(*at) <= RESPONSE_TIME_TTL)?;
         let (count, sum) = self.unanswered;
-        if count < FEW_UNANSWERED {
-            return Some(pace);
+        if count < MIN_UNANSWERED {
+            return Some(response_time);
         }
-        Some(pace.max(now.0.as_secs_f64() - sum / f64::from(count)))
+        Some(response_time.max(now.0.as_secs_f64() - sum / f64::from(count)))
     }
 
-    /// Takes the latency of an answer.
-    pub fn answered(&mut self, incarnation: Incarnation, sent: Instant, now: Instant) {
-        self.evidence.replied(incarnation, sent);
+    /// Records the latency of a response.
+    pub fn record_response(&mut self, incarnation: Incarnation, sent: Instant, now: Instant) {
+        self.evidence.record_reply(incarnation, sent);
         let latency = now.since(sent).as_secs_f64();
-        let pace = match self.pace {
-            Some((pace, at)) if now.since(at) <= PACE_BOUND => pace + PACE_PART * (latency - pace),
+        let response_time = match self.response_time {
+            Some((response_time, at)) if now.since(at) <= RESPONSE_TIME_TTL => {
+                response_time + RESPONSE_TIME_WEIGHT * (latency - response_time)
+            }
             _ => latency,
         };
-        self.pace = Some((pace, now));
+        self.response_time = Some((response_time, now));
     }
 
-    /// Notes that it failed a request.
-    pub fn failed(&mut self, now: Instant) {
-        self.suspicion.failed(now);
+    /// Records that the upstream failed a request.
+    pub fn record_failure(&mut self, now: Instant) {
+        self.suspicion.record_failure(now);
     }
 
-    /// Requests of this VM there.
+    /// Number of requests of this VM in flight there.
     #[must_use]
-    pub fn own(&self) -> u32 {
-        self.own
+    pub fn own_requests(&self) -> u32 {
+        self.own_requests
     }
 
-    /// The last load report.
+    /// Latest load report.
     #[must_use]
     pub fn report(&self) -> &UpstreamReport {
         &self.report
     }
 
-    /// Models that a new request may get here; `None` if it may get no new work.
+    /// Models that a new request may use here; `None` if the upstream may get no new work.
     #[must_use]
     pub fn models(&self, now: Instant) -> Option<&[Model]> {
         self.evidence.eligible(now).ok()?;
@@ -141,19 +148,19 @@
     ///
     /// # Errors
     ///
-    /// Why it may not get it.
+    /// Returns why the upstream may not get the request.
     pub fn candidate(&self, model: Option<&Model>, now: Instant) -> Result<Candidate, Ineligible> {
         let eligible = self.evidence.eligible(now)?;
-        if !self.report.suits(model) {
+        if !self.report.can_run(model) {
             return Err(Ineligible::Unsuited);
         }
-        let others = self.report.load.saturating_sub(self.own_in_report);
+        let others = self.report.load.saturating_sub(self.own_requests_in_report);
         Ok(Candidate {
-            load: others + self.own,
+            load: others + self.own_requests,
             capacity: self.report.capacity.max(1),
             weight: self.suspicion.weight(now)
-                * climb(self.evidence.since(), SLOW_START, now).max(0.1),
-            pace: self.pace(now),
+                * slow_start_weight(self.evidence.since(), SLOW_START, now).max(0.1),
+            pace: self.response_time(now),
             own_zone: true,
             affinity: 0,
             eligible,
--- a/crates/decisions/src/upstream_table.rs
+++ b/crates/decisions/src/upstream_table.rs
@@ -1,23 +1,24 @@
-//! What the platform's table of upstreams says, as one VM has read it, with a digest by which VMs find
-//! out whether they have read the same.
+//! The platform's table of upstreams as one VM has read it, with a digest by which VMs compare what they
+//! have read.
 //!
-//! Load pattern: upstreams write their entries anew every second or so, most of the time with nothing
-//! new in them. Were each VM to read all of these, 400 VMs before 900 upstreams would read 270 kB/s each,
-//! and most calls of the platform's store would be theirs. So in each zone one or two VMs read the
-//! table and tell the others what has changed in it, and the digest of the whole: a VM that missed
-//! something finds out with the next word, and reads the table itself.
+//! Upstreams rewrite their entries every second or so, most of the time without a change. If each VM read
+//! all of these, 400 VMs in front of 900 upstreams would read 270 kB/s each, and most calls to the
+//! platform's store would be theirs. So in each zone one or two VMs read the table and send the others its
+//! changes and the digest of the whole. A VM that missed a change notices at the next update and reads the
+//! table itself.
 //!
-//! Words come late and out of order: datagrams overtake each other, and a VM that was cut off or did not run for a
-//! while tells what it reads then, which others may know better. So each row bears the version at which it was
-//! written, and an older row never takes the place of a newer one, nor that of one that was removed since. Without
-//! that a lagging reader brought an upstream back that had left, and no later read of changes took it out again.
+//! Updates arrive late and out of order: datagrams overtake each other, and a VM that was partitioned or
+//! paused sends what it reads then, which may be older than what others know. So each row carries the
+//! version at which it was written, and an older row never replaces a newer one, nor one that was removed
+//! since. Otherwise a lagging reader could restore an upstream that had left, and no later read of changes
+//! would remove it again.
 
 use super::*;
 
-/// The rows of the table.
+/// Rows of the table, with the version up to which they have been read and their digest.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamTable {
-    /// Sorted by key. Removed ones are kept until the table is known up to their removal.
+    /// Sorted by key. Removed rows are kept until the table has been read up to their removal.
     rows: Vec<Row>,
     version: u64,
     digest: u64,
@@ -25,166 +26,172 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    /// Of what it says; 0 if it was removed.
+    /// Hash of the entry; 0 if the row was removed.
     hash: u64,
-    row: UpstreamChange,
+    change: UpstreamChange,
 }
 
-/// A change of the table: an entry, or that it was removed.
+/// A change of the table: an entry that was written, or its removal.
 pub type UpstreamChange = TableRow<UpstreamEntry>;
 
-/// What a read of the table gave.
+/// Result of a read of the table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableRead {
-    /// Rows that are not older than what was known, among them those that were written anew with nothing new in
-    /// them: a sign of life.
+    /// Rows that are not older than the known ones, including those rewritten without a change, which show
+    /// that the upstream is alive.
     pub current: Vec<UpstreamChange>,
-    /// Those of them that say something new.
-    pub news: Vec<UpstreamChange>,
+    /// Rows of `current` whose content is new.
+    pub changed: Vec<UpstreamChange>,
 }
 
 impl UpstreamTable {
-    /// Version of the store up to which it holds.
+    /// Version of the store up to which the table has been read.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All entries.
+    /// Rows of the upstreams that are present, without removals.
     #[must_use]
     pub fn entries(&self) -> Vec<UpstreamChange> {
-        let present = self.rows.iter().filter(|row| row.row.entry.is_some());
-        present.map(|row| row.row.clone()).collect()
+        let present = self.rows.iter().filter(|row| row.change.entry.is_some());
+        present.map(|row| row.change.clone()).collect()
     }
 
-    /// Digest of what it says, whatever the order in which it was read.
+    /// Digest of the contents, independent of the order in which they were read.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes in all rows, or those that were written after a version up to which the table was known.
-    pub fn read(&mut self, rows: &[UpstreamChange], whole: bool, version: u64) -> TableRead {
+    /// Applies all rows if `whole`, otherwise those written after a version up to which the table was
+    /// known.
+    pub fn apply_read(&mut self, rows: &[UpstreamChange], whole: bool, version: u64) -> TableRead {
         let mut read = TableRead::default();
         if version < self.version {
-            // Its question was answered before what others have told since.
+            // The store served this read before it served changes that other VMs have sent since.
             return read;
         }
         let mut rows = rows.to_vec();
         if whole {
-            let gone = self.missing_in(&rows, version);
-            self.take_all(gone, &mut read);
+            let gone = self.removals_absent_from(&rows, version);
+            self.set_rows(gone, &mut read);
         } else {
-            rows.retain(|row| row.written > self.version || self.holds(row));
+            rows.retain(|row| row.written > self.version || self.is_current_version(row));
         }
-        self.take_all(rows, &mut read);
-        self.known_up_to(version);
+        self.set_rows(rows, &mut read);
+        self.advance_version(version);
         read
     }
 
-    /// Takes in another VM's word: changes, and the digest and version with them. Returns the changes
-    /// that are news.
-    pub fn told(
+    /// Applies an update of another VM: changes, with the digest and version of its table. Returns the
+    /// changes that are new here.
+    pub fn apply_update(
         &mut self,
         changes: &[UpstreamChange],
         version: u64,
         digest: u64,
     ) -> Vec<UpstreamChange> {
         let mut changes = changes.to_vec();
-        // What was written up to the own version is known here, also if it was removed and forgotten since.
+        // Rows written up to this VM's version are known here, also if they were removed and dropped since.
         changes.retain(|change| change.written > self.version);
-        let mut told = TableRead::default();
-        self.take_all(changes, &mut told);
+        let mut read = TableRead::default();
+        self.set_rows(changes, &mut read);
         if version > self.version && self.digest == digest {
-            self.known_up_to(version);
+            self.advance_version(version);
         }
-        told.news
+        read.changed
     }
 
-    /// Whether the word of another VM, which has read up to `version`, shows that something is missing.
+    /// Whether the digest of another VM, which has read up to `version`, shows that a change was missed
+    /// here.
     #[must_use]
     pub fn is_behind(&self, version: u64, digest: u64) -> bool {
         version > self.version && digest != self.digest
     }
 
-    /// Whether a row is known just as it was written then. One that is not, and is older than the table, was
-    /// overwritten or removed since.
-    fn holds(&self, change: &UpstreamChange) -> bool {
-        let place = self.position(&change.key);
-        place.is_ok_and(|index| self.rows[index].row.written == change.written)
+    /// Whether the row is known as it was written at that version. A row that is not, and is older than the
+    /// table, was overwritten or removed since.
+    fn is_current_version(&self, change: &UpstreamChange) -> bool {
+        let found = self.position(&change.key);
+        found.is_ok_and(|index| self.rows[index].change.written == change.written)
     }
 
     fn position(&self, key: &str) -> Result<usize, usize> {
         self.rows
-            .binary_search_by(|row| row.row.key.as_ref().cmp(key))
+            .binary_search_by(|row| row.change.key.as_ref().cmp(key))
     }
 
-    /// Removals of the rows that a whole table as of `version` does not hold.
-    fn missing_in(&self, rows: &[UpstreamChange], version: u64) -> Vec<UpstreamChange> {
+    /// Removals of the known rows that the complete table as of `version` does not contain.
+    fn removals_absent_from(&self, rows: &[UpstreamChange], version: u64) -> Vec<UpstreamChange> {
         let mut keys = rows.iter().map(|row| &row.key).collect::<Vec<_>>();
         keys.sort_unstable();
-        let missing = |row: &&Row| keys.binary_search(&&row.row.key).is_err();
-        let present = self.rows.iter().filter(|row| row.row.entry.is_some());
+        let missing = |row: &&Row| keys.binary_search(&&row.change.key).is_err();
+        let present = self.rows.iter().filter(|row| row.change.entry.is_some());
         present
             .filter(missing)
             .map(|row| UpstreamChange {
-                key: row.row.key.clone(),
+                key: row.change.key.clone(),
                 written: version,
                 entry: None,
             })
             .collect()
     }
 
-    fn take_all(&mut self, changes: Vec<UpstreamChange>, read: &mut TableRead) {
+    fn set_rows(&mut self, changes: Vec<UpstreamChange>, read: &mut TableRead) {
         for change in changes {
-            match self.put(&change) {
-                Put::Older => {}
-                Put::Same => read.current.push(change),
-                Put::News => {
+            match self.set_row(&change) {
+                SetOutcome::Older => {}
+                SetOutcome::Unchanged => read.current.push(change),
+                SetOutcome::Changed => {
                     read.current.push(change.clone());
-                    read.news.push(change);
+                    read.changed.push(change);
                 }
             }
         }
     }
 
-    fn known_up_to(&mut self, version: u64) {
+    fn advance_version(&mut self, version: u64) {
         self.version = self.version.max(version);
         let known = self.version;
         self.rows
-            .retain(|row| row.row.entry.is_some() || row.row.written > known);
+            .retain(|row| row.change.entry.is_some() || row.change.written > known);
     }
 
-    /// Sets a row.
-    fn put(&mut self, change: &UpstreamChange) -> Put {
-        let place = self.position(&change.key);
-        let before = place.ok().map_or(0, |index| self.rows[index].hash);
-        if place.is_ok_and(|index| self.rows[index].row.written > change.written) {
-            return Put::Older;
+    /// Sets a row unless a newer one is known.
+    fn set_row(&mut self, change: &UpstreamChange) -> SetOutcome {
+        let found = self.position(&change.key);
+        let before = found.ok().map_or(0, |index| self.rows[index].hash);
+        if found.is_ok_and(|index| self.rows[index].change.written > change.written) {
+            return SetOutcome::Older;
         }
         let hash = hash(change);
         let row = Row {
             hash,
-            row: change.clone(),
+            change: change.clone(),
         };
-        match place {
+        match found {
             Ok(index) => self.rows[index] = row,
             Err(index) => self.rows.insert(index, row),
         }
-        // Sums in any order are the same.
+        // A sum does not depend on the order in which the rows were read.
         self.digest = self.digest.wrapping_sub(before).wrapping_add(hash);
-        if before == hash { Put::Same } else { Put::News }
+        if before == hash {
+            SetOutcome::Unchanged
+        } else {
+            SetOutcome::Changed
+        }
     }
 }
 
-/// What became of a row that was to be set.
-enum Put {
-    /// A newer one is known.
+/// Outcome of setting a row.
+enum SetOutcome {
+    /// A newer row is known.
     Older,
-    /// It says what was known.
-    Same,
-    /// It says something new.
-    News,
+    /// The content of the row is unchanged.
+    Unchanged,
+    /// The content of the row is new.
+    Changed,
 }
 
 fn hash(change: &UpstreamChange) -> u64 {
--- a/crates/decisions/tests/capacity_share.rs
+++ b/crates/decisions/tests/capacity_share.rs
@@ -56,7 +56,7 @@
         sharers: 1,
         rounding_threshold: 999,
     };
-    slots.reported(report, share);
+    slots.record_report(report, share);
     slots
 }
 
@@ -66,14 +66,14 @@
 fn teams_below_their_share_have_extra_slots() {
     let mut slots = slots();
     let now = Instant::default();
-    let alone = slots.share(now, Lane::Quick);
-    slots.note_light(now);
+    let alone = slots.lane_limit(now, Lane::Quick);
+    slots.record_below_share(now);
 
-    while slots.has_room(now, Lane::Quick) {
-        slots.enter(now, Lane::Quick);
+    while slots.has_free_slot(now, Lane::Quick) {
+        slots.acquire(now, Lane::Quick);
     }
 
     expect_that!(alone, eq(12));
     expect_that!(slots.in_flight(Lane::Quick), eq(10));
-    expect_that!(slots.has_extra_room(), eq(true));
+    expect_that!(slots.has_extra_slot(), eq(true));
 }
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -89,7 +89,7 @@
         waiting: 0,
     };
     let rounding_threshold = 999;
-    slots.reported(
+    slots.record_report(
         report,
         CapacityShare {
             sharers,
@@ -105,21 +105,21 @@
 fn long_requests_leave_slots_to_quick_calls() {
     let mut slots = slots(10, 1);
     let now = Instant::default();
-    slots.note_arrival(now, Lane::Quick);
+    slots.record_arrival(now, Lane::Quick);
 
-    while slots.has_room(now, Lane::Long) {
-        slots.enter(now, Lane::Long);
+    while slots.has_free_slot(now, Lane::Long) {
+        slots.acquire(now, Lane::Long);
     }
 
     expect_that!(slots.in_flight(Lane::Long), eq(8));
-    expect_that!(slots.has_room(now, Lane::Quick), eq(true));
+    expect_that!(slots.has_free_slot(now, Lane::Quick), eq(true));
 }
 
 #[gtest]
 fn engine_without_quick_calls_is_fully_used() {
     let slots = slots(10, 1);
 
-    let share = slots.share(Instant(Duration::from_secs(100)), Lane::Long);
+    let share = slots.lane_limit(Instant(Duration::from_secs(100)), Lane::Long);
 
     expect_that!(share, eq(10));
 }
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -1,4 +1,4 @@
-//! Restart reports that arrive late, beside a table of upstreams that some VMs cannot read.
+//! Late restart reports, combined with a table of upstreams that some VMs cannot read.
 
 use catkin_decisions::{
     Born, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableView, UpstreamChange,
@@ -19,7 +19,7 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// Upstreams in pairs share an address, as one that crashed and the one that started in its place.
+/// Pairs of upstreams share an address, as one that crashed and the one that was started in its place do.
 fn entry(n: u8) -> UpstreamEntry {
     UpstreamEntry {
         id: format!("engine-{n}").parse().unwrap(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A report that upstream `n` has the address of the one before it.
+/// Report that upstream `n` has taken the address of the other one of its pair.
 fn restart(n: u8, version: u64) -> UpstreamRestart {
     UpstreamRestart {
         before: entry(n ^ 1).id,
@@ -51,53 +51,53 @@
     usable.map(|entry| entry.id.to_string()).collect()
 }
 
-/// A VM misses an upstream's whole life at the store and learns of its removal alone.
+/// A VM reads nothing of an upstream but its removal.
 #[gtest]
 fn report_of_an_upstream_removed_unseen_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
-    directory.removed(&entry(1).id.id, at(1000));
+    directory.apply_entry(entry(0));
+    directory.remove_entry(&entry(1).id.id, at(1000));
 
-    let outcome = directory.restarted(&restart(1, 0), report(0, false));
+    let outcome = directory.apply_restart(&restart(1, 0), report(0, false));
 
     expect_that!(outcome, err(eq(&StaleRestart::Removed)));
     expect_that!(usable(&directory, at(1000)), eq(&["engine-0"]));
 }
 
-/// A report arrives at a VM that reads the table, which alone says who is there.
+/// A report arrives at a VM that reads the table, which alone decides there which upstreams exist.
 #[gtest]
 fn report_against_a_current_table_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
+    directory.apply_entry(entry(0));
 
-    let outcome = directory.restarted(&restart(1, 9), report(7, true));
+    let outcome = directory.apply_restart(&restart(1, 9), report(7, true));
 
     expect_that!(outcome, err(eq(&StaleRestart::TableIsCurrent)));
 }
 
-/// The reporting VM has not read the table for as long as this one.
+/// The reporting VM has read the table up to an earlier version than this one.
 #[gtest]
 fn report_from_an_older_table_is_ignored() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
+    directory.apply_entry(entry(0));
 
-    let outcome = directory.restarted(&restart(1, 6), report(7, false));
+    let outcome = directory.apply_restart(&restart(1, 6), report(7, false));
 
     expect_that!(outcome, err(eq(&StaleRestart::TableIsNewer)));
 }
 
-/// An upstream is known by a report alone, and its row never comes.
+/// An upstream is known only by a report, and its row is never read.
 #[gtest]
 fn reported_upstream_without_a_row_is_dropped_after_the_platforms_return() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
-    directory.platform_lost();
+    directory.apply_entry(entry(0));
+    directory.record_platform_outage();
     directory
-        .restarted(&restart(1, 0), RestartEvidence::OwnProbe)
+        .apply_restart(&restart(1, 0), RestartEvidence::OwnProbe)
         .unwrap();
     let while_away = usable(&directory, at(60_000));
 
-    directory.platform_answers(at(60_000));
+    directory.record_platform_response(at(60_000));
     let at_first = usable(&directory, at(60_000));
     let later = usable(&directory, at(60_000).after(LAPSE_GRACE));
 
@@ -108,22 +108,22 @@
     expect_that!(later, is_empty());
 }
 
-/// The row of a reported upstream is read: it stays.
+/// A reported upstream stays once its row is read.
 #[gtest]
 fn reported_upstream_with_a_row_stays() {
     let mut directory = UpstreamDirectory::default();
-    directory.heard(entry(0));
+    directory.apply_entry(entry(0));
     directory
-        .restarted(&restart(1, 0), RestartEvidence::OwnProbe)
+        .apply_restart(&restart(1, 0), RestartEvidence::OwnProbe)
         .unwrap();
 
-    directory.heard(entry(1));
-    directory.platform_answers(at(1000));
+    directory.apply_entry(entry(1));
+    directory.record_platform_response(at(1000));
 
     expect_that!(usable(&directory, at(60_000)), eq(&["engine-1"]));
 }
 
-/// An upstream was removed; a peer's note still names a later process of it.
+/// An upstream was removed, and a peer's note still names a later process of it.
 #[gtest]
 fn later_process_of_a_removed_upstream_is_ignored() {
     let mut directory = UpstreamDirectory::default();
@@ -131,10 +131,10 @@
         born: Some(Born(1000)),
         ..entry(0).id
     };
-    directory.heard(UpstreamEntry { id, ..entry(0) });
-    directory.removed(&entry(0).id.id, at(1000));
+    directory.apply_entry(UpstreamEntry { id, ..entry(0) });
+    directory.remove_entry(&entry(0).id.id, at(1000));
 
-    directory.started(&entry(0).id.id, Born(2000), at(1000));
+    directory.record_start(&entry(0).id.id, Born(2000), at(1000));
 
     expect_that!(usable(&directory, at(1000)), is_empty());
 }
@@ -143,11 +143,11 @@
 enum Step {
     /// An upstream registers, then drains, then is removed.
     Advance(u8),
-    /// The store begins or ends to reject a VM.
+    /// The store begins or ceases to reject a VM.
     Reject(usize, bool),
-    /// A VM reads what changed, or all.
+    /// A VM reads the changes, or the complete table.
     Read(usize, bool),
-    /// A VM is turned away by an upstream at another one's address and reports it.
+    /// A VM finds the upstream at the address of the other one of its pair, and reports it.
     Report(usize, u8),
     /// The n-th report arrives at a VM.
     Deliver(usize, usize),
@@ -163,11 +163,11 @@
     ]
 }
 
-/// The store: each write, in order; the version is the number of writes.
+/// The store, with each write in order; its version is the number of writes.
 #[derive(Default)]
 struct Store {
     writes: Vec<UpstreamChange>,
-    /// How often each upstream has advanced.
+    /// Number of stages that each upstream has passed: registered, draining, removed.
     stages: [u8; UPSTREAMS as usize],
 }
 
@@ -195,7 +195,7 @@
         self.writes.len() as u64
     }
 
-    /// The newest row of each upstream that was written after a version.
+    /// The newest row of each upstream, if it was written after a version.
     fn rows(&self, after: u64) -> Vec<UpstreamChange> {
         let newest = |row: &&UpstreamChange| {
             let mut others = self.writes.iter().filter(|other| other.key == row.key);
@@ -216,29 +216,29 @@
     table: UpstreamTable,
     directory: UpstreamDirectory,
     rejected: bool,
-    /// Upstreams whose leaving or removal it has read, and from when on it must not use them: entries that were
-    /// removed may have lapsed with the platform.
+    /// Upstreams that this VM has read to be leaving or removed, and the time from which it must not use
+    /// them: removed entries may have lapsed with the platform.
     left: Vec<(String, Instant)>,
 }
 
 impl Vm {
     fn read(&mut self, store: &Store, whole: bool, now: Instant) {
         if self.rejected {
-            self.directory.platform_lost();
+            self.directory.record_platform_outage();
             return;
         }
-        self.directory.platform_answers(now);
+        self.directory.record_platform_response(now);
         let rows = if whole {
             let rows = store.rows(0).into_iter();
             rows.filter(|row| row.entry.is_some()).collect()
         } else {
             store.rows(self.table.version())
         };
-        let read = self.table.read(&rows, whole, store.version());
+        let read = self.table.apply_read(&rows, whole, store.version());
         if whole {
             let entries = self.table.entries().into_iter();
             self.directory
-                .snapshot(entries.filter_map(|row| row.entry).collect(), now);
+                .apply_snapshot(entries.filter_map(|row| row.entry).collect(), now);
         }
         for row in read.current {
             let since = match &row.entry {
@@ -248,8 +248,8 @@
             self.left
                 .extend(since.map(|since| (row.key.to_string(), since)));
             match row.entry {
-                Some(entry) => _ = self.directory.heard(entry),
-                None => _ = self.directory.removed(&row.key.parse().unwrap(), now),
+                Some(entry) => _ = self.directory.apply_entry(entry),
+                None => _ = self.directory.remove_entry(&row.key.parse().unwrap(), now),
             }
         }
     }
@@ -259,17 +259,17 @@
             version: self.table.version(),
             current: !self.rejected,
         };
-        // What comes of it shows in what is used.
+        // The outcome is checked by the upstreams that are used.
         let _ = self
             .directory
-            .restarted(restart, RestartEvidence::PeerReport(table));
+            .apply_restart(restart, RestartEvidence::PeerReport(table));
     }
 }
 
 proptest! {
     /// Reads, removals and late restart reports in any order, with VMs that the store rejects.
     #[test]
-    fn reports_resurrect_no_upstream(steps in prop::collection::vec(step(), 1..60)) {
+    fn reports_restore_no_removed_upstream(steps in prop::collection::vec(step(), 1..60)) {
         let mut store = Store::default();
         let mut vms: [Vm; VMS] = Default::default();
         let mut reports: Vec<UpstreamRestart> = Vec::new();
@@ -303,8 +303,8 @@
             let later = now.after(LAPSE_GRACE * 2);
             vm.read(&store, false, later);
             let used = usable(&vm.directory, later);
-            let resurrected = used.iter().find(|id| !store.is_ready(id));
-            prop_assert_eq!(resurrected, None);
+            let restored = used.iter().find(|id| !store.is_ready(id));
+            prop_assert_eq!(restored, None);
         }
     }
 }
