--- a/crates/decisions/src/cached_prompts.rs
+++ b/crates/decisions/src/cached_prompts.rs
@@ -1,54 +1,58 @@
-//! Which engines still hold the parts of a prompt that was read before.
+//! Which engines still hold parts of a prompt in their prefix cache.
 //!
-//! Load pattern: VMs lose their power or are killed, all at once at worst, and the callers of all their
-//! streams come back to VMs that know nothing of them. Each prompt has been read by some engine, which
-//! keeps it for a while. Placed by load alone, nearly all are read again elsewhere: a second of an engine's
-//! time for each, and for callers with little time left all of it. So engines are asked what they hold.
+//! Load pattern: VMs lose power or are killed, in the worst case all at once, and the callers of their
+//! streams reconnect to VMs that have no state for them. Some engine has already read each prompt and
+//! caches it for a while. Placement by load alone sends nearly all of these calls to other engines, which
+//! read the prompt again: about one second of engine time per prompt, and for callers close to their
+//! deadline all the time that is left. So engines are queried for what they hold.
 //!
-//! What they say is a hint: a part may be gone by the time a call arrives, and is then read again.
+//! The answers are hints: a part may be evicted before the call arrives, and is then read again.
 
 use super::*;
 
-/// How long an engine's word counts. Callers of a lost VM come back within some hundred milliseconds of
-/// each other, so each engine is asked once for all of them.
+/// How long an engine's answer is used. Callers of a lost VM reconnect within a few hundred milliseconds
+/// of each other, so one query per engine serves all of them.
 pub const CACHE_WORD_AGE: Duration = Duration::from_secs(2);
 
-/// Engines asked at most: all of a deployment of today, and those of the own zone at the target size.
+/// Maximum number of engines queried: all engines of a present deployment, or those of the local
+/// availability zone at the target size.
 const MOST_ASKED: usize = 48;
 
-/// Wait for the engines' answers. One takes 2 to 5 ms; a caller who comes back has lost far more.
+/// Time-out for the engines' answers. An answer takes 2 to 5 ms; a caller that reconnects has already
+/// lost far more than the time-out.
 pub const SEARCH_BOUND: Duration = Duration::from_millis(60);
 
-/// Part of the VM's link that the answers may fill in that time; the rest is for streams.
+/// Share of the VM's link that the answers may use during the time-out; the rest is for streams.
 const LINK_PART: f64 = 0.5;
 
-/// Bytes of an answer for each part that it names.
+/// Bytes of an answer per part that it lists.
 const PART_BYTES: f64 = 48.0;
 
-/// Parts of an answer before any was seen.
+/// Assumed number of parts in an answer until the first one arrives.
 const USUAL_PARTS: f64 = 128.0;
 
-/// Weight of the latest answer in the mean size.
+/// Weight of the latest answer in the moving average of answer sizes.
 const SIZE_WEIGHT: f64 = 0.1;
 
-/// Parts kept of an engine's word, the newest: as many prompts as its memory holds, many times over.
+/// Maximum number of parts kept per engine, the newest ones. This is many times the number of prompts
+/// that fit into an engine's memory.
 const MOST_PARTS: usize = 256;
 
-/// A part of a prompt; requests that begin alike share their first parts.
+/// A part of a prompt; requests with the same beginning share their first parts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Its name.
+    /// Identifier of the part, as the engines report it.
     pub id: Arc<str>,
-    /// Its length.
+    /// Length of the part, or the length that an engine holds of it, in tokens.
     pub tokens: u32,
 }
 
-/// What engines have said of the parts that they hold.
+/// The prompt parts that engines reported to hold.
 #[derive(Clone, Debug)]
 pub struct CachedPrompts {
     /// Sorted by engine.
     engines: Vec<EngineCache>,
-    /// Mean number of parts that an answer names.
+    /// Moving average of the number of parts in an answer.
     mean_parts: f64,
 }
 
@@ -65,12 +69,13 @@
 struct EngineCache {
     engine: UpstreamIncarnation,
     told: Instant,
-    /// Tokens held of each part, sorted by its name.
+    /// Tokens held of each part, sorted by part id.
     parts: Vec<PromptPart>,
 }
 
 impl CachedPrompts {
-    /// How many engines are asked at once, so that their answers do not hold up the streams on the VM's link.
+    /// Number of engines to query at once, limited so that their answers do not delay the streams on the
+    /// VM's link.
     #[must_use]
     pub fn most_asked(&self, link: Option<LinkRate>) -> usize {
         let Some(link) = link else {
@@ -86,14 +91,14 @@
         most.min(MOST_ASKED)
     }
 
-    /// Whether an engine should be asked.
+    /// Whether an engine should be queried, because its last answer is missing or too old.
     #[must_use]
     pub fn is_due(&self, engine: &UpstreamIncarnation, now: Instant) -> bool {
         self.get(engine, now).is_none()
     }
 
-    /// Takes in an engine's word: parts with the tokens that it holds of each, the latest word on a part
-    /// last.
+    /// Stores an engine's answer: the parts with the number of tokens held of each, oldest entry first. A
+    /// later entry for the same part replaces an earlier one.
     pub fn told(&mut self, engine: &UpstreamIncarnation, word: Vec<PromptPart>, now: Instant) {
         self.engines
             .retain(|known| known.engine != *engine && now.since(known.told) < CACHE_WORD_AGE);
@@ -115,8 +120,8 @@
         self.engines.insert(place, cache);
     }
 
-    /// Tokens of a prompt that each engine holds, for those that hold any, sorted by engine. A part
-    /// counts only as far as all parts before it are held in whole.
+    /// Number of tokens of a prompt that each engine holds, for the engines that hold any, sorted by
+    /// engine. A part counts only if the engine holds all parts before it completely.
     #[must_use]
     pub fn holders(&self, prompt: &[PromptPart], now: Instant) -> Vec<(UpstreamIncarnation, u32)> {
         self.engines
--- a/crates/decisions/src/candidate.rs
+++ b/crates/decisions/src/candidate.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// An upstream that may get a request.
+/// An upstream that a request can be sent to.
 #[derive(Debug, PartialEq)]
 pub struct Candidate {
-    /// Proof that it may.
+    /// Proof that the upstream may get new work.
     pub eligible: Eligible,
-    /// True if it is in the VM's own availability zone.
+    /// Whether the upstream is in the VM's own availability zone.
     pub own_zone: bool,
-    /// Requests there, as far as known: those of others by its last report, and the VM's own.
+    /// Requests in flight at the upstream: those of other VMs by its last report, plus the VM's own.
     pub load: u32,
-    /// Requests that it runs at once, at least 1.
+    /// Number of requests that the upstream runs concurrently, at least 1.
     pub capacity: u32,
-    /// Part of its capacity that counts, from 0 (last resort) to 1.
+    /// Factor on the capacity, from 0 (used only if no other upstream is left) to 1.
     pub weight: f64,
-    /// Average latency of its answers, in seconds.
+    /// Average response latency, in seconds.
     pub pace: Option<f64>,
-    /// Rendezvous score of the request's prefix here.
+    /// Rendezvous score of the request's prefix for this upstream.
     pub affinity: u64,
 }
--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -1,41 +1,42 @@
 //! Choice of the upstream for a request.
 //!
-//! Load pattern: many VMs decide at once on the same load reports, which are up to half a second
-//! old. If each takes the least loaded upstream, all take the same one, and it is flooded until the
-//! next report (herding). Two candidates at random and the better of the two spreads them, since
-//! hardly any two VMs draw the same pair. Prompts with the same beginning go to the same upstream,
-//! whose cache holds it, unless that one is busier than the others by a bound: what caches hold is
-//! known late and with gaps, so affinity is a hint and never outweighs load.
+//! Load pattern: many VMs decide at the same time from the same load reports, which are up to half a
+//! second old. If each chose the least loaded upstream, all would choose the same one and overload it
+//! until the next report (herding). The power of two choices, the better of two random candidates,
+//! spreads the requests, since few VMs draw the same pair. Prompts with the same prefix go to the
+//! upstream whose cache holds it, unless its load exceeds the average by more than a bound: cache
+//! contents are known late and incompletely, so affinity is a hint and never outweighs load.
 //!
-//! The own availability zone is used until its load reaches its capacity; then those upstreams of
-//! other zones that are less loaded take part.
+//! Only the VM's own availability zone is used until its load reaches its capacity; then the less
+//! loaded upstreams of other zones become candidates too.
 //!
-//! Grounds for the figures: `cargo run --release -p catkin-decisions --example choice` prints the
-//! largest load after one stale report for 8 and 64 VMs, beside the least loaded choice, and the
-//! time of a decision; `docs/LOAD.md` has a run. The affinity bound of 1.25 is the usual one of
+//! `cargo run --release -p catkin-decisions --example choice` prints the largest load after one stale
+//! report for 8 and 64 VMs, compared with choosing the least loaded upstream, and the time of a
+//! decision; `docs/LOAD.md` shows its output. The affinity bound of 1.25 is the usual value for
 //! consistent hashing with bounded loads.
 
 use super::*;
 
-/// How far above the average load the upstream with the prefix may be.
+/// Maximum load of the upstream chosen by prefix, as a multiple of the average load.
 const AFFINITY_BOUND: f64 = 1.25;
 
-/// How many upstreams of the best affinity are tried before load alone decides.
+/// Number of upstreams with the highest affinity that are tried before load alone decides.
 const AFFINITY_TRIES: usize = 3;
 
-/// Up to this multiple of the best pace, differences of latency are taken for chance.
+/// Latencies up to this multiple of the best one are treated as equal, since such differences may be
+/// random.
 const PACE_TOLERANCE: f64 = 3.0;
 
-/// What the choice depends on besides the candidates.
+/// Input of the choice besides the candidates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChoiceInput {
-    /// Two random numbers.
+    /// Random numbers that draw the two candidates to compare.
     pub random: [u32; 2],
-    /// Whether the candidates' affinity counts.
+    /// Whether candidates with a high prefix affinity are preferred.
     pub by_prefix: bool,
 }
 
-/// A candidate with what the comparison needs.
+/// A candidate with the values that are compared.
 #[derive(Clone, Copy)]
 struct Weighed {
     index: usize,
@@ -45,13 +46,13 @@
 }
 
 impl Weighed {
-    /// Part of its weighted capacity that one more request would use.
+    /// Share of the weighted capacity in use after one more request.
     fn cost(&self) -> f64 {
         (self.load + 1.0) / self.room
     }
 }
 
-/// Chooses one of the candidates and returns its index; `None` if there is none.
+/// Chooses a candidate and returns its index; `None` if there are no candidates.
 #[must_use]
 pub fn choose(candidates: &[Candidate], input: ChoiceInput) -> Option<usize> {
     let pool = pool(candidates);
@@ -63,7 +64,8 @@
     better_of_two(&pool, input.random)
 }
 
-/// The candidates that the choice is among, weighed.
+/// The candidates to choose from. Those of weight 0 are left out unless there are no others, and those
+/// of other zones unless the own zone is full and they are less loaded.
 fn pool(candidates: &[Candidate]) -> Vec<Weighed> {
     let trusted = candidates.iter().any(|c| c.weight > 0.0);
     let usable = |c: &Candidate| !trusted || c.weight > 0.0;
@@ -86,7 +88,7 @@
         .collect()
 }
 
-/// Load by capacity of all of them; `None` if there are none.
+/// Total load divided by total capacity; `None` if there are no candidates.
 fn use_of_capacity<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<f64> {
     let (load, capacity) = candidates.fold((0.0, 0.0), |(load, capacity), c| {
         (load + f64::from(c.load), capacity + f64::from(c.capacity))
@@ -98,7 +100,7 @@
     f64::from(candidate.load) / f64::from(candidate.capacity)
 }
 
-/// Small for an upstream whose answers take much longer than the best one's.
+/// Factor on the capacity of an upstream, below 1 if its latency is much higher than the best one.
 fn pace_factor(pace: Option<f64>, best: f64) -> f64 {
     let Some(pace) = pace.filter(|pace| *pace > 0.0) else {
         return 1.0;
@@ -116,7 +118,8 @@
             .iter()
             .filter(|w| w.affinity < below)
             .max_by_key(|w| w.affinity)?;
-        // One request is always allowed, or a small load would never find its prefix.
+        // An idle upstream is always accepted. Otherwise, at low total load, the bound would rule out
+        // the upstream that holds the prefix.
         if best.load < 1.0 || best.load < bound * best.room {
             return Some(best.index);
         }
--- a/crates/decisions/src/comparisons.rs
+++ b/crates/decisions/src/comparisons.rs
@@ -1,18 +1,18 @@
 use std::cell::Cell;
 
-/// Counts the comparisons that a table makes, so that work which grows faster than the table shows up without
-/// a clock.
+/// Counts the comparisons made by a table, so that tests can detect work that grows faster than the table
+/// without measuring time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Comparisons(Cell<u64>);
 
 impl Comparisons {
-    /// Counts one comparison and hands on its outcome.
+    /// Counts one comparison and returns its outcome.
     pub(crate) fn note<T>(&self, outcome: T) -> T {
         self.0.set(self.0.get() + 1);
         outcome
     }
 
-    /// Comparisons so far.
+    /// Number of comparisons counted since creation.
     pub(crate) fn count(&self) -> u64 {
         self.0.get()
     }
--- a/crates/decisions/src/eligible.rs
+++ b/crates/decisions/src/eligible.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Proof that an upstream may get one piece of new work.
+/// Proof that an upstream may get one new request.
 ///
-/// Only [`UpstreamEvidence::eligible`] makes one, it cannot be copied, and every dispatch uses one
-/// up. So there is no way in the code to send work to an upstream past that function.
+/// Only [`UpstreamEvidence::eligible`] creates it, it cannot be copied, and every dispatch consumes one.
+/// So no code can send work to an upstream without the check in that function.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Eligible {
     pub(crate) incarnation: Incarnation,
@@ -11,13 +11,13 @@
 }
 
 impl Eligible {
-    /// The process of the upstream that it is about.
+    /// The process of the upstream that the proof applies to.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether it still holds; a dispatch that comes later needs a new one.
+    /// Whether the proof is still valid; a later dispatch needs a new one.
     #[must_use]
     pub fn holds(&self, now: Instant) -> bool {
         now <= self.until
--- a/crates/decisions/src/engine_priority.rs
+++ b/crates/decisions/src/engine_priority.rs
@@ -1,28 +1,28 @@
-//! The priority under which an engine runs a request, and by it what is preempted first.
+//! The priority of a request at an engine, which decides what the engine preempts first.
 //!
-//! Load pattern: an engine has more to run than fits its batch, and preempts. Without priorities it
-//! preempts by arrival, and the quick call that came last goes first. Engines run the larger number
-//! first, so the order below is the order of preemption, from the first to go:
+//! Load pattern: an engine has more requests than fit into its batch, and preempts some. Without
+//! priorities it preempts the request that arrived last, such as a quick call. Engines run larger
+//! numbers first, so requests are preempted in this order:
 //!
-//! 0. a second copy, whose loss costs nobody an answer;
-//! 1. a generation of which the caller has seen nothing yet;
-//! 2. a generation that goes on after a loss: its caller waits in the middle of a sentence, and the
-//!    work of its first part is lost if it fails again;
-//! 3. a quick call, which holds its place for moments only.
+//! 0. a second copy of a request, whose loss leaves the caller's answer to the first copy;
+//! 1. a generation whose caller has received no token yet;
+//! 2. a generation resumed after a loss: its caller has received a part of the answer and waits for
+//!    the rest, and the work spent on that part is lost if the generation fails again;
+//! 3. a quick call, which occupies its batch slot only for a short time.
 //!
-//! The figures are ranks, with no measurement behind them but the order.
+//! The numbers are ranks: only their order matters.
 
 use super::*;
 
-/// Rank of a request at an engine; larger runs first.
+/// Priority of a request at an engine; larger values run first.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
 pub struct EnginePriority(pub u8);
 
 impl EnginePriority {
-    /// The rank of a second copy that is sent while the first still runs.
+    /// The priority of a second copy that is sent while the first still runs.
     pub const SECOND_COPY: Self = Self(0);
 
-    /// The rank of an attempt with `delivered` tokens as its forced prefix.
+    /// The priority of an attempt that has `delivered` tokens as its forced prefix.
     #[must_use]
     pub fn of(lane: Lane, delivered: TokenIndex) -> Self {
         match (lane, delivered) {
--- a/crates/decisions/src/engine_report.rs
+++ b/crates/decisions/src/engine_report.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// What an engine says of the models that it holds.
+/// An engine's report on its models and its role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// When it was asked.
+    /// When the report was requested.
     pub at: Instant,
-    /// Loaded models, sorted, with the streams running on each.
+    /// Loaded models, sorted, each with its number of running streams.
     pub loaded: Vec<(Model, u32)>,
-    /// Models being loaded, sorted; `None` if the engine doesn't say.
+    /// Models being loaded, sorted; `None` if the engine does not report them.
     pub loading: Option<Vec<Model>>,
-    /// True if its role is to serve.
+    /// Whether the engine is in the serving role.
     pub serves: bool,
-    /// Largest term that it took an order with.
+    /// Highest term of the orders that the engine has accepted.
     pub highest_term: Term,
 }
 
 impl EngineReport {
-    /// Streams on a model; `None` if it is not loaded.
+    /// Number of streams running on a model; `None` if the model is not loaded.
     #[must_use]
     pub fn streams(&self, model: &Model) -> Option<u32> {
         let i = self.loaded.binary_search_by(|(m, _)| m.cmp(model)).ok()?;
--- a/crates/decisions/src/engine_state.rs
+++ b/crates/decisions/src/engine_state.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// The state that an engine is ordered to take.
+/// The desired state of an engine, as sent to it in an order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
-    /// The engine.
+    /// Id of the engine.
     pub upstream: UpstreamId,
-    /// All models that it shall hold, sorted.
+    /// All models that the engine should have loaded, sorted.
     pub models: Vec<Model>,
 }
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -1,28 +1,30 @@
 use super::*;
 
-/// Engines that keep an old version in use: one can die, and its streams still are resumed.
+/// Number of engines that retain an old model version in use. With two, the streams of one that dies can
+/// resume on the other.
 const KEEPERS: usize = 2;
 
-/// An engine as the planner sees it; `report` is `None` if there is none that may be acted on.
+/// An engine as the order planner sees it; `report` is `None` if there is no usable report.
 pub(crate) struct EngineView<'a> {
     pub(crate) goal: &'a EngineGoal,
     pub(crate) report: Option<&'a EngineReport>,
-    /// Models that are being loaded there.
+    /// Models that the engine is loading.
     pub(crate) loading: Vec<Model>,
 }
 
-/// Models of a wanted state that the engine doesn't hold.
+/// The desired models that the engine has not loaded.
 pub(crate) fn missing(models: &[Model], view: &EngineView) -> Vec<Model> {
     let absent = |model: &&Model| !view.report.is_some_and(|report| report.has(model));
     models.iter().filter(absent).cloned().collect()
 }
 
-/// Whether an engine shall hold some version of a model.
+/// Whether some version of a model is desired on an engine.
 fn has_name(view: &EngineView, model: &Model) -> bool {
     view.goal.models.iter().any(|m| m.name == model.name)
 }
 
-/// Whether one more engine may load a model now.
+/// Whether engine `i` may load a model now: it is loading it already, or fewer than `loads_at_once` other
+/// engines are loading and another replica serves the model meanwhile, unless there is no other replica.
 pub(crate) fn may_load(
     i: usize,
     model: &Model,
@@ -44,8 +46,8 @@
     busy < loads_at_once.max(1) && (alone || serving > 0)
 }
 
-/// The engines that keep an old model: those that have it first, then those with most streams on it,
-/// and a second one in another availability zone if there is any.
+/// The engines that retain an old model. Engines that have it loaded are preferred, and among them those
+/// with the most streams on it. The second one is in another availability zone if possible.
 pub(crate) fn keepers(model: &Model, views: &[EngineView]) -> Vec<UpstreamId> {
     let able = |view: &&EngineView| view.report.is_some() && has_name(view, model);
     let mut able = views.iter().filter(able).collect::<Vec<_>>();
--- a/crates/decisions/src/hedge.rs
+++ b/crates/decisions/src/hedge.rs
@@ -1,29 +1,29 @@
-//! Hedging: a second copy of a quick idempotent call that is late.
+//! Hedging: sends a second copy of a quick idempotent call that takes long.
 //!
-//! Load pattern: one upstream of many answers slowly for a moment (a pause, a long job beside it).
-//! Without a hedge the slowest upstream sets every caller's p99. Here a call that has waited past
-//! the p95 of recent calls of its service is sent once more, to another upstream; the first answer
-//! counts and the other call is cancelled. When all upstreams are slow, hedges would double the
-//! load that made them slow, so they are paid from a budget that calls earn.
+//! Load pattern: one upstream of many answers slowly for a moment, because of a pause or a long job
+//! beside the call. Without hedging the slowest upstream determines every caller's p99. A call that
+//! has waited longer than the p95 of the recent calls of its service is sent once more, to another
+//! upstream; the first answer is used and the other call is cancelled. When all upstreams are slow,
+//! hedges would double the load that made them slow, so they are paid from a budget that calls earn.
 //!
-//! Grounds for the figures: the p95 alone lets a twentieth of calls through, so a budget of a
-//! twentieth does not bind while one upstream is slow and bounds the extra load when all are. The
-//! window is as short as still gives a p95 of a dozen late calls (256 calls). Where one of few
-//! upstreams is slow the p95 is that upstream's own latency; there the choice of upstream helps,
-//! not the hedge. Held by the tests in `tests/hedge.rs`.
+//! One call in twenty exceeds the p95, so a budget of one hedge per 20 calls does not bind while one
+//! upstream is slow, and limits the extra load when all are. A window of 256 calls is the shortest
+//! whose p95 rests on a dozen late calls. If one of only a few upstreams is slow, the p95 is that
+//! upstream's own latency; then the choice of the upstream helps, and hedging does not. The tests in
+//! `tests/hedge.rs` check these rules.
 
 use super::*;
 
 /// Settings of a [`Hedge`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgeConfig {
-    /// Calls whose latency is remembered.
+    /// Number of latest calls that the p95 is taken from.
     pub window: usize,
-    /// Calls before the first hedge.
+    /// Number of answered calls required before the first hedge.
     pub min_calls: usize,
-    /// Calls that earn one hedge.
+    /// Number of answered calls that earn one hedge.
     pub calls_per_hedge: u32,
-    /// Hedges that can be saved up.
+    /// Maximum number of hedges that can be saved up.
     pub burst: u32,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Hedge {
     cfg: HedgeConfig,
-    /// In order of arrival from `oldest` on.
+    /// Ring buffer of latencies; the oldest one is at `oldest`.
     recent: Vec<Duration>,
     oldest: usize,
     sorted: Vec<Duration>,
@@ -50,7 +50,7 @@
 }
 
 impl Hedge {
-    /// Nothing observed and nothing earned.
+    /// A hedge without recorded latencies and with an empty budget.
     #[must_use]
     pub fn new(cfg: HedgeConfig) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes the latency of an answered call. For a hedged call this is the time since the first
+    /// Records the latency of an answered call. For a hedged call this is the time since the first
     /// copy was sent.
     pub fn answered(&mut self, latency: Duration) {
         let full = self.cfg.burst * self.cfg.calls_per_hedge;
@@ -76,8 +76,8 @@
         self.sorted.insert(i, latency);
     }
 
-    /// How long to wait for the first copy before a second one is due; `None` while too little is
-    /// known.
+    /// How long to wait for the first copy before sending a second one; `None` until
+    /// [`HedgeConfig::min_calls`] calls have been answered.
     #[must_use]
     pub fn delay(&self) -> Option<Duration> {
         if self.sorted.len() < self.cfg.min_calls.max(1) {
@@ -87,7 +87,8 @@
         self.sorted.get(i).copied()
     }
 
-    /// Pays for a second copy of a late call; false if it must not or cannot be paid for.
+    /// Takes the cost of a second copy from the budget; false if the call is not idempotent or the budget
+    /// is too small.
     pub fn pay(&mut self, idempotent: bool) -> bool {
         if !idempotent || self.saved < self.cfg.calls_per_hedge {
             return false;
--- a/crates/decisions/src/hot_keys.rs
+++ b/crates/decisions/src/hot_keys.rs
@@ -1,21 +1,21 @@
-//! A limit on the calls for one key.
+//! A limit on the concurrent calls for one key.
 //!
-//! Load pattern: one item is asked for by everybody at once, or one client asks for it in a loop.
-//! Without a limit these calls take every place of the service and its other callers wait behind
-//! one item. Here at most `limit` calls of one team for one key are queued or in flight at this
-//! node; more are refused at once, not run. Reads that may be merged never come to that limit,
-//! since they hold one place together (see `read_merger`).
+//! Load pattern: many callers request one item at the same time, or one client requests it in a loop.
+//! Without a limit these calls take every slot of the service and its other callers queue behind
+//! one item. At most `limit` calls of one team for one key are queued or in flight at this VM; further
+//! ones are refused at once, without being run. Coalesced reads do not reach the limit, since they share
+//! one slot (see `ReadCoalescer`).
 //!
-//! Grounds for the figure: with 16 calls of 20 ms before the 6 places that one of 8 nodes has at three
-//! workers of 16 places, a key holds a backlog of about 50 ms at most. In the row `hot key` of
-//! `docs/LOAD.md` the p99 of the key's own team is then 165 ms, and that of the worst other team 70 ms.
+//! With a limit of 16 calls of 20 ms each, and the 6 slots that one of 8 VMs has at three workers of 16
+//! slots, a key has a backlog of about 50 ms at most. In the row `hot key` of `docs/LOAD.md` the p99 of
+//! the key's own team is then 165 ms, and that of the worst other team 70 ms.
 
 use super::*;
 
-/// Calls of one key that may be under way.
+/// Maximum number of queued or running calls per key.
 const DEFAULT_LIMIT: u32 = 16;
 
-/// Calls under way by key.
+/// Number of queued or running calls per key.
 #[derive(Debug)]
 pub struct HotKeys {
     limit: u32,
@@ -23,7 +23,7 @@
 }
 
 impl HotKeys {
-    /// No call under way; at most `limit` for each key from now on.
+    /// Creates empty counts with a maximum of `limit` calls per key.
     #[must_use]
     pub fn new(limit: u32) -> Self {
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Counts a call in; false, and not counted, if its key has as many as it may.
+    /// Counts the start of a call; false if its key is at the limit, and then the call is not counted.
     #[must_use]
     pub fn enter(&mut self, key: &CallKey) -> bool {
         match self.counts.get_mut(key) {
@@ -43,7 +43,7 @@
         true
     }
 
-    /// Counts a call out.
+    /// Counts the end of a call.
     pub fn leave(&mut self, key: &CallKey) {
         let Some(count) = self.counts.get_mut(key) else {
             return;
--- a/crates/decisions/src/ineligible.rs
+++ b/crates/decisions/src/ineligible.rs
@@ -3,19 +3,19 @@
 /// Why an upstream may not get new work.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum Ineligible {
-    /// Nothing was heard of it yet.
-    #[display("nothing was heard of the upstream yet")]
+    /// No report of the upstream has been received.
+    #[display("no report of the upstream has been received")]
     Unheard,
-    /// Its last word is too old.
-    #[display("the upstream's last word is too old")]
+    /// Its last report or reply is too old to rely on.
+    #[display("the upstream's last report is too old")]
     Stale,
-    /// It is leaving.
-    #[display("the upstream is leaving, by {source_of_word}")]
+    /// It is leaving the service.
+    #[display("the upstream is leaving, reported by {source_of_word}")]
     Leaving {
-        /// Who said so.
+        /// Who reported that it is leaving.
         source_of_word: LeavingSource,
     },
-    /// It does not serve what is asked for.
-    #[display("the upstream does not serve what is asked for")]
+    /// It is not in the serving role, or has not loaded the requested model.
+    #[display("the upstream does not serve the requested model")]
     Unsuited,
 }
--- a/crates/decisions/src/model.rs
+++ b/crates/decisions/src/model.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// A model version with its adapter.
+/// A model version with an optional adapter.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Model {
-    /// Model name.
+    /// Name of the model, without version and adapter.
     pub name: Arc<str>,
-    /// Model version.
+    /// Version of the model; only equal versions match.
     pub version: Arc<str>,
-    /// Adapter name.
+    /// Name of the adapter; `None` for the base model, and in a request for any adapter.
     pub adapter: Option<Arc<str>>,
 }
 
 impl Model {
-    /// Whether a request for `wanted` can run on this loaded model; one that names no adapter runs
-    /// on any.
+    /// Whether a request for `wanted` can run on this loaded model. A request that names no adapter runs
+    /// with any adapter.
     #[must_use]
     pub fn satisfies(&self, wanted: &Self) -> bool {
         self.name == wanted.name
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -1,62 +1,62 @@
 use super::*;
 
-/// What VMs send each other as datagrams.
+/// A datagram from one VM to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerDatagram {
-    /// A VM's word on itself.
+    /// The sender's heartbeat.
     #[serde(rename = "n")]
     Note(PeerNote),
-    /// Members for one that wanted some.
+    /// Members for a VM that requested some in its heartbeat.
     #[serde(rename = "m")]
     Members(Vec<MemberWord>),
-    /// What a VM has read of the store.
+    /// What the sender has read from the platform store.
     #[serde(rename = "z")]
     Gossip(ZoneGossip),
-    /// Asks for repeats that the other does not need.
+    /// Requests a part of the receiver's retry budget.
     #[serde(rename = "a")]
     LoanAsk(LoanAsk),
-    /// Gives some.
+    /// Transfers a part of the sender's retry budget.
     #[serde(rename = "l")]
     Loan(Loan),
-    /// Tells that an upstream has started anew at the address of another one.
+    /// Reports that an upstream has started at the address of another one, which is therefore gone.
     #[serde(rename = "r")]
     Restart(UpstreamRestart),
-    /// A rollout, as soon as there is something new.
+    /// An update of a rollout, sent as soon as its state changes.
     #[serde(rename = "o")]
     Rollout(RolloutNotice),
-    /// Counts for the owner of a rollout.
+    /// The sender's counts for the owner of a rollout.
     #[serde(rename = "p")]
     RolloutReport(RolloutReport),
-    /// The owner's answer.
+    /// The owner's reply to such counts.
     #[serde(rename = "g")]
     RolloutGrant(RolloutGrant),
 }
 
-/// Asks another VM for a part of its repeats of a service.
+/// Requests a part of another VM's retry budget for a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoanAsk {
-    /// The service.
+    /// Service whose retries are requested.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Tells one question from another; an answer bears it.
+    /// Identifies the request; a loan carries the number of its request.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Repeats that would be of use.
+    /// Number of retries that the sender can use.
     #[serde(rename = "w")]
     pub wanted: u32,
 }
 
-/// Repeats that a VM gives to another one. Its own allowance has shrunk by them already, so that a
-/// lost loan costs repeats but never makes the sum of all too large.
+/// A transfer of retries from one VM to another. The lender deducts them from its own budget before it
+/// sends the loan, so a lost loan loses retries but never makes the sum of all budgets too large.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// The service.
+    /// Service whose retries are transferred.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Number of the question.
+    /// Number of the request that the loan replies to.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Repeats given.
+    /// Number of retries transferred.
     #[serde(rename = "g")]
     pub given: u32,
 }
--- a/crates/decisions/src/peer_entry.rs
+++ b/crates/decisions/src/peer_entry.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Another VM of the system, as this one knows it.
+/// Identity and address of another VM.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PeerEntry {
-    /// The VM.
+    /// Id of the VM.
     pub vm: VmId,
-    /// Its address for peers.
+    /// Address on which the VM accepts connections of peers.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: AvailabilityZone,
 }
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -1,54 +1,56 @@
-//! The other VMs, and what they say of their own dispatches.
+//! Membership of the other VMs, and the loads that they advertise in heartbeats.
 //!
 //! Load pattern: a zone's upstreams crash together, and within milliseconds several VMs send the long
 //! prompts that were lost to the upstreams that look idle to each of them: the same ones. Four prompts
-//! of 8,000 tokens then wait for each other on one upstream, the last for 5 s and more, while others
-//! are idle. Upstreams' own reports are a few hundred milliseconds late. So a VM tells others at once
-//! where its prompts go.
+//! of 8,000 tokens then queue on one upstream, the last for 5 s and more, while others are idle. The
+//! upstreams' own reports are a few hundred milliseconds late. So a VM notifies others at once where it
+//! sends its prompts.
 //!
-//! A note holds all of the sender's load, so a lost one is made good by the next, and notes that
-//! overtake each other are told apart by their number.
+//! A heartbeat holds the complete load of its sender, so the next one makes up for a lost one. Sequence
+//! numbers detect heartbeats that arrive out of order.
 //!
-//! A few VMs tell each other all. Where there are more, each upstream is shared by a few VMs of its zone
-//! ([`SHARERS`]), and whoever has calls there tells them; and who lives is passed on, a few members in
-//! each note to a few others. So what a VM sends does not grow with their number, and those who use an
-//! upstream most know its load.
+//! In a small system each VM sends its heartbeats to all others. In a larger one each upstream is shared by
+//! a few VMs of its zone, and every VM with calls on the upstream sends its heartbeats to these. Membership
+//! spreads by gossip: each heartbeat lists a few members and goes to a few other VMs. So the traffic
+//! of a VM does not grow with the number of VMs, and the VMs that use an upstream most know its load.
 
 use super::*;
 
-/// How long a VM counts as live after its last note, where all tell each other: several heartbeats, so
-/// that lost datagrams do not make it dead.
+/// How long a VM is considered alive after its last heartbeat, if each VM sends to all others. This is
+/// several heartbeat intervals, so that lost datagrams do not make a VM look dead.
 pub const PEER_LIVES: Duration = Duration::from_millis(1500);
 
-/// The same, where it is passed on who lives. With four notes a period to a zone of 30 VMs, each naming
-/// eight, news of a VM reaches the last one after about six periods.
+/// How long a VM is considered alive after it was last seen, if membership spreads by gossip. With four
+/// heartbeats per interval in a zone of 30 VMs, each listing eight members, an update on a VM reaches the
+/// last one after about six intervals.
 const PASSED_ON_LIVES: Duration = Duration::from_secs(6);
 
-/// How often a VM tells its load when nothing changes.
+/// Interval of heartbeats while the load does not change.
 pub const NOTE_PERIOD: Duration = Duration::from_millis(400);
 
-/// Other VMs up to which all tell each other.
+/// Maximum number of other VMs at which each VM sends its heartbeats to all others.
 const MOST_TOLD: usize = 24;
 
-/// VMs of the own zone that are told in a period besides, where there are more.
+/// Number of VMs of the own zone that receive a heartbeat per interval whatever upstreams they share, in a
+/// larger system.
 const TOLD_IN_ZONE: usize = 4;
 
-/// VMs of other zones that are told in a period, where there are more.
+/// Number of VMs of other zones that receive a heartbeat per interval, in a larger system.
 const TOLD_ELSEWHERE: usize = 1;
 
-/// VMs of a zone that share an upstream: each has it in its part, or next to it.
+/// Number of VMs of a zone that share an upstream: those with the highest ranks for it.
 pub const SHARERS: usize = 4;
 
-/// Members of the own zone, and of others, that a note names.
+/// Number of members of the own zone, and of other zones, that a heartbeat lists.
 const NAMED: (usize, usize) = (8, 2);
 
-/// How long a VM is remembered.
+/// How long a VM is retained after it was last seen.
 const MEMORY: Duration = Duration::from_secs(60);
 
-/// The other VMs and their latest notes.
+/// The other VMs and the latest heartbeat of each.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
-    /// This VM, of which others speak as well.
+    /// Name of this VM. Others list it as a member, and it must not become its own peer.
     own: Arc<str>,
     /// Sorted by VM.
     peers: Vec<Peer>,
@@ -59,9 +61,9 @@
     vm: Arc<str>,
     zone: AvailabilityZone,
     address: SocketAddr,
-    /// When it was heard, by itself or by the word of others.
+    /// When the VM was last seen, by its own heartbeat or as advertised by others.
     heard: Instant,
-    /// Its own latest word.
+    /// Its latest heartbeat; `None` if others have advertised it only.
     note: Option<Heard>,
 }
 
@@ -72,7 +74,7 @@
 }
 
 impl PeerLoads {
-    /// A VM that knows no other one yet.
+    /// Creates an empty state for the VM `own`.
     #[must_use]
     pub fn new(own: Arc<str>) -> Self {
         Self {
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Takes in a note; tells whether it was news.
+    /// Applies a heartbeat. Returns false for a duplicate or an older one; its members are applied all the
+    /// same.
     pub fn take(&mut self, note: PeerNote, address: SocketAddr, now: Instant) -> bool {
         self.peers.retain(|peer| now.since(peer.heard) < MEMORY);
         self.take_members(&note.members, &note.zone, now);
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Takes in words on VMs; those without a zone are of `zone`.
+    /// Applies what a peer advertises of other VMs; those without a zone are in `zone`.
     pub fn take_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
         for member in members {
             if member.vm == self.own {
@@ -119,7 +122,7 @@
         }
     }
 
-    /// What the other VMs say of upstreams now.
+    /// What the other VMs advertise of upstreams at `now`.
     #[must_use]
     pub fn view(&self, now: Instant) -> PeerView<'_> {
         let notes = self
@@ -129,7 +132,7 @@
         PeerView::new(notes, has_peers, self.tells_all(now))
     }
 
-    /// Number of VMs besides this one that were heard of within `memory`.
+    /// Number of other VMs that were seen within `memory`.
     #[must_use]
     pub fn count_within(&self, memory: Duration, now: Instant) -> usize {
         let recent = self
@@ -139,32 +142,32 @@
         recent.count()
     }
 
-    /// Names of the live VMs of a zone.
+    /// Names of the other live VMs of a zone.
     pub fn live_in(&self, zone: &AvailabilityZone, now: Instant) -> impl Iterator<Item = Arc<str>> {
         self.live(now)
             .filter(move |peer| peer.zone == *zone)
             .map(|peer| peer.vm.clone())
     }
 
-    /// Names of the live VMs besides this one.
+    /// Names of all other live VMs.
     #[must_use]
     pub fn live_names(&self, now: Instant) -> Vec<Arc<str>> {
         self.live(now).map(|peer| peer.vm.clone()).collect()
     }
 
-    /// Addresses of the live VMs besides this one.
+    /// Addresses of all other live VMs.
     #[must_use]
     pub fn live_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         self.live(now).map(|peer| peer.address).collect()
     }
 
-    /// Number of live VMs besides this one.
+    /// Number of other live VMs.
     #[must_use]
     pub fn live_count(&self, now: Instant) -> usize {
         self.live(now).count()
     }
 
-    /// Addresses of a few live VMs, others each time.
+    /// Addresses of up to `most` live VMs; `random` selects them.
     #[must_use]
     pub fn some_addresses(&self, most: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
         some(self.live(now), most, random)
@@ -172,7 +175,8 @@
             .collect()
     }
 
-    /// Addresses of a few VMs to tell in each period, whatever they use; all where there are few.
+    /// Addresses that receive the heartbeat in each interval: all other VMs in a small system, and a few
+    /// selected by `random` in a larger one.
     #[must_use]
     pub fn told(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<SocketAddr> {
         if self.tells_all(now) {
@@ -186,8 +190,8 @@
             .collect()
     }
 
-    /// Addresses to tell of the calls on an upstream: those who share it in its own zone, and those of
-    /// this VM's `zone` who would send there first if their own were lost.
+    /// Addresses to notify of calls on an upstream: the VMs that share it in its own zone, and the VMs of
+    /// this VM's `zone` that would fail over to it first if they lost the upstreams of their own zone.
     #[must_use]
     pub fn told_of(
         &self,
@@ -219,7 +223,7 @@
             .collect()
     }
 
-    /// Addresses of the live VMs of a zone.
+    /// Addresses of the other live VMs of a zone.
     #[must_use]
     pub fn addresses_in(&self, zone: &AvailabilityZone, now: Instant) -> Vec<SocketAddr> {
         self.live(now)
@@ -228,7 +232,7 @@
             .collect()
     }
 
-    /// Words on a few live VMs, for a note of a VM in `zone`.
+    /// A few live VMs to list in a heartbeat that a VM in `zone` sends.
     #[must_use]
     pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberWord> {
         let word = |peer: &Peer| MemberWord {
@@ -245,13 +249,14 @@
             .collect()
     }
 
-    /// Whether a VM of `zone` knows so few others there that it should ask for members.
+    /// Whether this VM knows so few others in its `zone` that it should request members.
     #[must_use]
     pub fn wants_members(&self, zone: &AvailabilityZone, now: Instant) -> bool {
         self.live_in(zone, now).count() < TOLD_IN_ZONE
     }
 
-    /// Members to tell a VM that wants some; none where all tell each other anyway.
+    /// Members to send to the VM that requested some in its heartbeat; none if each VM sends its heartbeats
+    /// to all others anyway.
     #[must_use]
     pub fn wanted_members(&self, note: &PeerNote, random: u64, now: Instant) -> Vec<MemberWord> {
         if !note.wants_members || self.tells_all(now) {
@@ -262,21 +267,22 @@
         members
     }
 
-    /// Forgets what others said of their loads; it is older than it seems.
+    /// Discards the heartbeats of all peers. Called when this VM resumes after a suspension, since their
+    /// content is then older than their time of arrival suggests.
     pub fn forget_loads(&mut self) {
         for peer in &mut self.peers {
             peer.note = None;
         }
     }
 
-    /// Whether any other VM gets no answer from an upstream.
+    /// Whether an upstream does not respond to some other VM.
     #[must_use]
     pub fn is_suspect(&self, upstream: &UpstreamIncarnation, now: Instant) -> bool {
         self.notes(now)
             .any(|heard| heard.note.suspects.contains(upstream))
     }
 
-    /// Takes in the word on a VM. It counts only if it is later than what is known.
+    /// Applies what a peer advertises of one VM, if it was seen more recently than recorded here.
     fn heard_of(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
         let age = Duration::from_millis(member.age_ms.into());
         let heard = Instant(now.0.saturating_sub(age));
@@ -304,12 +310,12 @@
         }
     }
 
-    /// Whether there are so few VMs that all tell each other.
+    /// Whether there are so few VMs that each sends its heartbeats to all others.
     fn tells_all(&self, now: Instant) -> bool {
         self.count_within(PASSED_ON_LIVES, now) <= MOST_TOLD
     }
 
-    /// Notes that are new enough for what they say of loads.
+    /// Heartbeats that are recent enough for their loads and suspects to be used.
     fn notes(&self, now: Instant) -> impl Iterator<Item = &Heard> {
         self.peers
             .iter()
@@ -333,8 +339,8 @@
     }
 }
 
-/// At most so many, spread over all of them, others each time: neighbours in the order of names are mostly of
-/// one zone.
+/// Selects up to `most` peers, evenly spaced over all of them, with a random offset. Adjacent peers in the
+/// order of names are mostly of one zone, so a contiguous range would not cover the zones.
 fn some<'a>(
     peers: impl Iterator<Item = &'a Peer>,
     most: usize,
--- a/crates/decisions/src/peer_note.rs
+++ b/crates/decisions/src/peer_note.rs
@@ -1,36 +1,36 @@
 use super::*;
 
-/// A VM's word on itself.
+/// Periodic message in which a VM advertises its state to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerNote {
-    /// Its name.
+    /// Name of the sending VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the sending VM.
     #[serde(rename = "z")]
     pub zone: AvailabilityZone,
-    /// Tells one life of its process from another.
+    /// Identifies the process of the VM; a restarted process has another value.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Counts its notes.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Upstreams on which it has streams.
+    /// Load of the VM on the upstreams where it has streams.
     #[serde(rename = "l")]
     pub loads: Vec<PeerLoad>,
-    /// Upstreams that do not answer it.
+    /// Upstreams that do not respond to the VM.
     #[serde(rename = "s")]
     pub suspects: Vec<UpstreamIncarnation>,
-    /// Calls under which upstreams died.
+    /// Calls during which upstreams crashed.
     #[serde(rename = "c")]
     pub crashes: Vec<Crash>,
-    /// A few other VMs that it knows.
+    /// A few of the other VMs that the VM has received heartbeats or updates of.
     #[serde(rename = "m")]
     pub members: Vec<MemberWord>,
-    /// Whether it knows few VMs of its zone, and would like to be told of more.
+    /// Whether the VM knows few VMs of its zone and requests more of them.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub wants_members: bool,
-    /// Rollouts that it knows.
+    /// Rollouts known to the VM, its own and those received from others.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub rollouts: Vec<RolloutNotice>,
 }
@@ -38,30 +38,30 @@
 /// A VM's load on one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerLoad {
-    /// The upstream.
+    /// The upstream that the load is on.
     #[serde(rename = "u")]
     pub upstream: UpstreamIncarnation,
-    /// The VM's streams there, and copies of the memory of others.
+    /// The VM's streams on the upstream, plus the KV copies kept there of streams on other upstreams.
     #[serde(rename = "c")]
     pub calls: u32,
-    /// Milliseconds until the prompts that it has sent there will have been read.
+    /// Milliseconds until the upstream will have read the prompts that the VM has sent there.
     #[serde(rename = "r")]
     pub reading_ms: u32,
 }
 
-/// A VM's word on another one.
+/// What one VM advertises of another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberWord {
-    /// Its name.
+    /// Name of the described VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
-    /// Its availability zone, if it is not the sender's.
+    /// Availability zone of the described VM; `None` if it is that of the sender.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<AvailabilityZone>,
-    /// Where it takes notes.
+    /// Address on which the described VM receives heartbeats.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Milliseconds since it was heard of.
+    /// Milliseconds since the described VM was last seen.
     #[serde(rename = "g")]
     pub age_ms: u32,
 }
--- a/crates/decisions/src/peer_table.rs
+++ b/crates/decisions/src/peer_table.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The other VMs, sorted by id, and how each one's connection fared.
+/// The other VMs, sorted by id, with the results of the latest calls to each.
 ///
-/// The platform's list lags and may be out of reach; so what peers say is joined with it, and a VM
-/// that does not answer is passed over for a while whatever the list says.
+/// The platform's list of VMs lags and may be unreachable. So it is merged with what peers advertise, and
+/// a VM that does not answer is skipped for a while even if it is listed.
 #[derive(Debug)]
 pub struct PeerTable {
     own: VmId,
@@ -15,29 +15,29 @@
 struct Peer {
     entry: PeerEntry,
     heard_of: Instant,
-    /// Its last answer.
+    /// Time of its last answer.
     answered: Option<Instant>,
-    /// The last call that it did not answer, unless it has answered since.
+    /// Time of the last call that it did not answer; `None` if it has answered since.
     failed: Option<Instant>,
 }
 
-/// How long a VM that did not answer is passed over.
+/// How long a VM that did not answer is skipped.
 const FAILED_FOR: Duration = Duration::from_secs(2);
 
 /// How long after its last answer a VM that does not answer may still serve callers.
 const SERVES_FOR: Duration = Duration::from_secs(5);
 
-/// How long a VM is remembered of which nobody speaks any more.
+/// How long a VM is retained that no peer advertises any more.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
-/// Neighbours of a VM in its own availability zone.
+/// Number of neighbours of a VM in its own availability zone.
 const ZONE_NEIGHBOURS: usize = 4;
 
-/// Neighbours of a VM outside its availability zone.
+/// Number of neighbours of a VM outside its availability zone.
 const OTHER_NEIGHBOURS: usize = 2;
 
 impl PeerTable {
-    /// A table of a VM that knows no other.
+    /// Creates an empty table for the VM `own`.
     #[must_use]
     pub fn new(own: VmId, own_zone: AvailabilityZone) -> Self {
         Self {
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Notes that a VM was there at `at`. What others tell comes with its age: were each mention
-    /// taken for a sign of life, VMs would tell each other of a dead one for ever.
+    /// Records that a VM was alive at `at`. Peers advertise a VM together with the age of that
+    /// observation: if each advertisement counted as a sign of life, VMs would advertise a dead VM to each
+    /// other forever.
     pub fn heard_of(&mut self, at: Instant, entry: PeerEntry) {
         if entry.vm == self.own {
             return;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Notes that a VM answered.
+    /// Records that a VM answered.
     pub fn answered(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
             self.peers[i].failed = None;
@@ -84,26 +85,27 @@
         }
     }
 
-    /// Notes that a VM did not answer.
+    /// Records that a VM did not answer.
     pub fn failed(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
             self.peers[i].failed = Some(now);
         }
     }
 
-    /// Forgets VMs of which nobody has spoken for long.
+    /// Removes VMs that have not been seen by any peer for [`FORGET_AFTER`].
     pub fn expire(&mut self, now: Instant) {
         self.peers
             .retain(|peer| now.since(peer.heard_of) <= FORGET_AFTER);
     }
 
-    /// The entry of a VM.
+    /// The entry of a VM; `None` if it is not in the table.
     #[must_use]
     pub fn find(&self, vm: &VmId) -> Option<&PeerEntry> {
         self.position(vm).ok().map(|i| &self.peers[i].entry)
     }
 
-    /// VMs from place `skip` on, going round, each with the age of what is known of it.
+    /// Up to `most` VMs to advertise, from index `skip` on with wrap-around, each with the time since it
+    /// was last seen.
     #[must_use]
     pub fn told(&self, now: Instant, skip: usize, most: usize) -> Vec<(PeerEntry, Duration)> {
         let count = self.peers.len().min(most);
@@ -113,7 +115,7 @@
             .collect()
     }
 
-    /// VMs that somebody has heard of within `bound`.
+    /// VMs that this one or a peer has seen within `bound`.
     #[must_use]
     pub fn heard_within(&self, now: Instant, bound: Duration) -> Vec<PeerEntry> {
         let lately = |peer: &&Peer| now.since(peer.heard_of) <= bound;
@@ -121,14 +123,14 @@
         peers.map(|peer| peer.entry.clone()).collect()
     }
 
-    /// All VMs known, sorted by id.
+    /// All VMs of the table, sorted by id.
     pub fn entries(&self) -> impl Iterator<Item = &PeerEntry> {
         self.peers.iter().map(|peer| &peer.entry)
     }
 
-    /// The few VMs that this one talks with now and then: most of its own availability zone, some
-    /// of others, so that news crosses availability zones and no VM has more than a handful of
-    /// connections, however many VMs there are.
+    /// The VMs with which this one exchanges updates periodically. Most are in its own availability zone
+    /// and some in others, so that updates reach all zones, while the number of connections per VM does
+    /// not grow with the number of VMs.
     #[must_use]
     pub fn neighbours(&self, now: Instant) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, &self.own, &self.own_zone);
@@ -137,9 +139,9 @@
         chosen
     }
 
-    /// The VMs that keep copies of what `vm` runs: the best of its availability zone and the best
-    /// outside, among those that answer. Every VM computes the same from the same list, so one
-    /// that knows which VM ran a generation knows whom to ask.
+    /// The VMs that keep the progress replicas of `vm`: among those that answer, the highest ranked in its
+    /// availability zone and the highest ranked outside. Every VM computes the same result from the same
+    /// list, so a VM that knows which one ran a generation knows which ones to query.
     #[must_use]
     pub fn holders(&self, now: Instant, vm: &VmId, zone: &AvailabilityZone) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, vm, zone);
@@ -150,8 +152,9 @@
         first.into_iter().chain(second).collect()
     }
 
-    /// VMs that may keep a copy of what `vm` ran, the most likely first: views of who answers
-    /// differ, so more are asked than hold one.
+    /// VMs that may keep a progress replica of `vm`. VMs differ in which others they consider reachable,
+    /// so more are queried than hold a replica; those of the availability zone of `vm` come first, and
+    /// within each half the most likely ones.
     #[must_use]
     pub fn likely_holders(&self, now: Instant, vm: &VmId, most: usize) -> Vec<PeerEntry> {
         let Some(zone) = self.zone_of(vm) else {
@@ -166,15 +169,16 @@
             .collect()
     }
 
-    /// Some VMs that answer, the own availability zone's first, for a caller who cannot say where it was.
+    /// Up to `most` VMs that answer, those of the own availability zone first. They are queried for a caller
+    /// that cannot name the VM that served it.
     #[must_use]
     pub fn nearest(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, &self.own, &self.own_zone);
         inside.into_iter().chain(outside).take(most).collect()
     }
 
-    /// As [`Self::nearest`], followed by VMs that did not answer lately: one may only have been slow, and serves
-    /// callers all the while.
+    /// As [`Self::nearest`], followed by VMs that recently did not answer: such a VM may only be slow and
+    /// still serve callers.
     #[must_use]
     pub fn nearest_of_all(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
         let mut nearest = self.nearest(now, most);
@@ -184,7 +188,7 @@
         nearest
     }
 
-    /// Whether a VM may serve callers, as far as is known: it was not found silent, or answered lately.
+    /// Whether a VM may still serve callers: its last call did not fail, or it answered recently.
     #[must_use]
     pub fn may_serve(&self, now: Instant, vm: &VmId) -> bool {
         let peer = self.position(vm).ok().map(|i| &self.peers[i]);
@@ -227,7 +231,7 @@
 }
 
 impl Peer {
-    /// Whether it has answered lately, or was not asked.
+    /// Whether no call to the VM has failed since its last answer, or within [`FAILED_FOR`].
     fn answers(&self, now: Instant) -> bool {
         self.failed.is_none_or(|at| now.since(at) > FAILED_FOR)
     }
--- a/crates/decisions/src/peer_view.rs
+++ b/crates/decisions/src/peer_view.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// What the other VMs say of upstreams at one moment, in order, so that a choice among many upstreams goes
-/// through the notes once and not once for each.
+/// What the other VMs advertise of upstreams at one moment. It is sorted, so that a choice among many
+/// upstreams goes through the heartbeats once and not once per upstream.
 #[derive(Clone, Debug)]
 pub struct PeerView<'a> {
-    /// Sorted by upstream, one for each.
+    /// Sorted by upstream, one entry per upstream.
     loads: Vec<ToldLoad<'a>>,
     /// Sorted.
     suspects: Vec<&'a UpstreamIncarnation>,
-    /// Whether any other VM lives.
+    /// Whether any other VM is alive.
     has_peers: bool,
-    /// Whether there are so few VMs that all tell each other.
+    /// Whether there are so few VMs that each sends its heartbeats to all others.
     tells_all: bool,
 }
 
-/// What other VMs together have on an upstream.
+/// Sum of the load of the other VMs on an upstream.
 #[derive(Clone, Copy, Debug)]
 struct ToldLoad<'a> {
     upstream: &'a UpstreamIncarnation,
@@ -23,8 +23,8 @@
 }
 
 impl<'a> PeerView<'a> {
-    /// Sums up notes, each with its age. `has_peers` says whether any other VM lives, `tells_all` whether all
-    /// VMs tell each other.
+    /// Adds up the loads of heartbeats, each with its age. `has_peers` is whether any other VM is alive,
+    /// `tells_all` whether each VM sends its heartbeats to all others.
     pub(crate) fn new(
         notes: impl Iterator<Item = (&'a PeerNote, Duration)>,
         has_peers: bool,
@@ -41,7 +41,7 @@
             }));
         }
         loads.sort_unstable_by_key(|load| load.upstream);
-        // Prompts are read one after the other, so the times add up like the calls.
+        // An engine reads prompts one after the other, so the reading times are added like the calls.
         loads.dedup_by(|next, sum| {
             let same = next.upstream == sum.upstream;
             if same {
@@ -59,27 +59,27 @@
         }
     }
 
-    /// Streams of other VMs on an upstream.
+    /// Number of streams of other VMs on an upstream.
     #[must_use]
     pub fn calls(&self, upstream: &UpstreamIncarnation) -> u32 {
         self.load(upstream).map_or(0, |load| load.calls)
     }
 
-    /// Time until the prompts of other VMs on an upstream are read.
+    /// Time until an upstream has read the prompts of other VMs.
     #[must_use]
     pub fn reading_left(&self, upstream: &UpstreamIncarnation) -> Duration {
         self.load(upstream)
             .map_or(Duration::ZERO, |load| load.reading)
     }
 
-    /// Whether any other VM gets no answer from an upstream.
+    /// Whether an upstream does not respond to some other VM.
     #[must_use]
     pub fn is_suspect(&self, upstream: &UpstreamIncarnation) -> bool {
         self.suspects.binary_search(&upstream).is_ok()
     }
 
-    /// Whether all who have calls on an upstream of this VM's own zone, for which it has `rank` there, tell
-    /// it; `None` for an upstream of another zone.
+    /// Whether all VMs with calls on an upstream advertise them to this VM. `rank` is this VM's rank for the
+    /// upstream within its zone, or `None` for an upstream of another zone.
     #[must_use]
     pub fn is_told_of(&self, rank: Option<usize>) -> bool {
         let shares = rank.is_some_and(|rank| rank < SHARERS);
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,83 +1,87 @@
-//! Which upstream a call goes to, by the wait that it would meet there.
+//! Placement of calls on upstreams, by the expected wait at each upstream.
 //!
-//! Load pattern: long prompts are read one after the other and delay everything beside them, so the
-//! number of calls says little; a prompt of 8,000 tokens counts as a second. Several VMs decide on
-//! late reports and know only their own dispatches. If each took the upstream that looks best, all
-//! would take the same one. So the upstreams of an availability zone are divided among its VMs by
-//! rendezvous hashing: a VM leaves its own part only where another is clearly better.
+//! Load pattern: long prompts are read one after the other and delay the calls beside them, so the
+//! number of calls is a poor estimate of the wait; a prompt of 8,000 tokens counts as one second. Several
+//! VMs decide from late reports and know only their own dispatches. If each chose the upstream that looks
+//! best, all would choose the same one. So the upstreams of an availability zone are partitioned among its
+//! VMs by rendezvous hashing, and a VM uses an upstream of another VM's partition only if it is clearly
+//! better.
 //!
-//! Between equals the own zone goes first: a call within it survives a cut between zones, and its bytes cost
-//! less.
-//! Suspects, and zones that lost several upstreams together, come last but are not ruled out: with
-//! nothing else left they are still better than a refusal.
+//! Among equally good upstreams those of the own zone are preferred: a call within the zone survives a
+//! network partition between zones, and its traffic costs less. Suspects, and zones that lost several
+//! upstreams together, come last but are not ruled out: if nothing else is left, they are better than a
+//! refusal.
 //!
-//! Costs are milliseconds of expected wait, so that they can be added.
+//! Costs are milliseconds of expected wait, so they can be added.
 
 use super::*;
 
-/// What a stream that already runs on an engine costs the next prompt there. Reading a prompt of 8,000
-/// tokens makes each of the 40 steps beside it some 25 ms longer, so the running stream takes a second
-/// more, and is that much longer exposed to the next loss. Above the cost of another VM's part of the
-/// zone, so that an idle engine there is used first.
+/// Cost of placing a prompt beside one running stream on an engine. Reading a prompt of 8,000 tokens makes
+/// each of the 40 steps during that time about 25 ms longer, so the running stream takes one second more
+/// and is exposed to losses for that much longer. Larger than the cost of another VM's partition, so that
+/// an idle engine there is used first.
 pub const STREAM_COST: f64 = 300.0;
 
-/// What one call in flight costs the next one on a plain service, whose calls take about this long.
+/// Cost of each call in flight at a plain service: the usual duration of such a call.
 const CALL_COST: f64 = 30.0;
 
-/// Advantage of the own zone for streams: less than one running stream costs, so that an idle engine elsewhere
-/// is used before a prompt is read beside a stream here. Zones crash in turn and callers are uneven over them; with a
-/// larger advantage the streams of a zone meet on the engines that are left in it.
+/// Cost of another zone for streams. Smaller than [`STREAM_COST`], so that an idle engine in another zone
+/// is used before a prompt is read beside a running stream in the own zone. Zones crash in turn and
+/// callers are unevenly distributed over them; with a larger cost, the streams of a zone pile up on the
+/// engines that are left in it.
 pub const OTHER_ZONE_STREAM: f64 = 100.0;
 
-/// Advantage of the own zone for plain calls: two more calls waiting there.
+/// Cost of another zone for plain calls: that of two more calls waiting in the own zone.
 const OTHER_ZONE_CALL: f64 = 60.0;
 
-/// Cost of an upstream in another VM's part of the zone: above a running stream or two, below a
-/// prompt still to be read.
+/// Cost of an upstream in another VM's partition of the zone. Smaller than the reading time of a long
+/// prompt, so that such an upstream is preferred to one with a prompt still to be read.
 pub const OTHER_PART: f64 = 180.0;
 
-/// Cost of one that this VM does not share, so that its dispatches are not heard of: half a prompt's
-/// reading more, since another VM may be about to send one there.
+/// Cost of an upstream of the own zone that this VM does not share, so that it is not notified of the
+/// dispatches there. It equals half the reading time of a prompt of 8,000 tokens, since another VM may be
+/// about to send a prompt there.
 pub const NOT_SHARED: f64 = 500.0;
 
-/// Cost of an upstream of another zone that is not in this VM's part of it: the VMs of a zone that lost
-/// its upstreams spread over those of the others, and do not hear of each other in time. Below the cost
-/// of any load.
+/// Additional cost of an upstream of another zone that is not in this VM's partition. The VMs of a zone
+/// that lost its upstreams fail over to those of other zones and are not notified of each other's
+/// dispatches in time; this cost spreads them. Smaller than the cost of any load.
 const OTHER_PART_ELSEWHERE: f64 = 50.0;
 
-/// Cost of a suspect zone; above any load that is still served in time.
+/// Cost of a suspect zone; higher than that of any load that is still served in time.
 const SUSPECT_ZONE: f64 = 20_000.0;
 
-/// Cost of a suspect upstream; above a suspect zone, since it has itself shown a fault.
+/// Cost of a suspect upstream; higher than that of a suspect zone, since the upstream itself had a fault.
 const SUSPECT: f64 = 40_000.0;
 
-/// Cost of an upstream that failed all its latest calls, for plain calls: a repeat costs a call's
-/// time elsewhere.
+/// Cost, for plain calls, of an upstream whose latest calls all failed: a retry takes the time of one call
+/// at another upstream.
 const FAILING: f64 = 200.0;
 
-/// How many calls or copies more the holder of a copy in the own zone may have. A run in another zone
-/// whose copy lies in a third is lost in whole when the own zone is cut off: its caller is still
-/// here, and neither can be reached.
+/// Cost of another zone for KV copies, in calls: a copy holder in the own zone may have this many more
+/// calls. If a run is in another zone and its KV copy in a third one, both are lost when the own zone is
+/// cut off, although the caller is still connected here.
 const COPY_IN_OTHER_ZONE: u32 = 6;
 
-/// An upstream to choose from.
+/// An upstream that a call can be placed on, with what is known of it.
 #[derive(Clone, Debug)]
 pub struct PlacementCandidate<'a> {
-    /// Its entry.
+    /// The upstream's entry in the directory.
     pub entry: &'a Arc<UpstreamEntry>,
-    /// Its load.
+    /// The upstream's load as known to this VM.
     pub load: &'a UpstreamLoad,
-    /// Whether it is a suspect.
+    /// Whether the upstream is suspected to have failed.
     pub suspect: bool,
-    /// Whether its zone is a suspect.
+    /// Whether its zone has lost several upstreams together.
     pub suspect_zone: bool,
-    /// Streams of other VMs there, as far as they tell.
+    /// Streams of other VMs on the upstream, as those VMs advertise them.
     pub peer_calls: u32,
-    /// Whether all who have streams there tell this VM; else the upstream's late word counts as well.
+    /// Whether all VMs that have streams on the upstream advertise them to this VM; otherwise the
+    /// upstream's own report, which comes late, is used as well.
     pub all_tell: bool,
-    /// Tokens of the prompt that it holds already.
+    /// Number of prompt tokens in the upstream's prefix cache.
     pub cached: u32,
-    /// Time until the prompts of other VMs there are read.
+    /// Time until the upstream has read the prompts of other VMs.
     pub peer_reading: Duration,
 }
 
@@ -92,26 +96,26 @@
     }
 }
 
-/// For whom an upstream is chosen.
+/// The VM and the call for which an upstream is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementFor<'a> {
-    /// This VM's zone.
+    /// Availability zone of this VM.
     pub zone: &'a AvailabilityZone,
-    /// This VM.
+    /// Name of this VM.
     pub vm: &'a str,
-    /// Live VMs of this zone, this one among them.
+    /// Names of the live VMs of this zone, including this VM.
     pub zone_vms: &'a [Arc<str>],
-    /// Whether it is a stream with a prompt, else a plain call.
+    /// Whether the call is a stream with a prompt; otherwise it is a plain call.
     pub stream: bool,
-    /// Decides between equals, from 0 to 1.
+    /// Random number from 0 to 1 that breaks ties.
     pub random: f64,
-    /// The time.
+    /// Time of the decision.
     pub now: Instant,
-    /// Which mechanisms decide.
+    /// The mechanisms and costs to use.
     pub policy: &'a Policy,
 }
 
-/// The best candidate, if there is one.
+/// The candidate with the lowest cost; `None` if there are no candidates.
 #[must_use]
 pub fn place<'a>(
     candidates: &[PlacementCandidate<'a>],
@@ -128,8 +132,9 @@
         .map(|(_, entry)| entry)
 }
 
-/// Where the copy of a run's memory goes: to another zone than the run's, so that the loss of one
-/// zone does not take both; where few copies are, so that the resumes of a lost upstream spread.
+/// Chooses the holder of a run's KV copy. It is in another zone than the run, so that the loss of one zone
+/// does not destroy both, and has few copies, so that the resumes after the loss of an upstream are spread
+/// over several others.
 #[must_use]
 pub fn place_copy<'a>(
     candidates: &[PlacementCandidate<'a>],
@@ -179,7 +184,7 @@
     cost
 }
 
-/// What the streams and copies on an engine cost the next prompt there, and what prompts still to be read.
+/// Cost of the streams, the KV copies and the unread prompts on an engine for the next prompt.
 fn load_cost(candidate: &PlacementCandidate, who: &PlacementFor) -> f64 {
     let (load, now) = (candidate.load, who.now);
     let stream_cost = who.policy.stream_cost;
@@ -189,13 +194,13 @@
         + 0.5 * stream_cost * f64::from(load.copies())
 }
 
-/// Most streams that an engine of which nothing is known is taken to run.
+/// Maximum number of streams assumed on an engine whose load is unknown.
 const MOST_USUAL: f64 = 2.0;
 
-/// Mean cost of the streams on engines of which this VM knows all. Where many VMs share the engines, it
-/// knows little of the others; taken for idle, these would get its prompts on top of those of VMs that know
-/// them. Prompts that wait on the known ones are left out: after the loss of a zone they are those of this
-/// VM itself, on the few engines left to it, and the others are better.
+/// Mean cost of the streams on the engines whose load this VM knows completely, assumed as a minimum for
+/// the others. Where many VMs share the engines, a VM that took unknown engines for idle would add its
+/// prompts to those of the VMs that use them. Prompts that wait on the known engines are not counted: after
+/// the loss of a zone they are this VM's own, on the few engines left to it, and the others are better.
 fn usual_load(candidates: &[PlacementCandidate], who: &PlacementFor) -> f64 {
     let known = candidates.iter().filter(|c| c.all_tell && !c.suspect);
     let (sum, count) = known.fold((0.0, 0.0), |(sum, count), candidate| {
@@ -244,7 +249,8 @@
     cost
 }
 
-/// Rank of a VM among those of its zone for an upstream: that of rank 0 has it in its part.
+/// Rank of a VM for an upstream among the VMs of its zone. The upstream belongs to the partition of the VM
+/// of rank 0.
 #[must_use]
 pub fn rank_of_vm(upstream: &UpstreamIncarnation, vm: &str, zone_vms: &[Arc<str>]) -> usize {
     rank_among(upstream.as_str(), vm, zone_vms)
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -1,50 +1,50 @@
-//! Which mechanisms decide, so that each can be switched off for a measurement.
+//! Switches and costs of the decision mechanisms, so that each can be switched off for a measurement.
 //!
-//! Every field is on, or at its figure, by default. Trials name what differs as `field=value`, separated
-//! by commas; `docs/DECISIONS.md` holds what each field is worth.
+//! By default every switch is on and every cost has its normal value. Test runs set other values as a
+//! comma-separated list of `field=value`; `docs/DECISIONS.md` shows the effect of each field.
 
 use super::*;
 
-/// The mechanisms of deciding, and the costs of placing in milliseconds of expected wait.
+/// Switches of the decision mechanisms, and placement costs in milliseconds of expected wait.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "one switch for each mechanism"
 )]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// A run's memory is copied to another upstream as it grows.
+    /// The KV cache of a run is copied to another upstream as it grows.
     pub copies: bool,
-    /// A run whose copy is out of reach of the own zone gets a second one there.
+    /// A run whose upstream and KV copy are both outside the own zone gets a second copy in the own zone.
     pub second_copy: bool,
-    /// A copy whose holder is lost is made anew, and renewed.
+    /// A KV copy whose holder is lost is created again on another holder, and updated there.
     pub remade_copies: bool,
-    /// Copies that nobody will use are freed.
+    /// KV copies that are no longer needed are freed.
     pub freed_copies: bool,
-    /// The own zone goes first.
+    /// Upstreams of the own zone are preferred.
     pub own_zone: bool,
-    /// The upstreams of a zone are divided among its VMs.
+    /// The upstreams of a zone are partitioned among its VMs.
     pub parts: bool,
-    /// Other VMs' words on their dispatches count.
+    /// The loads that other VMs advertise are taken into account.
     pub peer_loads: bool,
-    /// Other VMs' words on upstreams that do not answer count.
+    /// Upstreams that do not respond to some other VM are treated as suspects.
     pub peer_suspects: bool,
-    /// A zone that lost several upstreams together comes last for a while.
+    /// A zone that lost several upstreams together is avoided for a while.
     pub zone_alarm: bool,
-    /// Engines are asked for the prompts of callers that come back.
+    /// Engines are queried for the cached prompts of callers that reconnect.
     pub prompt_search: bool,
-    /// Streams whose prompt cannot be read in time any more are refused at once.
+    /// Streams whose prompt cannot be read before their deadline are refused at once.
     pub refuse_late: bool,
-    /// So are those that cannot be whole in time.
+    /// Streams that cannot complete before their deadline are refused at once.
     pub refuse_unfinished: bool,
-    /// VMs lend each other repeats.
+    /// VMs lend each other retry budget.
     pub loans: bool,
-    /// Streams wait for a repeat where none is left.
+    /// Streams wait for a retry when the retry budget is used up.
     pub repeat_wait: bool,
-    /// What a running stream on an engine costs the next prompt there.
+    /// Cost of placing a prompt beside one running stream on an engine.
     pub stream_cost: f64,
-    /// Cost of an upstream in another VM's part of the zone.
+    /// Cost of an upstream in another VM's partition of the zone.
     pub other_part: f64,
-    /// Cost of one of the own zone that this VM does not share.
+    /// Cost of an upstream of the own zone that this VM does not share.
     pub not_shared: f64,
     /// Cost of another zone for a stream.
     pub other_zone_stream: f64,
--- a/crates/decisions/src/rendezvous.rs
+++ b/crates/decisions/src/rendezvous.rs
@@ -1,16 +1,16 @@
 use super::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Score of a candidate for a key; the largest scores win (rendezvous hashing).
+/// Score of a candidate for a key by rendezvous hashing; the highest score wins.
 ///
-/// Every process computes the same ranking from the same candidates, and a candidate that comes or
-/// goes moves only the keys that it wins or had won.
+/// Every process computes the same ranking from the same candidates. Adding or removing a candidate
+/// moves only the keys for which it has the highest score.
 #[must_use]
 pub fn rendezvous_score(key: &str, candidate: &str) -> u64 {
     xxh3_64_with_seed(candidate.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
 
-/// Rank of a candidate among others by their scores for a key: 0 is the best.
+/// Rank of the candidate `own` among `all` by their scores for a key; 0 is the highest score.
 #[must_use]
 pub fn rank_among(key: &str, own: &str, all: &[Arc<str>]) -> usize {
     let score = rendezvous_score(key, own);
@@ -20,7 +20,7 @@
         .count()
 }
 
-/// Candidates in the order of their scores for a key, the best first.
+/// Sorts candidates by their scores for a key, the highest score first.
 pub fn rendezvous_rank<T, N: AsRef<str>>(
     key: &str,
     mut candidates: Vec<T>,
--- a/crates/decisions/src/service_time.rs
+++ b/crates/decisions/src/service_time.rs
@@ -1,41 +1,41 @@
-//! The observed service rate, and from it how long a request will wait.
+//! Estimates the queueing time of a request from the observed service times.
 //!
-//! Load pattern: more comes in than can be served, and each request admitted into a queue too long
-//! is answered late or not at all. Without an estimate of the wait a request is refused only when
-//! its deadline is over, which is the worst moment for its caller.
+//! Load pattern: more requests arrive than can be served, and those admitted into an overlong queue are
+//! answered late or not at all. Without an estimate of the wait a request is refused only after its
+//! deadline has passed, which is the worst moment for its caller.
 //!
-//! By Little's law `places / mean service time` requests start each second while all places are
-//! taken; that holds from the first answer on, and also when places are few and slow because other
-//! nodes use the same upstreams. The weight of a sixteenth evens out service times that differ by
-//! their own size and follows an upstream that turns slow within some dozens of answers.
+//! By Little's law, `slots / mean service time` requests start per second while all slots are in use. That
+//! holds from the first answer on, and also when slots are few and slow because other VMs use the same
+//! upstreams. The weight of 1/16 smooths service times whose variation is as large as their mean, and
+//! follows an upstream that becomes slow within a few dozen answers.
 
 use super::*;
 
-/// Weight of a new sample in the mean, as a divisor.
+/// Inverse of the weight of a new sample in the moving average.
 const WEIGHT_DIVISOR: u32 = 16;
 
-/// Moving mean of service times.
+/// Exponential moving average of service times.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceTime {
     mean: Option<Duration>,
 }
 
 impl ServiceTime {
-    /// Takes the time that a request held its place.
+    /// Records how long a request occupied its slot.
     pub fn observe(&mut self, sample: Duration) {
         let mean = self.mean.unwrap_or(sample);
         let kept = mean / WEIGHT_DIVISOR * (WEIGHT_DIVISOR - 1);
         self.mean = Some(kept + sample / WEIGHT_DIVISOR);
     }
 
-    /// The mean, once there is one.
+    /// The moving average; `None` before the first sample.
     #[must_use]
     pub fn mean(&self) -> Option<Duration> {
         self.mean
     }
 
-    /// How long until a request starts that has `ahead` others before it for `places` places; zero
-    /// while nothing was observed.
+    /// Expected time until a request starts that has `ahead` others before it in the queue for `places`
+    /// slots; zero before the first sample.
     #[must_use]
     pub fn wait(&self, ahead: u32, places: u32) -> Duration {
         let mean = self.mean.unwrap_or_default();
--- a/crates/decisions/src/serving_model.rs
+++ b/crates/decisions/src/serving_model.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// The model that a new request of a service gets while a version is rolled out: the one that the
-/// bundle wants, in proportion to the engines that hold it already, and otherwise the other version
-/// that most of the rest hold.
+/// The model version that serves a new request during a rollout. A share of the requests gets the version
+/// that the bundle names, in proportion to the engines that have loaded it; the others get the version that
+/// most of the remaining engines have loaded.
 ///
-/// Load pattern: a bundle with a new model version is in force within seconds, but loading takes
-/// minutes. If every new request asked for the new version at once, none could be served at first,
-/// and then all would go to the one engine that holds it. `random` spreads them; the same number
-/// gives the same model.
+/// Load pattern: a bundle with a new model version takes effect within seconds, but loading takes minutes.
+/// If every new request used the new version at once, none could be served at first, and then all would go
+/// to the first engine that has loaded it. `random` distributes the requests; equal values give the same
+/// model.
 #[must_use]
 pub fn serving_model(wanted: &Model, engines: &[Vec<Model>], random: u64) -> Model {
     let holds = |models: &[Model], model: &Model| models.iter().any(|m| m.satisfies(model));
--- a/crates/decisions/src/stream_pace.rs
+++ b/crates/decisions/src/stream_pace.rs
@@ -1,25 +1,27 @@
-//! How long streams take from their first event to the end.
+//! Estimates how long streams take from their first event to their end.
 //!
-//! Load pattern: callers whose VM was lost come back when they have waited for most of their time. What such a call
-//! still needs is known from the streams before it; one that cannot be whole in time only slows the others down.
+//! Load pattern: callers whose VM was lost reconnect when most of their time has passed. The time that such
+//! a call still needs is estimated from earlier streams; a call that cannot complete in time only slows the
+//! others down.
 
 use super::*;
 
-/// Streams that are remembered.
+/// Number of latest streams that the estimate is based on.
 const REMEMBERED: usize = 32;
 
-/// Streams without which nothing is said.
+/// Minimum number of streams for an estimate.
 const FEWEST: usize = 8;
 
-/// Lengths and paces of the latest whole streams.
+/// Lengths and paces of the latest complete streams.
 #[derive(Clone, Debug, Default)]
 pub struct StreamPace {
-    /// Events, and the time of each of them; the oldest first.
+    /// Number of events of each stream and the mean interval between them; the oldest stream first.
     streams: Vec<(u64, Duration)>,
 }
 
 impl StreamPace {
-    /// Notes a stream that was made as a whole: its events, and the time from the first to the last.
+    /// Records a complete stream: its number of events, and the time from the first to the last. A stream
+    /// of fewer than two events has no interval and is ignored.
     pub fn whole(&mut self, events: u64, took: Duration) {
         let Ok(pauses @ 1..) = u32::try_from(events.saturating_sub(1)) else {
             return;
@@ -30,8 +32,8 @@
         self.streams.push((events, took / pauses));
     }
 
-    /// The time that a stream needs to its end if it is one of the shorter and faster ones: a quarter of the latest were
-    /// shorter, and a quarter faster. The caller has the first `had` events already.
+    /// Optimistic estimate of the time until a stream ends, whose caller has received `had` events: the lower
+    /// quartile of the lengths and that of the intervals of the latest streams. `None` if there were too few.
     #[must_use]
     pub fn least_rest(&self, had: u64) -> Option<Duration> {
         if self.streams.len() < FEWEST {
--- a/crates/decisions/src/subset.rs
+++ b/crates/decisions/src/subset.rs
@@ -1,24 +1,24 @@
-//! The upstreams that one VM keeps in touch with.
+//! The subset of upstreams that one VM connects to.
 //!
-//! Load pattern: 400 VMs before 900 upstreams would make 360,000 connections and twice as many
-//! load reports a second. Without a subset an upstream answers 800 reports a second, and a VM
-//! cannot keep within its 3 KB a second for control. Each VM takes the upstreams with the best
-//! rendezvous scores for its own name, so that a VM that comes or goes changes nobody else's
-//! subset, and an upstream that comes or goes changes at most one place in any.
+//! Load pattern: 400 VMs and 900 upstreams would make 360,000 connections and twice as many load
+//! reports a second. Without subsets an upstream answers 800 report requests a second, and a VM exceeds
+//! its control traffic limit of 3 KB a second. Each VM takes the upstreams with the highest rendezvous
+//! scores for its own name, so that adding or removing a VM changes no other VM's subset, and adding or
+//! removing an upstream changes at most one member of any subset.
 //!
-//! Grounds for the figures: 32 of an availability zone's 150 upstreams leave the better of two
-//! random ones enough choice, and 8 elsewhere are enough to spill to. The test
-//! `every_upstream_has_enough_vms` holds the spread at the target size.
+//! 32 of the 150 upstreams of an availability zone are enough for the choice of the better of two random
+//! ones, and 8 in other zones are enough for the overflow. The test `every_upstream_has_enough_vms`
+//! checks the distribution at the target size.
 
 use super::*;
 
-/// Upstreams of the own availability zone in a subset.
+/// Maximum number of upstreams of the own availability zone in a subset.
 pub const OWN_ZONE: usize = 32;
 
-/// Upstreams of all other availability zones in a subset.
+/// Maximum number of upstreams of all other availability zones together in a subset.
 pub const OTHER_ZONES: usize = 8;
 
-/// The part of `upstreams`, which all serve one service, that a VM keeps in touch with.
+/// Chooses the upstreams that a VM connects to. All `upstreams` serve the same service.
 #[must_use]
 pub fn subset<'a>(
     vm: &VmId,
--- a/crates/decisions/src/token_index.rs
+++ b/crates/decisions/src/token_index.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Place of a token in a whole answer, from 0; also a number of tokens.
+/// Zero-based index of a token in the complete answer; also used as a number of tokens.
 #[derive(
     Clone,
     Copy,
@@ -18,13 +18,13 @@
 pub struct TokenIndex(pub u32);
 
 impl TokenIndex {
-    /// As an index into a slice.
+    /// Converts to an index into a slice.
     #[must_use]
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
 
-    /// The index after this one.
+    /// The index of the following token.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
