--- a/crates/decisions/tests/cached_prompts.rs
+++ b/crates/decisions/tests/cached_prompts.rs
@@ -1,4 +1,4 @@
-//! Which engines hold a prompt that was read before.
+//! Tracking of the prompts that engines hold in their prefix caches.
 
 use catkin_decisions::{
     CACHE_WORD_AGE, CachedPrompts, Instant, LinkRate, PromptPart, UpstreamIncarnation,
@@ -21,7 +21,7 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// The words of engines on parts, all at the same time.
+/// Reports of engines on their parts, all received at the same time.
 fn told(words: &[(u32, &[(&str, u32)])]) -> CachedPrompts {
     let mut cached = CachedPrompts::default();
     for (n, parts) in words {
@@ -44,8 +44,8 @@
     expect_that!(holders, eq(&vec![(engine(1), 8200), (engine(2), 200)]));
 }
 
-/// An engine has dropped the shared beginning of a prompt to make room. It has to read all of the prompt
-/// again, so what it holds of the rest is worth nothing.
+/// An engine has evicted the shared beginning of a prompt. It has to read the prompt again from there, so
+/// the parts that it still holds after the gap must not count.
 #[gtest]
 fn a_part_counts_only_after_all_parts_before_it() {
     let cached = told(&[
@@ -65,7 +65,7 @@
     expect_that!(cached.holders(&[part("own", 8000)], at(10)), is_empty());
 }
 
-/// Engines drop prompts all the time; an old word would send callers to engines that hold nothing.
+/// Engines evict prompts all the time; an old report would send callers to engines that hold nothing.
 #[gtest]
 fn words_grow_old() {
     let cached = told(&[(1, &[("own", 8000)])]);
@@ -76,7 +76,8 @@
     expect_that!(cached.holders(&[part("own", 8000)], later), is_empty());
 }
 
-/// Callers of lost VMs come back to a VM with a small link, and the answers of all engines hold up its streams.
+/// Callers of lost VMs reconnect to a VM with a slow link. The answers of all engines at once would delay its
+/// streams, so the number of engines queried depends on the link and on the size of the answers.
 #[gtest]
 fn engines_asked_fit_the_link() {
     let mut cached = CachedPrompts::default();
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// An upstream that has been there for long and has just reported `load`.
+/// An upstream that has been running long enough to have full weight, and has just reported `load`.
 fn record(load: u32) -> UpstreamRecord {
     let mut record = UpstreamRecord::default();
     let asked = record.ask(ms(0));
@@ -66,7 +66,7 @@
     }
 }
 
-/// How often each candidate is chosen in 1000 choices.
+/// Number of times that each candidate is chosen in 1000 choices.
 fn chosen(candidates: &[Candidate], by_prefix: bool) -> Vec<u32> {
     let mut rng = seeded(7);
     let mut counts = vec![0; candidates.len()];
@@ -80,8 +80,8 @@
     counts
 }
 
-/// Requests that each upstream gets when `vms` VMs send `requests` each on one report that shows
-/// one idle upstream of 40.
+/// Number of requests that each of 40 upstreams gets when `vms` VMs send `requests` each, all based on the
+/// same reports, by which one upstream is idle.
 fn spread(
     vms: u64,
     requests: u32,
@@ -115,8 +115,8 @@
     choose(candidates, input).expect("there are some")
 }
 
-/// Many VMs read the same report, half a second old, in which one upstream is idle. Each sends its
-/// next requests by it. If all take the idle one, its callers wait behind everybody else's.
+/// Many VMs choose by the same load reports, which are half a second old and show one idle upstream. If all
+/// chose it, it would be overloaded until the next report (thundering herd).
 #[gtest]
 fn vms_on_the_same_stale_report_do_not_herd() {
     for vms in [8, 64] {
@@ -172,7 +172,7 @@
     expect_that!(counts[2], eq(0));
 }
 
-/// An availability zone's engines are full while another zone's are idle.
+/// All engines of the own availability zone are full while those of another zone are idle.
 #[gtest]
 fn a_full_zone_spills() {
     let mut candidates = candidates(&[CAPACITY, CAPACITY, 0]);
@@ -183,7 +183,7 @@
     expect_that!(counts[2], gt(300));
 }
 
-/// All upstreams of an availability zone are lost at once.
+/// All upstreams of the own availability zone are lost, so only other zones have candidates.
 #[gtest]
 fn a_lost_zone_spills() {
     let mut candidates = candidates(&[3, 3]);
@@ -196,8 +196,8 @@
     expect_that!(counts, each(gt(&300)));
 }
 
-/// An upstream refuses all connections and thereby looks idle. Callers would meet its errors again
-/// and again.
+/// An upstream that refuses all connections looks idle. Without ejection, requests would be sent to it
+/// again and again and fail.
 #[gtest]
 fn a_failed_upstream_is_left_alone_and_comes_back_slowly() {
     let mut records = [record(2), record(2), record(0)];
@@ -220,8 +220,8 @@
     );
 }
 
-/// Everything failed at once, as after a network fault. A caller is better served by a suspected
-/// upstream than by none.
+/// All upstreams have failed at once, as after a network fault. Trying a suspect is better than refusing the
+/// request.
 #[gtest]
 fn suspected_upstreams_are_the_last_resort() {
     let mut records = [record(2), record(2)];
@@ -239,7 +239,7 @@
     );
 }
 
-/// An engine has just started: it is idle, and its cache is cold.
+/// A restarted engine is idle, but its cache is cold, so it must not get its full share at once.
 #[gtest]
 fn a_fresh_process_starts_slowly() {
     let mut fresh = record(0);
@@ -264,7 +264,7 @@
     candidates.map(|c| c.expect("eligible")).collect()
 }
 
-/// One upstream answers ten times slower than the others without being busy.
+/// One upstream answers ten times slower than the others although its load is the same.
 #[gtest]
 fn a_slow_upstream_is_rarely_chosen() {
     let mut records = [record(2), record(2), record(2)];
@@ -276,8 +276,8 @@
     expect_that!(chosen(&weighed(&records, NOW), false)[2], eq(0));
 }
 
-/// An upstream becomes ten times slower. Until its first slow answer comes nothing shows it but that
-/// the requests sent there wait; were it given its full share meanwhile, all of those would be late.
+/// An upstream becomes ten times slower. Before its first slow answer only the age of the requests in flight
+/// shows it; if it got its full share until then, all of these requests would be late.
 #[gtest]
 fn an_upstream_whose_requests_wait_is_rarely_chosen() {
     let mut records = [record(2), record(2), record(2)];
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -10,10 +10,10 @@
 const FIRST: Incarnation = Incarnation(71);
 const SECOND: Incarnation = Incarnation(12);
 
-/// Within this time after any one source knew, a leaving upstream gets no new work.
+/// Maximum time from when any source knows that an upstream is leaving until it gets no new work.
 const PROMISE: Duration = Duration::from_secs(3);
 
-/// Longest time until a dispatched order has reached its upstream or failed.
+/// Maximum time until a dispatched request has reached its upstream or failed.
 const DISPATCH_BOUND: Duration = Duration::from_secs(1);
 
 fn ms(ms: u64) -> Instant {
@@ -38,14 +38,14 @@
     }
 }
 
-/// Reports and replies that lag and still say nothing of leaving.
+/// Records a report and a reply that lag and do not yet say that the upstream is leaving.
 fn lagging_words(evidence: &mut UpstreamEvidence, at: Instant) {
     evidence.reported(FIRST, false, at);
     evidence.replied(FIRST, at);
 }
 
-/// An upstream begins to leave and just one source knows; all others lag and still call it live.
-/// A caller whose request went there would see it break off a moment later.
+/// An upstream starts leaving and only one source reports it; all others lag and still show it as live.
+/// A request sent there would be interrupted a moment later.
 #[gtest]
 fn one_word_of_leaving_is_enough_against_all_others() {
     for source in [
@@ -71,8 +71,8 @@
     }
 }
 
-/// An upstream leaves with its availability zone's network: no source can say so. Only the lack of
-/// fresh words shows it.
+/// An upstream is lost together with its availability zone's network, so no source can report it. Only the
+/// missing reports show it.
 #[gtest]
 fn silence_ends_new_work_within_the_promise() {
     let evidence = heard_at(ms(1000));
@@ -86,8 +86,8 @@
     expect_that!(evidence.eligible(ms(9000)), err(eq(&Ineligible::Stale)));
 }
 
-/// An upstream is paused for 10 s and then answers the load request it was asked before. The
-/// answer comes in now but says nothing of now.
+/// An upstream is paused for 10 s and then answers a report request sent before the pause. The answer is
+/// evidence only for the time of that request.
 #[gtest]
 fn a_late_answer_dates_from_its_question() {
     let mut evidence = heard_at(ms(0));
@@ -97,7 +97,8 @@
     expect_that!(evidence.eligible(ms(10_500)), err(eq(&Ineligible::Stale)));
 }
 
-/// An upstream restarts. What was said of the process before must not keep its successor idle.
+/// An upstream restarts. Reports that the former process was leaving must not keep the new one from getting
+/// work.
 #[gtest]
 fn a_returned_upstream_gets_work_again() {
     let mut evidence = heard_at(ms(0));
@@ -110,7 +111,7 @@
     expect_that!(evidence.eligible(ms(600)), ok(anything()));
 }
 
-/// A report of the process before a restart comes in crossed, after one of the new process.
+/// A report of the process before a restart arrives out of order, after one of the new process.
 #[gtest]
 fn a_replaced_process_does_not_come_back() {
     let mut evidence = heard_at(ms(0));
@@ -122,8 +123,8 @@
     expect_that!(evidence.incarnation(), some(eq(SECOND)));
 }
 
-/// A router starts while the platform's list says that an upstream leaves; it cannot know which
-/// process is meant, and waits until the list has caught up.
+/// A router starts while the platform's list shows an upstream as leaving. It cannot know which process is
+/// meant, so the upstream gets no work until the list changes.
 #[gtest]
 fn a_list_heard_first_holds_until_it_changes() {
     let mut evidence = UpstreamEvidence::default();
@@ -137,7 +138,8 @@
     expect_that!((before, after), eq((false, true)));
 }
 
-/// Peers tell of many former processes of an upstream that now leaves again.
+/// Peers report many former processes of an upstream as leaving. The bounded list of these must not evict
+/// the entry of the current process, or the leaving upstream would get work again.
 #[gtest]
 fn words_about_other_processes_do_not_undo_it() {
     let mut evidence = heard_at(ms(0));
--- a/crates/decisions/tests/hedge.rs
+++ b/crates/decisions/tests/hedge.rs
@@ -9,7 +9,7 @@
     Duration::from_millis(ms)
 }
 
-/// 100 calls of 1 to 100 ms.
+/// A hedge that has recorded 100 calls of 1 to 100 ms.
 fn observed() -> Hedge {
     let mut hedge = Hedge::default();
     (1..=100).for_each(|n| hedge.answered(ms(n)));
@@ -32,7 +32,7 @@
     expect_that!(hedge.delay(), none());
 }
 
-/// A ticket submission is late. A second copy could run it twice.
+/// A call that is not idempotent, such as a ticket submission, is late. A second copy could run it twice.
 #[gtest]
 fn never_copies_a_call_that_is_not_idempotent() {
     let mut hedge = observed();
@@ -41,8 +41,8 @@
     expect_that!(hedge.pay(true), eq(true));
 }
 
-/// All upstreams slow down at once and every call is late. Without the budget hedges would double
-/// the load on them.
+/// All upstreams become slow at once and every call is late. Without the budget, hedges would double the
+/// load.
 #[gtest]
 fn copies_add_at_most_a_twentieth_when_all_calls_are_late() {
     let mut hedge = observed();
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -1,4 +1,4 @@
-//! Many calls for one key: merged if they are reads, limited if not.
+//! Many concurrent calls for one key: reads are coalesced, other calls are limited.
 
 use catkin_decisions::{CallKey, HotKeys, ReadMerger};
 use googletest::prelude::*;
@@ -31,8 +31,8 @@
     expect_that!((other_team, other_path), eq((Some(2), Some(3))));
 }
 
-/// The read that the others follow fails, or its caller hangs up. The followers asked for something
-/// that can still be answered and must not share its fate.
+/// The leader of coalesced reads fails, or its caller disconnects. The followers' reads can still be
+/// answered, so they must not fail with it.
 #[gtest]
 fn failed_leader_does_not_fail_its_followers() {
     let mut merger = ReadMerger::default();
@@ -57,8 +57,8 @@
     expect_that!(keys[0], not(eq(&keys[1])));
 }
 
-/// One client calls for one item in a loop. Past its limit it is refused, and callers of other items
-/// find the places that it would have taken.
+/// One client requests one item in a loop. Beyond the limit its calls are refused, which leaves slots for the
+/// calls for other items.
 #[gtest]
 fn calls_for_one_key_are_limited_and_others_are_not() {
     let mut hot_keys = HotKeys::new(2);
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -1,4 +1,4 @@
-//! How VMs know of each other, a few and many.
+//! Membership and load exchange among few and among many VMs.
 
 use catkin_decisions::{
     Instant, MemberWord, NOTE_PERIOD, PEER_LIVES, PeerLoad, PeerLoads, PeerNote, SHARERS,
@@ -61,13 +61,13 @@
     }
 }
 
-/// VMs that tell each other period by period.
+/// VMs that exchange heartbeats, interval by interval.
 struct Fleet {
     vms: Vec<PeerLoads>,
     zones: usize,
     period: u64,
     rng: Xoshiro256PlusPlus,
-    /// Datagrams sent by the busiest VM in a period, in the later half of the run.
+    /// Maximum number of datagrams that one VM sent in an interval.
     most_sent: usize,
 }
 
@@ -86,7 +86,8 @@
         Instant(NOTE_PERIOD * u32::try_from(self.period).unwrap())
     }
 
-    /// One period, in which the VMs in `silent` say nothing. All know the first one by their settings.
+    /// Runs a number of intervals in which the VMs in `silent` send nothing. All VMs know the first one from
+    /// their settings.
     fn run(&mut self, periods: u64, silent: &[usize]) {
         for _ in 0..periods {
             self.period += 1;
@@ -131,9 +132,10 @@
     }
 }
 
-/// A zone has more VMs than each could tell of each dispatch. They all know who lives in their zone all
-/// the same, and each sends as little as if they were few. Before, the 17th VM of a zone was told by
-/// nobody, and took itself for the only one.
+/// A zone has too many VMs for each to send every dispatch to all others. Every VM must still know the
+/// members of its zone, and send no more than in a small system. Guards against a limit on the number of
+/// receivers that leaves some VMs without any heartbeat: with a limit of 16, the 17th VM of a zone took
+/// itself for the only one.
 #[gtest]
 fn many_vms_know_their_zone_and_send_little() {
     let mut fleet = Fleet::new(120, 4);
@@ -154,7 +156,8 @@
     expect_that!(fleet.most_sent, le(6));
 }
 
-/// A VM of a large zone dies. The others learn it although most of them were never told by it.
+/// A VM of a large zone dies. All others must remove it, although most of them never received a heartbeat of
+/// it.
 #[gtest]
 fn a_dead_vm_is_forgotten_by_a_large_zone() {
     let mut fleet = Fleet::new(120, 4);
@@ -171,8 +174,8 @@
     expect_that!(still.count(), eq(0));
 }
 
-/// The budget of repeats is divided by the number of VMs. One that knew only a part of them would take
-/// too large a part, and all together would repeat more than they may.
+/// The retry budget is divided by the number of VMs. A VM that knew only some of the others would take too
+/// large a share, and all VMs together would retry more than allowed.
 #[gtest]
 fn all_vms_are_counted() {
     let mut fleet = Fleet::new(120, 4);
@@ -187,8 +190,8 @@
     }
 }
 
-/// In a large zone a dispatch is told to those who share the upstream, and to no others. One from
-/// another zone is told to them as well: they would send their own prompts on top of it.
+/// In a large zone a dispatch is sent to the VMs that share the upstream, and to no others. Dispatches from
+/// another zone are sent to them as well; otherwise they would add their own prompts on the upstream.
 #[gtest]
 fn a_dispatch_is_told_to_those_who_share_the_upstream() {
     let mut fleet = Fleet::new(120, 4);
@@ -208,8 +211,8 @@
     expect_that!(from_elsewhere.len(), eq(2 * SHARERS));
 }
 
-/// Somebody's old word on a VM arrives after the VM's own. It must not make it look dead, or bring back
-/// an address that it no longer has.
+/// A peer's old advertisement of a VM arrives after a heartbeat of the VM itself. It must not make the VM look
+/// dead, or restore a former address.
 #[gtest]
 fn an_old_word_on_a_vm_does_not_count() {
     let mut peers = PeerLoads::new(name(0));
@@ -229,8 +232,8 @@
     expect_that!(peers.live_count(at(5050).after(PEER_LIVES)), eq(1));
 }
 
-/// Two VMs have streams on one engine and prompts still to be read there, and a third one chooses where to send its
-/// own. The prompts are read one after the other, so their times add up; what was told a while ago has gone on since.
+/// Two VMs have streams and unread prompts on one engine, and a third one places its own prompt. Prompts are
+/// read one after the other, so their reading times add up, less the age of each heartbeat.
 #[gtest]
 fn what_several_vms_have_on_an_engine_adds_up() {
     let (shared, other) = (
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -1,4 +1,4 @@
-//! Which VMs a VM talks with, and which keep copies for it.
+//! Selection of the VMs that a VM exchanges updates with, and of those that hold its progress replicas.
 
 use catkin_decisions::{Instant, PeerEntry, PeerTable, VmId};
 use googletest::prelude::*;
@@ -39,7 +39,7 @@
     expect_that!(table.entries().count(), eq(7));
 }
 
-/// Guards against a VM that serves callers and is left out of a question to all because it was slow once.
+/// A VM that was slow once may still serve callers, so a query to all VMs must not leave it out.
 #[gtest]
 fn vm_that_did_not_answer_is_asked_last_and_not_left_out() {
     let mut table = table(0, 4);
@@ -56,7 +56,7 @@
     expect_that!(table.nearest_of_all(at(11), 2), eq(&answering));
 }
 
-/// Guards against a slow VM that is taken for dead, and against waits for one that is.
+/// Guards against treating a slow VM as dead, and against waiting for one that is dead.
 #[gtest]
 fn vm_that_misses_an_answer_may_serve_until_it_has_been_silent_for_long() {
     let mut table = table(0, 3);
@@ -84,9 +84,9 @@
     expect_that!(neighbours.len(), eq(6));
 }
 
-/// News must reach every VM although each exchanges it with only six. If the neighbours fell into
-/// separate groups, a rollout would never be in force in some of them. An exchange goes both ways:
-/// by telling alone, the one VM in 400 that is nobody's neighbour would hear nothing.
+/// Updates must reach every VM although each exchanges them with only six others. If the neighbours formed
+/// separate groups, a rollout would never take effect in some of them. An exchange goes both ways: if VMs
+/// only sent updates, the one VM in 400 that is nobody's neighbour would receive nothing.
 #[gtest]
 fn news_reaches_all_of_400_vms_within_five_exchanges() {
     let neighbours = (0..400)
@@ -129,8 +129,8 @@
     );
 }
 
-/// A router dies, and its caller comes back to some other VM. Whichever that is, it must ask the
-/// VMs that hold the copy.
+/// A router dies, and its caller reconnects to some other VM. Whichever that is, it must query the VMs that
+/// hold the progress replica.
 #[gtest]
 fn every_vm_looks_for_copies_where_they_are_kept() {
     let holders = names(&table(0, 8).holders(at(0), &vm(0), &entry(0).zone));
@@ -145,7 +145,7 @@
     }
 }
 
-/// A VM dies without notice and stays in the platform's list. Copies sent there would be lost.
+/// A VM dies without notice and stays in the platform's list. Progress replicas sent there would be lost.
 #[gtest]
 fn vm_that_does_not_answer_is_passed_over_for_a_while() {
     let mut table = table(0, 8);
@@ -168,8 +168,8 @@
     expect_that!(table.entries().count(), eq(1));
 }
 
-/// A VM is gone for good, but the others go on telling each other of it. It would be tried as a
-/// holder of copies for ever.
+/// A VM is gone for good, but the others keep advertising it to each other. If that kept it in their tables,
+/// it would be chosen as a holder of replicas forever.
 #[gtest]
 fn mentions_of_a_vm_do_not_keep_it_alive() {
     let (mut one, mut other) = (table(0, 8), table(1, 8));
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where prompts go when many VMs decide at once.
+//! Placement of prompts when many VMs decide at once.
 
 use catkin_decisions::{
     AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerNote, PlacementCandidate, PlacementFor,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A VM that places prompts by itself.
+/// A VM that places prompts from its own state and the heartbeats of others.
 struct Decider {
     vm: Arc<str>,
     zone: AvailabilityZone,
@@ -120,9 +120,9 @@
     }
 }
 
-/// Places two prompts a VM, a few milliseconds apart, on as many upstreams as there are prompts, and
-/// returns the longest wait for the first event in prompts. With `told`, each hears of the others'
-/// dispatches 2 ms later.
+/// Places two prompts per VM, a few milliseconds apart, on as many upstreams as there are prompts. Returns
+/// the largest number of prompts on one upstream, which is the longest wait for a first event. With `told`,
+/// each VM receives the others' heartbeats 2 ms after their dispatches.
 fn longest_wait(vms: usize, told: bool, least_load: bool, seed: u64) -> u32 {
     let entries = entries(&["a", "b"], vms);
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -154,7 +154,7 @@
             }
         }
         let random = if least_load { 0.0 } else { rng.random() };
-        // Plain least load knows of no other VM.
+        // With plain least load a VM knows no other VM, so all upstreams are in its partition.
         let known = if least_load {
             &names[who..=who]
         } else {
@@ -178,11 +178,10 @@
     f64::from(sum) / f64::from(seeds)
 }
 
-/// The upstreams of a zone crash, and its VMs send the prompts that were lost to those of the other
-/// zones within milliseconds, each knowing its own dispatches only. The last prompt on the fullest
-/// upstream waits for all before it, while other upstreams are idle. Prompts on the fullest one, means
-/// with 8 and with 64 VMs: 8 and 64 with plain least load, 2.6 and 3.2 where each VM begins with a part
-/// of its own, 1.0 where VMs tell each other.
+/// The upstreams of a zone crash, and its VMs send the lost prompts to other zones within milliseconds. If
+/// each VM knows only its own dispatches, prompts queue on one upstream while others are idle. Mean number
+/// of prompts on the fullest upstream with 8 and with 64 VMs: 8 and 64 with plain least load, 2.6 and 3.2
+/// with partitions, 1.0 with heartbeats.
 #[gtest]
 fn vms_that_tell_each_other_do_not_meet_on_one_upstream() {
     for vms in [8, 64] {
@@ -197,8 +196,8 @@
     }
 }
 
-/// Two prompts meet on an upstream of the own zone while another zone has an idle one. The second
-/// would wait for a second; it goes to the other zone.
+/// The only upstream of the own zone is reading a prompt while another zone has an idle one. A second prompt
+/// would wait for one second, so it goes to the other zone.
 #[gtest]
 fn prompt_goes_to_another_zone_rather_than_wait_for_one() {
     let entries = entries(&["a", "b"], 1);
@@ -237,9 +236,9 @@
     expect_that!(once_ended.id.as_str(), eq("a0"));
 }
 
-/// A stream runs on an engine of this VM's part of the zone, and an engine of another VM's part is
-/// idle. Reading a prompt beside the stream would make it a second longer; the prompt goes to the idle
-/// one. Two streams are worth a way to another zone.
+/// A stream runs on an engine of this VM's partition, and an engine of another VM's partition is idle.
+/// Reading a prompt beside the stream would delay the stream by one second, so the prompt goes to the idle
+/// engine. If two streams run on the only engine of the own zone, it goes to another zone.
 #[gtest]
 fn prompt_is_not_read_beside_a_stream_while_an_engine_is_idle() {
     let entries = entries(&["a", "b"], 2);
@@ -282,8 +281,8 @@
     expect_that!(elsewhere.id.as_str(), eq("b0"));
 }
 
-/// Another VM has just sent a long prompt to the one upstream, and none to the other. Its word counts like
-/// the own dispatches.
+/// Another VM has just sent a long prompt to one of two upstreams. The prompt that it advertises counts like
+/// one that this VM has sent itself.
 #[gtest]
 fn prompts_of_other_vms_count() {
     let entries = entries(&["a"], 2);
@@ -309,8 +308,8 @@
     expect_that!(chosen.id.as_str(), eq("a1"));
 }
 
-/// A VM of a large zone shares a few engines, which run a stream or two each, and knows nothing of the
-/// others. Those are no less busy, and other VMs have just sent their prompts there.
+/// A VM of a large zone shares a few engines, which run two streams each, and has no load reports of the
+/// others. These are as busy, since other VMs send their prompts there, and must not be taken for idle.
 #[gtest]
 fn an_engine_of_which_nothing_is_known_is_not_taken_for_idle() {
     let entries = entries(&["a", "b"], 40);
@@ -346,8 +345,8 @@
     expect_that!(shared(chosen), eq(true), "{}", chosen.id);
 }
 
-/// An upstream has shown a fault. Calls go anywhere else first, but with nothing else left it is
-/// better than a refusal.
+/// An upstream is suspected to have failed. All others are preferred, but if it is the only one left, using
+/// it is better than refusing the call.
 #[gtest]
 fn suspect_comes_last_but_is_not_ruled_out() {
     let entries = entries(&["a"], 2);
@@ -376,8 +375,8 @@
     expect_that!(only.id.as_str(), eq("a0"));
 }
 
-/// A whole zone is lost, and the copies of the runs there with it if they lay in the same zone. Copies
-/// go to another one, and spread, so that the resumes do not all go to one upstream.
+/// A complete zone is lost, and with it any KV copy kept in the zone of its run. Copies go to another zone,
+/// and are spread there so that the resumes do not all go to one upstream.
 #[gtest]
 fn copies_go_to_another_zone_and_spread() {
     let entries = entries(&["a", "b"], 4);
@@ -412,8 +411,8 @@
     expect_that!(held, eq(&["b0", "b0", "b1", "b1", "b2", "b2", "b3", "b3"]));
 }
 
-/// A stream runs in another zone, since its own is full or was lost, and then the own zone is cut off
-/// from all others. The caller is still here: the copy must be within reach, in the own zone.
+/// A stream runs in another zone, because the own zone was full or lost, and then the own zone is cut off
+/// from all others. The caller is still connected here, so the KV copy must be in the own zone.
 #[gtest]
 fn copy_of_a_run_elsewhere_lies_in_the_own_zone() {
     let entries = entries(&["a", "b", "c"], 2);
@@ -443,8 +442,8 @@
     expect_that!(holder.zone, eq(&own_zone));
 }
 
-/// Without any load each VM of a zone has upstreams of its own, so that two that have not heard of
-/// each other's dispatches rarely meet.
+/// Without any load each VM of a zone uses the upstreams of its own partition, so that VMs that have not yet
+/// received each other's dispatches rarely choose the same upstream.
 #[gtest]
 fn each_vm_of_a_zone_begins_with_its_own_part() {
     let entries = entries(&["a"], 12);
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -1,4 +1,4 @@
-//! How a trial names what differs from the usual policy.
+//! Parsing of policies that differ from the default.
 
 use catkin_decisions::{Error, Policy};
 use googletest::prelude::*;
@@ -20,7 +20,7 @@
     expect_that!(policy, ok(eq(&expected)));
 }
 
-/// A trial with a misspelt field would measure the usual policy under another name.
+/// A misspelt field that was ignored would make a test run measure the default policy.
 #[gtest]
 fn what_is_no_field_or_value_is_refused() {
     for text in ["copy=false", "copies", "copies=off", "stream_cost=much"] {
--- a/crates/decisions/tests/stream_pace.rs
+++ b/crates/decisions/tests/stream_pace.rs
@@ -1,10 +1,10 @@
-//! How long a stream still takes, from those before it.
+//! Estimates of the remaining time of a stream from earlier streams.
 
 use catkin_decisions::StreamPace;
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// Streams of 100 to 131 events, 30 to 61 ms apart.
+/// Estimator with `streams` streams, of 100 events 30 ms apart up to 131 events 61 ms apart.
 fn pace(streams: u32) -> StreamPace {
     let mut pace = StreamPace::default();
     for n in 0..streams {
@@ -28,13 +28,13 @@
     );
 }
 
-/// A VM that has just started does not refuse callers by two or three streams.
+/// A VM that has just started must not refuse callers on the basis of a few streams.
 #[gtest]
 fn few_streams_say_nothing() {
     expect_that!(pace(7).least_rest(0), none());
 }
 
-/// Streams of one event have no pace.
+/// Streams of fewer than two events have no interval between events.
 #[gtest]
 fn streams_without_a_pause_are_left_out() {
     let mut pace = StreamPace::default();
--- a/crates/decisions/tests/subset.rs
+++ b/crates/decisions/tests/subset.rs
@@ -1,4 +1,4 @@
-//! The upstreams that one VM keeps in touch with.
+//! The subset of upstreams that one VM connects to.
 
 use catkin_decisions::{OTHER_ZONES, OWN_ZONE, Upstream, UpstreamId, VmId, subset};
 use googletest::prelude::*;
