--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -133,9 +133,8 @@
 }
 
 /// A zone has too many VMs for each to send every dispatch to all others. Every VM must still know the
-/// members of its zone, and send no more than in a small system. Guards against a limit on the number of
-/// receivers that leaves some VMs without any heartbeat: with a limit of 16, the 17th VM of a zone took
-/// itself for the only one.
+/// members of its zone, and send no more than in a small system. Guards against a fixed set of receivers,
+/// with which the 17th VM of a zone received no heartbeat and took itself for the only one.
 #[gtest]
 fn many_vms_know_their_zone_and_send_little() {
     let mut fleet = Fleet::new(120, 4);
--- a/crates/decisions/tests/stream_pace.rs
+++ b/crates/decisions/tests/stream_pace.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// Estimator with `streams` streams, of 100 events 30 ms apart up to 131 events 61 ms apart.
+/// Estimator with `streams` recorded streams; stream `n` has 100 + `n` events, 30 + `n` ms apart.
 fn pace(streams: u32) -> StreamPace {
     let mut pace = StreamPace::default();
     for n in 0..streams {
