--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -106,7 +106,7 @@
         models
     });
     EngineReport {
-        at,
+        requested_at: at,
         loaded,
         loading,
         serves: load.role.unwrap_or(engine::EngineRole::Serve) == engine::EngineRole::Serve,
--- a/crates/catkinward/src/gateway/prompt_search.rs
+++ b/crates/catkinward/src/gateway/prompt_search.rs
@@ -48,8 +48,8 @@
             .collect::<Vec<_>>();
         engines.retain(|engine| !state.upstream(engine, now).health.is_suspect());
         engines.sort_by_key(|engine| engine.zone != self.settings.zone);
-        engines.truncate(state.cached.most_asked(self.settings.link));
-        engines.retain(|engine| state.cached.is_due(&engine.id, now));
+        engines.truncate(state.cached.max_queries(self.settings.link));
+        engines.retain(|engine| state.cached.needs_query(&engine.id, now));
         engines
     }
 
@@ -58,7 +58,10 @@
         let now = self.timer.now();
         match tokio::time::timeout(SEARCH_BOUND, asked).await {
             Ok(Ok(parts)) => {
-                self.state.lock().cached.told(&engine.id, parts, now);
+                self.state
+                    .lock()
+                    .cached
+                    .record_report(&engine.id, parts, now);
                 true
             }
             Ok(Err(fault)) => {
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -68,7 +68,7 @@
     pub(crate) fn check_eligible(&self) -> Result<(), AttemptFault> {
         let now = self.known.timer.now();
         match &self.eligible {
-            Some(eligible) if eligible.holds(now) => Ok(()),
+            Some(eligible) if eligible.is_valid(now) => Ok(()),
             _ => Err(AttemptFault::NotEligible),
         }
     }
--- a/crates/decisions/src/cached_prompts.rs
+++ b/crates/decisions/src/cached_prompts.rs
@@ -16,27 +16,27 @@
 
 /// Maximum number of engines queried: all engines of a present deployment, or those of the local
 /// availability zone at the target size.
-const MOST_ASKED: usize = 48;
+const MAX_ENGINES_QUERIED: usize = 48;
 
 /// Time-out for the engines' answers. An answer takes 2 to 5 ms; a caller that reconnects has already
 /// lost far more than the time-out.
 pub const SEARCH_BOUND: Duration = Duration::from_millis(60);
 
 /// Share of the VM's link that the answers may use during the time-out; the rest is for streams.
-const LINK_PART: f64 = 0.5;
+const LINK_SHARE: f64 = 0.5;
 
 /// Bytes of an answer per part that it lists.
-const PART_BYTES: f64 = 48.0;
+const BYTES_PER_PART: f64 = 48.0;
 
 /// Assumed number of parts in an answer until the first one arrives.
-const USUAL_PARTS: f64 = 128.0;
+const INITIAL_MEAN_PARTS: f64 = 128.0;
 
 /// Weight of the latest answer in the moving average of answer sizes.
 const SIZE_WEIGHT: f64 = 0.1;
 
 /// Maximum number of parts kept per engine, the newest ones. This is many times the number of prompts
 /// that fit into an engine's memory.
-const MOST_PARTS: usize = 256;
+const MAX_PARTS_PER_ENGINE: usize = 256;
 
 /// A part of a prompt; requests with the same beginning share their first parts.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -60,7 +60,7 @@
     fn default() -> Self {
         Self {
             engines: Vec::new(),
-            mean_parts: USUAL_PARTS,
+            mean_parts: INITIAL_MEAN_PARTS,
         }
     }
 }
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 struct EngineCache {
     engine: UpstreamIncarnation,
-    told: Instant,
+    received_at: Instant,
     /// Tokens held of each part, sorted by part id.
     parts: Vec<PromptPart>,
 }
@@ -77,47 +77,53 @@
     /// Number of engines to query at once, limited so that their answers do not delay the streams on the
     /// VM's link.
     #[must_use]
-    pub fn most_asked(&self, link: Option<LinkRate>) -> usize {
+    pub fn max_queries(&self, link: Option<LinkRate>) -> usize {
         let Some(link) = link else {
-            return MOST_ASKED;
+            return MAX_ENGINES_QUERIED;
         };
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             clippy::cast_precision_loss
         )]
-        let most = (link.bytes_in(SEARCH_BOUND) as f64 * LINK_PART
-            / (self.mean_parts.max(1.0) * PART_BYTES)) as usize;
-        most.min(MOST_ASKED)
+        let most = (link.bytes_in(SEARCH_BOUND) as f64 * LINK_SHARE
+            / (self.mean_parts.max(1.0) * BYTES_PER_PART)) as usize;
+        most.min(MAX_ENGINES_QUERIED)
     }
 
     /// Whether an engine should be queried, because its last answer is missing or too old.
     #[must_use]
-    pub fn is_due(&self, engine: &UpstreamIncarnation, now: Instant) -> bool {
+    pub fn needs_query(&self, engine: &UpstreamIncarnation, now: Instant) -> bool {
         self.get(engine, now).is_none()
     }
 
     /// Stores an engine's answer: the parts with the number of tokens held of each, oldest entry first. A
     /// later entry for the same part replaces an earlier one.
-    pub fn told(&mut self, engine: &UpstreamIncarnation, word: Vec<PromptPart>, now: Instant) {
-        self.engines
-            .retain(|known| known.engine != *engine && now.since(known.told) < CACHE_WORD_AGE);
+    pub fn record_report(
+        &mut self,
+        engine: &UpstreamIncarnation,
+        report: Vec<PromptPart>,
+        now: Instant,
+    ) {
+        self.engines.retain(|known| {
+            known.engine != *engine && now.since(known.received_at) < CACHE_WORD_AGE
+        });
         #[expect(clippy::cast_precision_loss)]
-        let size = word.len() as f64;
+        let size = report.len() as f64;
         self.mean_parts += SIZE_WEIGHT * (size - self.mean_parts);
         let mut parts: Vec<PromptPart> = Vec::new();
-        for part in word.into_iter().rev().take(MOST_PARTS) {
+        for part in report.into_iter().rev().take(MAX_PARTS_PER_ENGINE) {
             if let Err(index) = parts.binary_search_by(|known| known.id.cmp(&part.id)) {
                 parts.insert(index, part);
             }
         }
-        let place = self.engines.partition_point(|known| known.engine < *engine);
+        let index = self.engines.partition_point(|known| known.engine < *engine);
         let cache = EngineCache {
             engine: engine.clone(),
-            told: now,
+            received_at: now,
             parts,
         };
-        self.engines.insert(place, cache);
+        self.engines.insert(index, cache);
     }
 
     /// Number of tokens of a prompt that each engine holds, for the engines that hold any, sorted by
@@ -126,8 +132,8 @@
     pub fn holders(&self, prompt: &[PromptPart], now: Instant) -> Vec<(UpstreamIncarnation, u32)> {
         self.engines
             .iter()
-            .filter(|engine| now.since(engine.told) < CACHE_WORD_AGE)
-            .map(|engine| (engine.engine.clone(), engine.held(prompt)))
+            .filter(|engine| now.since(engine.received_at) < CACHE_WORD_AGE)
+            .map(|engine| (engine.engine.clone(), engine.held_tokens(prompt)))
             .filter(|(_, tokens)| *tokens > 0)
             .collect()
     }
@@ -137,12 +143,12 @@
             .engines
             .binary_search_by(|known| known.engine.cmp(engine));
         let known = &self.engines[index.ok()?];
-        (now.since(known.told) < CACHE_WORD_AGE).then_some(known)
+        (now.since(known.received_at) < CACHE_WORD_AGE).then_some(known)
     }
 }
 
 impl EngineCache {
-    fn held(&self, prompt: &[PromptPart]) -> u32 {
+    fn held_tokens(&self, prompt: &[PromptPart]) -> u32 {
         let mut held = 0;
         for part in prompt {
             let index = self.parts.binary_search_by(|known| known.id.cmp(&part.id));
--- a/crates/decisions/src/candidate.rs
+++ b/crates/decisions/src/candidate.rs
@@ -14,7 +14,7 @@
     /// Factor on the capacity, from 0 (used only if no other upstream is left) to 1.
     pub weight: f64,
     /// Average response latency, in seconds.
-    pub pace: Option<f64>,
+    pub latency: Option<f64>,
     /// Rendezvous score of the request's prefix for this upstream.
     pub affinity: u64,
 }
--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -25,7 +25,7 @@
 
 /// Latencies up to this multiple of the best one are treated as equal, since such differences may be
 /// random.
-const PACE_TOLERANCE: f64 = 3.0;
+const LATENCY_TOLERANCE: f64 = 3.0;
 
 /// Input of the choice besides the candidates.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,17 +38,17 @@
 
 /// A candidate with the values that are compared.
 #[derive(Clone, Copy)]
-struct Weighed {
+struct WeightedCandidate {
     index: usize,
     load: f64,
-    room: f64,
+    weighted_capacity: f64,
     affinity: u64,
 }
 
-impl Weighed {
+impl WeightedCandidate {
     /// Share of the weighted capacity in use after one more request.
     fn cost(&self) -> f64 {
-        (self.load + 1.0) / self.room
+        (self.load + 1.0) / self.weighted_capacity
     }
 }
 
@@ -66,69 +66,76 @@
 
 /// The candidates to choose from. Those of weight 0 are left out unless there are no others, and those
 /// of other zones unless the own zone is full and they are less loaded.
-fn pool(candidates: &[Candidate]) -> Vec<Weighed> {
-    let trusted = candidates.iter().any(|c| c.weight > 0.0);
-    let usable = |c: &Candidate| !trusted || c.weight > 0.0;
-    let own = use_of_capacity(candidates.iter().filter(|c| usable(c) && c.own_zone));
-    let best_pace = candidates
+fn pool(candidates: &[Candidate]) -> Vec<WeightedCandidate> {
+    let any_trusted = candidates.iter().any(|c| c.weight > 0.0);
+    let usable = |c: &Candidate| !any_trusted || c.weight > 0.0;
+    let own_utilization = utilization_of(candidates.iter().filter(|c| usable(c) && c.own_zone));
+    let best_latency = candidates
         .iter()
-        .filter_map(|c| c.pace)
+        .filter_map(|c| c.latency)
         .fold(f64::INFINITY, f64::min);
     candidates
         .iter()
         .enumerate()
         .filter(|(_, c)| usable(c))
-        .filter(|(_, c)| c.own_zone || own.is_none_or(|own| own >= 1.0 && part_used(c) < own))
-        .map(|(index, c)| Weighed {
+        .filter(|(_, c)| {
+            c.own_zone || own_utilization.is_none_or(|own| own >= 1.0 && utilization(c) < own)
+        })
+        .map(|(index, c)| WeightedCandidate {
             index,
             load: f64::from(c.load),
-            room: f64::from(c.capacity) * c.weight.max(0.01) * pace_factor(c.pace, best_pace),
+            weighted_capacity: f64::from(c.capacity)
+                * c.weight.max(0.01)
+                * latency_factor(c.latency, best_latency),
             affinity: c.affinity,
         })
         .collect()
 }
 
 /// Total load divided by total capacity; `None` if there are no candidates.
-fn use_of_capacity<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<f64> {
+fn utilization_of<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<f64> {
     let (load, capacity) = candidates.fold((0.0, 0.0), |(load, capacity), c| {
         (load + f64::from(c.load), capacity + f64::from(c.capacity))
     });
     (capacity > 0.0).then(|| load / capacity)
 }
 
-fn part_used(candidate: &Candidate) -> f64 {
+fn utilization(candidate: &Candidate) -> f64 {
     f64::from(candidate.load) / f64::from(candidate.capacity)
 }
 
 /// Factor on the capacity of an upstream, below 1 if its latency is much higher than the best one.
-fn pace_factor(pace: Option<f64>, best: f64) -> f64 {
-    let Some(pace) = pace.filter(|pace| *pace > 0.0) else {
+fn latency_factor(latency: Option<f64>, best: f64) -> f64 {
+    let Some(latency) = latency.filter(|latency| *latency > 0.0) else {
         return 1.0;
     };
-    (PACE_TOLERANCE * best / pace).min(1.0).powi(2).max(0.01)
+    (LATENCY_TOLERANCE * best / latency)
+        .min(1.0)
+        .powi(2)
+        .max(0.01)
 }
 
-fn by_prefix(pool: &[Weighed]) -> Option<usize> {
+fn by_prefix(pool: &[WeightedCandidate]) -> Option<usize> {
     let load = pool.iter().map(|w| w.load).sum::<f64>();
-    let room = pool.iter().map(|w| w.room).sum::<f64>();
-    let bound = AFFINITY_BOUND * (load + 1.0) / room;
-    let mut below = u64::MAX;
+    let capacity = pool.iter().map(|w| w.weighted_capacity).sum::<f64>();
+    let bound = AFFINITY_BOUND * (load + 1.0) / capacity;
+    let mut last_affinity = u64::MAX;
     for _ in 0..AFFINITY_TRIES {
         let best = pool
             .iter()
-            .filter(|w| w.affinity < below)
+            .filter(|w| w.affinity < last_affinity)
             .max_by_key(|w| w.affinity)?;
         // An idle upstream is always accepted. Otherwise, at low total load, the bound would rule out
         // the upstream that holds the prefix.
-        if best.load < 1.0 || best.load < bound * best.room {
+        if best.load < 1.0 || best.load < bound * best.weighted_capacity {
             return Some(best.index);
         }
-        below = best.affinity;
+        last_affinity = best.affinity;
     }
     None
 }
 
-fn better_of_two(pool: &[Weighed], random: [u32; 2]) -> Option<usize> {
+fn better_of_two(pool: &[WeightedCandidate], random: [u32; 2]) -> Option<usize> {
     let (len, [first, second]) = (pool.len(), random.map(to_usize));
     if len < 2 {
         return pool.first().map(|w| w.index);
--- a/crates/decisions/src/eligible.rs
+++ b/crates/decisions/src/eligible.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Eq, PartialEq)]
 pub struct Eligible {
     pub(crate) incarnation: Incarnation,
-    pub(crate) until: Instant,
+    pub(crate) valid_until: Instant,
 }
 
 impl Eligible {
@@ -19,7 +19,7 @@
 
     /// Whether the proof is still valid; a later dispatch needs a new one.
     #[must_use]
-    pub fn holds(&self, now: Instant) -> bool {
-        now <= self.until
+    pub fn is_valid(&self, now: Instant) -> bool {
+        now <= self.valid_until
     }
 }
--- a/crates/decisions/src/engine_report.rs
+++ b/crates/decisions/src/engine_report.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
     /// When the report was requested.
-    pub at: Instant,
+    pub requested_at: Instant,
     /// Loaded models, sorted, each with its number of running streams.
     pub loaded: Vec<(Model, u32)>,
     /// Models being loaded, sorted; `None` if the engine does not report them.
@@ -25,7 +25,7 @@
 
     /// Whether a model is loaded.
     #[must_use]
-    pub fn has(&self, model: &Model) -> bool {
+    pub fn is_loaded(&self, model: &Model) -> bool {
         self.streams(model).is_some()
     }
 }
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -2,7 +2,7 @@
 
 /// Number of engines that retain an old model version in use. With two, the streams of one that dies can
 /// resume on the other.
-const KEEPERS: usize = 2;
+const RETAINING_ENGINES: usize = 2;
 
 /// An engine as the order planner sees it; `report` is `None` if there is no usable report.
 pub(crate) struct EngineView<'a> {
@@ -13,13 +13,13 @@
 }
 
 /// The desired models that the engine has not loaded.
-pub(crate) fn missing(models: &[Model], view: &EngineView) -> Vec<Model> {
-    let absent = |model: &&Model| !view.report.is_some_and(|report| report.has(model));
+pub(crate) fn missing_models(models: &[Model], view: &EngineView) -> Vec<Model> {
+    let absent = |model: &&Model| !view.report.is_some_and(|report| report.is_loaded(model));
     models.iter().filter(absent).cloned().collect()
 }
 
 /// Whether some version of a model is desired on an engine.
-fn has_name(view: &EngineView, model: &Model) -> bool {
+fn wants_some_version(view: &EngineView, model: &Model) -> bool {
     view.goal.models.iter().any(|m| m.name == model.name)
 }
 
@@ -35,37 +35,37 @@
         return true;
     }
     let others = || views.iter().enumerate().filter(|(j, _)| *j != i);
-    let busy = others()
+    let loading_engines = others()
         .filter(|(_, view)| !view.loading.is_empty())
         .count();
-    let replicas = |view: &EngineView| view.report.is_some() && has_name(view, model);
+    let is_replica = |view: &EngineView| view.report.is_some() && wants_some_version(view, model);
     let serving = others()
-        .filter(|(_, view)| replicas(view) && view.loading.is_empty())
+        .filter(|(_, view)| is_replica(view) && view.loading.is_empty())
         .count();
-    let alone = !others().any(|(_, view)| replicas(view));
-    busy < loads_at_once.max(1) && (alone || serving > 0)
+    let is_only_replica = !others().any(|(_, view)| is_replica(view));
+    loading_engines < loads_at_once.max(1) && (is_only_replica || serving > 0)
 }
 
 /// The engines that retain an old model. Engines that have it loaded are preferred, and among them those
 /// with the most streams on it. The second one is in another availability zone if possible.
-pub(crate) fn keepers(model: &Model, views: &[EngineView]) -> Vec<UpstreamId> {
-    let able = |view: &&EngineView| view.report.is_some() && has_name(view, model);
-    let mut able = views.iter().filter(able).collect::<Vec<_>>();
+pub(crate) fn retaining_engines(model: &Model, views: &[EngineView]) -> Vec<UpstreamId> {
+    let is_replica = |view: &&EngineView| view.report.is_some() && wants_some_version(view, model);
+    let mut replicas = views.iter().filter(is_replica).collect::<Vec<_>>();
     let rank = |view: &&EngineView| {
         let streams = view.report.and_then(|report| report.streams(model));
         std::cmp::Reverse(streams.map(|n| n + 1).unwrap_or_default())
     };
-    able.sort_by_key(rank);
-    let Some(first) = able.first().copied() else {
+    replicas.sort_by_key(rank);
+    let Some(first) = replicas.first().copied() else {
         return Vec::new();
     };
-    let second = able[1..]
+    let second = replicas[1..]
         .iter()
         .find(|view| view.goal.zone != first.goal.zone)
-        .or(able.get(1));
+        .or(replicas.get(1));
     let chosen = std::iter::once(first).chain(second.copied());
     chosen
-        .take(KEEPERS)
+        .take(RETAINING_ENGINES)
         .map(|view| view.goal.upstream.clone())
         .collect()
 }
--- a/crates/decisions/src/ineligible.rs
+++ b/crates/decisions/src/ineligible.rs
@@ -5,17 +5,17 @@
 pub enum Ineligible {
     /// No report of the upstream has been received.
     #[display("no report of the upstream has been received")]
-    Unheard,
+    NoReport,
     /// Its last report or reply is too old to rely on.
     #[display("the upstream's last report is too old")]
     Stale,
     /// It is leaving the service.
-    #[display("the upstream is leaving, reported by {source_of_word}")]
+    #[display("the upstream is leaving, reported by {reported_by}")]
     Leaving {
         /// Who reported that it is leaving.
-        source_of_word: LeavingSource,
+        reported_by: LeavingSource,
     },
     /// It is not in the serving role, or has not loaded the requested model.
     #[display("the upstream does not serve the requested model")]
-    Unsuited,
+    NotServing,
 }
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -11,7 +11,7 @@
 //! old order has changed is seen in the next report and ordered back.
 
 use super::*;
-use crate::engine_view::{EngineView, keepers, may_load, missing};
+use crate::engine_view::{EngineView, may_load, missing_models, retaining_engines};
 
 /// Plans the orders of one scope, for as long as its lease is held.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
                 continue;
             };
             if self.is_due(now, &views[i], &state) {
-                views[i].loading = missing(&state.models, &views[i]);
+                views[i].loading = missing_models(&state.models, &views[i]);
                 orders.push(state);
             }
         }
@@ -94,7 +94,7 @@
         reports: &'a [(UpstreamId, EngineReport)],
     ) -> EngineView<'a> {
         let report = find(reports, &goal.upstream);
-        let fresh = report.filter(|report| now.since(report.at) <= self.cfg.report_bound);
+        let fresh = report.filter(|report| now.since(report.requested_at) <= self.cfg.report_bound);
         let mut view = EngineView {
             goal,
             report: fresh,
@@ -121,7 +121,7 @@
         if sent.refused || now.since(sent.at) > self.cfg.load_timeout {
             return Vec::new();
         }
-        let absent = |model: &&Model| !report.is_some_and(|report| report.has(model));
+        let absent = |model: &&Model| !report.is_some_and(|report| report.is_loaded(model));
         sent.models.iter().filter(absent).cloned().collect()
     }
 
@@ -138,7 +138,7 @@
         let cfg = self.cfg;
         self.old.retain(|(model, _)| !wanted(model));
         for (_, report) in reports.iter().filter(|(id, _)| in_scope(id)) {
-            let age = now.since(report.at);
+            let age = now.since(report.requested_at);
             let stale = age > cfg.report_bound && age < cfg.lost_after;
             for (model, streams) in report.loaded.iter().filter(|(model, _)| !wanted(model)) {
                 match self.old.binary_search_by(|(old, _)| old.cmp(model)) {
@@ -155,7 +155,7 @@
         self.old
             .iter()
             .filter(|(_, used)| now.since(*used) < self.cfg.quiet)
-            .map(|(model, _)| (model.clone(), keepers(model, views)))
+            .map(|(model, _)| (model.clone(), retaining_engines(model, views)))
             .collect()
     }
 
@@ -169,21 +169,23 @@
         let view = &views[i];
         let report = view.report?;
         let id = &view.goal.upstream;
-        let complete = view.goal.models.iter().all(|model| report.has(model));
+        let complete = view.goal.models.iter().all(|model| report.is_loaded(model));
         let held = report.loaded.iter().filter(|(model, streams)| {
-            let keeps = kept
-                .iter()
-                .any(|(old, keepers)| old == model && (*streams > 0 || keepers.contains(id)));
+            let keeps = kept.iter().any(|(old, retaining_engines)| {
+                old == model && (*streams > 0 || retaining_engines.contains(id))
+            });
             !complete || keeps || view.goal.models.binary_search(model).is_ok()
         });
         let mut models = held.map(|(model, _)| model.clone()).collect::<Vec<_>>();
-        let kept_here = kept.iter().filter(|(_, keepers)| keepers.contains(id));
+        let kept_here = kept
+            .iter()
+            .filter(|(_, retaining_engines)| retaining_engines.contains(id));
         let wanted = view
             .goal
             .models
             .iter()
             .chain(kept_here.map(|(model, _)| model));
-        for model in wanted.filter(|model| !report.has(model)) {
+        for model in wanted.filter(|model| !report.is_loaded(model)) {
             if may_load(i, model, views, self.cfg.loads_at_once) {
                 models.push(model.clone());
             }
@@ -206,8 +208,9 @@
         if sent.models != state.models {
             return true;
         }
-        let missing = missing(&state.models, view);
-        let carried_out = !missing.is_empty() && missing.iter().all(|m| view.loading.contains(m));
+        let missing_models = missing_models(&state.models, view);
+        let carried_out =
+            !missing_models.is_empty() && missing_models.iter().all(|m| view.loading.contains(m));
         !carried_out && now.since(sent.at) >= self.cfg.resend_after
     }
 
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -127,16 +127,16 @@
     ///
     /// Why it may not.
     pub fn eligible(&self, now: Instant) -> Result<Eligible, Ineligible> {
-        let incarnation = self.current.ok_or(Ineligible::Unheard)?;
+        let incarnation = self.current.ok_or(Ineligible::NoReport)?;
         if now.since(self.heard) > EVIDENCE_BOUND {
             return Err(Ineligible::Stale);
         }
-        if let Some(source_of_word) = self.leaving_source(incarnation) {
-            return Err(Ineligible::Leaving { source_of_word });
+        if let Some(reported_by) = self.leaving_source(incarnation) {
+            return Err(Ineligible::Leaving { reported_by });
         }
         Ok(Eligible {
             incarnation,
-            until: self.heard.after(EVIDENCE_BOUND),
+            valid_until: self.heard.after(EVIDENCE_BOUND),
         })
     }
 
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -145,7 +145,7 @@
     pub fn candidate(&self, model: Option<&Model>, now: Instant) -> Result<Candidate, Ineligible> {
         let eligible = self.evidence.eligible(now)?;
         if !self.report.suits(model) {
-            return Err(Ineligible::Unsuited);
+            return Err(Ineligible::NotServing);
         }
         let others = self.report.load.saturating_sub(self.own_in_report);
         Ok(Candidate {
@@ -153,7 +153,7 @@
             capacity: self.report.capacity.max(1),
             weight: self.suspicion.weight(now)
                 * climb(self.evidence.since(), SLOW_START, now).max(0.1),
-            pace: self.pace(now),
+            latency: self.pace(now),
             own_zone: true,
             affinity: 0,
             eligible,
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -99,7 +99,7 @@
         self.loaded.sort();
         self.loading.retain(|(_, ready)| *ready > now);
         EngineReport {
-            at,
+            requested_at: at,
             loaded: self.loaded.iter().map(|m| (m.clone(), 0)).collect(),
             loading: Some(self.loading.iter().map(|(m, _)| m.clone()).collect()),
             serves: true,
--- a/crates/decisions/tests/cached_prompts.rs
+++ b/crates/decisions/tests/cached_prompts.rs
@@ -22,18 +22,18 @@
 }
 
 /// Reports of engines on their parts, all received at the same time.
-fn told(words: &[(u32, &[(&str, u32)])]) -> CachedPrompts {
+fn reported(reports: &[(u32, &[(&str, u32)])]) -> CachedPrompts {
     let mut cached = CachedPrompts::default();
-    for (n, parts) in words {
+    for (n, parts) in reports {
         let parts = parts.iter().map(|(id, tokens)| part(id, *tokens)).collect();
-        cached.told(&engine(*n), parts, at(0));
+        cached.record_report(&engine(*n), parts, at(0));
     }
     cached
 }
 
 #[gtest]
 fn engines_that_hold_the_prompt_are_found() {
-    let cached = told(&[
+    let cached = reported(&[
         (1, &[("shared", 200), ("own", 8000)]),
         (2, &[("shared", 200), ("other", 8000)]),
         (3, &[("other", 8000)]),
@@ -48,7 +48,7 @@
 /// the parts that it still holds after the gap must not count.
 #[gtest]
 fn a_part_counts_only_after_all_parts_before_it() {
-    let cached = told(&[
+    let cached = reported(&[
         (1, &[("own", 8000)]),
         (2, &[("shared", 150), ("own", 8000)]),
     ]);
@@ -59,38 +59,38 @@
 }
 
 #[gtest]
-fn the_latest_word_on_a_part_counts() {
-    let cached = told(&[(1, &[("own", 4000), ("own", 8000), ("own", 0)])]);
+fn the_latest_report_of_a_part_counts() {
+    let cached = reported(&[(1, &[("own", 4000), ("own", 8000), ("own", 0)])]);
 
     expect_that!(cached.holders(&[part("own", 8000)], at(10)), is_empty());
 }
 
 /// Engines evict prompts all the time; an old report would send callers to engines that hold nothing.
 #[gtest]
-fn words_grow_old() {
-    let cached = told(&[(1, &[("own", 8000)])]);
+fn reports_expire() {
+    let cached = reported(&[(1, &[("own", 8000)])]);
     let later = at(0).after(CACHE_WORD_AGE);
 
-    expect_that!(cached.is_due(&engine(1), at(10)), eq(false));
-    expect_that!(cached.is_due(&engine(1), later), eq(true));
+    expect_that!(cached.needs_query(&engine(1), at(10)), eq(false));
+    expect_that!(cached.needs_query(&engine(1), later), eq(true));
     expect_that!(cached.holders(&[part("own", 8000)], later), is_empty());
 }
 
 /// Callers of lost VMs reconnect to a VM with a slow link. The answers of all engines at once would delay its
 /// streams, so the number of engines queried depends on the link and on the size of the answers.
 #[gtest]
-fn engines_asked_fit_the_link() {
+fn number_of_queried_engines_fits_the_link() {
     let mut cached = CachedPrompts::default();
     let mbps = |mbps: u64| Some(LinkRate(mbps * 1_000_000));
 
-    let usual = [10, 20, 200, 1000].map(|rate| cached.most_asked(mbps(rate)));
+    let typical = [10, 20, 200, 1000].map(|rate| cached.max_queries(mbps(rate)));
     for n in 0..100 {
-        let long = (0..1280).map(|n| part(&format!("part-{n}"), 10)).collect();
-        cached.told(&engine(n), long, at(0));
+        let large = (0..1280).map(|n| part(&format!("part-{n}"), 10)).collect();
+        cached.record_report(&engine(n), large, at(0));
     }
-    let long = [10, 200].map(|rate| cached.most_asked(mbps(rate)));
+    let large = [10, 200].map(|rate| cached.max_queries(mbps(rate)));
 
-    expect_that!(usual, eq([6, 12, 48, 48]));
-    expect_that!(long, eq([0, 12]));
-    expect_that!(cached.most_asked(None), eq(48));
+    expect_that!(typical, eq([6, 12, 48, 48]));
+    expect_that!(large, eq([0, 12]));
+    expect_that!(cached.max_queries(None), eq(48));
 }
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -67,7 +67,7 @@
 }
 
 /// Number of times that each candidate is chosen in 1000 choices.
-fn chosen(candidates: &[Candidate], by_prefix: bool) -> Vec<u32> {
+fn choice_counts(candidates: &[Candidate], by_prefix: bool) -> Vec<u32> {
     let mut rng = seeded(7);
     let mut counts = vec![0; candidates.len()];
     for _ in 0..1000 {
@@ -82,7 +82,7 @@
 
 /// Number of requests that each of 40 upstreams gets when `vms` VMs send `requests` each, all based on the
 /// same reports, by which one upstream is idle.
-fn spread(
+fn requests_per_upstream(
     vms: u64,
     requests: u32,
     decide: impl Fn(&[Candidate], ChoiceInput) -> usize,
@@ -120,15 +120,15 @@
 #[gtest]
 fn vms_on_the_same_stale_report_do_not_herd() {
     for vms in [8, 64] {
-        let even = u32::try_from(vms).expect("few") * 4 / 40;
+        let even_share = u32::try_from(vms).expect("few") * 4 / 40;
 
-        let ours = spread(vms, 4, two_choices);
-        let baseline = spread(vms, 4, least_loaded);
+        let two_choices_counts = requests_per_upstream(vms, 4, two_choices);
+        let least_loaded_counts = requests_per_upstream(vms, 4, least_loaded);
 
-        let largest = *ours.iter().max().expect("40 of them");
-        let herd = *baseline.iter().max().expect("40 of them");
-        expect_that!(largest, le(even * 5 + 5), "{vms} VMs");
-        expect_that!(herd, ge(largest * 4), "{vms} VMs");
+        let largest = *two_choices_counts.iter().max().expect("40 of them");
+        let least_loaded_largest = *least_loaded_counts.iter().max().expect("40 of them");
+        expect_that!(largest, le(even_share * 5 + 5), "{vms} VMs");
+        expect_that!(least_loaded_largest, ge(largest * 4), "{vms} VMs");
     }
 }
 
@@ -157,41 +157,41 @@
 
 #[gtest]
 fn a_busier_upstream_is_chosen_less() {
-    let counts = chosen(&candidates(&[2, 2, 12]), false);
+    let counts = choice_counts(&candidates(&[2, 2, 12]), false);
 
     expect_that!(counts[2], eq(0));
 }
 
 #[gtest]
-fn the_own_zone_is_used_while_it_has_room() {
+fn the_own_zone_is_used_while_it_has_capacity() {
     let mut candidates = candidates(&[CAPACITY - 1, CAPACITY - 1, 0]);
     candidates[2].own_zone = false;
 
-    let counts = chosen(&candidates, false);
+    let counts = choice_counts(&candidates, false);
 
     expect_that!(counts[2], eq(0));
 }
 
 /// All engines of the own availability zone are full while those of another zone are idle.
 #[gtest]
-fn a_full_zone_spills() {
+fn a_full_zone_overflows_to_others() {
     let mut candidates = candidates(&[CAPACITY, CAPACITY, 0]);
     candidates[2].own_zone = false;
 
-    let counts = chosen(&candidates, false);
+    let counts = choice_counts(&candidates, false);
 
     expect_that!(counts[2], gt(300));
 }
 
 /// All upstreams of the own availability zone are lost, so only other zones have candidates.
 #[gtest]
-fn a_lost_zone_spills() {
+fn a_lost_zone_fails_over_to_others() {
     let mut candidates = candidates(&[3, 3]);
     for candidate in &mut candidates {
         candidate.own_zone = false;
     }
 
-    let counts = chosen(&candidates, false);
+    let counts = choice_counts(&candidates, false);
 
     expect_that!(counts, each(gt(&300)));
 }
@@ -199,7 +199,7 @@
 /// An upstream that refuses all connections looks idle. Without ejection, requests would be sent to it
 /// again and again and fail.
 #[gtest]
-fn a_failed_upstream_is_left_alone_and_comes_back_slowly() {
+fn a_failed_upstream_is_ejected_and_readmitted_slowly() {
     let mut records = [record(2), record(2), record(0)];
     records[2].failed(NOW);
     let candidates = records
@@ -209,7 +209,7 @@
     let mut suspicion = Suspicion::default();
     suspicion.failed(NOW);
 
-    let counts = chosen(&candidates, false);
+    let counts = choice_counts(&candidates, false);
     let weights =
         [249, 251, 2750, 5251].map(|ms| suspicion.weight(NOW.after(Duration::from_millis(ms))));
 
@@ -241,7 +241,7 @@
 
 /// A restarted engine is idle, but its cache is cold, so it must not get its full share at once.
 #[gtest]
-fn a_fresh_process_starts_slowly() {
+fn a_restarted_upstream_starts_slowly() {
     let mut fresh = record(0);
     let asked = fresh.ask(NOW);
     let restarted = UpstreamReport {
@@ -259,7 +259,7 @@
     expect_that!(weight(2000), all![gt(0.2), lt(0.5)]);
 }
 
-fn weighed(records: &[UpstreamRecord], now: Instant) -> Vec<Candidate> {
+fn eligible_candidates(records: &[UpstreamRecord], now: Instant) -> Vec<Candidate> {
     let candidates = records.iter().map(|record| record.candidate(None, now));
     candidates.map(|c| c.expect("eligible")).collect()
 }
@@ -273,7 +273,10 @@
         records[i].answered(Incarnation(1), NOW, now);
     }
 
-    expect_that!(chosen(&weighed(&records, NOW), false)[2], eq(0));
+    expect_that!(
+        choice_counts(&eligible_candidates(&records, NOW), false)[2],
+        eq(0)
+    );
 }
 
 /// An upstream becomes ten times slower. Before its first slow answer only the age of the requests in flight
@@ -286,18 +289,18 @@
         record.answered(Incarnation(1), NOW, NOW.after(Duration::from_millis(20)));
         (0..4).for_each(|_| record.awaits(later));
     }
-    let before = chosen(&weighed(&records, later), false)[2];
+    let before = choice_counts(&eligible_candidates(&records, later), false)[2];
     (0..4).for_each(|_| records[2].awaits_no_more(later));
     (0..4).for_each(|_| records[2].awaits(NOW));
 
-    let after = chosen(&weighed(&records, later), false)[2];
+    let after = choice_counts(&eligible_candidates(&records, later), false)[2];
 
     expect_that!(before, gt(250));
     expect_that!(after, eq(0));
 }
 
 #[gtest]
-fn equal_prefixes_go_to_one_upstream_while_it_has_room() {
+fn equal_prefixes_go_to_one_upstream_while_it_has_capacity() {
     let mut candidates = candidates(&[4, 4, 4, 4]);
     for (i, candidate) in candidates.iter_mut().enumerate() {
         candidate.affinity = rendezvous_score("prefix", &i.to_string());
@@ -306,15 +309,15 @@
         .max_by_key(|i| candidates[*i].affinity)
         .expect("four of them");
 
-    let with_room = chosen(&candidates, true)[best];
+    let with_room = choice_counts(&candidates, true)[best];
     candidates[best].load = CAPACITY;
-    let without = chosen(&candidates, true)[best];
+    let without = choice_counts(&candidates, true)[best];
 
     expect_that!((with_room, without), eq((1000, 0)));
 }
 
 #[gtest]
-fn only_a_fitting_model_is_eligible() {
+fn only_an_upstream_with_the_model_is_eligible() {
     let record = record(0);
     let verdict = |version, adapter| {
         let model = model(version, adapter);
@@ -323,8 +326,8 @@
 
     expect_that!(verdict("1", None), ok(eq(0)));
     expect_that!(verdict("1", Some("menus")), ok(eq(0)));
-    expect_that!(verdict("1", Some("maps")), err(eq(Ineligible::Unsuited)));
-    expect_that!(verdict("2", None), err(eq(Ineligible::Unsuited)));
+    expect_that!(verdict("1", Some("maps")), err(eq(Ineligible::NotServing)));
+    expect_that!(verdict("2", None), err(eq(Ineligible::NotServing)));
 }
 
 #[gtest]
@@ -338,12 +341,15 @@
 
     record.reported(asked, standby);
 
-    expect_that!(record.candidate(None, NOW), err(eq(&Ineligible::Unsuited)));
+    expect_that!(
+        record.candidate(None, NOW),
+        err(eq(&Ineligible::NotServing))
+    );
 }
 
 proptest! {
     #[test]
-    fn one_is_always_chosen_and_never_a_suspected_one(
+    fn some_candidate_is_always_chosen_and_never_a_suspect(
         loads in prop::collection::vec((0..40_u32, any::<bool>(), any::<bool>()), 1..50),
         random in any::<[u32; 2]>(),
         by_prefix in any::<bool>(),
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -11,7 +11,7 @@
 const SECOND: Incarnation = Incarnation(12);
 
 /// Maximum time from when any source knows that an upstream is leaving until it gets no new work.
-const PROMISE: Duration = Duration::from_secs(3);
+const MAX_LEAVING_DELAY: Duration = Duration::from_secs(3);
 
 /// Maximum time until a dispatched request has reached its upstream or failed.
 const DISPATCH_BOUND: Duration = Duration::from_secs(1);
@@ -20,13 +20,13 @@
     Instant(Duration::from_millis(ms))
 }
 
-fn heard_at(at: Instant) -> UpstreamEvidence {
+fn reported_at(at: Instant) -> UpstreamEvidence {
     let mut evidence = UpstreamEvidence::default();
     evidence.reported(FIRST, false, at);
     evidence
 }
 
-fn speak(evidence: &mut UpstreamEvidence, source: LeavingSource, at: Instant) {
+fn report_leaving(evidence: &mut UpstreamEvidence, source: LeavingSource, at: Instant) {
     match source {
         LeavingSource::Platform => evidence.listed(true),
         LeavingSource::Report => {
@@ -39,7 +39,7 @@
 }
 
 /// Records a report and a reply that lag and do not yet say that the upstream is leaving.
-fn lagging_words(evidence: &mut UpstreamEvidence, at: Instant) {
+fn record_lagging_reports(evidence: &mut UpstreamEvidence, at: Instant) {
     evidence.reported(FIRST, false, at);
     evidence.replied(FIRST, at);
 }
@@ -47,25 +47,25 @@
 /// An upstream starts leaving and only one source reports it; all others lag and still show it as live.
 /// A request sent there would be interrupted a moment later.
 #[gtest]
-fn one_word_of_leaving_is_enough_against_all_others() {
+fn one_report_of_leaving_outweighs_all_others() {
     for source in [
         LeavingSource::Platform,
         LeavingSource::Report,
         LeavingSource::Refusal,
         LeavingSource::Peer,
     ] {
-        let mut evidence = heard_at(ms(0));
+        let mut evidence = reported_at(ms(0));
 
-        speak(&mut evidence, source, ms(100));
+        report_leaving(&mut evidence, source, ms(100));
         let verdicts = (2..200)
             .map(|n| {
-                lagging_words(&mut evidence, ms(n * 100));
+                record_lagging_reports(&mut evidence, ms(n * 100));
                 evidence.eligible(ms(n * 100))
             })
             .collect::<Vec<_>>();
 
         let leaving = Ineligible::Leaving {
-            source_of_word: source,
+            reported_by: source,
         };
         expect_that!(verdicts, each(err(eq(&leaving))));
     }
@@ -74,23 +74,26 @@
 /// An upstream is lost together with its availability zone's network, so no source can report it. Only the
 /// missing reports show it.
 #[gtest]
-fn silence_ends_new_work_within_the_promise() {
-    let evidence = heard_at(ms(1000));
+fn missing_reports_stop_new_work_in_time() {
+    let evidence = reported_at(ms(1000));
 
     let last = (0..10_000)
         .filter(|n| evidence.eligible(ms(*n)).is_ok())
         .max()
         .expect("eligible at first");
 
-    expect_that!(ms(last).since(ms(1000)) + DISPATCH_BOUND, le(PROMISE));
+    expect_that!(
+        ms(last).since(ms(1000)) + DISPATCH_BOUND,
+        le(MAX_LEAVING_DELAY)
+    );
     expect_that!(evidence.eligible(ms(9000)), err(eq(&Ineligible::Stale)));
 }
 
 /// An upstream is paused for 10 s and then answers a report request sent before the pause. The answer is
 /// evidence only for the time of that request.
 #[gtest]
-fn a_late_answer_dates_from_its_question() {
-    let mut evidence = heard_at(ms(0));
+fn a_late_report_dates_from_its_request() {
+    let mut evidence = reported_at(ms(0));
 
     evidence.reported(FIRST, false, ms(500));
 
@@ -100,8 +103,8 @@
 /// An upstream restarts. Reports that the former process was leaving must not keep the new one from getting
 /// work.
 #[gtest]
-fn a_returned_upstream_gets_work_again() {
-    let mut evidence = heard_at(ms(0));
+fn a_restarted_upstream_gets_work_again() {
+    let mut evidence = reported_at(ms(0));
     evidence.listed(true);
 
     let former = evidence.reported(SECOND, false, ms(500));
@@ -113,8 +116,8 @@
 
 /// A report of the process before a restart arrives out of order, after one of the new process.
 #[gtest]
-fn a_replaced_process_does_not_come_back() {
-    let mut evidence = heard_at(ms(0));
+fn a_late_report_does_not_restore_a_replaced_process() {
+    let mut evidence = reported_at(ms(0));
     evidence.reported(SECOND, false, ms(500));
 
     let former = evidence.reported(FIRST, false, ms(600));
@@ -126,7 +129,7 @@
 /// A router starts while the platform's list shows an upstream as leaving. It cannot know which process is
 /// meant, so the upstream gets no work until the list changes.
 #[gtest]
-fn a_list_heard_first_holds_until_it_changes() {
+fn a_listing_received_first_holds_until_it_changes() {
     let mut evidence = UpstreamEvidence::default();
     evidence.listed(true);
     evidence.reported(FIRST, false, ms(0));
@@ -141,8 +144,8 @@
 /// Peers report many former processes of an upstream as leaving. The bounded list of these must not evict
 /// the entry of the current process, or the leaving upstream would get work again.
 #[gtest]
-fn words_about_other_processes_do_not_undo_it() {
-    let mut evidence = heard_at(ms(0));
+fn reports_on_other_processes_do_not_evict_the_current_one() {
+    let mut evidence = reported_at(ms(0));
     evidence.note_leaving(FIRST, LeavingSource::Peer);
 
     for n in 100..200 {
@@ -154,17 +157,17 @@
 }
 
 #[gtest]
-fn a_dead_process_gets_nothing() {
-    let mut evidence = heard_at(ms(0));
+fn a_dead_process_gets_no_work() {
+    let mut evidence = reported_at(ms(0));
 
     evidence.gone(FIRST);
     evidence.reported(FIRST, false, ms(10));
 
-    expect_that!(evidence.eligible(ms(20)), err(eq(&Ineligible::Unheard)));
+    expect_that!(evidence.eligible(ms(20)), err(eq(&Ineligible::NoReport)));
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum Observation {
     Report(bool),
     Reply,
     Listed(bool),
@@ -172,52 +175,52 @@
     Peer,
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn observation() -> impl Strategy<Value = Observation> {
     prop_oneof![
-        any::<bool>().prop_map(Word::Report),
-        Just(Word::Reply),
-        any::<bool>().prop_map(Word::Listed),
-        Just(Word::Refusal),
-        Just(Word::Peer),
+        any::<bool>().prop_map(Observation::Report),
+        Just(Observation::Reply),
+        any::<bool>().prop_map(Observation::Listed),
+        Just(Observation::Refusal),
+        Just(Observation::Peer),
     ]
 }
 
 proptest! {
     #[test]
-    fn whatever_comes_in_leaving_is_sticky_and_words_are_fresh(
-        words in prop::collection::vec((0..900_u64, word()), 1..80)
+    fn eligible_only_with_fresh_evidence_and_never_after_leaving(
+        observations in prop::collection::vec((0..900_u64, observation()), 1..80)
     ) {
-        let mut evidence = heard_at(ms(0));
-        let (mut now, mut heard, mut left) = (0, 0, false);
+        let mut evidence = reported_at(ms(0));
+        let (mut now, mut last_heard, mut left) = (0, 0, false);
 
-        for (wait, word) in words {
+        for (wait, observation) in observations {
             now += wait;
-            match word {
-                Word::Report(leaving) => {
+            match observation {
+                Observation::Report(leaving) => {
                     evidence.reported(FIRST, leaving, ms(now));
                     left |= leaving;
-                    heard = now;
+                    last_heard = now;
                 }
-                Word::Reply => {
+                Observation::Reply => {
                     evidence.replied(FIRST, ms(now));
-                    heard = now;
+                    last_heard = now;
                 }
-                Word::Listed(leaving) => {
+                Observation::Listed(leaving) => {
                     evidence.listed(leaving);
                     left |= leaving;
                 }
-                Word::Refusal => {
+                Observation::Refusal => {
                     evidence.note_leaving(FIRST, LeavingSource::Refusal);
                     left = true;
                 }
-                Word::Peer => {
+                Observation::Peer => {
                     evidence.note_leaving(FIRST, LeavingSource::Peer);
                     left = true;
                 }
             }
 
             let later = now + wait;
-            let fresh = ms(later).since(ms(heard)) <= EVIDENCE_BOUND;
+            let fresh = ms(later).since(ms(last_heard)) <= EVIDENCE_BOUND;
             prop_assert_eq!(evidence.eligible(ms(later)).is_ok(), fresh && !left);
         }
     }
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -116,7 +116,7 @@
 
     /// Indices of the engines that hold a version.
     fn holders(&self, version: &str) -> Vec<usize> {
-        let held = |i: &usize| self.engines[*i].report.has(&model(version));
+        let held = |i: &usize| self.engines[*i].report.is_loaded(&model(version));
         (0..self.engines.len()).filter(held).collect()
     }
 
@@ -148,7 +148,7 @@
         let loaded = vec![(model("1"), 0)];
         Self {
             report: EngineReport {
-                at: Instant::default(),
+                requested_at: Instant::default(),
                 loaded: loaded.clone(),
                 loading: None,
                 serves: true,
@@ -186,7 +186,7 @@
     fn report_at(&self, at: Instant) -> EngineReport {
         let loading = self.loading.iter().map(|(model, _)| model.clone());
         EngineReport {
-            at,
+            requested_at: at,
             loaded: self.loaded.clone(),
             loading: self.says_loading.then(|| loading.collect()),
             serves: true,
