--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -295,7 +295,7 @@
         };
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
-        state.pace.whole(last, now.since(first));
+        state.pace.record_complete(last, now.since(first));
     }
 
     /// Notes the loss of the active run. Its connection is closed before another run can begin, so
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -112,7 +112,7 @@
         let mut needed = reading_time(self.tokens_to_read(entry));
         if policy.refuse_unfinished && self.sends == 0 {
             let had = self.accepted.call.last_event.unwrap_or(0);
-            let rest = self.gateway.state.lock().pace.least_rest(had);
+            let rest = self.gateway.state.lock().pace.min_remaining(had);
             needed += rest.unwrap_or_default();
         }
         self.accepted.time_left(now) < needed
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -18,7 +18,7 @@
 
 impl Drop for CountedCall {
     fn drop(&mut self) {
-        self.pool.hot_keys.lock().leave(&self.key);
+        self.pool.hot_keys.lock().release(&self.key);
     }
 }
 
@@ -50,7 +50,7 @@
 /// Makes a call of which only so many for one item are under way.
 async fn call_counted(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainAnswer, Problem> {
     let key = call.item_key();
-    if !dispatch.pool.hot_keys.lock().enter(&key) {
+    if !dispatch.pool.hot_keys.lock().try_acquire(&key) {
         let refusal = Refusal {
             reason: RefusalReason::HotKey,
             retry_after: Duration::ZERO,
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -142,7 +142,7 @@
     ) -> Result<PlainAnswer, SendFault> {
         if answer.is_ok() {
             let latency = self.pool.timer.now().since(start);
-            self.pool.hedge.lock().answered(latency);
+            self.pool.hedge.lock().record_latency(latency);
         }
         answer
     }
@@ -150,7 +150,7 @@
     fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<Place> {
         let choose = self.chooser(avoid.to_vec());
         let place = self.pool.take(Lane::Quick, false, choose)?;
-        if !self.pool.hedge.lock().pay(true) {
+        if !self.pool.hedge.lock().try_spend(true) {
             return None;
         }
         self.pool.count("catkin_hedges_total");
--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -52,13 +52,13 @@
     let keys = (0..QUEUED).map(call_key).collect::<Vec<_>>();
     let (mut hot_keys, mut merger) = (HotKeys::default(), ReadMerger::default());
     for key in &keys {
-        black_box(hot_keys.enter(key));
+        black_box(hot_keys.try_acquire(key));
         merger.join(key, 0);
     }
     print_cost("call key", call_key);
     print_cost("hot key in and out", |i| {
-        let entered = hot_keys.enter(&keys[i % QUEUED]);
-        hot_keys.leave(&keys[i % QUEUED]);
+        let entered = hot_keys.try_acquire(&keys[i % QUEUED]);
+        hot_keys.release(&keys[i % QUEUED]);
         entered
     });
     let others = (QUEUED..2 * QUEUED).map(call_key).collect::<Vec<_>>();
--- a/crates/decisions/src/hedge.rs
+++ b/crates/decisions/src/hedge.rs
@@ -46,7 +46,7 @@
     recent: Vec<Duration>,
     oldest: usize,
     sorted: Vec<Duration>,
-    saved: u32,
+    credit: u32,
 }
 
 impl Hedge {
@@ -61,9 +61,9 @@
 
     /// Records the latency of an answered call. For a hedged call this is the time since the first
     /// copy was sent.
-    pub fn answered(&mut self, latency: Duration) {
-        let full = self.cfg.burst * self.cfg.calls_per_hedge;
-        self.saved = (self.saved + 1).min(full);
+    pub fn record_latency(&mut self, latency: Duration) {
+        let max_credit = self.cfg.burst * self.cfg.calls_per_hedge;
+        self.credit = (self.credit + 1).min(max_credit);
         if self.recent.len() < self.cfg.window {
             self.recent.push(latency);
         } else {
@@ -89,11 +89,11 @@
 
     /// Takes the cost of a second copy from the budget; false if the call is not idempotent or the budget
     /// is too small.
-    pub fn pay(&mut self, idempotent: bool) -> bool {
-        if !idempotent || self.saved < self.cfg.calls_per_hedge {
+    pub fn try_spend(&mut self, idempotent: bool) -> bool {
+        if !idempotent || self.credit < self.cfg.calls_per_hedge {
             return false;
         }
-        self.saved -= self.cfg.calls_per_hedge;
+        self.credit -= self.cfg.calls_per_hedge;
         true
     }
 }
--- a/crates/decisions/src/hot_keys.rs
+++ b/crates/decisions/src/hot_keys.rs
@@ -13,7 +13,7 @@
 use super::*;
 
 /// Maximum number of queued or running calls per key.
-const DEFAULT_LIMIT: u32 = 16;
+const DEFAULT_MAX_CALLS_PER_KEY: u32 = 16;
 
 /// Number of queued or running calls per key.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 
     /// Counts the start of a call; false if its key is at the limit, and then the call is not counted.
     #[must_use]
-    pub fn enter(&mut self, key: &CallKey) -> bool {
+    pub fn try_acquire(&mut self, key: &CallKey) -> bool {
         match self.counts.get_mut(key) {
             Some(count) if *count >= self.limit => return false,
             Some(count) => *count += 1,
@@ -44,7 +44,7 @@
     }
 
     /// Counts the end of a call.
-    pub fn leave(&mut self, key: &CallKey) {
+    pub fn release(&mut self, key: &CallKey) {
         let Some(count) = self.counts.get_mut(key) else {
             return;
         };
@@ -57,6 +57,6 @@
 
 impl Default for HotKeys {
     fn default() -> Self {
-        Self::new(DEFAULT_LIMIT)
+        Self::new(DEFAULT_MAX_CALLS_PER_KEY)
     }
 }
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -81,13 +81,13 @@
     fn from_str(s: &str) -> Result<Self, Error> {
         let mut policy = Self::default();
         for part in s.split(',').map(str::trim).filter(|part| !part.is_empty()) {
-            let wrong = || Error::Policy { part: part.into() };
-            let (field, value) = part.split_once('=').ok_or_else(wrong)?;
+            let invalid = || Error::Policy { part: part.into() };
+            let (field, value) = part.split_once('=').ok_or_else(invalid)?;
             if let Some(switch) = policy.switch(field) {
-                *switch = value.parse().map_err(|_| wrong())?;
+                *switch = value.parse().map_err(|_| invalid())?;
             } else {
-                let cost = policy.cost(field).ok_or_else(wrong)?;
-                *cost = value.parse().map_err(|_| wrong())?;
+                let cost = policy.cost(field).ok_or_else(invalid)?;
+                *cost = value.parse().map_err(|_| invalid())?;
             }
         }
         Ok(policy)
--- a/crates/decisions/src/service_time.rs
+++ b/crates/decisions/src/service_time.rs
@@ -24,8 +24,8 @@
     /// Records how long a request occupied its slot.
     pub fn observe(&mut self, sample: Duration) {
         let mean = self.mean.unwrap_or(sample);
-        let kept = mean / WEIGHT_DIVISOR * (WEIGHT_DIVISOR - 1);
-        self.mean = Some(kept + sample / WEIGHT_DIVISOR);
+        let previous = mean / WEIGHT_DIVISOR * (WEIGHT_DIVISOR - 1);
+        self.mean = Some(previous + sample / WEIGHT_DIVISOR);
     }
 
     /// The moving average; `None` before the first sample.
@@ -34,11 +34,11 @@
         self.mean
     }
 
-    /// Expected time until a request starts that has `ahead` others before it in the queue for `places`
+    /// Expected time until a request starts that has `ahead` others before it in the queue for `slots`
     /// slots; zero before the first sample.
     #[must_use]
-    pub fn wait(&self, ahead: u32, places: u32) -> Duration {
+    pub fn wait(&self, ahead: u32, slots: u32) -> Duration {
         let mean = self.mean.unwrap_or_default();
-        mean.saturating_mul(ahead) / places.max(1)
+        mean.saturating_mul(ahead) / slots.max(1)
     }
 }
--- a/crates/decisions/src/serving_model.rs
+++ b/crates/decisions/src/serving_model.rs
@@ -24,12 +24,12 @@
     versions.dedup();
     let holders = |model: &Model| rest.iter().filter(|models| holds(models, model)).count();
     let counted = versions.iter().map(|model| (holders(model), model));
-    let most = counted.filter(|(count, _)| *count > 0).max();
-    let Some((count, other)) = most else {
+    let most_common = counted.filter(|(count, _)| *count > 0).max();
+    let Some((count, other)) = most_common else {
         return wanted.clone();
     };
-    let of_all = u64::try_from(ready.len() + count).unwrap_or(u64::MAX);
-    if random % of_all < u64::try_from(ready.len()).unwrap_or(u64::MAX) {
+    let total = u64::try_from(ready.len() + count).unwrap_or(u64::MAX);
+    if random % total < u64::try_from(ready.len()).unwrap_or(u64::MAX) {
         wanted.clone()
     } else {
         other.clone()
--- a/crates/decisions/src/stream_pace.rs
+++ b/crates/decisions/src/stream_pace.rs
@@ -7,10 +7,10 @@
 use super::*;
 
 /// Number of latest streams that the estimate is based on.
-const REMEMBERED: usize = 32;
+const MAX_STREAMS: usize = 32;
 
 /// Minimum number of streams for an estimate.
-const FEWEST: usize = 8;
+const MIN_STREAMS: usize = 8;
 
 /// Lengths and paces of the latest complete streams.
 #[derive(Clone, Debug, Default)]
@@ -22,27 +22,27 @@
 impl StreamPace {
     /// Records a complete stream: its number of events, and the time from the first to the last. A stream
     /// of fewer than two events has no interval and is ignored.
-    pub fn whole(&mut self, events: u64, took: Duration) {
-        let Ok(pauses @ 1..) = u32::try_from(events.saturating_sub(1)) else {
+    pub fn record_complete(&mut self, events: u64, duration: Duration) {
+        let Ok(intervals @ 1..) = u32::try_from(events.saturating_sub(1)) else {
             return;
         };
-        if self.streams.len() == REMEMBERED {
+        if self.streams.len() == MAX_STREAMS {
             self.streams.remove(0);
         }
-        self.streams.push((events, took / pauses));
+        self.streams.push((events, duration / intervals));
     }
 
-    /// Optimistic estimate of the time until a stream ends, whose caller has received `had` events: the lower
+    /// Optimistic estimate of the time until a stream ends, whose caller has `received` events: the lower
     /// quartile of the lengths and that of the intervals of the latest streams. `None` if there were too few.
     #[must_use]
-    pub fn least_rest(&self, had: u64) -> Option<Duration> {
-        if self.streams.len() < FEWEST {
+    pub fn min_remaining(&self, received: u64) -> Option<Duration> {
+        if self.streams.len() < MIN_STREAMS {
             return None;
         }
         let events = lower_quartile(self.streams.iter().map(|(events, _)| *events));
-        let pause = lower_quartile(self.streams.iter().map(|(_, pause)| *pause));
-        let rest = u32::try_from(events.saturating_sub(had)).unwrap_or(u32::MAX);
-        Some(pause.saturating_mul(rest))
+        let interval = lower_quartile(self.streams.iter().map(|(_, interval)| *interval));
+        let remaining_events = u32::try_from(events.saturating_sub(received)).unwrap_or(u32::MAX);
+        Some(interval.saturating_mul(remaining_events))
     }
 }
 
--- a/crates/decisions/tests/hedge.rs
+++ b/crates/decisions/tests/hedge.rs
@@ -10,51 +10,51 @@
 }
 
 /// A hedge that has recorded 100 calls of 1 to 100 ms.
-fn observed() -> Hedge {
+fn observed_hedge() -> Hedge {
     let mut hedge = Hedge::default();
-    (1..=100).for_each(|n| hedge.answered(ms(n)));
+    (1..=100).for_each(|n| hedge.record_latency(ms(n)));
     hedge
 }
 
 #[gtest]
-fn a_copy_is_due_past_the_p95() {
-    let hedge = observed();
+fn a_hedge_is_due_past_the_p95() {
+    let hedge = observed_hedge();
 
     expect_that!(hedge.delay(), some(eq(ms(96))));
 }
 
 #[gtest]
-fn nothing_is_due_before_enough_calls() {
+fn no_hedge_is_due_before_enough_calls() {
     let mut hedge = Hedge::default();
 
-    hedge.answered(ms(5));
+    hedge.record_latency(ms(5));
 
     expect_that!(hedge.delay(), none());
 }
 
 /// A call that is not idempotent, such as a ticket submission, is late. A second copy could run it twice.
 #[gtest]
-fn never_copies_a_call_that_is_not_idempotent() {
-    let mut hedge = observed();
+fn never_hedges_a_call_that_is_not_idempotent() {
+    let mut hedge = observed_hedge();
 
-    expect_that!(hedge.pay(false), eq(false));
-    expect_that!(hedge.pay(true), eq(true));
+    expect_that!(hedge.try_spend(false), eq(false));
+    expect_that!(hedge.try_spend(true), eq(true));
 }
 
 /// All upstreams become slow at once and every call is late. Without the budget, hedges would double the
 /// load.
 #[gtest]
-fn copies_add_at_most_a_twentieth_when_all_calls_are_late() {
-    let mut hedge = observed();
+fn hedges_add_at_most_a_twentieth_when_all_calls_are_late() {
+    let mut hedge = observed_hedge();
 
-    let copies = (0..1000)
+    let hedges = (0..1000)
         .filter(|_| {
-            hedge.answered(ms(1000));
-            hedge.pay(true)
+            hedge.record_latency(ms(1000));
+            hedge.try_spend(true)
         })
         .count();
 
-    expect_that!(copies, le(1000 / 20 + 5));
+    expect_that!(hedges, le(1000 / 20 + 5));
 }
 
 proptest! {
@@ -63,7 +63,7 @@
         let mut hedge = Hedge::new(HedgeConfig { window: 64, ..HedgeConfig::default() });
 
         for n in &latencies {
-            hedge.answered(ms(*n));
+            hedge.record_latency(ms(*n));
         }
 
         let mut last = latencies[latencies.len() - 64..].to_vec();
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn reads_of_another_team_or_path_are_not_merged() {
+fn reads_of_another_team_or_path_are_not_coalesced() {
     let mut merger = ReadMerger::default();
     merger.join(&key("cobalt", "/tiles/7"), 1);
 
@@ -64,11 +64,11 @@
     let mut hot_keys = HotKeys::new(2);
     let item = key("cobalt", "/survey/7");
 
-    let entered = [0; 3].map(|_| hot_keys.enter(&item));
-    let other = hot_keys.enter(&key("cobalt", "/survey/8"));
-    hot_keys.leave(&item);
-    let after = hot_keys.enter(&item);
+    let acquired = [0; 3].map(|_| hot_keys.try_acquire(&item));
+    let other = hot_keys.try_acquire(&key("cobalt", "/survey/8"));
+    hot_keys.release(&item);
+    let after = hot_keys.try_acquire(&item);
 
-    expect_that!(entered, eq([true, true, false]));
+    expect_that!(acquired, eq([true, true, false]));
     expect_that!((other, after), eq((true, true)));
 }
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -201,7 +201,7 @@
                     self.offer(job);
                 }
             }
-            (Some(key), _) if !node.hot_keys.enter(key) => self.refused(job),
+            (Some(key), _) if !node.hot_keys.try_acquire(key) => self.refused(job),
             _ => self.offer(job),
         }
     }
@@ -240,7 +240,7 @@
         let Some(key) = self.key(job) else { return };
         let node = &mut self.nodes[node_of(job)];
         if !self.jobs[job].key.is_some_and(|(_, read)| read) {
-            return node.hot_keys.leave(&key);
+            return node.hot_keys.release(&key);
         }
         if let Some(next) = node.merger.failed(&key) {
             self.offer(next);
@@ -342,7 +342,7 @@
         let Some(key) = self.key(job) else { return };
         let node = &mut self.nodes[node_of(job)];
         if !self.jobs[job].key.is_some_and(|(_, read)| read) {
-            return node.hot_keys.leave(&key);
+            return node.hot_keys.release(&key);
         }
         for follower in node.merger.answered(&key) {
             self.answer(follower);
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -4,12 +4,12 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn nothing_named_is_the_usual_policy() {
+fn empty_text_is_the_default_policy() {
     expect_that!("".parse::<Policy>(), ok(eq(&Policy::default())));
 }
 
 #[gtest]
-fn switches_and_costs_are_named() {
+fn switches_and_costs_are_parsed() {
     let policy = "copies=false, stream_cost=60".parse::<Policy>();
 
     let expected = Policy {
@@ -22,11 +22,11 @@
 
 /// A misspelt field that was ignored would make a test run measure the default policy.
 #[gtest]
-fn what_is_no_field_or_value_is_refused() {
+fn unknown_fields_and_invalid_values_are_refused() {
     for text in ["copy=false", "copies", "copies=off", "stream_cost=much"] {
-        let fault = text.parse::<Policy>();
+        let error = text.parse::<Policy>();
 
         let expected = Error::Policy { part: text.into() };
-        expect_that!(fault, err(eq(&expected)), "{text}");
+        expect_that!(error, err(eq(&expected)), "{text}");
     }
 }
--- a/crates/decisions/tests/stream_pace.rs
+++ b/crates/decisions/tests/stream_pace.rs
@@ -9,39 +9,43 @@
     let mut pace = StreamPace::default();
     for n in 0..streams {
         let events = u64::from(100 + n);
-        let pause = Duration::from_millis(u64::from(30 + n));
-        pace.whole(events, pause * (99 + n));
+        let interval = Duration::from_millis(u64::from(30 + n));
+        pace.record_complete(events, interval * (99 + n));
     }
     pace
 }
 
 #[gtest]
-fn rest_is_that_of_a_short_and_fast_stream() {
+fn remaining_time_is_that_of_a_short_and_fast_stream() {
     let pace = pace(32);
 
-    let rests = [0, 58, 200].map(|had| pace.least_rest(had));
+    let remaining = [0, 58, 200].map(|received| pace.min_remaining(received));
 
-    let pause = Duration::from_millis(38);
+    let interval = Duration::from_millis(38);
     expect_that!(
-        rests,
-        eq([Some(pause * 108), Some(pause * 50), Some(Duration::ZERO)])
+        remaining,
+        eq([
+            Some(interval * 108),
+            Some(interval * 50),
+            Some(Duration::ZERO)
+        ])
     );
 }
 
 /// A VM that has just started must not refuse callers on the basis of a few streams.
 #[gtest]
-fn few_streams_say_nothing() {
-    expect_that!(pace(7).least_rest(0), none());
+fn few_streams_give_no_estimate() {
+    expect_that!(pace(7).min_remaining(0), none());
 }
 
 /// Streams of fewer than two events have no interval between events.
 #[gtest]
-fn streams_without_a_pause_are_left_out() {
+fn streams_without_an_interval_are_ignored() {
     let mut pace = StreamPace::default();
     for _ in 0..32 {
-        pace.whole(1, Duration::ZERO);
-        pace.whole(0, Duration::ZERO);
+        pace.record_complete(1, Duration::ZERO);
+        pace.record_complete(0, Duration::ZERO);
     }
 
-    expect_that!(pace.least_rest(0), none());
+    expect_that!(pace.min_remaining(0), none());
 }
--- a/crates/decisions/tests/subset.rs
+++ b/crates/decisions/tests/subset.rs
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn a_small_zone_is_taken_whole() {
+fn a_small_zone_is_taken_completely() {
     let upstreams = (0..36).map(upstream).collect::<Vec<_>>();
 
     let ids = ids(0, &upstreams);
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn a_lost_upstream_changes_one_place_at_most() {
+fn a_lost_upstream_changes_one_member_at_most() {
     let upstreams = upstreams();
     let mut fewer = upstreams.clone();
     let lost = fewer.remove(18);
