--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -43,7 +43,10 @@
     pub(crate) fn news(&self) -> Gossip {
         let mut gossip = self.gossip.collect();
         let skip = rand::random_range(0..1024);
-        let told = self.table.lock().told(self.timer.now(), skip, VMS_TOLD);
+        let told = self
+            .table
+            .lock()
+            .to_advertise(self.timer.now(), skip, VMS_TOLD);
         gossip.vms = told
             .into_iter()
             .map(|(entry, age)| (entry, u32::try_from(age.as_millis()).unwrap_or(u32::MAX)))
@@ -56,9 +59,9 @@
         let mut table = self.table.lock();
         for (entry, age) in &gossip.vms {
             let at = now.before(Duration::from_millis((*age).into()));
-            table.heard_of(at, entry.clone());
+            table.record_seen(at, entry.clone());
         }
-        table.answered(now, sender);
+        table.record_answer(now, sender);
         drop(table);
         self.choose_holders();
         self.gossip.spread(gossip, sender);
@@ -100,7 +103,10 @@
     /// system, [`MOST_CONFERRED`] of a larger one. Waits for their answers up to [`PROBE_TIMEOUT`].
     pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonMark>) -> ExchangeTally {
         let now = self.timer.now();
-        let peers = self.table.lock().nearest_of_all(now, MOST_CONFERRED);
+        let peers = self
+            .table
+            .lock()
+            .nearest_including_silent(now, MOST_CONFERRED);
         let gossip = Gossip {
             poison,
             ..Gossip::default()
@@ -118,7 +124,7 @@
         let now = self.timer.now();
         let (peers, awaited) = {
             let table = self.table.lock();
-            let peers = table.nearest_of_all(now, MOST_CONFERRED);
+            let peers = table.nearest_including_silent(now, MOST_CONFERRED);
             let mut awaited = peers.clone();
             awaited.retain(|peer| table.may_serve(now, &peer.vm));
             (peers, awaited)
@@ -134,7 +140,10 @@
     /// Tells VMs that the order of a run which was announced to them was not sent. Waits for no answer.
     pub(crate) async fn withdraw(self: &Arc<Self>, run: SuspectRun) {
         let now = self.timer.now();
-        let peers = self.table.lock().nearest_of_all(now, MOST_CONFERRED);
+        let peers = self
+            .table
+            .lock()
+            .nearest_including_silent(now, MOST_CONFERRED);
         let gossip = Gossip {
             withdrawn: vec![run],
             ..Gossip::default()
@@ -186,7 +195,7 @@
         let neighbours = {
             let mut table = peers.table.lock();
             for peer in &known {
-                table.heard_of(now, peer.clone());
+                table.record_seen(now, peer.clone());
             }
             table.expire(now);
             table.neighbours(now)
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -50,7 +50,7 @@
         let now = self.timer.now();
         match &opened {
             Ok(link) => {
-                self.table.lock().answered(now, &peer.vm);
+                self.table.lock().record_answer(now, &peer.vm);
                 let mut links = self.links.lock();
                 match links.binary_search_by(|(vm, _)| vm.cmp(&peer.vm)) {
                     Ok(i) => links[i].1 = link.clone(),
@@ -115,7 +115,7 @@
             detail: Some(vm.as_str().into()),
             ..Event::new(EventKind::PeerLost)
         });
-        self.table.lock().failed(self.timer.now(), vm);
+        self.table.lock().record_failure(self.timer.now(), vm);
         self.choose_holders();
     }
 
--- a/crates/catkinward/src/peers.rs
+++ b/crates/catkinward/src/peers.rs
@@ -57,7 +57,7 @@
         let now = parts.timer.now();
         let mut table = PeerTable::new(entry.vm.clone(), entry.zone.clone());
         for peer in &known {
-            table.heard_of(now, peer.clone());
+            table.record_seen(now, peer.clone());
         }
         let peers = Arc::new(Self {
             identity: PeerIdentity { entry, key },
@@ -82,7 +82,7 @@
 
     /// Notes that somebody, such as the platform's list, spoke of a VM.
     pub fn heard_of(&self, entry: PeerEntry) {
-        self.table.lock().heard_of(self.timer.now(), entry);
+        self.table.lock().record_seen(self.timer.now(), entry);
         self.choose_holders();
     }
 
@@ -139,7 +139,7 @@
     /// VMs that somebody has heard of lately.
     pub(crate) fn heard_within(&self, bound: Duration) -> Vec<PeerEntry> {
         let now = self.timer.now();
-        self.table.lock().heard_within(now, bound)
+        self.table.lock().seen_within(now, bound)
     }
 }
 
--- a/crates/decisions/src/peer_table.rs
+++ b/crates/decisions/src/peer_table.rs
@@ -14,27 +14,27 @@
 #[derive(Debug)]
 struct Peer {
     entry: PeerEntry,
-    heard_of: Instant,
+    last_seen: Instant,
     /// Time of its last answer.
-    answered: Option<Instant>,
+    last_answer: Option<Instant>,
     /// Time of the last call that it did not answer; `None` if it has answered since.
-    failed: Option<Instant>,
+    last_failure: Option<Instant>,
 }
 
 /// How long a VM that did not answer is skipped.
-const FAILED_FOR: Duration = Duration::from_secs(2);
+const SKIPPED_AFTER_FAILURE: Duration = Duration::from_secs(2);
 
 /// How long after its last answer a VM that does not answer may still serve callers.
-const SERVES_FOR: Duration = Duration::from_secs(5);
+const SERVING_AFTER_ANSWER: Duration = Duration::from_secs(5);
 
 /// How long a VM is retained that no peer advertises any more.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+const PEER_RETENTION: Duration = Duration::from_secs(120);
 
 /// Number of neighbours of a VM in its own availability zone.
-const ZONE_NEIGHBOURS: usize = 4;
+const OWN_ZONE_NEIGHBOURS: usize = 4;
 
 /// Number of neighbours of a VM outside its availability zone.
-const OTHER_NEIGHBOURS: usize = 2;
+const OTHER_ZONES_NEIGHBOURS: usize = 2;
 
 impl PeerTable {
     /// Creates an empty table for the VM `own`.
@@ -50,17 +50,17 @@
     /// Records that a VM was alive at `at`. Peers advertise a VM together with the age of that
     /// observation: if each advertisement counted as a sign of life, VMs would advertise a dead VM to each
     /// other forever.
-    pub fn heard_of(&mut self, at: Instant, entry: PeerEntry) {
+    pub fn record_seen(&mut self, at: Instant, entry: PeerEntry) {
         if entry.vm == self.own {
             return;
         }
         match self.position(&entry.vm) {
-            Ok(i) if self.peers[i].heard_of >= at => {}
+            Ok(i) if self.peers[i].last_seen >= at => {}
             Ok(i) => {
                 let peer = &mut self.peers[i];
-                peer.heard_of = at;
+                peer.last_seen = at;
                 if peer.entry.address != entry.address {
-                    peer.failed = None;
+                    peer.last_failure = None;
                 }
                 peer.entry = entry;
             }
@@ -68,34 +68,34 @@
                 i,
                 Peer {
                     entry,
-                    heard_of: at,
-                    answered: None,
-                    failed: None,
+                    last_seen: at,
+                    last_answer: None,
+                    last_failure: None,
                 },
             ),
         }
     }
 
     /// Records that a VM answered.
-    pub fn answered(&mut self, now: Instant, vm: &VmId) {
+    pub fn record_answer(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
-            self.peers[i].failed = None;
-            self.peers[i].answered = Some(now);
-            self.peers[i].heard_of = now;
+            self.peers[i].last_failure = None;
+            self.peers[i].last_answer = Some(now);
+            self.peers[i].last_seen = now;
         }
     }
 
     /// Records that a VM did not answer.
-    pub fn failed(&mut self, now: Instant, vm: &VmId) {
+    pub fn record_failure(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
-            self.peers[i].failed = Some(now);
+            self.peers[i].last_failure = Some(now);
         }
     }
 
-    /// Removes VMs that have not been seen by any peer for [`FORGET_AFTER`].
+    /// Removes VMs that have not been seen by any peer for the retention time.
     pub fn expire(&mut self, now: Instant) {
         self.peers
-            .retain(|peer| now.since(peer.heard_of) <= FORGET_AFTER);
+            .retain(|peer| now.since(peer.last_seen) <= PEER_RETENTION);
     }
 
     /// The entry of a VM; `None` if it is not in the table.
@@ -107,19 +107,24 @@
     /// Up to `most` VMs to advertise, from index `skip` on with wrap-around, each with the time since it
     /// was last seen.
     #[must_use]
-    pub fn told(&self, now: Instant, skip: usize, most: usize) -> Vec<(PeerEntry, Duration)> {
+    pub fn to_advertise(
+        &self,
+        now: Instant,
+        skip: usize,
+        most: usize,
+    ) -> Vec<(PeerEntry, Duration)> {
         let count = self.peers.len().min(most);
         let peers = self.peers.iter().cycle().skip(skip).take(count);
         peers
-            .map(|peer| (peer.entry.clone(), now.since(peer.heard_of)))
+            .map(|peer| (peer.entry.clone(), now.since(peer.last_seen)))
             .collect()
     }
 
     /// VMs that this one or a peer has seen within `bound`.
     #[must_use]
-    pub fn heard_within(&self, now: Instant, bound: Duration) -> Vec<PeerEntry> {
-        let lately = |peer: &&Peer| now.since(peer.heard_of) <= bound;
-        let peers = self.peers.iter().filter(lately);
+    pub fn seen_within(&self, now: Instant, bound: Duration) -> Vec<PeerEntry> {
+        let seen_recently = |peer: &&Peer| now.since(peer.last_seen) <= bound;
+        let peers = self.peers.iter().filter(seen_recently);
         peers.map(|peer| peer.entry.clone()).collect()
     }
 
@@ -134,8 +139,11 @@
     #[must_use]
     pub fn neighbours(&self, now: Instant) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, &self.own, &self.own_zone);
-        let mut chosen = inside.into_iter().take(ZONE_NEIGHBOURS).collect::<Vec<_>>();
-        chosen.extend(outside.into_iter().take(OTHER_NEIGHBOURS));
+        let mut chosen = inside
+            .into_iter()
+            .take(OWN_ZONE_NEIGHBOURS)
+            .collect::<Vec<_>>();
+        chosen.extend(outside.into_iter().take(OTHER_ZONES_NEIGHBOURS));
         chosen
     }
 
@@ -180,7 +188,7 @@
     /// As [`Self::nearest`], followed by VMs that recently did not answer: such a VM may only be slow and
     /// still serve callers.
     #[must_use]
-    pub fn nearest_of_all(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
+    pub fn nearest_including_silent(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
         let mut nearest = self.nearest(now, most);
         let silent = self.peers.iter().filter(|peer| !peer.answers(now));
         nearest.extend(silent.map(|peer| peer.entry.clone()));
@@ -193,8 +201,10 @@
     pub fn may_serve(&self, now: Instant, vm: &VmId) -> bool {
         let peer = self.position(vm).ok().map(|i| &self.peers[i]);
         peer.is_some_and(|peer| {
-            let answered = peer.answered.is_some_and(|at| now.since(at) <= SERVES_FOR);
-            peer.failed.is_none() || answered
+            let answered_recently = peer
+                .last_answer
+                .is_some_and(|at| now.since(at) <= SERVING_AFTER_ANSWER);
+            peer.last_failure.is_none() || answered_recently
         })
     }
 
@@ -231,8 +241,9 @@
 }
 
 impl Peer {
-    /// Whether no call to the VM has failed since its last answer, or within [`FAILED_FOR`].
+    /// Whether no call to the VM has failed since its last answer, or within [`SKIPPED_AFTER_FAILURE`].
     fn answers(&self, now: Instant) -> bool {
-        self.failed.is_none_or(|at| now.since(at) > FAILED_FOR)
+        self.last_failure
+            .is_none_or(|at| now.since(at) > SKIPPED_AFTER_FAILURE)
     }
 }
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -19,7 +19,7 @@
 fn table(own: u16, vms: u16) -> PeerTable {
     let mut table = PeerTable::new(vm(own), entry(own).zone);
     for n in 0..vms {
-        table.heard_of(at(0), entry(n));
+        table.record_seen(at(0), entry(n));
     }
     table
 }
@@ -41,11 +41,14 @@
 
 /// A VM that was slow once may still serve callers, so a query to all VMs must not leave it out.
 #[gtest]
-fn vm_that_did_not_answer_is_asked_last_and_not_left_out() {
+fn vm_that_did_not_answer_is_queried_last_and_not_left_out() {
     let mut table = table(0, 4);
-    table.failed(at(10), &vm(1));
+    table.record_failure(at(10), &vm(1));
 
-    let (answering, all) = (table.nearest(at(11), 16), table.nearest_of_all(at(11), 16));
+    let (answering, all) = (
+        table.nearest(at(11), 16),
+        table.nearest_including_silent(at(11), 16),
+    );
 
     expect_that!(
         names(&answering),
@@ -53,7 +56,7 @@
     );
     expect_that!(all.last(), some(eq(&entry(1))));
     expect_that!(all.len(), eq(3));
-    expect_that!(table.nearest_of_all(at(11), 2), eq(&answering));
+    expect_that!(table.nearest_including_silent(at(11), 2), eq(&answering));
 }
 
 /// Guards against treating a slow VM as dead, and against waiting for one that is dead.
@@ -61,20 +64,20 @@
 fn vm_that_misses_an_answer_may_serve_until_it_has_been_silent_for_long() {
     let mut table = table(0, 3);
 
-    table.answered(at(10), &vm(1));
-    table.failed(at(11), &vm(1));
-    table.failed(at(11), &vm(2));
+    table.record_answer(at(10), &vm(1));
+    table.record_failure(at(11), &vm(1));
+    table.record_failure(at(11), &vm(2));
 
     expect_true!(table.may_serve(at(11), &vm(1)));
     expect_true!(table.may_serve(at(15), &vm(1)));
     expect_false!(table.may_serve(at(16), &vm(1)));
     expect_false!(table.may_serve(at(11), &vm(2)));
-    table.answered(at(17), &vm(2));
+    table.record_answer(at(17), &vm(2));
     expect_true!(table.may_serve(at(17), &vm(2)));
 }
 
 #[gtest]
-fn a_handful_of_neighbours_however_many_vms() {
+fn number_of_neighbours_does_not_grow_with_the_vms() {
     let table = table(0, 400);
 
     let neighbours = table.neighbours(at(0));
@@ -88,7 +91,7 @@
 /// separate groups, a rollout would never take effect in some of them. An exchange goes both ways: if VMs
 /// only sent updates, the one VM in 400 that is nobody's neighbour would receive nothing.
 #[gtest]
-fn news_reaches_all_of_400_vms_within_five_exchanges() {
+fn updates_reach_all_of_400_vms_within_five_exchanges() {
     let neighbours = (0..400)
         .map(|n| table(n, 400).neighbours(at(0)))
         .map(|peers| {
@@ -101,16 +104,16 @@
     let mut reached = BTreeSet::from([0_u16]);
 
     for _ in 0..5 {
-        let told = reached
+        let sent = reached
             .iter()
             .flat_map(|n| neighbours[usize::from(*n)].clone());
-        let asked = (0..400).filter(|n| {
+        let queried = (0..400).filter(|n| {
             neighbours[usize::from(*n)]
                 .iter()
                 .any(|m| reached.contains(m))
         });
-        let news = told.chain(asked).collect::<Vec<_>>();
-        reached.extend(news);
+        let receivers = sent.chain(queried).collect::<Vec<_>>();
+        reached.extend(receivers);
     }
 
     expect_that!(reached.len(), eq(400));
@@ -132,26 +135,30 @@
 /// A router dies, and its caller reconnects to some other VM. Whichever that is, it must query the VMs that
 /// hold the progress replica.
 #[gtest]
-fn every_vm_looks_for_copies_where_they_are_kept() {
+fn every_vm_queries_a_holder_of_the_replicas() {
     let holders = names(&table(0, 8).holders(at(0), &vm(0), &entry(0).zone));
 
     for other in 1..8 {
-        let asked = names(&table(other, 8).likely_holders(at(0), &vm(0), 4));
+        let queried = names(&table(other, 8).likely_holders(at(0), &vm(0), 4));
         let own = vm(other).to_string();
         let found = holders
             .iter()
-            .any(|holder| asked.contains(holder) || *holder == own);
-        expect_that!(found, eq(true), "vm-{other} asks {asked:?} of {holders:?}");
+            .any(|holder| queried.contains(holder) || *holder == own);
+        expect_that!(
+            found,
+            eq(true),
+            "vm-{other} asks {queried:?} of {holders:?}"
+        );
     }
 }
 
 /// A VM dies without notice and stays in the platform's list. Progress replicas sent there would be lost.
 #[gtest]
-fn vm_that_does_not_answer_is_passed_over_for_a_while() {
+fn vm_that_does_not_answer_is_skipped_for_a_while() {
     let mut table = table(0, 8);
     let first = table.holders(at(0), &vm(0), &entry(0).zone)[0].vm.clone();
 
-    table.failed(at(0), &first);
+    table.record_failure(at(0), &first);
 
     let holders = |seconds| names(&table.holders(at(seconds), &vm(0), &entry(0).zone));
     expect_that!(holders(1), not(contains(eq(&first.to_string()))));
@@ -159,9 +166,9 @@
 }
 
 #[gtest]
-fn vm_of_which_nobody_speaks_is_forgotten() {
+fn vm_that_no_peer_advertises_is_removed() {
     let mut table = table(0, 8);
-    table.answered(at(50), &vm(1));
+    table.record_answer(at(50), &vm(1));
 
     table.expire(at(121));
 
@@ -171,14 +178,14 @@
 /// A VM is gone for good, but the others keep advertising it to each other. If that kept it in their tables,
 /// it would be chosen as a holder of replicas forever.
 #[gtest]
-fn mentions_of_a_vm_do_not_keep_it_alive() {
+fn advertisements_of_a_vm_do_not_keep_it_alive() {
     let (mut one, mut other) = (table(0, 8), table(1, 8));
     for seconds in 1..=121 {
-        for (entry, age) in one.told(at(seconds), 0, 8) {
-            other.heard_of(at(seconds).before(age), entry);
+        for (entry, age) in one.to_advertise(at(seconds), 0, 8) {
+            other.record_seen(at(seconds).before(age), entry);
         }
-        for (entry, age) in other.told(at(seconds), 0, 8) {
-            one.heard_of(at(seconds).before(age), entry);
+        for (entry, age) in other.to_advertise(at(seconds), 0, 8) {
+            one.record_seen(at(seconds).before(age), entry);
         }
     }
 
