--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -373,7 +373,7 @@
         cached: &[(UpstreamIncarnation, u32)],
     ) -> Option<Arc<UpstreamEntry>> {
         self.choose(accepted, avoid, cached, Among::Open, |candidates, who| {
-            place(candidates, who).cloned()
+            select_upstream(candidates, who).cloned()
         })
     }
 
@@ -402,7 +402,7 @@
             return None;
         }
         self.choose(accepted, &[], &[], Among::Open, |candidates, who| {
-            place_copy(candidates, run, who).cloned()
+            select_copy_holder(candidates, run, who).cloned()
         })
     }
 
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -164,7 +164,11 @@
     fn report_restart(&self, restart: &UpstreamRestart) {
         let now = self.timer.now();
         let zone = &self.settings.zone;
-        let peers = self.state.lock().peers.told_of(&restart.entry, zone, now);
+        let peers = self
+            .state
+            .lock()
+            .peers
+            .dispatch_receivers(&restart.entry, zone, now);
         for address in peers {
             self.outbox
                 .send(address, PeerDatagram::Restart(restart.clone()));
--- a/crates/catkinward/src/gateway/peer_notes.rs
+++ b/crates/catkinward/src/gateway/peer_notes.rs
@@ -167,14 +167,16 @@
     pub(crate) fn a_peer(&self) -> Option<SocketAddr> {
         let now = self.timer.now();
         let state = self.state.lock();
-        state.peers.some_addresses(1, rand::random(), now).pop()
+        state.peers.sample_addresses(1, rand::random(), now).pop()
     }
 
     /// Whom to tell in each period: some anyway, and those who share upstreams that are in use here.
     fn told(&self) -> Vec<SocketAddr> {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let mut told = state.peers.told(&self.settings.zone, rand::random(), now);
+        let mut told = state
+            .peers
+            .heartbeat_receivers(&self.settings.zone, rand::random(), now);
         let used = state
             .upstreams_mut()
             // Copies weigh little and lie in other zones: those who share their holders hear of them with
@@ -192,7 +194,11 @@
         let state = self.state.lock();
         dispatched
             .iter()
-            .flat_map(|upstream| state.peers.told_of(upstream, &self.settings.zone, now))
+            .flat_map(|upstream| {
+                state
+                    .peers
+                    .dispatch_receivers(upstream, &self.settings.zone, now)
+            })
             .collect()
     }
 
@@ -200,7 +206,7 @@
     fn take_members(&self, members: &[MemberWord]) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        state.peers.take_members(members, &self.settings.zone, now);
+        state.peers.apply_members(members, &self.settings.zone, now);
     }
 
     /// Takes in a note of another VM, with the address that it came from.
@@ -213,12 +219,12 @@
         let started = started_upstreams(&note);
         let rollouts = note.rollouts.clone();
         let mut state = self.state.lock();
-        let wanted = state.peers.wanted_members(&note, rand::random(), now);
+        let wanted = state.peers.requested_members(&note, rand::random(), now);
         if !wanted.is_empty() {
             self.outbox.send(address, PeerDatagram::Members(wanted));
         }
         let before = state.peers.live_count(now);
-        if !state.peers.take(note, address, now) {
+        if !state.peers.apply_heartbeat(note, address, now) {
             return;
         }
         for crash in crashes {
--- a/crates/catkinward/src/gateway/repeats.rs
+++ b/crates/catkinward/src/gateway/repeats.rs
@@ -78,7 +78,7 @@
         if budget.left(&cfg, now) <= FEW_LEFT {
             let lenders = state
                 .peers
-                .some_addresses(MOST_LENDERS, rand::random(), now);
+                .sample_addresses(MOST_LENDERS, rand::random(), now);
             drop(state);
             self.ask_for_loans(service, waiting + WANTED_BEYOND, lenders, now);
         }
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -193,7 +193,7 @@
             Among::Only(&focus),
             |candidates, who| {
                 let live = candidates.iter().filter(|c| !c.suspect).cloned();
-                place(&live.collect::<Vec<_>>(), who).cloned()
+                select_upstream(&live.collect::<Vec<_>>(), who).cloned()
             },
         );
         if entry.is_none()
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -109,7 +109,7 @@
         self.old_config = true;
         self.old_directory = true;
         self.gossip = GossipView::default();
-        self.peers.forget_loads();
+        self.peers.discard_heartbeats();
     }
 
     /// Notes that the connection of a call broke. Connections also break while their upstream lives,
@@ -262,9 +262,9 @@
                     } else {
                         0
                     },
-                    all_tell: is_told_of(&peers, entry, who),
-                    peer_reading: if who.policy.peer_loads {
-                        peers.reading_left(&entry.id)
+                    load_is_complete: knows_complete_load(&peers, entry, who),
+                    peer_prefill: if who.policy.peer_loads {
+                        peers.prefill_left(&entry.id)
                     } else {
                         Duration::ZERO
                     },
@@ -276,10 +276,10 @@
 }
 
 /// Whether all who have calls on an upstream tell the VM that chooses.
-fn is_told_of(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementFor) -> bool {
+fn knows_complete_load(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementFor) -> bool {
     let in_zone = entry.zone == *who.zone;
     let rank = in_zone.then(|| rank_of_vm(&entry.id, who.vm, who.zone_vms));
-    peers.is_told_of(rank)
+    peers.knows_complete_load(rank)
 }
 
 /// Tokens of a prompt that an upstream holds.
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -149,7 +149,7 @@
             age_ms: 0,
         };
         let zone = &self.settings.zone;
-        state.peers.take_members(&[teller], zone, now);
+        state.peers.apply_members(&[teller], zone, now);
         let changes = state
             .table
             .told(&gossip.changes, gossip.version, gossip.digest);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -111,7 +111,7 @@
     peer_view::PeerView,
     placement::{
         NOT_SHARED, OTHER_PART, OTHER_ZONE_STREAM, PlacementCandidate, PlacementFor, STREAM_COST,
-        place, place_copy, rank_of_vm,
+        rank_of_vm, select_copy_holder, select_upstream,
     },
     poison_hold::PoisonHold,
     poison_mark::PoisonMark,
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -12,13 +12,13 @@
     /// What the sender has read from the platform store.
     #[serde(rename = "z")]
     Gossip(ZoneGossip),
-    /// Requests a part of the receiver's retry budget.
+    /// Requests a part of the receiver's retry budget that the receiver does not need.
     #[serde(rename = "a")]
     LoanAsk(LoanAsk),
     /// Transfers a part of the sender's retry budget.
     #[serde(rename = "l")]
     Loan(Loan),
-    /// Reports that an upstream has started at the address of another one, which is therefore gone.
+    /// Reports that an upstream has started at the address of another one.
     #[serde(rename = "r")]
     Restart(UpstreamRestart),
     /// An update of a rollout, sent as soon as its state changes.
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -23,29 +23,30 @@
 /// How long a VM is considered alive after it was last seen, if membership spreads by gossip. With four
 /// heartbeats per interval in a zone of 30 VMs, each listing eight members, an update on a VM reaches the
 /// last one after about six intervals.
-const PASSED_ON_LIVES: Duration = Duration::from_secs(6);
+const GOSSIPED_PEER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Interval of heartbeats while the load does not change.
 pub const NOTE_PERIOD: Duration = Duration::from_millis(400);
 
 /// Maximum number of other VMs at which each VM sends its heartbeats to all others.
-const MOST_TOLD: usize = 24;
+const MAX_FULL_MESH_PEERS: usize = 24;
 
 /// Number of VMs of the own zone that receive a heartbeat per interval whatever upstreams they share, in a
 /// larger system.
-const TOLD_IN_ZONE: usize = 4;
+const OWN_ZONE_FANOUT: usize = 4;
 
 /// Number of VMs of other zones that receive a heartbeat per interval, in a larger system.
-const TOLD_ELSEWHERE: usize = 1;
+const OTHER_ZONES_FANOUT: usize = 1;
 
-/// Number of VMs of a zone that share an upstream: those with the highest ranks for it.
+/// Number of VMs of a zone that share an upstream: those with the highest rendezvous scores for it. The first
+/// of them has the upstream in its partition.
 pub const SHARERS: usize = 4;
 
 /// Number of members of the own zone, and of other zones, that a heartbeat lists.
-const NAMED: (usize, usize) = (8, 2);
+const MEMBERS_PER_HEARTBEAT: (usize, usize) = (8, 2);
 
 /// How long a VM is retained after it was last seen.
-const MEMORY: Duration = Duration::from_secs(60);
+const PEER_RETENTION: Duration = Duration::from_secs(60);
 
 /// The other VMs and the latest heartbeat of each.
 #[derive(Clone, Debug, Default)]
@@ -62,14 +63,14 @@
     zone: AvailabilityZone,
     address: SocketAddr,
     /// When the VM was last seen, by its own heartbeat or as advertised by others.
-    heard: Instant,
+    last_seen: Instant,
     /// Its latest heartbeat; `None` if others have advertised it only.
-    note: Option<Heard>,
+    heartbeat: Option<Received>,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
-    note: PeerNote,
+struct Received {
+    heartbeat: PeerNote,
     at: Instant,
 }
 
@@ -85,61 +86,71 @@
 
     /// Applies a heartbeat. Returns false for a duplicate or an older one; its members are applied all the
     /// same.
-    pub fn take(&mut self, note: PeerNote, address: SocketAddr, now: Instant) -> bool {
-        self.peers.retain(|peer| now.since(peer.heard) < MEMORY);
-        self.take_members(&note.members, &note.zone, now);
-        let peer = |note: PeerNote| Peer {
-            vm: note.vm.clone(),
-            zone: note.zone.clone(),
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: PeerNote,
+        address: SocketAddr,
+        now: Instant,
+    ) -> bool {
+        self.peers
+            .retain(|peer| now.since(peer.last_seen) < PEER_RETENTION);
+        self.apply_members(&heartbeat.members, &heartbeat.zone, now);
+        let peer = |heartbeat: PeerNote| Peer {
+            vm: heartbeat.vm.clone(),
+            zone: heartbeat.zone.clone(),
             address,
-            heard: now,
-            note: Some(Heard { note, at: now }),
+            last_seen: now,
+            heartbeat: Some(Received { heartbeat, at: now }),
         };
-        match self.position(&note.vm) {
+        match self.position(&heartbeat.vm) {
             Ok(index) => {
-                let known = self.peers[index].note.as_ref().map(|heard| &heard.note);
-                let old = known
-                    .is_some_and(|k| k.incarnation == note.incarnation && note.number <= k.number);
-                if !old {
-                    self.peers[index] = peer(note);
+                let known = self.peers[index]
+                    .heartbeat
+                    .as_ref()
+                    .map(|heard| &heard.heartbeat);
+                let is_old = known.is_some_and(|k| {
+                    k.incarnation == heartbeat.incarnation && heartbeat.number <= k.number
+                });
+                if !is_old {
+                    self.peers[index] = peer(heartbeat);
                 }
-                !old
+                !is_old
             }
             Err(index) => {
-                self.peers.insert(index, peer(note));
+                self.peers.insert(index, peer(heartbeat));
                 true
             }
         }
     }
 
     /// Applies what a peer advertises of other VMs; those without a zone are in `zone`.
-    pub fn take_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
+    pub fn apply_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
         for member in members {
             if member.vm == self.own {
                 continue;
             }
-            self.heard_of(member, member.zone.as_ref().unwrap_or(zone), now);
+            self.apply_member(member, member.zone.as_ref().unwrap_or(zone), now);
         }
     }
 
     /// What the other VMs advertise of upstreams at `now`.
     #[must_use]
     pub fn view(&self, now: Instant) -> PeerView<'_> {
-        let notes = self
-            .notes(now)
-            .map(|heard| (&heard.note, now.since(heard.at)));
+        let recent_heartbeats = self
+            .recent_heartbeats(now)
+            .map(|heard| (&heard.heartbeat, now.since(heard.at)));
         let has_peers = self.live(now).next().is_some();
-        PeerView::new(notes, has_peers, self.tells_all(now))
+        PeerView::new(recent_heartbeats, has_peers, self.is_full_mesh(now))
     }
 
-    /// Number of other VMs that were seen within `memory`.
+    /// Number of other VMs that were seen within `window`.
     #[must_use]
-    pub fn count_within(&self, memory: Duration, now: Instant) -> usize {
-        let recent = self
+    pub fn count_within(&self, window: Duration, now: Instant) -> usize {
+        let seen = self
             .peers
             .iter()
-            .filter(|peer| now.since(peer.heard) < memory);
-        recent.count()
+            .filter(|peer| now.since(peer.last_seen) < window);
+        seen.count()
     }
 
     /// Names of the other live VMs of a zone.
@@ -169,8 +180,8 @@
 
     /// Addresses of up to `most` live VMs; `random` selects them.
     #[must_use]
-    pub fn some_addresses(&self, most: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
-        some(self.live(now), most, random)
+    pub fn sample_addresses(&self, most: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
+        sample(self.live(now), most, random)
             .map(|peer| peer.address)
             .collect()
     }
@@ -178,14 +189,19 @@
     /// Addresses that receive the heartbeat in each interval: all other VMs in a small system, and a few
     /// selected by `random` in a larger one.
     #[must_use]
-    pub fn told(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<SocketAddr> {
-        if self.tells_all(now) {
+    pub fn heartbeat_receivers(
+        &self,
+        zone: &AvailabilityZone,
+        random: u64,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
+        if self.is_full_mesh(now) {
             return self.live(now).map(|peer| peer.address).collect();
         }
         let own = self.live(now).filter(|peer| peer.zone == *zone);
         let other = self.live(now).filter(|peer| peer.zone != *zone);
-        some(own, TOLD_IN_ZONE, random)
-            .chain(some(other, TOLD_ELSEWHERE, random))
+        sample(own, OWN_ZONE_FANOUT, random)
+            .chain(sample(other, OTHER_ZONES_FANOUT, random))
             .map(|peer| peer.address)
             .collect()
     }
@@ -193,20 +209,20 @@
     /// Addresses to notify of calls on an upstream: the VMs that share it in its own zone, and the VMs of
     /// this VM's `zone` that would fail over to it first if they lost the upstreams of their own zone.
     #[must_use]
-    pub fn told_of(
+    pub fn dispatch_receivers(
         &self,
         upstream: &UpstreamEntry,
         zone: &AvailabilityZone,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        if self.tells_all(now) {
+        if self.is_full_mesh(now) {
             return self.live(now).map(|peer| peer.address).collect();
         }
-        let mut told = self.sharers(upstream, &upstream.zone, now);
+        let mut receivers = self.sharers(upstream, &upstream.zone, now);
         if upstream.zone != *zone {
-            told.extend(self.sharers(upstream, zone, now));
+            receivers.extend(self.sharers(upstream, zone, now));
         }
-        told
+        receivers
     }
 
     fn sharers(
@@ -235,64 +251,69 @@
     /// A few live VMs to list in a heartbeat that a VM in `zone` sends.
     #[must_use]
     pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberWord> {
-        let word = |peer: &Peer| MemberWord {
+        let status = |peer: &Peer| MemberWord {
             vm: peer.vm.clone(),
             zone: (peer.zone != *zone).then(|| peer.zone.clone()),
             address: peer.address,
-            age_ms: u32::try_from(now.since(peer.heard).as_millis()).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(now.since(peer.last_seen).as_millis()).unwrap_or(u32::MAX),
         };
         let own = self.live(now).filter(|peer| peer.zone == *zone);
         let other = self.live(now).filter(|peer| peer.zone != *zone);
-        some(own, NAMED.0, random)
-            .chain(some(other, NAMED.1, random))
-            .map(word)
+        sample(own, MEMBERS_PER_HEARTBEAT.0, random)
+            .chain(sample(other, MEMBERS_PER_HEARTBEAT.1, random))
+            .map(status)
             .collect()
     }
 
     /// Whether this VM knows so few others in its `zone` that it should request members.
     #[must_use]
     pub fn wants_members(&self, zone: &AvailabilityZone, now: Instant) -> bool {
-        self.live_in(zone, now).count() < TOLD_IN_ZONE
+        self.live_in(zone, now).count() < OWN_ZONE_FANOUT
     }
 
     /// Members to send to the VM that requested some in its heartbeat; none if each VM sends its heartbeats
     /// to all others anyway.
     #[must_use]
-    pub fn wanted_members(&self, note: &PeerNote, random: u64, now: Instant) -> Vec<MemberWord> {
-        if !note.wants_members || self.tells_all(now) {
+    pub fn requested_members(
+        &self,
+        heartbeat: &PeerNote,
+        random: u64,
+        now: Instant,
+    ) -> Vec<MemberWord> {
+        if !heartbeat.wants_members || self.is_full_mesh(now) {
             return Vec::new();
         }
-        let mut members = self.members(&note.zone, random, now);
-        members.retain(|member| member.vm != note.vm);
+        let mut members = self.members(&heartbeat.zone, random, now);
+        members.retain(|member| member.vm != heartbeat.vm);
         members
     }
 
     /// Discards the heartbeats of all peers. Called when this VM resumes after a suspension, since their
     /// content is then older than their time of arrival suggests.
-    pub fn forget_loads(&mut self) {
+    pub fn discard_heartbeats(&mut self) {
         for peer in &mut self.peers {
-            peer.note = None;
+            peer.heartbeat = None;
         }
     }
 
     /// Whether an upstream does not respond to some other VM.
     #[must_use]
     pub fn is_suspect(&self, upstream: &UpstreamIncarnation, now: Instant) -> bool {
-        self.notes(now)
-            .any(|heard| heard.note.suspects.contains(upstream))
+        self.recent_heartbeats(now)
+            .any(|heard| heard.heartbeat.suspects.contains(upstream))
     }
 
     /// Applies what a peer advertises of one VM, if it was seen more recently than recorded here.
-    fn heard_of(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
+    fn apply_member(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
         let age = Duration::from_millis(member.age_ms.into());
-        let heard = Instant(now.0.saturating_sub(age));
-        if age >= MEMORY {
+        let last_seen = Instant(now.0.saturating_sub(age));
+        if age >= PEER_RETENTION {
             return;
         }
         match self.position(&member.vm) {
-            Ok(index) if self.peers[index].heard < heard => {
+            Ok(index) if self.peers[index].last_seen < last_seen => {
                 let peer = &mut self.peers[index];
-                peer.heard = heard;
+                peer.last_seen = last_seen;
                 peer.address = member.address;
                 peer.zone = zone.clone();
             }
@@ -302,8 +323,8 @@
                     vm: member.vm.clone(),
                     zone: zone.clone(),
                     address: member.address,
-                    heard,
-                    note: None,
+                    last_seen,
+                    heartbeat: None,
                 };
                 self.peers.insert(index, peer);
             }
@@ -311,27 +332,27 @@
     }
 
     /// Whether there are so few VMs that each sends its heartbeats to all others.
-    fn tells_all(&self, now: Instant) -> bool {
-        self.count_within(PASSED_ON_LIVES, now) <= MOST_TOLD
+    fn is_full_mesh(&self, now: Instant) -> bool {
+        self.count_within(GOSSIPED_PEER_TIMEOUT, now) <= MAX_FULL_MESH_PEERS
     }
 
     /// Heartbeats that are recent enough for their loads and suspects to be used.
-    fn notes(&self, now: Instant) -> impl Iterator<Item = &Heard> {
+    fn recent_heartbeats(&self, now: Instant) -> impl Iterator<Item = &Received> {
         self.peers
             .iter()
-            .filter_map(|peer| peer.note.as_ref())
+            .filter_map(|peer| peer.heartbeat.as_ref())
             .filter(move |heard| now.since(heard.at) < PEER_LIVES)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        let lives = if self.tells_all(now) {
+        let timeout = if self.is_full_mesh(now) {
             PEER_LIVES
         } else {
-            PASSED_ON_LIVES
+            GOSSIPED_PEER_TIMEOUT
         };
         self.peers
             .iter()
-            .filter(move |peer| now.since(peer.heard) < lives)
+            .filter(move |peer| now.since(peer.last_seen) < timeout)
     }
 
     fn position(&self, vm: &str) -> Result<usize, usize> {
@@ -341,7 +362,7 @@
 
 /// Selects up to `most` peers, evenly spaced over all of them, with a random offset. Adjacent peers in the
 /// order of names are mostly of one zone, so a contiguous range would not cover the zones.
-fn some<'a>(
+fn sample<'a>(
     peers: impl Iterator<Item = &'a Peer>,
     most: usize,
     random: u64,
--- a/crates/decisions/src/peer_view.rs
+++ b/crates/decisions/src/peer_view.rs
@@ -5,48 +5,48 @@
 #[derive(Clone, Debug)]
 pub struct PeerView<'a> {
     /// Sorted by upstream, one entry per upstream.
-    loads: Vec<ToldLoad<'a>>,
+    loads: Vec<AdvertisedLoad<'a>>,
     /// Sorted.
     suspects: Vec<&'a UpstreamIncarnation>,
     /// Whether any other VM is alive.
     has_peers: bool,
     /// Whether there are so few VMs that each sends its heartbeats to all others.
-    tells_all: bool,
+    is_full_mesh: bool,
 }
 
 /// Sum of the load of the other VMs on an upstream.
 #[derive(Clone, Copy, Debug)]
-struct ToldLoad<'a> {
+struct AdvertisedLoad<'a> {
     upstream: &'a UpstreamIncarnation,
     calls: u32,
-    reading: Duration,
+    prefill: Duration,
 }
 
 impl<'a> PeerView<'a> {
     /// Adds up the loads of heartbeats, each with its age. `has_peers` is whether any other VM is alive,
-    /// `tells_all` whether each VM sends its heartbeats to all others.
+    /// `is_full_mesh` whether each VM sends its heartbeats to all others.
     pub(crate) fn new(
-        notes: impl Iterator<Item = (&'a PeerNote, Duration)>,
+        heartbeats: impl Iterator<Item = (&'a PeerNote, Duration)>,
         has_peers: bool,
-        tells_all: bool,
+        is_full_mesh: bool,
     ) -> Self {
         let mut loads = Vec::new();
         let mut suspects = Vec::new();
-        for (note, age) in notes {
-            suspects.extend(&note.suspects);
-            loads.extend(note.loads.iter().map(|load| ToldLoad {
+        for (heartbeat, age) in heartbeats {
+            suspects.extend(&heartbeat.suspects);
+            loads.extend(heartbeat.loads.iter().map(|load| AdvertisedLoad {
                 upstream: &load.upstream,
                 calls: load.calls,
-                reading: Duration::from_millis(load.reading_ms.into()).saturating_sub(age),
+                prefill: Duration::from_millis(load.reading_ms.into()).saturating_sub(age),
             }));
         }
         loads.sort_unstable_by_key(|load| load.upstream);
-        // An engine reads prompts one after the other, so the reading times are added like the calls.
+        // An engine reads prompts one after the other, so the prefill times are added like the calls.
         loads.dedup_by(|next, sum| {
             let same = next.upstream == sum.upstream;
             if same {
                 sum.calls += next.calls;
-                sum.reading += next.reading;
+                sum.prefill += next.prefill;
             }
             same
         });
@@ -55,7 +55,7 @@
             loads,
             suspects,
             has_peers,
-            tells_all,
+            is_full_mesh,
         }
     }
 
@@ -67,9 +67,9 @@
 
     /// Time until an upstream has read the prompts of other VMs.
     #[must_use]
-    pub fn reading_left(&self, upstream: &UpstreamIncarnation) -> Duration {
+    pub fn prefill_left(&self, upstream: &UpstreamIncarnation) -> Duration {
         self.load(upstream)
-            .map_or(Duration::ZERO, |load| load.reading)
+            .map_or(Duration::ZERO, |load| load.prefill)
     }
 
     /// Whether an upstream does not respond to some other VM.
@@ -81,12 +81,12 @@
     /// Whether all VMs with calls on an upstream advertise them to this VM. `rank` is this VM's rank for the
     /// upstream within its zone, or `None` for an upstream of another zone.
     #[must_use]
-    pub fn is_told_of(&self, rank: Option<usize>) -> bool {
+    pub fn knows_complete_load(&self, rank: Option<usize>) -> bool {
         let shares = rank.is_some_and(|rank| rank < SHARERS);
-        self.has_peers && (self.tells_all || shares)
+        self.has_peers && (self.is_full_mesh || shares)
     }
 
-    fn load(&self, upstream: &UpstreamIncarnation) -> Option<&ToldLoad<'a>> {
+    fn load(&self, upstream: &UpstreamIncarnation) -> Option<&AdvertisedLoad<'a>> {
         let index = self
             .loads
             .binary_search_by(|load| load.upstream.cmp(upstream))
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,6 +1,6 @@
 //! Placement of calls on upstreams, by the expected wait at each upstream.
 //!
-//! Load pattern: long prompts are read one after the other and delay the calls beside them, so the
+//! Load pattern: long prompts are read (prefilled) one after the other and delay the calls beside them, so the
 //! number of calls is a poor estimate of the wait; a prompt of 8,000 tokens counts as one second. Several
 //! VMs decide from late reports and know only their own dispatches. If each chose the upstream that looks
 //! best, all would choose the same one. So the upstreams of an availability zone are partitioned among its
@@ -32,7 +32,7 @@
 pub const OTHER_ZONE_STREAM: f64 = 100.0;
 
 /// Cost of another zone for plain calls: that of two more calls waiting in the own zone.
-const OTHER_ZONE_CALL: f64 = 60.0;
+const OTHER_ZONE_CALL_COST: f64 = 60.0;
 
 /// Cost of an upstream in another VM's partition of the zone. Smaller than the reading time of a long
 /// prompt, so that such an upstream is preferred to one with a prompt still to be read.
@@ -46,22 +46,22 @@
 /// Additional cost of an upstream of another zone that is not in this VM's partition. The VMs of a zone
 /// that lost its upstreams fail over to those of other zones and are not notified of each other's
 /// dispatches in time; this cost spreads them. Smaller than the cost of any load.
-const OTHER_PART_ELSEWHERE: f64 = 50.0;
+const OTHER_ZONE_PARTITION_COST: f64 = 50.0;
 
 /// Cost of a suspect zone; higher than that of any load that is still served in time.
-const SUSPECT_ZONE: f64 = 20_000.0;
+const SUSPECT_ZONE_COST: f64 = 20_000.0;
 
 /// Cost of a suspect upstream; higher than that of a suspect zone, since the upstream itself had a fault.
-const SUSPECT: f64 = 40_000.0;
+const SUSPECT_COST: f64 = 40_000.0;
 
 /// Cost, for plain calls, of an upstream whose latest calls all failed: a retry takes the time of one call
 /// at another upstream.
-const FAILING: f64 = 200.0;
+const FAILURE_COST: f64 = 200.0;
 
 /// Cost of another zone for KV copies, in calls: a copy holder in the own zone may have this many more
 /// calls. If a run is in another zone and its KV copy in a third one, both are lost when the own zone is
 /// cut off, although the caller is still connected here.
-const COPY_IN_OTHER_ZONE: u32 = 6;
+const OTHER_ZONE_COPY_COST: u32 = 6;
 
 /// An upstream that a call can be placed on, with what is known of it.
 #[derive(Clone, Debug)]
@@ -78,17 +78,17 @@
     pub peer_calls: u32,
     /// Whether all VMs that have streams on the upstream advertise them to this VM; otherwise the
     /// upstream's own report, which comes late, is used as well.
-    pub all_tell: bool,
+    pub load_is_complete: bool,
     /// Number of prompt tokens in the upstream's prefix cache.
     pub cached: u32,
     /// Time until the upstream has read the prompts of other VMs.
-    pub peer_reading: Duration,
+    pub peer_prefill: Duration,
 }
 
 impl PlacementCandidate<'_> {
     fn streams(&self, now: Instant) -> u32 {
         let known = self.load.own() + self.peer_calls;
-        if self.all_tell {
+        if self.load_is_complete {
             known
         } else {
             known.max(self.load.calls(now))
@@ -117,17 +117,17 @@
 
 /// The candidate with the lowest cost; `None` if there are no candidates.
 #[must_use]
-pub fn place<'a>(
+pub fn select_upstream<'a>(
     candidates: &[PlacementCandidate<'a>],
-    who: &PlacementFor,
+    context: &PlacementFor,
 ) -> Option<&'a Arc<UpstreamEntry>> {
-    let start = random_start(candidates.len(), who.random);
+    let start = random_start(candidates.len(), context.random);
     let (before, after) = candidates.split_at(start);
-    let usual = usual_load(candidates, who);
+    let baseline = baseline_load(candidates, context);
     after
         .iter()
         .chain(before)
-        .map(|candidate| (cost(candidate, usual, who), candidate.entry))
+        .map(|candidate| (cost(candidate, baseline, context), candidate.entry))
         .min_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, entry)| entry)
 }
@@ -136,24 +136,24 @@
 /// does not destroy both, and has few copies, so that the resumes after the loss of an upstream are spread
 /// over several others.
 #[must_use]
-pub fn place_copy<'a>(
+pub fn select_copy_holder<'a>(
     candidates: &[PlacementCandidate<'a>],
     run: &UpstreamEntry,
-    who: &PlacementFor,
+    context: &PlacementFor,
 ) -> Option<&'a Arc<UpstreamEntry>> {
-    let fitting = candidates
+    let eligible = candidates
         .iter()
         .filter(|c| c.entry.zone != run.zone && !c.suspect && !c.suspect_zone)
         .collect::<Vec<_>>();
-    let start = random_start(fitting.len(), who.random);
-    let (before, after) = fitting.split_at(start);
+    let start = random_start(eligible.len(), context.random);
+    let (before, after) = eligible.split_at(start);
     after
         .iter()
         .chain(before)
         .min_by_key(|c| {
-            let other_zone = c.entry.zone != *who.zone;
-            let load = 2 * c.load.copies() + c.streams(who.now);
-            load + if other_zone { COPY_IN_OTHER_ZONE } else { 0 }
+            let other_zone = c.entry.zone != *context.zone;
+            let load = 2 * c.load.copies() + c.streams(context.now);
+            load + if other_zone { OTHER_ZONE_COPY_COST } else { 0 }
         })
         .map(|c| c.entry)
 }
@@ -168,66 +168,68 @@
     start.min(len)
 }
 
-fn cost(candidate: &PlacementCandidate, usual: f64, who: &PlacementFor) -> f64 {
-    let other_zone = who.policy.own_zone && candidate.entry.zone != *who.zone;
-    let mut cost = if who.stream {
-        stream_cost(candidate, usual, who, other_zone)
+fn cost(candidate: &PlacementCandidate, baseline: f64, context: &PlacementFor) -> f64 {
+    let other_zone = context.policy.own_zone && candidate.entry.zone != *context.zone;
+    let mut cost = if context.stream {
+        stream_cost(candidate, baseline, context, other_zone)
     } else {
-        call_cost(candidate, who, other_zone)
+        call_cost(candidate, context, other_zone)
     };
     if candidate.suspect_zone {
-        cost += SUSPECT_ZONE;
+        cost += SUSPECT_ZONE_COST;
     }
     if candidate.suspect {
-        cost += SUSPECT;
+        cost += SUSPECT_COST;
     }
     cost
 }
 
 /// Cost of the streams, the KV copies and the unread prompts on an engine for the next prompt.
-fn load_cost(candidate: &PlacementCandidate, who: &PlacementFor) -> f64 {
-    let (load, now) = (candidate.load, who.now);
-    let stream_cost = who.policy.stream_cost;
-    let reading = load.reading_left(now) + candidate.peer_reading;
-    reading.as_secs_f64() * 1000.0
+fn load_cost(candidate: &PlacementCandidate, context: &PlacementFor) -> f64 {
+    let (load, now) = (candidate.load, context.now);
+    let stream_cost = context.policy.stream_cost;
+    let prefill = load.reading_left(now) + candidate.peer_prefill;
+    prefill.as_secs_f64() * 1000.0
         + stream_cost * f64::from(candidate.streams(now))
         + 0.5 * stream_cost * f64::from(load.copies())
 }
 
 /// Maximum number of streams assumed on an engine whose load is unknown.
-const MOST_USUAL: f64 = 2.0;
+const MAX_BASELINE_STREAMS: f64 = 2.0;
 
 /// Mean cost of the streams on the engines whose load this VM knows completely, assumed as a minimum for
 /// the others. Where many VMs share the engines, a VM that took unknown engines for idle would add its
 /// prompts to those of the VMs that use them. Prompts that wait on the known engines are not counted: after
 /// the loss of a zone they are this VM's own, on the few engines left to it, and the others are better.
-fn usual_load(candidates: &[PlacementCandidate], who: &PlacementFor) -> f64 {
-    let known = candidates.iter().filter(|c| c.all_tell && !c.suspect);
+fn baseline_load(candidates: &[PlacementCandidate], context: &PlacementFor) -> f64 {
+    let known = candidates
+        .iter()
+        .filter(|c| c.load_is_complete && !c.suspect);
     let (sum, count) = known.fold((0.0, 0.0), |(sum, count), candidate| {
-        (sum + f64::from(candidate.streams(who.now)), count + 1.0)
+        (sum + f64::from(candidate.streams(context.now)), count + 1.0)
     });
     let mean = if count > 0.0 { sum / count } else { 0.0 };
-    who.policy.stream_cost * mean.min(MOST_USUAL)
+    context.policy.stream_cost * mean.min(MAX_BASELINE_STREAMS)
 }
 
 fn stream_cost(
     candidate: &PlacementCandidate,
-    usual: f64,
-    who: &PlacementFor,
+    baseline: f64,
+    context: &PlacementFor,
     other_zone: bool,
 ) -> f64 {
-    let policy = who.policy;
-    let mut cost = load_cost(candidate, who);
-    if !candidate.all_tell {
-        cost = cost.max(usual);
+    let policy = context.policy;
+    let mut cost = load_cost(candidate, context);
+    if !candidate.load_is_complete {
+        cost = cost.max(baseline);
     }
     cost -= reading_time(candidate.cached).as_secs_f64() * 1000.0;
     cost += match (
         other_zone,
-        rank_of_vm(&candidate.entry.id, who.vm, who.zone_vms),
+        rank_of_vm(&candidate.entry.id, context.vm, context.zone_vms),
     ) {
         (true, 0) => policy.other_zone_stream,
-        (true, _) => policy.other_zone_stream + OTHER_PART_ELSEWHERE,
+        (true, _) => policy.other_zone_stream + OTHER_ZONE_PARTITION_COST,
         (false, 0) => 0.0,
         (false, _) if !policy.parts => 0.0,
         (false, rank) if rank < SHARERS => policy.other_part,
@@ -236,15 +238,17 @@
     cost
 }
 
-fn call_cost(candidate: &PlacementCandidate, who: &PlacementFor, other_zone: bool) -> f64 {
+fn call_cost(candidate: &PlacementCandidate, context: &PlacementFor, other_zone: bool) -> f64 {
     let load = candidate.load;
-    let beyond_slots = load.calls(who.now).saturating_sub(candidate.entry.slots);
+    let excess_calls = load
+        .calls(context.now)
+        .saturating_sub(candidate.entry.slots);
     let mut cost =
-        CALL_COST * f64::from(load.calls(who.now)) / f64::from(candidate.entry.slots.max(1));
-    cost += CALL_COST * f64::from(beyond_slots);
-    cost += FAILING * load.failures();
+        CALL_COST * f64::from(load.calls(context.now)) / f64::from(candidate.entry.slots.max(1));
+    cost += CALL_COST * f64::from(excess_calls);
+    cost += FAILURE_COST * load.failures();
     if other_zone {
-        cost += OTHER_ZONE_CALL;
+        cost += OTHER_ZONE_CALL_COST;
     }
     cost
 }
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -46,7 +46,7 @@
     format!("zone-{}", n % zones)
 }
 
-fn note(n: usize, zones: usize, number: u64, members: Vec<MemberWord>) -> PeerNote {
+fn heartbeat(n: usize, zones: usize, number: u64, members: Vec<MemberWord>) -> PeerNote {
     PeerNote {
         vm: name(n),
         zone: zone_of(n, zones).parse().unwrap(),
@@ -68,7 +68,7 @@
     period: u64,
     rng: Xoshiro256PlusPlus,
     /// Maximum number of datagrams that one VM sent in an interval.
-    most_sent: usize,
+    max_sent: usize,
 }
 
 impl Fleet {
@@ -78,7 +78,7 @@
             zones,
             period: 0,
             rng: Xoshiro256PlusPlus::seed_from_u64(1),
-            most_sent: 0,
+            max_sent: 0,
         }
     }
 
@@ -96,19 +96,19 @@
                 let zone = zone_of(n, self.zones).parse().unwrap();
                 let random = self.rng.random::<u64>();
                 let members = self.vms[n].members(&zone, self.rng.random(), now);
-                let note = PeerNote {
+                let heartbeat = PeerNote {
                     wants_members: self.vms[n].wants_members(&zone, now),
                     rollouts: Vec::new(),
-                    ..note(n, self.zones, self.period, members)
+                    ..heartbeat(n, self.zones, self.period, members)
                 };
-                let mut told = self.vms[n].told(&zone, random, now);
-                told.push(address(0));
-                self.most_sent = self.most_sent.max(told.len());
+                let mut receivers = self.vms[n].heartbeat_receivers(&zone, random, now);
+                receivers.push(address(0));
+                self.max_sent = self.max_sent.max(receivers.len());
                 for m in 0..self.vms.len() {
-                    if m != n && told.contains(&address(m)) {
-                        let wanted = self.vms[m].wanted_members(&note, random, now);
-                        self.vms[n].take_members(&wanted, &zone, now);
-                        self.vms[m].take(note.clone(), address(n), now);
+                    if m != n && receivers.contains(&address(m)) {
+                        let requested = self.vms[m].requested_members(&heartbeat, random, now);
+                        self.vms[n].apply_members(&requested, &zone, now);
+                        self.vms[m].apply_heartbeat(heartbeat.clone(), address(n), now);
                     }
                 }
             }
@@ -139,7 +139,7 @@
 fn many_vms_know_their_zone_and_send_little() {
     let mut fleet = Fleet::new(120, 4);
     fleet.run(30, &[]);
-    fleet.most_sent = 0;
+    fleet.max_sent = 0;
 
     for _ in 0..20 {
         fleet.run(1, &[]);
@@ -152,13 +152,13 @@
             );
         }
     }
-    expect_that!(fleet.most_sent, le(6));
+    expect_that!(fleet.max_sent, le(6));
 }
 
 /// A VM of a large zone dies. All others must remove it, although most of them never received a heartbeat of
 /// it.
 #[gtest]
-fn a_dead_vm_is_forgotten_by_a_large_zone() {
+fn a_dead_vm_is_removed_in_a_large_zone() {
     let mut fleet = Fleet::new(120, 4);
     fleet.run(30, &[]);
 
@@ -192,19 +192,20 @@
 /// In a large zone a dispatch is sent to the VMs that share the upstream, and to no others. Dispatches from
 /// another zone are sent to them as well; otherwise they would add their own prompts on the upstream.
 #[gtest]
-fn a_dispatch_is_told_to_those_who_share_the_upstream() {
+fn a_dispatch_is_sent_to_the_vms_that_share_the_upstream() {
     let mut fleet = Fleet::new(120, 4);
     fleet.run(30, &[]);
     let upstream = upstream("engine-1", "zone-0");
-    let told_by = |n: usize| {
+    let receivers_for = |n: usize| {
         let zone = zone_of(n, 4).parse().unwrap();
-        fleet.vms[n].told_of(&upstream, &zone, fleet.now())
+        fleet.vms[n].dispatch_receivers(&upstream, &zone, fleet.now())
     };
 
-    let (told, by_another, from_elsewhere) = (told_by(0), told_by(4), told_by(1));
+    let (receivers, by_another, from_elsewhere) =
+        (receivers_for(0), receivers_for(4), receivers_for(1));
 
-    expect_that!(told.len(), eq(SHARERS));
-    let common = |other: &[SocketAddr]| told.iter().filter(|a| other.contains(a)).count();
+    expect_that!(receivers.len(), eq(SHARERS));
+    let common = |other: &[SocketAddr]| receivers.iter().filter(|a| other.contains(a)).count();
     expect_that!(common(&by_another), ge(SHARERS - 1));
     expect_that!(common(&from_elsewhere), ge(SHARERS - 1));
     expect_that!(from_elsewhere.len(), eq(2 * SHARERS));
@@ -213,7 +214,7 @@
 /// A peer's old advertisement of a VM arrives after a heartbeat of the VM itself. It must not make the VM look
 /// dead, or restore a former address.
 #[gtest]
-fn an_old_word_on_a_vm_does_not_count() {
+fn an_old_advertisement_of_a_vm_is_ignored() {
     let mut peers = PeerLoads::new(name(0));
     let old = MemberWord {
         vm: name(1),
@@ -221,20 +222,20 @@
         address: address(99),
         age_ms: 1400,
     };
-    peers.take(note(1, 1, 1, Vec::new()), address(1), at(5000));
+    peers.apply_heartbeat(heartbeat(1, 1, 1, Vec::new()), address(1), at(5000));
 
-    peers.take(note(2, 1, 1, vec![old]), address(2), at(5100));
+    peers.apply_heartbeat(heartbeat(2, 1, 1, vec![old]), address(2), at(5100));
 
-    let mut told = peers.some_addresses(9, 0, at(5100));
-    told.sort_unstable();
-    expect_that!(told, eq(&vec![address(1), address(2)]));
+    let mut receivers = peers.sample_addresses(9, 0, at(5100));
+    receivers.sort_unstable();
+    expect_that!(receivers, eq(&vec![address(1), address(2)]));
     expect_that!(peers.live_count(at(5050).after(PEER_LIVES)), eq(1));
 }
 
 /// Two VMs have streams and unread prompts on one engine, and a third one places its own prompt. Prompts are
 /// read one after the other, so their reading times add up, less the age of each heartbeat.
 #[gtest]
-fn what_several_vms_have_on_an_engine_adds_up() {
+fn loads_of_several_vms_on_an_engine_add_up() {
     let (shared, other) = (
         upstream("engine-2", "zone-0"),
         upstream("engine-1", "zone-0"),
@@ -249,12 +250,12 @@
         (1, vec![load(&shared, 2), load(&other, 1)]),
         (2, vec![load(&shared, 3)]),
     ] {
-        let note = PeerNote {
+        let heartbeat = PeerNote {
             loads,
             suspects: vec![other.id.clone()],
-            ..note(n, 1, 1, Vec::new())
+            ..heartbeat(n, 1, 1, Vec::new())
         };
-        peers.take(note, address(n), at(1000));
+        peers.apply_heartbeat(heartbeat, address(n), at(1000));
     }
 
     let view = peers.view(at(1100));
@@ -262,7 +263,7 @@
     expect_that!(view.calls(&shared.id), eq(5));
     expect_that!(view.calls(&other.id), eq(1));
     expect_that!(
-        view.reading_left(&shared.id),
+        view.prefill_left(&shared.id),
         eq(Duration::from_millis(800))
     );
     expect_that!(view.is_suspect(&other.id), eq(true));
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -2,7 +2,8 @@
 
 use catkin_decisions::{
     AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerNote, PlacementCandidate, PlacementFor,
-    Policy, SHARERS, UpstreamEntry, UpstreamLoad, place, place_copy, rank_of_vm, rendezvous_score,
+    Policy, SHARERS, UpstreamEntry, UpstreamLoad, rank_of_vm, rendezvous_score, select_copy_holder,
+    select_upstream,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +11,7 @@
 use std::{sync::Arc, time::Duration};
 
 const PROMPT: u32 = 8000;
-const PROMPT_READING: Duration = Duration::from_secs(1);
+const PROMPT_PREFILL: Duration = Duration::from_secs(1);
 
 fn zone(name: &str) -> AvailabilityZone {
     name.parse().unwrap()
@@ -46,9 +47,9 @@
         suspect: false,
         suspect_zone: false,
         peer_calls: 0,
-        all_tell: false,
+        load_is_complete: false,
         cached: 0,
-        peer_reading: Duration::ZERO,
+        peer_prefill: Duration::ZERO,
     }
 }
 
@@ -58,7 +59,7 @@
     zone: AvailabilityZone,
     loads: Vec<UpstreamLoad>,
     peers: PeerLoads,
-    notes: u64,
+    heartbeats: u64,
 }
 
 impl Decider {
@@ -75,12 +76,12 @@
             .zip(&self.loads)
             .map(|(entry, load)| PlacementCandidate {
                 peer_calls: peers.calls(&entry.id),
-                all_tell: true,
-                peer_reading: peers.reading_left(&entry.id),
+                load_is_complete: true,
+                peer_prefill: peers.prefill_left(&entry.id),
                 ..candidate(entry, load)
             })
             .collect::<Vec<_>>();
-        let who = PlacementFor {
+        let context = PlacementFor {
             policy: &Policy::default(),
             zone: &self.zone,
             vm: &self.vm,
@@ -89,20 +90,20 @@
             random,
             now,
         };
-        let chosen = place(&candidates, &who).unwrap().clone();
+        let chosen = select_upstream(&candidates, &context).unwrap().clone();
         let index = entries.iter().position(|e| e.id == chosen.id).unwrap();
         self.loads[index].begin(PROMPT, now);
         index
     }
 
-    fn note(&mut self, entries: &[Arc<UpstreamEntry>], now: Instant) -> PeerNote {
-        self.notes += 1;
+    fn heartbeat(&mut self, entries: &[Arc<UpstreamEntry>], now: Instant) -> PeerNote {
+        self.heartbeats += 1;
         let loads = entries.iter().zip(&self.loads);
         PeerNote {
             vm: self.vm.clone(),
             zone: self.zone.clone(),
             incarnation: 1,
-            number: self.notes,
+            number: self.heartbeats,
             loads: loads
                 .filter(|(_, load)| load.own() > 0)
                 .map(|(entry, load)| PeerLoad {
@@ -121,9 +122,9 @@
 }
 
 /// Places two prompts per VM, a few milliseconds apart, on as many upstreams as there are prompts. Returns
-/// the largest number of prompts on one upstream, which is the longest wait for a first event. With `told`,
+/// the largest number of prompts on one upstream, which is the longest wait for a first event. With `with_heartbeats`,
 /// each VM receives the others' heartbeats 2 ms after their dispatches.
-fn longest_wait(vms: usize, told: bool, least_load: bool, seed: u64) -> u32 {
+fn longest_wait(vms: usize, with_heartbeats: bool, least_load: bool, seed: u64) -> u32 {
     let entries = entries(&["a", "b"], vms);
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let names = (0..vms)
@@ -136,44 +137,46 @@
             zone: zone("c"),
             loads: vec![UpstreamLoad::default(); entries.len()],
             peers: PeerLoads::default(),
-            notes: 0,
+            heartbeats: 0,
         })
         .collect::<Vec<_>>();
     let mut prompts = vec![0_u32; entries.len()];
-    let mut notes: Vec<(u64, usize, PeerNote)> = Vec::new();
+    let mut heartbeats: Vec<(u64, usize, PeerNote)> = Vec::new();
     for step in 0..2 * vms {
         let ms = 1000 + 3 * step as u64;
-        let who = step % vms;
-        for (_, from, note) in notes.extract_if(.., |(due, ..)| *due <= ms) {
+        let sender = step % vms;
+        for (_, from, heartbeat) in heartbeats.extract_if(.., |(due, ..)| *due <= ms) {
             for (index, decider) in deciders.iter_mut().enumerate() {
                 if index != from {
-                    decider
-                        .peers
-                        .take(note.clone(), ([127, 0, 0, 1], 80).into(), at(ms));
+                    decider.peers.apply_heartbeat(
+                        heartbeat.clone(),
+                        ([127, 0, 0, 1], 80).into(),
+                        at(ms),
+                    );
                 }
             }
         }
         let random = if least_load { 0.0 } else { rng.random() };
         // With plain least load a VM knows no other VM, so all upstreams are in its partition.
-        let known = if least_load {
-            &names[who..=who]
+        let partition_vms = if least_load {
+            &names[sender..=sender]
         } else {
             &names
         };
-        let index = deciders[who].place(&entries, known, random, at(ms));
+        let index = deciders[sender].place(&entries, partition_vms, random, at(ms));
         prompts[index] += 1;
-        if told {
-            let note = deciders[who].note(&entries, at(ms));
-            notes.push((ms + 2, who, note));
+        if with_heartbeats {
+            let heartbeat = deciders[sender].heartbeat(&entries, at(ms));
+            heartbeats.push((ms + 2, sender, heartbeat));
         }
     }
     prompts.into_iter().max().unwrap()
 }
 
-fn mean_longest_wait(vms: usize, told: bool, least_load: bool) -> f64 {
+fn mean_longest_wait(vms: usize, with_heartbeats: bool, least_load: bool) -> f64 {
     let seeds = 5_u32;
     let sum = (0..seeds)
-        .map(|seed| longest_wait(vms, told, least_load, seed.into()))
+        .map(|seed| longest_wait(vms, with_heartbeats, least_load, seed.into()))
         .sum::<u32>();
     f64::from(sum) / f64::from(seeds)
 }
@@ -183,16 +186,18 @@
 /// of prompts on the fullest upstream with 8 and with 64 VMs: 8 and 64 with plain least load, 2.6 and 3.2
 /// with partitions, 1.0 with heartbeats.
 #[gtest]
-fn vms_that_tell_each_other_do_not_meet_on_one_upstream() {
+fn vms_with_heartbeats_do_not_overload_one_upstream() {
     for vms in [8, 64] {
         let least_load = mean_longest_wait(vms, false, true);
-        let alone = mean_longest_wait(vms, false, false);
-        let told = mean_longest_wait(vms, true, false);
+        let with_partitions = mean_longest_wait(vms, false, false);
+        let with_heartbeats = mean_longest_wait(vms, true, false);
 
-        println!("{vms} VMs: {least_load} with least load, {alone} alone, {told} told");
+        println!(
+            "{vms} VMs: {least_load} with least load, {with_partitions} with partitions, {with_heartbeats} with heartbeats"
+        );
         expect_that!(least_load, ge(f64::from(u32::try_from(vms).unwrap())));
-        expect_that!(alone, ge(2.5));
-        expect_that!(told, le(1.05));
+        expect_that!(with_partitions, ge(2.5));
+        expect_that!(with_heartbeats, le(1.05));
     }
 }
 
@@ -207,7 +212,7 @@
     let candidates = [candidate(&entries[0], &busy), candidate(&entries[1], &idle)];
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let context = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -217,23 +222,23 @@
         now: at(1000),
     };
 
-    let at_once = place(&candidates, &who).unwrap();
+    let at_once = select_upstream(&candidates, &context).unwrap();
     let later = PlacementFor {
         policy: &Policy::default(),
-        now: at(1000).after(PROMPT_READING),
-        ..who
+        now: at(1000).after(PROMPT_PREFILL),
+        ..context
     };
-    let once_read = place(&candidates, &later).unwrap();
+    let after_prefill = select_upstream(&candidates, &later).unwrap();
     let (ended, idle) = (UpstreamLoad::default(), UpstreamLoad::default());
     let candidates = [
         candidate(&entries[0], &ended),
         candidate(&entries[1], &idle),
     ];
-    let once_ended = place(&candidates, &later).unwrap();
+    let after_end = select_upstream(&candidates, &later).unwrap();
 
     expect_that!(at_once.id.as_str(), eq("b0"));
-    expect_that!(once_read.id.as_str(), eq("b0"));
-    expect_that!(once_ended.id.as_str(), eq("a0"));
+    expect_that!(after_prefill.id.as_str(), eq("b0"));
+    expect_that!(after_end.id.as_str(), eq("a0"));
 }
 
 /// A stream runs on an engine of this VM's partition, and an engine of another VM's partition is idle.
@@ -254,7 +259,7 @@
     running.begin(0, at(1000));
     let idle = UpstreamLoad::default();
     let vm = owner(&entries[0]);
-    let who = PlacementFor {
+    let context = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: &vm,
@@ -267,15 +272,15 @@
         candidate(&entries[0], &running),
         candidate(&entries[1], &idle),
     ];
-    let mut twice = running.clone();
-    twice.begin(0, at(1000));
+    let mut two_streams = running.clone();
+    two_streams.begin(0, at(1000));
     let all_busy = [
-        candidate(&entries[0], &twice),
+        candidate(&entries[0], &two_streams),
         candidate(&entries[2], &idle),
     ];
 
-    let in_zone = place(&one_busy, &who).unwrap();
-    let elsewhere = place(&all_busy, &who).unwrap();
+    let in_zone = select_upstream(&one_busy, &context).unwrap();
+    let elsewhere = select_upstream(&all_busy, &context).unwrap();
 
     expect_that!(in_zone.id.as_str(), eq("a1"));
     expect_that!(elsewhere.id.as_str(), eq("b0"));
@@ -284,12 +289,12 @@
 /// Another VM has just sent a long prompt to one of two upstreams. The prompt that it advertises counts like
 /// one that this VM has sent itself.
 #[gtest]
-fn prompts_of_other_vms_count() {
+fn advertised_prompts_of_other_vms_count() {
     let entries = entries(&["a"], 2);
     let load = UpstreamLoad::default();
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let context = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -298,12 +303,12 @@
         random: 0.0,
         now: at(1000),
     };
-    let told_of = PlacementCandidate {
-        peer_reading: PROMPT_READING,
+    let prefilling = PlacementCandidate {
+        peer_prefill: PROMPT_PREFILL,
         ..candidate(&entries[0], &load)
     };
 
-    let chosen = place(&[told_of, candidate(&entries[1], &load)], &who).unwrap();
+    let chosen = select_upstream(&[prefilling, candidate(&entries[1], &load)], &context).unwrap();
 
     expect_that!(chosen.id.as_str(), eq("a1"));
 }
@@ -311,7 +316,7 @@
 /// A VM of a large zone shares a few engines, which run two streams each, and has no load reports of the
 /// others. These are as busy, since other VMs send their prompts there, and must not be taken for idle.
 #[gtest]
-fn an_engine_of_which_nothing_is_known_is_not_taken_for_idle() {
+fn an_engine_with_unknown_load_is_not_treated_as_idle() {
     let entries = entries(&["a", "b"], 40);
     let vms = (0..20)
         .map(|n| Arc::from(format!("vm-{n}")))
@@ -320,7 +325,7 @@
     let (mut busy, unknown) = (UpstreamLoad::default(), UpstreamLoad::default());
     busy.begin(0, at(1000));
     busy.begin(0, at(1000));
-    let who = PlacementFor {
+    let context = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-3",
@@ -335,12 +340,12 @@
     let candidates = entries
         .iter()
         .map(|entry| PlacementCandidate {
-            all_tell: shared(entry),
+            load_is_complete: shared(entry),
             ..candidate(entry, if shared(entry) { &busy } else { &unknown })
         })
         .collect::<Vec<_>>();
 
-    let chosen = place(&candidates, &who).unwrap();
+    let chosen = select_upstream(&candidates, &context).unwrap();
 
     expect_that!(shared(chosen), eq(true), "{}", chosen.id);
 }
@@ -358,7 +363,7 @@
     let healthy = candidate(&entries[1], &loads[1]);
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let context = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -368,8 +373,8 @@
         now: at(1000),
     };
 
-    let first = place(&[suspect.clone(), healthy], &who).unwrap();
-    let only = place(&[suspect], &who).unwrap();
+    let first = select_upstream(&[suspect.clone(), healthy], &context).unwrap();
+    let only = select_upstream(&[suspect], &context).unwrap();
 
     expect_that!(first.id.as_str(), eq("a1"));
     expect_that!(only.id.as_str(), eq("a0"));
@@ -389,7 +394,7 @@
             .zip(&loads)
             .map(|(entry, load)| candidate(entry, load))
             .collect::<Vec<_>>();
-        let who = PlacementFor {
+        let context = PlacementFor {
             policy: &Policy::default(),
             zone: &own_zone,
             vm: "vm-1",
@@ -398,7 +403,7 @@
             random: f64::from(step) / 8.0,
             now: at(1000),
         };
-        let holder = place_copy(&candidates, &entries[0], &who)
+        let holder = select_copy_holder(&candidates, &entries[0], &context)
             .unwrap()
             .id
             .clone();
@@ -414,7 +419,7 @@
 /// A stream runs in another zone, because the own zone was full or lost, and then the own zone is cut off
 /// from all others. The caller is still connected here, so the KV copy must be in the own zone.
 #[gtest]
-fn copy_of_a_run_elsewhere_lies_in_the_own_zone() {
+fn copy_of_a_run_in_another_zone_is_in_the_own_zone() {
     let entries = entries(&["a", "b", "c"], 2);
     let mut loads = vec![UpstreamLoad::default(); entries.len()];
     for load in &mut loads[..2] {
@@ -427,7 +432,7 @@
         .map(|(entry, load)| candidate(entry, load))
         .collect::<Vec<_>>();
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let context = PlacementFor {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -437,7 +442,7 @@
         now: at(1000),
     };
 
-    let holder = place_copy(&candidates, &entries[2], &who).unwrap();
+    let holder = select_copy_holder(&candidates, &entries[2], &context).unwrap();
 
     expect_that!(holder.zone, eq(&own_zone));
 }
@@ -445,7 +450,7 @@
 /// Without any load each VM of a zone uses the upstreams of its own partition, so that VMs that have not yet
 /// received each other's dispatches rarely choose the same upstream.
 #[gtest]
-fn each_vm_of_a_zone_begins_with_its_own_part() {
+fn each_vm_of_a_zone_prefers_its_own_partition() {
     let entries = entries(&["a"], 12);
     let load = UpstreamLoad::default();
     let vms = ["vm-1", "vm-2", "vm-3"].map(Arc::from);
@@ -456,7 +461,7 @@
         .collect::<Vec<_>>();
     for vm in &vms {
         for step in 0..50 {
-            let who = PlacementFor {
+            let context = PlacementFor {
                 policy: &Policy::default(),
                 zone: &own_zone,
                 vm,
@@ -466,7 +471,7 @@
                 now: at(1000),
             };
 
-            let chosen = place(&candidates, &who).unwrap();
+            let chosen = select_upstream(&candidates, &context).unwrap();
 
             let owner = vms
                 .iter()
