--- a/crates/decisions/src/address_index.rs
+++ b/crates/decisions/src/address_index.rs
@@ -20,7 +20,7 @@
         self.shown = shown.collect();
         let comparisons = &self.comparisons;
         self.shown
-            .sort_unstable_by(|a, b| comparisons.note(a.cmp(b)));
+            .sort_unstable_by(|a, b| comparisons.record(a.cmp(b)));
     }
 
     /// Notes that an upstream shows an address.
@@ -41,11 +41,11 @@
     /// The upstreams that show an address, sorted.
     pub(crate) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &UpstreamIncarnation> {
         let start = self.shown.partition_point(|(other, _)| {
-            self.comparisons.note(other.cmp(&address)) == std::cmp::Ordering::Less
+            self.comparisons.record(other.cmp(&address)) == std::cmp::Ordering::Less
         });
         self.shown[start..]
             .iter()
-            .take_while(move |(other, _)| self.comparisons.note(*other == address))
+            .take_while(move |(other, _)| self.comparisons.record(*other == address))
             .map(|(_, id)| id)
     }
 
@@ -56,6 +56,6 @@
 
     fn position(&self, shows: &(SocketAddr, UpstreamIncarnation)) -> Result<usize, usize> {
         self.shown
-            .binary_search_by(|other| self.comparisons.note(other.cmp(shows)))
+            .binary_search_by(|other| self.comparisons.record(other.cmp(shows)))
     }
 }
--- a/crates/decisions/src/cached_prompts.rs
+++ b/crates/decisions/src/cached_prompts.rs
@@ -86,9 +86,9 @@
             clippy::cast_sign_loss,
             clippy::cast_precision_loss
         )]
-        let most = (link.bytes_in(SEARCH_BOUND) as f64 * LINK_SHARE
+        let max_answers = (link.bytes_in(SEARCH_BOUND) as f64 * LINK_SHARE
             / (self.mean_parts.max(1.0) * BYTES_PER_PART)) as usize;
-        most.min(MAX_ENGINES_QUERIED)
+        max_answers.min(MAX_ENGINES_QUERIED)
     }
 
     /// Whether an engine should be queried, because its last answer is missing or too old.
--- a/crates/decisions/src/comparisons.rs
+++ b/crates/decisions/src/comparisons.rs
@@ -7,7 +7,7 @@
 
 impl Comparisons {
     /// Counts one comparison and returns its outcome.
-    pub(crate) fn note<T>(&self, outcome: T) -> T {
+    pub(crate) fn record<T>(&self, outcome: T) -> T {
         self.0.set(self.0.get() + 1);
         outcome
     }
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -107,7 +107,7 @@
                 let known = self.peers[index]
                     .heartbeat
                     .as_ref()
-                    .map(|heard| &heard.heartbeat);
+                    .map(|received| &received.heartbeat);
                 let is_old = known.is_some_and(|k| {
                     k.incarnation == heartbeat.incarnation && heartbeat.number <= k.number
                 });
@@ -138,7 +138,7 @@
     pub fn view(&self, now: Instant) -> PeerView<'_> {
         let recent_heartbeats = self
             .recent_heartbeats(now)
-            .map(|heard| (&heard.heartbeat, now.since(heard.at)));
+            .map(|received| (&received.heartbeat, now.since(received.at)));
         let has_peers = self.live(now).next().is_some();
         PeerView::new(recent_heartbeats, has_peers, self.is_full_mesh(now))
     }
@@ -178,10 +178,10 @@
         self.live(now).count()
     }
 
-    /// Addresses of up to `most` live VMs; `random` selects them.
+    /// Addresses of up to `limit` live VMs; `random` selects them.
     #[must_use]
-    pub fn sample_addresses(&self, most: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
-        sample(self.live(now), most, random)
+    pub fn sample_addresses(&self, limit: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
+        sample(self.live(now), limit, random)
             .map(|peer| peer.address)
             .collect()
     }
@@ -300,7 +300,7 @@
     #[must_use]
     pub fn is_suspect(&self, upstream: &UpstreamIncarnation, now: Instant) -> bool {
         self.recent_heartbeats(now)
-            .any(|heard| heard.heartbeat.suspects.contains(upstream))
+            .any(|received| received.heartbeat.suspects.contains(upstream))
     }
 
     /// Applies what a peer advertises of one VM, if it was seen more recently than recorded here.
@@ -341,7 +341,7 @@
         self.peers
             .iter()
             .filter_map(|peer| peer.heartbeat.as_ref())
-            .filter(move |heard| now.since(heard.at) < PEER_LIVES)
+            .filter(move |received| now.since(received.at) < PEER_LIVES)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &Peer> {
@@ -360,11 +360,11 @@
     }
 }
 
-/// Selects up to `most` peers, evenly spaced over all of them, with a random offset. Adjacent peers in the
+/// Selects up to `limit` peers, evenly spaced over all of them, with a random offset. Adjacent peers in the
 /// order of names are mostly of one zone, so a contiguous range would not cover the zones.
 fn sample<'a>(
     peers: impl Iterator<Item = &'a Peer>,
-    most: usize,
+    limit: usize,
     random: u64,
 ) -> impl Iterator<Item = &'a Peer> {
     let mut peers = peers.collect::<Vec<_>>();
@@ -372,6 +372,6 @@
         let start = random % u64::try_from(peers.len()).unwrap_or(1);
         peers.rotate_left(usize::try_from(start).unwrap_or(0));
     }
-    let (len, taken) = (peers.len(), most.min(peers.len()));
+    let (len, taken) = (peers.len(), limit.min(peers.len()));
     (0..taken).map(move |n| peers[n * len / taken])
 }
--- a/crates/decisions/src/peer_table.rs
+++ b/crates/decisions/src/peer_table.rs
@@ -104,26 +104,26 @@
         self.position(vm).ok().map(|i| &self.peers[i].entry)
     }
 
-    /// Up to `most` VMs to advertise, from index `skip` on with wrap-around, each with the time since it
+    /// Up to `limit` VMs to advertise, from index `skip` on with wrap-around, each with the time since it
     /// was last seen.
     #[must_use]
     pub fn to_advertise(
         &self,
         now: Instant,
         skip: usize,
-        most: usize,
+        limit: usize,
     ) -> Vec<(PeerEntry, Duration)> {
-        let count = self.peers.len().min(most);
+        let count = self.peers.len().min(limit);
         let peers = self.peers.iter().cycle().skip(skip).take(count);
         peers
             .map(|peer| (peer.entry.clone(), now.since(peer.last_seen)))
             .collect()
     }
 
-    /// VMs that this one or a peer has seen within `bound`.
+    /// VMs that this one or a peer has seen within `max_age`.
     #[must_use]
-    pub fn seen_within(&self, now: Instant, bound: Duration) -> Vec<PeerEntry> {
-        let seen_recently = |peer: &&Peer| now.since(peer.last_seen) <= bound;
+    pub fn seen_within(&self, now: Instant, max_age: Duration) -> Vec<PeerEntry> {
+        let seen_recently = |peer: &&Peer| now.since(peer.last_seen) <= max_age;
         let peers = self.peers.iter().filter(seen_recently);
         peers.map(|peer| peer.entry.clone()).collect()
     }
@@ -164,12 +164,12 @@
     /// so more are queried than hold a replica; those of the availability zone of `vm` come first, and
     /// within each half the most likely ones.
     #[must_use]
-    pub fn likely_holders(&self, now: Instant, vm: &VmId, most: usize) -> Vec<PeerEntry> {
+    pub fn likely_holders(&self, now: Instant, vm: &VmId, limit: usize) -> Vec<PeerEntry> {
         let Some(zone) = self.zone_of(vm) else {
             return Vec::new();
         };
         let (inside, outside) = self.ranked(now, vm, &zone);
-        let half = most.div_ceil(2);
+        let half = limit.div_ceil(2);
         inside
             .into_iter()
             .take(half)
@@ -177,22 +177,22 @@
             .collect()
     }
 
-    /// Up to `most` VMs that answer, those of the own availability zone first. They are queried for a caller
+    /// Up to `limit` VMs that answer, those of the own availability zone first. They are queried for a caller
     /// that cannot name the VM that served it.
     #[must_use]
-    pub fn nearest(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
+    pub fn nearest(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, &self.own, &self.own_zone);
-        inside.into_iter().chain(outside).take(most).collect()
+        inside.into_iter().chain(outside).take(limit).collect()
     }
 
     /// As [`Self::nearest`], followed by VMs that recently did not answer: such a VM may only be slow and
     /// still serve callers.
     #[must_use]
-    pub fn nearest_including_silent(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
-        let mut nearest = self.nearest(now, most);
+    pub fn nearest_including_silent(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
+        let mut nearest = self.nearest(now, limit);
         let silent = self.peers.iter().filter(|peer| !peer.answers(now));
         nearest.extend(silent.map(|peer| peer.entry.clone()));
-        nearest.truncate(most);
+        nearest.truncate(limit);
         nearest
     }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,11 +1,11 @@
 //! Placement of calls on upstreams, by the expected wait at each upstream.
 //!
-//! Load pattern: long prompts are read (prefilled) one after the other and delay the calls beside them, so the
-//! number of calls is a poor estimate of the wait; a prompt of 8,000 tokens counts as one second. Several
-//! VMs decide from late reports and know only their own dispatches. If each chose the upstream that looks
-//! best, all would choose the same one. So the upstreams of an availability zone are partitioned among its
-//! VMs by rendezvous hashing, and a VM uses an upstream of another VM's partition only if it is clearly
-//! better.
+//! Load pattern: long prompts are read (prefilled) one after the other and delay the calls beside them, so
+//! the number of calls is a poor estimate of the wait; a prompt of 8,000 tokens counts as one second.
+//! Several VMs decide from late reports and know only their own dispatches. If each chose the upstream that
+//! looks best, all would choose the same one. So the upstreams of an availability zone are partitioned
+//! among its VMs by rendezvous hashing, and a VM uses an upstream of another VM's partition only if it is
+//! clearly better.
 //!
 //! Among equally good upstreams those of the own zone are preferred: a call within the zone survives a
 //! network partition between zones, and its traffic costs less. Suspects, and zones that lost several
@@ -63,7 +63,7 @@
 /// cut off, although the caller is still connected here.
 const OTHER_ZONE_COPY_COST: u32 = 6;
 
-/// An upstream that a call can be placed on, with what is known of it.
+/// An upstream that a call can be placed on, with its observed state.
 #[derive(Clone, Debug)]
 pub struct PlacementCandidate<'a> {
     /// The upstream's entry in the directory.
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -273,7 +273,7 @@
         now: Instant,
     ) -> Vec<PresenceChange> {
         let comparisons = &self.comparisons;
-        entries.sort_by(|a, b| comparisons.note(a.id.cmp(&b.id)));
+        entries.sort_by(|a, b| comparisons.record(a.id.cmp(&b.id)));
         // Of two entries at one address the order does not tell which is the newer: the older one is removed
         // soon. Taken for replaced, the newer one would get no call as long as it lives.
         let listed = entries
@@ -310,7 +310,7 @@
     /// Whether an id is in a sorted list.
     fn is_among(&self, listed: &[UpstreamId], id: &UpstreamId) -> bool {
         listed
-            .binary_search_by(|other| self.comparisons.note(other.cmp(id)))
+            .binary_search_by(|other| self.comparisons.record(other.cmp(id)))
             .is_ok()
     }
 
@@ -419,7 +419,7 @@
     fn newest(&self, id: &UpstreamId) -> Option<UpstreamIncarnation> {
         let end = self
             .known
-            .partition_point(|known| self.comparisons.note(known.entry.id.id <= *id));
+            .partition_point(|known| self.comparisons.record(known.entry.id.id <= *id));
         let last = &self.known[end.checked_sub(1)?].entry.id;
         (last.id == *id).then(|| last.clone())
     }
@@ -428,7 +428,7 @@
     fn supersede(&mut self, id: &UpstreamIncarnation, changes: &mut Vec<PresenceChange>) {
         let end = self.position(id).unwrap_or_else(|index| index);
         for known in self.known[..end].iter_mut().rev() {
-            if self.comparisons.note(known.entry.id.id != id.id) {
+            if self.comparisons.record(known.entry.id.id != id.id) {
                 break;
             }
             if known.is_new_after(Presence::Superseded) {
@@ -481,7 +481,7 @@
 
     fn position(&self, id: &UpstreamIncarnation) -> Result<usize, usize> {
         self.known
-            .binary_search_by(|known| self.comparisons.note(known.entry.id.cmp(id)))
+            .binary_search_by(|known| self.comparisons.record(known.entry.id.cmp(id)))
     }
 }
 
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -122,8 +122,8 @@
 }
 
 /// Places two prompts per VM, a few milliseconds apart, on as many upstreams as there are prompts. Returns
-/// the largest number of prompts on one upstream, which is the longest wait for a first event. With `with_heartbeats`,
-/// each VM receives the others' heartbeats 2 ms after their dispatches.
+/// the largest number of prompts on one upstream, which is the longest wait for a first event. If
+/// `with_heartbeats` is set, each VM receives the others' heartbeats 2 ms after their dispatches.
 fn longest_wait(vms: usize, with_heartbeats: bool, least_load: bool, seed: u64) -> u32 {
     let entries = entries(&["a", "b"], vms);
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
