--- a/crates/decisions/src/serving_model.rs
+++ b/crates/decisions/src/serving_model.rs
@@ -1,13 +1,14 @@
+//! Choice of the model version for a new request during a rollout.
+//!
+//! Load pattern: a bundle with a new model version takes effect within seconds, but loading takes minutes.
+//! If every new request used the new version at once, none could be served at first, and then all would go
+//! to the first engine that has loaded it.
+
 use super::*;
 
-/// The model version that serves a new request during a rollout. A share of the requests gets the version
-/// that the bundle names, in proportion to the engines that have loaded it; the others get the version that
-/// most of the remaining engines have loaded.
-///
-/// Load pattern: a bundle with a new model version takes effect within seconds, but loading takes minutes.
-/// If every new request used the new version at once, none could be served at first, and then all would go
-/// to the first engine that has loaded it. `random` distributes the requests; equal values give the same
-/// model.
+/// The model version that serves a new request. A share of the requests gets the version that the bundle
+/// names, in proportion to the engines that have loaded it; the others get the version that most of the
+/// remaining engines have loaded. `random` distributes the requests; equal values give the same model.
 #[must_use]
 pub fn serving_model(wanted: &Model, engines: &[Vec<Model>], random: u64) -> Model {
     let holds = |models: &[Model], model: &Model| models.iter().any(|m| m.satisfies(model));
