--- a/crates/decisions/src/address_index.rs
+++ b/crates/decisions/src/address_index.rs
@@ -23,7 +23,7 @@
         self.entries = entries.collect();
         let comparisons = &self.comparisons;
         self.entries
-            .sort_unstable_by(|a, b| comparisons.note(a.cmp(b)));
+            .sort_unstable_by(|a, b| comparisons.record(a.cmp(b)));
     }
 
     /// Adds an upstream; adding it a second time has no effect.
@@ -44,11 +44,11 @@
     /// Upstreams with an address, sorted by incarnation.
     pub(crate) fn at(&self, address: SocketAddr) -> impl Iterator<Item = &UpstreamIncarnation> {
         let start = self.entries.partition_point(|(other, _)| {
-            self.comparisons.note(other.cmp(&address)) == std::cmp::Ordering::Less
+            self.comparisons.record(other.cmp(&address)) == std::cmp::Ordering::Less
         });
         self.entries[start..]
             .iter()
-            .take_while(move |(other, _)| self.comparisons.note(*other == address))
+            .take_while(move |(other, _)| self.comparisons.record(*other == address))
             .map(|(_, id)| id)
     }
 
@@ -59,6 +59,6 @@
 
     fn position(&self, entry: &(SocketAddr, UpstreamIncarnation)) -> Result<usize, usize> {
         self.entries
-            .binary_search_by(|other| self.comparisons.note(other.cmp(entry)))
+            .binary_search_by(|other| self.comparisons.record(other.cmp(entry)))
     }
 }
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -1,54 +1,57 @@
-//! The other VMs, and what they say of their own dispatches.
+//! Membership of the other VMs, and the loads that they advertise in heartbeats.
 //!
 //! Load pattern: a zone's upstreams crash together, and within milliseconds several VMs send the long
 //! prompts that were lost to the upstreams that look idle to each of them: the same ones. Four prompts
-//! of 8,000 tokens then wait for each other on one upstream, the last for 5 s and more, while others
-//! are idle. Upstreams' own reports are a few hundred milliseconds late. So a VM tells others at once
-//! where its prompts go.
+//! of 8,000 tokens then queue on one upstream, the last for 5 s and more, while others are idle. The
+//! upstreams' own reports are a few hundred milliseconds late. So a VM notifies others at once where it
+//! sends its prompts.
 //!
-//! A note holds all of the sender's load, so a lost one is made good by the next, and notes that
-//! overtake each other are told apart by their number.
+//! A heartbeat holds the complete load of its sender, so the next one makes up for a lost one. Sequence
+//! numbers detect heartbeats that arrive out of order.
 //!
-//! A few VMs tell each other all. Where there are more, each upstream is shared by a few VMs of its zone
-//! ([`SHARERS`]), and whoever has calls there tells them; and who lives is passed on, a few members in
-//! each note to a few others. So what a VM sends does not grow with their number, and those who use an
-//! upstream most know its load.
+//! In a small system each VM sends its heartbeats to all others. In a larger one each upstream is shared by
+//! a few VMs of its zone, and every VM with calls on the upstream sends its heartbeats to these. Membership
+//! spreads by gossip: each heartbeat lists a few members and goes to a few other VMs. So the traffic
+//! of a VM does not grow with the number of VMs, and the VMs that use an upstream most know its load.
 
 use super::*;
 
-/// How long a VM counts as live after its last note, where all tell each other: several heartbeats, so
-/// that lost datagrams do not make it dead.
+/// How long a VM is considered alive after its last heartbeat, if each VM sends to all others. This is
+/// several heartbeat intervals, so that lost datagrams do not make a VM look dead.
 pub const PEER_LIVES: Duration = Duration::from_millis(1500);
 
-/// The same, where it is passed on who lives. With four notes a period to a zone of 30 VMs, each naming
-/// eight, news of a VM reaches the last one after about six periods.
-const PASSED_ON_LIVES: Duration = Duration::from_secs(6);
+/// How long a VM is considered alive after it was last seen, if membership spreads by gossip. With four
+/// heartbeats per interval in a zone of 30 VMs, each listing eight members, an update on a VM reaches the
+/// last one after about six intervals.
+const GOSSIPED_PEER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How often a VM tells its load when nothing changes.
+/// Interval of heartbeats while the load does not change.
 pub const NOTE_PERIOD: Duration = Duration::from_millis(400);
 
-/// Other VMs up to which all tell each other.
-const MOST_TOLD: usize = 24;
+/// Maximum number of other VMs at which each VM sends its heartbeats to all others.
+const MAX_FULL_MESH_PEERS: usize = 24;
 
-/// VMs of the own zone that are told in a period besides, where there are more.
-const TOLD_IN_ZONE: usize = 4;
+/// Number of VMs of the own zone that receive a heartbeat per interval whatever upstreams they share, in a
+/// larger system.
+const OWN_ZONE_FANOUT: usize = 4;
 
-/// VMs of other zones that are told in a period, where there are more.
-const TOLD_ELSEWHERE: usize = 1;
+/// Number of VMs of other zones that receive a heartbeat per interval, in a larger system.
+const OTHER_ZONES_FANOUT: usize = 1;
 
-/// VMs of a zone that share an upstream: each has it in its part, or next to it.
+/// Number of VMs of a zone that share an upstream: those with the highest rendezvous scores for it. The first
+/// of them has the upstream in its partition.
 pub const SHARERS: usize = 4;
 
-/// Members of the own zone, and of others, that a note names.
-const NAMED: (usize, usize) = (8, 2);
+/// Number of members of the own zone, and of other zones, that a heartbeat lists.
+const MEMBERS_PER_HEARTBEAT: (usize, usize) = (8, 2);
 
-/// How long a VM is remembered.
-const MEMORY: Duration = Duration::from_secs(60);
+/// How long a VM is retained after it was last seen.
+const PEER_RETENTION: Duration = Duration::from_secs(60);
 
-/// The other VMs and their latest notes.
+/// The other VMs and the latest heartbeat of each.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
-    /// This VM, of which others speak as well.
+    /// Name of this VM. Others list it as a member, and it must not become its own peer.
     own: Arc<str>,
     /// Sorted by VM.
     peers: Vec<Peer>,
@@ -59,20 +62,20 @@
     vm: Arc<str>,
     zone: AvailabilityZone,
     address: SocketAddr,
-    /// When it was heard, by itself or by the word of others.
-    heard: Instant,
-    /// Its own latest word.
-    note: Option<Heard>,
+    /// When the VM was last seen, by its own heartbeat or as advertised by others.
+    last_seen: Instant,
+    /// Its latest heartbeat; `None` if others have advertised it only.
+    heartbeat: Option<Received>,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
-    note: PeerNote,
+struct Received {
+    heartbeat: PeerNote,
     at: Instant,
 }
 
 impl PeerLoads {
-    /// A VM that knows no other one yet.
+    /// Creates an empty state for the VM `own`.
     #[must_use]
     pub fn new(own: Arc<str>) -> Self {
         Self {
@@ -81,128 +84,145 @@
         }
     }
 
-    /// Takes in a note; tells whether it was news.
-    pub fn take(&mut self, note: PeerNote, address: SocketAddr, now: Instant) -> bool {
-        self.peers.retain(|peer| now.since(peer.heard) < MEMORY);
-        self.take_members(&note.members, &note.zone, now);
-        let peer = |note: PeerNote| Peer {
-            vm: note.vm.clone(),
-            zone: note.zone.clone(),
+    /// Applies a heartbeat. Returns false for a duplicate or an older one; its members are applied all the
+    /// same.
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: PeerNote,
+        address: SocketAddr,
+        now: Instant,
+    ) -> bool {
+        self.peers
+            .retain(|peer| now.since(peer.last_seen) < PEER_RETENTION);
+        self.apply_members(&heartbeat.members, &heartbeat.zone, now);
+        let peer = |heartbeat: PeerNote| Peer {
+            vm: heartbeat.vm.clone(),
+            zone: heartbeat.zone.clone(),
             address,
-            heard: now,
-            note: Some(Heard { note, at: now }),
+            last_seen: now,
+            heartbeat: Some(Received { heartbeat, at: now }),
         };
-        match self.position(&note.vm) {
+        match self.position(&heartbeat.vm) {
             Ok(index) => {
-                let known = self.peers[index].note.as_ref().map(|heard| &heard.note);
-                let old = known
-                    .is_some_and(|k| k.incarnation == note.incarnation && note.number <= k.number);
-                if !old {
-                    self.peers[index] = peer(note);
+                let known = self.peers[index]
+                    .heartbeat
+                    .as_ref()
+                    .map(|received| &received.heartbeat);
+                let is_old = known.is_some_and(|k| {
+                    k.incarnation == heartbeat.incarnation && heartbeat.number <= k.number
+                });
+                if !is_old {
+                    self.peers[index] = peer(heartbeat);
                 }
-                !old
+                !is_old
             }
             Err(index) => {
-                self.peers.insert(index, peer(note));
+                self.peers.insert(index, peer(heartbeat));
                 true
             }
         }
     }
 
-    /// Takes in words on VMs; those without a zone are of `zone`.
-    pub fn take_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
+    /// Applies what a peer advertises of other VMs; those without a zone are in `zone`.
+    pub fn apply_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
         for member in members {
             if member.vm == self.own {
                 continue;
             }
-            self.heard_of(member, member.zone.as_ref().unwrap_or(zone), now);
+            self.apply_member(member, member.zone.as_ref().unwrap_or(zone), now);
         }
     }
 
-    /// What the other VMs say of upstreams now.
+    /// What the other VMs advertise of upstreams at `now`.
     #[must_use]
     pub fn view(&self, now: Instant) -> PeerView<'_> {
-        let notes = self
-            .notes(now)
-            .map(|heard| (&heard.note, now.since(heard.at)));
+        let recent_heartbeats = self
+            .recent_heartbeats(now)
+            .map(|received| (&received.heartbeat, now.since(received.at)));
         let has_peers = self.live(now).next().is_some();
-        PeerView::new(notes, has_peers, self.tells_all(now))
+        PeerView::new(recent_heartbeats, has_peers, self.is_full_mesh(now))
     }
 
-    /// Number of VMs besides this one that were heard of within `memory`.
+    /// Number of other VMs that were seen within `window`.
     #[must_use]
-    pub fn count_within(&self, memory: Duration, now: Instant) -> usize {
-        let recent = self
+    pub fn count_within(&self, window: Duration, now: Instant) -> usize {
+        let seen = self
             .peers
             .iter()
-            .filter(|peer| now.since(peer.heard) < memory);
-        recent.count()
+            .filter(|peer| now.since(peer.last_seen) < window);
+        seen.count()
     }
 
-    /// Names of the live VMs of a zone.
+    /// Names of the other live VMs of a zone.
     pub fn live_in(&self, zone: &AvailabilityZone, now: Instant) -> impl Iterator<Item = Arc<str>> {
         self.live(now)
             .filter(move |peer| peer.zone == *zone)
             .map(|peer| peer.vm.clone())
     }
 
-    /// Names of the live VMs besides this one.
+    /// Names of all other live VMs.
     #[must_use]
     pub fn live_names(&self, now: Instant) -> Vec<Arc<str>> {
         self.live(now).map(|peer| peer.vm.clone()).collect()
     }
 
-    /// Addresses of the live VMs besides this one.
+    /// Addresses of all other live VMs.
     #[must_use]
     pub fn live_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         self.live(now).map(|peer| peer.address).collect()
     }
 
-    /// Number of live VMs besides this one.
+    /// Number of other live VMs.
     #[must_use]
     pub fn live_count(&self, now: Instant) -> usize {
         self.live(now).count()
     }
 
-    /// Addresses of a few live VMs, others each time.
+    /// Addresses of up to `limit` live VMs; `random` selects them.
     #[must_use]
-    pub fn some_addresses(&self, most: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
-        some(self.live(now), most, random)
+    pub fn sample_addresses(&self, limit: usize, random: u64, now: Instant) -> Vec<SocketAddr> {
+        sample(self.live(now), limit, random)
             .map(|peer| peer.address)
             .collect()
     }
 
-    /// Addresses of a few VMs to tell in each period, whatever they use; all where there are few.
+    /// Addresses that receive the heartbeat in each interval: all other VMs in a small system, and a few
+    /// selected by `random` in a larger one.
     #[must_use]
-    pub fn told(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<SocketAddr> {
-        if self.tells_all(now) {
+    pub fn heartbeat_receivers(
+        &self,
+        zone: &AvailabilityZone,
+        random: u64,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
+        if self.is_full_mesh(now) {
             return self.live(now).map(|peer| peer.address).collect();
         }
         let own = self.live(now).filter(|peer| peer.zone == *zone);
         let other = self.live(now).filter(|peer| peer.zone != *zone);
-        some(own, TOLD_IN_ZONE, random)
-            .chain(some(other, TOLD_ELSEWHERE, random))
+        sample(own, OWN_ZONE_FANOUT, random)
+            .chain(sample(other, OTHER_ZONES_FANOUT, random))
             .map(|peer| peer.address)
             .collect()
     }
 
-    /// Addresses to tell of the calls on an upstream: those who share it in its own zone, and those of
-    /// this VM's `zone` who would send there first if their own were lost.
+    /// Addresses to notify of calls on an upstream: the VMs that share it in its own zone, and the VMs of
+    /// this VM's `zone` that would fail over to it first if they lost the upstreams of their own zone.
     #[must_use]
-    pub fn told_of(
+    pub fn dispatch_receivers(
         &self,
         upstream: &UpstreamEntry,
         zone: &AvailabilityZone,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        if self.tells_all(now) {
+        if self.is_full_mesh(now) {
             return self.live(now).map(|peer| peer.address).collect();
         }
-        let mut told = self.sharers(upstream, &upstream.zone, now);
+        let mut receivers = self.sharers(upstream, &upstream.zone, now);
         if upstream.zone != *zone {
-            told.extend(self.sharers(upstream, zone, now));
+            receivers.extend(self.sharers(upstream, zone, now));
         }
-        told
+        receivers
     }
 
     fn sharers(
@@ -219,7 +239,7 @@
             .collect()
     }
 
-    /// Addresses of the live VMs of a zone.
+    /// Addresses of the other live VMs of a zone.
     #[must_use]
     pub fn addresses_in(&self, zone: &AvailabilityZone, now: Instant) -> Vec<SocketAddr> {
         self.live(now)
@@ -228,65 +248,72 @@
             .collect()
     }
 
-    /// Words on a few live VMs, for a note of a VM in `zone`.
+    /// A few live VMs to list in a heartbeat that a VM in `zone` sends.
     #[must_use]
     pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberWord> {
-        let word = |peer: &Peer| MemberWord {
+        let status = |peer: &Peer| MemberWord {
             vm: peer.vm.clone(),
             zone: (peer.zone != *zone).then(|| peer.zone.clone()),
             address: peer.address,
-            age_ms: u32::try_from(now.since(peer.heard).as_millis()).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(now.since(peer.last_seen).as_millis()).unwrap_or(u32::MAX),
         };
         let own = self.live(now).filter(|peer| peer.zone == *zone);
         let other = self.live(now).filter(|peer| peer.zone != *zone);
-        some(own, NAMED.0, random)
-            .chain(some(other, NAMED.1, random))
-            .map(word)
+        sample(own, MEMBERS_PER_HEARTBEAT.0, random)
+            .chain(sample(other, MEMBERS_PER_HEARTBEAT.1, random))
+            .map(status)
             .collect()
     }
 
-    /// Whether a VM of `zone` knows so few others there that it should ask for members.
+    /// Whether this VM knows so few others in its `zone` that it should request members.
     #[must_use]
     pub fn wants_members(&self, zone: &AvailabilityZone, now: Instant) -> bool {
-        self.live_in(zone, now).count() < TOLD_IN_ZONE
+        self.live_in(zone, now).count() < OWN_ZONE_FANOUT
     }
 
-    /// Members to tell a VM that wants some; none where all tell each other anyway.
+    /// Members to send to the VM that requested some in its heartbeat; none if each VM sends its heartbeats
+    /// to all others anyway.
     #[must_use]
-    pub fn wanted_members(&self, note: &PeerNote, random: u64, now: Instant) -> Vec<MemberWord> {
-        if !note.wants_members || self.tells_all(now) {
+    pub fn requested_members(
+        &self,
+        heartbeat: &PeerNote,
+        random: u64,
+        now: Instant,
+    ) -> Vec<MemberWord> {
+        if !heartbeat.wants_members || self.is_full_mesh(now) {
             return Vec::new();
         }
-        let mut members = self.members(&note.zone, random, now);
-        members.retain(|member| member.vm != note.vm);
+        let mut members = self.members(&heartbeat.zone, random, now);
+        members.retain(|member| member.vm != heartbeat.vm);
         members
     }
 
-    /// Forgets what others said of their loads; it is older than it seems.
-    pub fn forget_loads(&mut self) {
+    /// Discards the heartbeats of all peers. Called when this VM resumes after a suspension, since their
+    /// content is then older than their time of arrival suggests.
+    pub fn discard_heartbeats(&mut self) {
         for peer in &mut self.peers {
-            peer.note = None;
+            peer.heartbeat = None;
         }
     }
 
-    /// Whether any other VM gets no answer from an upstream.
+    /// Whether an upstream does not respond to some other VM.
     #[must_use]
     pub fn is_suspect(&self, upstream: &UpstreamIncarnation, now: Instant) -> bool {
-        self.notes(now)
-            .any(|heard| heard.note.suspects.contains(upstream))
+        self.recent_heartbeats(now)
+            .any(|received| received.heartbeat.suspects.contains(upstream))
     }
 
-    /// Takes in the word on a VM. It counts only if it is later than what is known.
-    fn heard_of(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
+    /// Applies what a peer advertises of one VM, if it was seen more recently than recorded here.
+    fn apply_member(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
         let age = Duration::from_millis(member.age_ms.into());
-        let heard = Instant(now.0.saturating_sub(age));
-        if age >= MEMORY {
+        let last_seen = Instant(now.0.saturating_sub(age));
+        if age >= PEER_RETENTION {
             return;
         }
         match self.position(&member.vm) {
-            Ok(index) if self.peers[index].heard < heard => {
+            Ok(index) if self.peers[index].last_seen < last_seen => {
                 let peer = &mut self.peers[index];
-                peer.heard = heard;
+                peer.last_seen = last_seen;
                 peer.address = member.address;
                 peer.zone = zone.clone();
             }
@@ -296,36 +323,36 @@
                     vm: member.vm.clone(),
                     zone: zone.clone(),
                     address: member.address,
-                    heard,
-                    note: None,
+                    last_seen,
+                    heartbeat: None,
                 };
                 self.peers.insert(index, peer);
             }
         }
     }
 
-    /// Whether there are so few VMs that all tell each other.
-    fn tells_all(&self, now: Instant) -> bool {
-        self.count_within(PASSED_ON_LIVES, now) <= MOST_TOLD
+    /// Whether there are so few VMs that each sends its heartbeats to all others.
+    fn is_full_mesh(&self, now: Instant) -> bool {
+        self.count_within(GOSSIPED_PEER_TIMEOUT, now) <= MAX_FULL_MESH_PEERS
     }
 
-    /// Notes that are new enough for what they say of loads.
-    fn notes(&self, now: Instant) -> impl Iterator<Item = &Heard> {
+    /// Heartbeats that are recent enough for their loads and suspects to be used.
+    fn recent_heartbeats(&self, now: Instant) -> impl Iterator<Item = &Received> {
         self.peers
             .iter()
-            .filter_map(|peer| peer.note.as_ref())
-            .filter(move |heard| now.since(heard.at) < PEER_LIVES)
+            .filter_map(|peer| peer.heartbeat.as_ref())
+            .filter(move |received| now.since(received.at) < PEER_LIVES)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        let lives = if self.tells_all(now) {
+        let timeout = if self.is_full_mesh(now) {
             PEER_LIVES
         } else {
-            PASSED_ON_LIVES
+            GOSSIPED_PEER_TIMEOUT
         };
         self.peers
             .iter()
-            .filter(move |peer| now.since(peer.heard) < lives)
+            .filter(move |peer| now.since(peer.last_seen) < timeout)
     }
 
     fn position(&self, vm: &str) -> Result<usize, usize> {
@@ -333,11 +360,11 @@
     }
 }
 
-/// At most so many, spread over all of them, others each time: neighbours in the order of names are mostly of
-/// one zone.
-fn some<'a>(
+/// Selects up to `limit` peers, evenly spaced over all of them, with a random offset. Adjacent peers in the
+/// order of names are mostly of one zone, so a contiguous range would not cover the zones.
+fn sample<'a>(
     peers: impl Iterator<Item = &'a Peer>,
-    most: usize,
+    limit: usize,
     random: u64,
 ) -> impl Iterator<Item = &'a Peer> {
     let mut peers = peers.collect::<Vec<_>>();
@@ -345,6 +372,6 @@
         let start = random % u64::try_from(peers.len()).unwrap_or(1);
         peers.rotate_left(usize::try_from(start).unwrap_or(0));
     }
-    let (len, taken) = (peers.len(), most.min(peers.len()));
+    let (len, taken) = (peers.len(), limit.min(peers.len()));
     (0..taken).map(move |n| peers[n * len / taken])
 }
--- a/crates/decisions/src/peer_table.rs
+++ b/crates/decisions/src/peer_table.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The other VMs, sorted by id, and how each one's connection fared.
+/// The other VMs, sorted by id, with the results of the latest calls to each.
 ///
-/// The platform's list lags and may be out of reach; so what peers say is joined with it, and a VM
-/// that does not answer is passed over for a while whatever the list says.
+/// The platform's list of VMs lags and may be unreachable. So it is merged with what peers advertise, and
+/// a VM that does not answer is skipped for a while even if it is listed.
 #[derive(Debug)]
 pub struct PeerTable {
     own: VmId,
@@ -14,30 +14,30 @@
 #[derive(Debug)]
 struct Peer {
     entry: PeerEntry,
-    heard_of: Instant,
-    /// Its last answer.
-    answered: Option<Instant>,
-    /// The last call that it did not answer, unless it has answered since.
-    failed: Option<Instant>,
+    last_seen: Instant,
+    /// Time of its last answer.
+    last_answer: Option<Instant>,
+    /// Time of the last call that it did not answer; `None` if it has answered since.
+    last_failure: Option<Instant>,
 }
 
-/// How long a VM that did not answer is passed over.
-const FAILED_FOR: Duration = Duration::from_secs(2);
+/// How long a VM that did not answer is skipped.
+const SKIPPED_AFTER_FAILURE: Duration = Duration::from_secs(2);
 
 /// How long after its last answer a VM that does not answer may still serve callers.
-const SERVES_FOR: Duration = Duration::from_secs(5);
+const SERVING_AFTER_ANSWER: Duration = Duration::from_secs(5);
 
-/// How long a VM is remembered of which nobody speaks any more.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+/// How long a VM is retained that no peer advertises any more.
+const PEER_RETENTION: Duration = Duration::from_secs(120);
 
-/// Neighbours of a VM in its own availability zone.
-const ZONE_NEIGHBOURS: usize = 4;
+/// Number of neighbours of a VM in its own availability zone.
+const OWN_ZONE_NEIGHBOURS: usize = 4;
 
-/// Neighbours of a VM outside its availability zone.
-const OTHER_NEIGHBOURS: usize = 2;
+/// Number of neighbours of a VM outside its availability zone.
+const OTHER_ZONES_NEIGHBOURS: usize = 2;
 
 impl PeerTable {
-    /// A table of a VM that knows no other.
+    /// Creates an empty table for the VM `own`.
     #[must_use]
     pub fn new(own: VmId, own_zone: AvailabilityZone) -> Self {
         Self {
@@ -47,19 +47,20 @@
         }
     }
 
-    /// Notes that a VM was there at `at`. What others tell comes with its age: were each mention
-    /// taken for a sign of life, VMs would tell each other of a dead one for ever.
-    pub fn heard_of(&mut self, at: Instant, entry: PeerEntry) {
+    /// Records that a VM was alive at `at`. Peers advertise a VM together with the age of that
+    /// observation: if each advertisement counted as a sign of life, VMs would advertise a dead VM to each
+    /// other forever.
+    pub fn record_seen(&mut self, at: Instant, entry: PeerEntry) {
         if entry.vm == self.own {
             return;
         }
         match self.position(&entry.vm) {
-            Ok(i) if self.peers[i].heard_of >= at => {}
+            Ok(i) if self.peers[i].last_seen >= at => {}
             Ok(i) => {
                 let peer = &mut self.peers[i];
-                peer.heard_of = at;
+                peer.last_seen = at;
                 if peer.entry.address != entry.address {
-                    peer.failed = None;
+                    peer.last_failure = None;
                 }
                 peer.entry = entry;
             }
@@ -67,79 +68,88 @@
                 i,
                 Peer {
                     entry,
-                    heard_of: at,
-                    answered: None,
-                    failed: None,
+                    last_seen: at,
+                    last_answer: None,
+                    last_failure: None,
                 },
             ),
         }
     }
 
-    /// Notes that a VM answered.
-    pub fn answered(&mut self, now: Instant, vm: &VmId) {
+    /// Records that a VM answered.
+    pub fn record_answer(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
-            self.peers[i].failed = None;
-            self.peers[i].answered = Some(now);
-            self.peers[i].heard_of = now;
+            self.peers[i].last_failure = None;
+            self.peers[i].last_answer = Some(now);
+            self.peers[i].last_seen = now;
         }
     }
 
-    /// Notes that a VM did not answer.
-    pub fn failed(&mut self, now: Instant, vm: &VmId) {
+    /// Records that a VM did not answer.
+    pub fn record_failure(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
-            self.peers[i].failed = Some(now);
+            self.peers[i].last_failure = Some(now);
         }
     }
 
-    /// Forgets VMs of which nobody has spoken for long.
+    /// Removes VMs that have not been seen by any peer for the retention time.
     pub fn expire(&mut self, now: Instant) {
         self.peers
-            .retain(|peer| now.since(peer.heard_of) <= FORGET_AFTER);
+            .retain(|peer| now.since(peer.last_seen) <= PEER_RETENTION);
     }
 
-    /// The entry of a VM.
+    /// The entry of a VM; `None` if it is not in the table.
     #[must_use]
     pub fn find(&self, vm: &VmId) -> Option<&PeerEntry> {
         self.position(vm).ok().map(|i| &self.peers[i].entry)
     }
 
-    /// VMs from place `skip` on, going round, each with the age of what is known of it.
+    /// Up to `limit` VMs to advertise, from index `skip` on with wrap-around, each with the time since it
+    /// was last seen.
     #[must_use]
-    pub fn told(&self, now: Instant, skip: usize, most: usize) -> Vec<(PeerEntry, Duration)> {
-        let count = self.peers.len().min(most);
+    pub fn to_advertise(
+        &self,
+        now: Instant,
+        skip: usize,
+        limit: usize,
+    ) -> Vec<(PeerEntry, Duration)> {
+        let count = self.peers.len().min(limit);
         let peers = self.peers.iter().cycle().skip(skip).take(count);
         peers
-            .map(|peer| (peer.entry.clone(), now.since(peer.heard_of)))
+            .map(|peer| (peer.entry.clone(), now.since(peer.last_seen)))
             .collect()
     }
 
-    /// VMs that somebody has heard of within `bound`.
+    /// VMs that this one or a peer has seen within `max_age`.
     #[must_use]
-    pub fn heard_within(&self, now: Instant, bound: Duration) -> Vec<PeerEntry> {
-        let lately = |peer: &&Peer| now.since(peer.heard_of) <= bound;
-        let peers = self.peers.iter().filter(lately);
+    pub fn seen_within(&self, now: Instant, max_age: Duration) -> Vec<PeerEntry> {
+        let seen_recently = |peer: &&Peer| now.since(peer.last_seen) <= max_age;
+        let peers = self.peers.iter().filter(seen_recently);
         peers.map(|peer| peer.entry.clone()).collect()
     }
 
-    /// All VMs known, sorted by id.
+    /// All VMs of the table, sorted by id.
     pub fn entries(&self) -> impl Iterator<Item = &PeerEntry> {
         self.peers.iter().map(|peer| &peer.entry)
     }
 
-    /// The few VMs that this one talks with now and then: most of its own availability zone, some
-    /// of others, so that news crosses availability zones and no VM has more than a handful of
-    /// connections, however many VMs there are.
+    /// The VMs with which this one exchanges updates periodically. Most are in its own availability zone
+    /// and some in others, so that updates reach all zones, while the number of connections per VM does
+    /// not grow with the number of VMs.
     #[must_use]
     pub fn neighbours(&self, now: Instant) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, &self.own, &self.own_zone);
-        let mut chosen = inside.into_iter().take(ZONE_NEIGHBOURS).collect::<Vec<_>>();
-        chosen.extend(outside.into_iter().take(OTHER_NEIGHBOURS));
+        let mut chosen = inside
+            .into_iter()
+            .take(OWN_ZONE_NEIGHBOURS)
+            .collect::<Vec<_>>();
+        chosen.extend(outside.into_iter().take(OTHER_ZONES_NEIGHBOURS));
         chosen
     }
 
-    /// The VMs that keep copies of what `vm` runs: the best of its availability zone and the best
-    /// outside, among those that answer. Every VM computes the same from the same list, so one
-    /// that knows which VM ran a generation knows whom to ask.
+    /// The VMs that keep the progress replicas of `vm`: among those that answer, the highest ranked in its
+    /// availability zone and the highest ranked outside. Every VM computes the same result from the same
+    /// list, so a VM that knows which one ran a generation knows which ones to query.
     #[must_use]
     pub fn holders(&self, now: Instant, vm: &VmId, zone: &AvailabilityZone) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, vm, zone);
@@ -150,15 +160,16 @@
         first.into_iter().chain(second).collect()
     }
 
-    /// VMs that may keep a copy of what `vm` ran, the most likely first: views of who answers
-    /// differ, so more are asked than hold one.
+    /// VMs that may keep a progress replica of `vm`. VMs differ in which others they consider reachable,
+    /// so more are queried than hold a replica; those of the availability zone of `vm` come first, and
+    /// within each half the most likely ones.
     #[must_use]
-    pub fn likely_holders(&self, now: Instant, vm: &VmId, most: usize) -> Vec<PeerEntry> {
+    pub fn likely_holders(&self, now: Instant, vm: &VmId, limit: usize) -> Vec<PeerEntry> {
         let Some(zone) = self.zone_of(vm) else {
             return Vec::new();
         };
         let (inside, outside) = self.ranked(now, vm, &zone);
-        let half = most.div_ceil(2);
+        let half = limit.div_ceil(2);
         inside
             .into_iter()
             .take(half)
@@ -166,31 +177,34 @@
             .collect()
     }
 
-    /// Some VMs that answer, the own availability zone's first, for a caller who cannot say where it was.
+    /// Up to `limit` VMs that answer, those of the own availability zone first. They are queried for a caller
+    /// that cannot name the VM that served it.
     #[must_use]
-    pub fn nearest(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
+    pub fn nearest(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
         let (inside, outside) = self.ranked(now, &self.own, &self.own_zone);
-        inside.into_iter().chain(outside).take(most).collect()
+        inside.into_iter().chain(outside).take(limit).collect()
     }
 
-    /// As [`Self::nearest`], followed by VMs that did not answer lately: one may only have been slow, and serves
-    /// callers all the while.
+    /// As [`Self::nearest`], followed by VMs that recently did not answer: such a VM may only be slow and
+    /// still serve callers.
     #[must_use]
-    pub fn nearest_of_all(&self, now: Instant, most: usize) -> Vec<PeerEntry> {
-        let mut nearest = self.nearest(now, most);
+    pub fn nearest_including_silent(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
+        let mut nearest = self.nearest(now, limit);
         let silent = self.peers.iter().filter(|peer| !peer.answers(now));
         nearest.extend(silent.map(|peer| peer.entry.clone()));
-        nearest.truncate(most);
+        nearest.truncate(limit);
         nearest
     }
 
-    /// Whether a VM may serve callers, as far as is known: it was not found silent, or answered lately.
+    /// Whether a VM may still serve callers: its last call did not fail, or it answered recently.
     #[must_use]
     pub fn may_serve(&self, now: Instant, vm: &VmId) -> bool {
         let peer = self.position(vm).ok().map(|i| &self.peers[i]);
         peer.is_some_and(|peer| {
-            let answered = peer.answered.is_some_and(|at| now.since(at) <= SERVES_FOR);
-            peer.failed.is_none() || answered
+            let answered_recently = peer
+                .last_answer
+                .is_some_and(|at| now.since(at) <= SERVING_AFTER_ANSWER);
+            peer.last_failure.is_none() || answered_recently
         })
     }
 
@@ -227,8 +241,9 @@
 }
 
 impl Peer {
-    /// Whether it has answered lately, or was not asked.
+    /// Whether no call to the VM has failed since its last answer, or within [`SKIPPED_AFTER_FAILURE`].
     fn answers(&self, now: Instant) -> bool {
-        self.failed.is_none_or(|at| now.since(at) > FAILED_FOR)
+        self.last_failure
+            .is_none_or(|at| now.since(at) > SKIPPED_AFTER_FAILURE)
     }
 }
--- a/crates/decisions/src/peer_view.rs
+++ b/crates/decisions/src/peer_view.rs
@@ -1,52 +1,52 @@
 use super::*;
 
-/// What the other VMs say of upstreams at one moment, in order, so that a choice among many upstreams goes
-/// through the notes once and not once for each.
+/// What the other VMs advertise of upstreams at one moment. It is sorted, so that a choice among many
+/// upstreams goes through the heartbeats once and not once per upstream.
 #[derive(Clone, Debug)]
 pub struct PeerView<'a> {
-    /// Sorted by upstream, one for each.
-    loads: Vec<ToldLoad<'a>>,
+    /// Sorted by upstream, one entry per upstream.
+    loads: Vec<AdvertisedLoad<'a>>,
     /// Sorted.
     suspects: Vec<&'a UpstreamIncarnation>,
-    /// Whether any other VM lives.
+    /// Whether any other VM is alive.
     has_peers: bool,
-    /// Whether there are so few VMs that all tell each other.
-    tells_all: bool,
+    /// Whether there are so few VMs that each sends its heartbeats to all others.
+    is_full_mesh: bool,
 }
 
-/// What other VMs together have on an upstream.
+/// Sum of the load of the other VMs on an upstream.
 #[derive(Clone, Copy, Debug)]
-struct ToldLoad<'a> {
+struct AdvertisedLoad<'a> {
     upstream: &'a UpstreamIncarnation,
     calls: u32,
-    reading: Duration,
+    prefill: Duration,
 }
 
 impl<'a> PeerView<'a> {
-    /// Sums up notes, each with its age. `has_peers` says whether any other VM lives, `tells_all` whether all
-    /// VMs tell each other.
+    /// Adds up the loads of heartbeats, each with its age. `has_peers` is whether any other VM is alive,
+    /// `is_full_mesh` whether each VM sends its heartbeats to all others.
     pub(crate) fn new(
-        notes: impl Iterator<Item = (&'a PeerNote, Duration)>,
+        heartbeats: impl Iterator<Item = (&'a PeerNote, Duration)>,
         has_peers: bool,
-        tells_all: bool,
+        is_full_mesh: bool,
     ) -> Self {
         let mut loads = Vec::new();
         let mut suspects = Vec::new();
-        for (note, age) in notes {
-            suspects.extend(&note.suspects);
-            loads.extend(note.loads.iter().map(|load| ToldLoad {
+        for (heartbeat, age) in heartbeats {
+            suspects.extend(&heartbeat.suspects);
+            loads.extend(heartbeat.loads.iter().map(|load| AdvertisedLoad {
                 upstream: &load.upstream,
                 calls: load.calls,
-                reading: Duration::from_millis(load.reading_ms.into()).saturating_sub(age),
+                prefill: Duration::from_millis(load.reading_ms.into()).saturating_sub(age),
             }));
         }
         loads.sort_unstable_by_key(|load| load.upstream);
-        // Prompts are read one after the other, so the times add up like the calls.
+        // An engine reads prompts one after the other, so the prefill times are added like the calls.
         loads.dedup_by(|next, sum| {
             let same = next.upstream == sum.upstream;
             if same {
                 sum.calls += next.calls;
-                sum.reading += next.reading;
+                sum.prefill += next.prefill;
             }
             same
         });
@@ -55,38 +55,38 @@
             loads,
             suspects,
             has_peers,
-            tells_all,
+            is_full_mesh,
         }
     }
 
-    /// Streams of other VMs on an upstream.
+    /// Number of streams of other VMs on an upstream.
     #[must_use]
     pub fn calls(&self, upstream: &UpstreamIncarnation) -> u32 {
         self.load(upstream).map_or(0, |load| load.calls)
     }
 
-    /// Time until the prompts of other VMs on an upstream are read.
+    /// Time until an upstream has read the prompts of other VMs.
     #[must_use]
-    pub fn reading_left(&self, upstream: &UpstreamIncarnation) -> Duration {
+    pub fn prefill_left(&self, upstream: &UpstreamIncarnation) -> Duration {
         self.load(upstream)
-            .map_or(Duration::ZERO, |load| load.reading)
+            .map_or(Duration::ZERO, |load| load.prefill)
     }
 
-    /// Whether any other VM gets no answer from an upstream.
+    /// Whether an upstream does not respond to some other VM.
     #[must_use]
     pub fn is_suspect(&self, upstream: &UpstreamIncarnation) -> bool {
         self.suspects.binary_search(&upstream).is_ok()
     }
 
-    /// Whether all who have calls on an upstream of this VM's own zone, for which it has `rank` there, tell
-    /// it; `None` for an upstream of another zone.
+    /// Whether all VMs with calls on an upstream advertise them to this VM. `rank` is this VM's rank for the
+    /// upstream within its zone, or `None` for an upstream of another zone.
     #[must_use]
-    pub fn is_told_of(&self, rank: Option<usize>) -> bool {
+    pub fn knows_complete_load(&self, rank: Option<usize>) -> bool {
         let shares = rank.is_some_and(|rank| rank < SHARERS);
-        self.has_peers && (self.tells_all || shares)
+        self.has_peers && (self.is_full_mesh || shares)
     }
 
-    fn load(&self, upstream: &UpstreamIncarnation) -> Option<&ToldLoad<'a>> {
+    fn load(&self, upstream: &UpstreamIncarnation) -> Option<&AdvertisedLoad<'a>> {
         let index = self
             .loads
             .binary_search_by(|load| load.upstream.cmp(upstream))
--- a/crates/decisions/src/stream_pace.rs
+++ b/crates/decisions/src/stream_pace.rs
@@ -1,46 +1,48 @@
-//! How long streams take from their first event to the end.
+//! Estimates how long streams take from their first event to their end.
 //!
-//! Load pattern: callers whose VM was lost come back when they have waited for most of their time. What such a call
-//! still needs is known from the streams before it; one that cannot be whole in time only slows the others down.
+//! Load pattern: callers whose VM was lost reconnect when most of their time has passed. The time that such
+//! a call still needs is estimated from earlier streams; a call that cannot complete in time only slows the
+//! others down.
 
 use super::*;
 
-/// Streams that are remembered.
-const REMEMBERED: usize = 32;
+/// Number of latest streams that the estimate is based on.
+const MAX_STREAMS: usize = 32;
 
-/// Streams without which nothing is said.
-const FEWEST: usize = 8;
+/// Minimum number of streams for an estimate.
+const MIN_STREAMS: usize = 8;
 
-/// Lengths and paces of the latest whole streams.
+/// Lengths and paces of the latest complete streams.
 #[derive(Clone, Debug, Default)]
 pub struct StreamPace {
-    /// Events, and the time of each of them; the oldest first.
+    /// Number of events of each stream and the mean interval between them; the oldest stream first.
     streams: Vec<(u64, Duration)>,
 }
 
 impl StreamPace {
-    /// Notes a stream that was made as a whole: its events, and the time from the first to the last.
-    pub fn whole(&mut self, events: u64, took: Duration) {
-        let Ok(pauses @ 1..) = u32::try_from(events.saturating_sub(1)) else {
+    /// Records a complete stream: its number of events, and the time from the first to the last. A stream
+    /// of fewer than two events has no interval and is ignored.
+    pub fn record_complete(&mut self, events: u64, duration: Duration) {
+        let Ok(intervals @ 1..) = u32::try_from(events.saturating_sub(1)) else {
             return;
         };
-        if self.streams.len() == REMEMBERED {
+        if self.streams.len() == MAX_STREAMS {
             self.streams.remove(0);
         }
-        self.streams.push((events, took / pauses));
+        self.streams.push((events, duration / intervals));
     }
 
-    /// The time that a stream needs to its end if it is one of the shorter and faster ones: a quarter of the latest were
-    /// shorter, and a quarter faster. The caller has the first `had` events already.
+    /// Optimistic estimate of the time until a stream ends, whose caller has `received` events: the lower
+    /// quartile of the lengths and that of the intervals of the latest streams. `None` if there were too few.
     #[must_use]
-    pub fn least_rest(&self, had: u64) -> Option<Duration> {
-        if self.streams.len() < FEWEST {
+    pub fn min_remaining(&self, received: u64) -> Option<Duration> {
+        if self.streams.len() < MIN_STREAMS {
             return None;
         }
         let events = lower_quartile(self.streams.iter().map(|(events, _)| *events));
-        let pause = lower_quartile(self.streams.iter().map(|(_, pause)| *pause));
-        let rest = u32::try_from(events.saturating_sub(had)).unwrap_or(u32::MAX);
-        Some(pause.saturating_mul(rest))
+        let interval = lower_quartile(self.streams.iter().map(|(_, interval)| *interval));
+        let remaining_events = u32::try_from(events.saturating_sub(received)).unwrap_or(u32::MAX);
+        Some(interval.saturating_mul(remaining_events))
     }
 }
 
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -278,7 +278,7 @@
         now: Instant,
     ) -> Vec<PresenceChange> {
         let comparisons = &self.comparisons;
-        entries.sort_by(|a, b| comparisons.note(a.id.cmp(&b.id)));
+        entries.sort_by(|a, b| comparisons.record(a.id.cmp(&b.id)));
         // The order of two listed entries with one address does not tell which is newer, so neither
         // replaces the other; the older one is removed soon. If the newer one counted as replaced, it would
         // get no calls for as long as it lives.
@@ -317,7 +317,7 @@
     /// Whether an id is in a sorted list.
     fn is_listed(&self, listed: &[UpstreamId], id: &UpstreamId) -> bool {
         listed
-            .binary_search_by(|other| self.comparisons.note(other.cmp(id)))
+            .binary_search_by(|other| self.comparisons.record(other.cmp(id)))
             .is_ok()
     }
 
@@ -427,7 +427,7 @@
     fn latest(&self, id: &UpstreamId) -> Option<UpstreamIncarnation> {
         let end = self
             .known
-            .partition_point(|known| self.comparisons.note(known.entry.id.id <= *id));
+            .partition_point(|known| self.comparisons.record(known.entry.id.id <= *id));
         let last = &self.known[end.checked_sub(1)?].entry.id;
         (last.id == *id).then(|| last.clone())
     }
@@ -436,7 +436,7 @@
     fn supersede(&mut self, id: &UpstreamIncarnation, changes: &mut Vec<PresenceChange>) {
         let end = self.position(id).unwrap_or_else(|index| index);
         for known in self.known[..end].iter_mut().rev() {
-            if self.comparisons.note(known.entry.id.id != id.id) {
+            if self.comparisons.record(known.entry.id.id != id.id) {
                 break;
             }
             if known.set_presence(Presence::Superseded) {
@@ -489,7 +489,7 @@
 
     fn position(&self, id: &UpstreamIncarnation) -> Result<usize, usize> {
         self.known
-            .binary_search_by(|known| self.comparisons.note(known.entry.id.cmp(id)))
+            .binary_search_by(|known| self.comparisons.record(known.entry.id.cmp(id)))
     }
 }
 
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -128,16 +128,16 @@
     ///
     /// Returns why it may not.
     pub fn eligible(&self, now: Instant) -> Result<Eligible, Ineligible> {
-        let incarnation = self.current.ok_or(Ineligible::Unheard)?;
+        let incarnation = self.current.ok_or(Ineligible::NoReport)?;
         if now.since(self.last_seen) > EVIDENCE_BOUND {
             return Err(Ineligible::Stale);
         }
-        if let Some(source_of_word) = self.leaving_source(incarnation) {
-            return Err(Ineligible::Leaving { source_of_word });
+        if let Some(reported_by) = self.leaving_source(incarnation) {
+            return Err(Ineligible::Leaving { reported_by });
         }
         Ok(Eligible {
             incarnation,
-            until: self.last_seen.after(EVIDENCE_BOUND),
+            valid_until: self.last_seen.after(EVIDENCE_BOUND),
         })
     }
 
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -152,7 +152,7 @@
     pub fn candidate(&self, model: Option<&Model>, now: Instant) -> Result<Candidate, Ineligible> {
         let eligible = self.evidence.eligible(now)?;
         if !self.report.can_run(model) {
-            return Err(Ineligible::Unsuited);
+            return Err(Ineligible::NotServing);
         }
         let others = self.report.load.saturating_sub(self.own_requests_in_report);
         Ok(Candidate {
@@ -160,7 +160,7 @@
             capacity: self.report.capacity.max(1),
             weight: self.suspicion.weight(now)
                 * slow_start_weight(self.evidence.since(), SLOW_START, now).max(0.1),
-            pace: self.response_time(now),
+            latency: self.response_time(now),
             own_zone: true,
             affinity: 0,
             eligible,
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -1,4 +1,4 @@
-//! Many calls for one key: merged if they are reads, limited if not.
+//! Many concurrent calls for one key: reads are coalesced, other calls are limited.
 
 use catkin_decisions::{CallKey, HotKeys, ReadMerger};
 use googletest::prelude::*;
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn reads_of_another_team_or_path_are_not_merged() {
+fn reads_of_another_team_or_path_are_not_coalesced() {
     let mut merger = ReadMerger::default();
     merger.join(&key("cobalt", "/tiles/7"), 1);
 
@@ -31,8 +31,8 @@
     expect_that!((other_team, other_path), eq((Some(2), Some(3))));
 }
 
-/// The read that the others follow fails, or its caller hangs up. The followers asked for something
-/// that can still be answered and must not share its fate.
+/// The leader of coalesced reads fails, or its caller disconnects. The followers' reads can still be
+/// answered, so they must not fail with it.
 #[gtest]
 fn failed_leader_does_not_fail_its_followers() {
     let mut merger = ReadMerger::default();
@@ -57,18 +57,18 @@
     expect_that!(keys[0], not(eq(&keys[1])));
 }
 
-/// One client calls for one item in a loop. Past its limit it is refused, and callers of other items
-/// find the places that it would have taken.
+/// One client requests one item in a loop. Beyond the limit its calls are refused, which leaves slots for the
+/// calls for other items.
 #[gtest]
 fn calls_for_one_key_are_limited_and_others_are_not() {
     let mut hot_keys = HotKeys::new(2);
     let item = key("cobalt", "/survey/7");
 
-    let entered = [0; 3].map(|_| hot_keys.enter(&item));
-    let other = hot_keys.enter(&key("cobalt", "/survey/8"));
-    hot_keys.leave(&item);
-    let after = hot_keys.enter(&item);
+    let acquired = [0; 3].map(|_| hot_keys.try_acquire(&item));
+    let other = hot_keys.try_acquire(&key("cobalt", "/survey/8"));
+    hot_keys.release(&item);
+    let after = hot_keys.try_acquire(&item);
 
-    expect_that!(entered, eq([true, true, false]));
+    expect_that!(acquired, eq([true, true, false]));
     expect_that!((other, after), eq((true, true)));
 }
