--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -32,7 +32,7 @@
         TableView, UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamHealth,
         UpstreamIncarnation, UpstreamLoad, UpstreamRestart, UpstreamTable, VersionSlots, VmLife,
         WakeDetector, WholeEvent, ZoneAlarm, ZoneGossip, ZoneRole, is_large_zone,
-        link_carries_config, prefill_time, rank_among, rank_of_vm,select_copy_holder, 
+        link_carries_config, prefill_time, rank_among, rank_of_vm, select_copy_holder,
         select_upstream, store_backoff,
     },
     futures::{StreamExt, future::BoxFuture, stream::BoxStream},
