--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -22,8 +22,8 @@
         Admission, AnswerOutcome, Born, CHANGES_TOLD, COMPLETING, CONFIG_WAIT, CachedPrompts,
         ConfigVersion, Crash, CrashTally, EventFate, EventRelay, EventRun, EventSplitter,
         GOSSIP_AGE, GossipState, GossipView, JudgedReport, LinkRate, LoadReading, Loan, LoanAsk,
-        LoanDesk, MOST_CRASHES, MOST_LENDERS, MemberWord, NOTE_PERIOD, NewestConfig, OWNER_LOST,
-        OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerNote, PeerView,
+        LoanDesk, MOST_CRASHES, MOST_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_LOST,
+        OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerHeartbeat, PeerView,
         PlacementCandidate, PlacementFor, Policy, Presence, PresenceChange, PromptPart,
         RepeatBudget, RepeatBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutFault,
         RolloutGrant, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
@@ -44,7 +44,7 @@
     call_log::{CallLog, LineKind},
     core::{Gateway, GatewaySettings, NOT_READY_RETRY},
     feed::{AskChanges, Feed, FeedFault, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
-    peer_notes::exchange_notes,
+    peer_heartbeats::exchange_notes,
     read_progress::{ReadPart, ReadProgress},
     reply::{EventBody, Reply, StreamCut},
     rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWritten, WriteRecord},
@@ -84,7 +84,7 @@
 mod health_check;
 mod kept_copy;
 mod outbox;
-mod peer_notes;
+mod peer_heartbeats;
 mod prompt_search;
 mod read_progress;
 mod readiness;
--- a/crates/catkinward/src/gateway/peer_notes.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -26,7 +26,7 @@
     }
     tokio::spawn(take_notes(gateway.clone(), socket.clone()));
     let incarnation = gateway.life.incarnation;
-    let mut ticks = gateway.timer.subscribe(NOTE_PERIOD);
+    let mut ticks = gateway.timer.subscribe(HEARTBEAT_INTERVAL);
     for number in 1.. {
         tokio::select! {
             _ = ticks.recv() => {
@@ -50,7 +50,7 @@
 }
 
 /// Tells a note. One that is too large, as on a VM with dozens of streams, goes without what matters least.
-async fn tell(socket: &UdpSocket, note: PeerNote, mut told: Vec<SocketAddr>) {
+async fn tell(socket: &UdpSocket, note: PeerHeartbeat, mut told: Vec<SocketAddr>) {
     told.sort_unstable();
     told.dedup();
     let whole = PeerDatagram::Note(note);
@@ -124,7 +124,7 @@
 
 impl Gateway {
     /// A note; the members are left out of those that tell of a dispatch.
-    fn note(&self, incarnation: u64, number: u64, with_members: bool) -> PeerNote {
+    fn note(&self, incarnation: u64, number: u64, with_members: bool) -> PeerHeartbeat {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let mut loads = Vec::new();
@@ -143,7 +143,7 @@
                 suspects.push(upstream.entry.id.clone());
             }
         }
-        PeerNote {
+        PeerHeartbeat {
             vm: self.settings.vm.clone(),
             zone: self.settings.zone.clone(),
             incarnation,
@@ -197,14 +197,14 @@
     }
 
     /// Takes in words on VMs of this zone and others.
-    fn take_members(&self, members: &[MemberWord]) {
+    fn take_members(&self, members: &[MemberStatus]) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         state.peers.take_members(members, &self.settings.zone, now);
     }
 
     /// Takes in a note of another VM, with the address that it came from.
-    pub fn take_note(&self, note: PeerNote, address: SocketAddr) {
+    pub fn take_note(&self, note: PeerHeartbeat, address: SocketAddr) {
         if note.vm == self.settings.vm {
             return;
         }
@@ -239,7 +239,7 @@
 }
 
 /// The upstreams that a note names, with their starts.
-fn started_upstreams(note: &PeerNote) -> Vec<(UpstreamId, Born)> {
+fn started_upstreams(note: &PeerHeartbeat) -> Vec<(UpstreamId, Born)> {
     let loads = note.loads.iter().map(|load| &load.upstream);
     loads
         .chain(&note.suspects)
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -142,7 +142,7 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         // Who tells is a member that may not be known yet. Taken for alone, this VM would read for the zone too.
-        let teller = MemberWord {
+        let teller = MemberStatus {
             vm: gossip.vm.clone(),
             zone: None,
             address,
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use catkin_decisions::{
     Born, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadReading,
-    PeerNote, Policy, PromptPart, RepeatBudgetConfig, RolloutSettings, Route, RouteTable,
+    PeerHeartbeat, Policy, PromptPart, RepeatBudgetConfig, RolloutSettings, Route, RouteTable,
     RouteTarget, RoutingConfig, ServiceSpec, TableRow, UpstreamEntry, ZoneGossip,
 };
 use catkinward::{
@@ -260,19 +260,19 @@
     /// Has the gateway hear of a crash from the VM of that number.
     pub fn hear_of_crash(&self, vm: usize, crash: Crash) {
         let note = self.peer_note(&format!("vm-{}", vm + 1), "b");
-        self.hear(PeerNote {
+        self.hear(PeerHeartbeat {
             crashes: vec![crash],
             ..note
         });
     }
 
-    pub fn hear(&self, note: PeerNote) {
+    pub fn hear(&self, note: PeerHeartbeat) {
         self.gateway.take_note(note, ([127, 0, 0, 2], 9).into());
     }
 
     /// A note without anything in it, newer than those before.
-    pub fn peer_note(&self, vm: &str, zone: &str) -> PeerNote {
-        PeerNote {
+    pub fn peer_note(&self, vm: &str, zone: &str) -> PeerHeartbeat {
+        PeerHeartbeat {
             vm: vm.into(),
             zone: zone.parse().unwrap(),
             incarnation: 1,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -105,8 +105,8 @@
     path_rule::PathRule,
     peer_datagram::{Loan, LoanAsk, PeerDatagram},
     peer_entry::PeerEntry,
-    peer_loads::{NOTE_PERIOD, PEER_LIVES, PeerLoads, SHARERS},
-    peer_note::{MemberWord, PeerLoad, PeerNote},
+    peer_loads::{HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerLoads, SHARERS_PER_UPSTREAM},
+    peer_heartbeat::{MemberStatus, PeerLoad, PeerHeartbeat},
     peer_table::PeerTable,
     peer_view::PeerView,
     placement::{
@@ -284,7 +284,7 @@
 mod peer_datagram;
 mod peer_entry;
 mod peer_loads;
-mod peer_note;
+mod peer_heartbeat;
 mod peer_table;
 mod peer_view;
 mod placement;
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -5,10 +5,10 @@
 pub enum PeerDatagram {
     /// A VM's word on itself.
     #[serde(rename = "n")]
-    Note(PeerNote),
+    Note(PeerHeartbeat),
     /// Members for one that wanted some.
     #[serde(rename = "m")]
-    Members(Vec<MemberWord>),
+    Members(Vec<MemberStatus>),
     /// What a VM has read of the store.
     #[serde(rename = "z")]
     Gossip(ZoneGossip),
--- a/crates/decisions/src/peer_note.rs
+++ b/crates/decisions/src/peer_heartbeat.rs
@@ -2,7 +2,7 @@
 
 /// A VM's word on itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PeerNote {
+pub struct PeerHeartbeat {
     /// Its name.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
@@ -26,7 +26,7 @@
     pub crashes: Vec<Crash>,
     /// A few other VMs that it knows.
     #[serde(rename = "m")]
-    pub members: Vec<MemberWord>,
+    pub members: Vec<MemberStatus>,
     /// Whether it knows few VMs of its zone, and would like to be told of more.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub wants_members: bool,
@@ -51,7 +51,7 @@
 
 /// A VM's word on another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberWord {
+pub struct MemberStatus {
     /// Its name.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -10,7 +10,7 @@
 //! overtake each other are told apart by their number.
 //!
 //! A few VMs tell each other all. Where there are more, each upstream is shared by a few VMs of its zone
-//! ([`SHARERS`]), and whoever has calls there tells them; and who lives is passed on, a few members in
+//! ([`SHARERS_PER_UPSTREAM`]), and whoever has calls there tells them; and who lives is passed on, a few members in
 //! each note to a few others. So what a VM sends does not grow with their number, and those who use an
 //! upstream most know its load.
 
@@ -18,14 +18,14 @@
 
 /// How long a VM counts as live after its last note, where all tell each other: several heartbeats, so
 /// that lost datagrams do not make it dead.
-pub const PEER_LIVES: Duration = Duration::from_millis(1500);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The same, where it is passed on who lives. With four notes a period to a zone of 30 VMs, each naming
 /// eight, news of a VM reaches the last one after about six periods.
 const PASSED_ON_LIVES: Duration = Duration::from_secs(6);
 
 /// How often a VM tells its load when nothing changes.
-pub const NOTE_PERIOD: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Other VMs up to which all tell each other.
 const MOST_TOLD: usize = 24;
@@ -37,7 +37,7 @@
 const TOLD_ELSEWHERE: usize = 1;
 
 /// VMs of a zone that share an upstream: each has it in its part, or next to it.
-pub const SHARERS: usize = 4;
+pub const SHARERS_PER_UPSTREAM: usize = 4;
 
 /// Members of the own zone, and of others, that a note names.
 const NAMED: (usize, usize) = (8, 2);
@@ -67,7 +67,7 @@
 
 #[derive(Clone, Debug)]
 struct Heard {
-    note: PeerNote,
+    note: PeerHeartbeat,
     at: Instant,
 }
 
@@ -82,10 +82,10 @@
     }
 
     /// Takes in a note; tells whether it was news.
-    pub fn take(&mut self, note: PeerNote, address: SocketAddr, now: Instant) -> bool {
+    pub fn take(&mut self, note: PeerHeartbeat, address: SocketAddr, now: Instant) -> bool {
         self.peers.retain(|peer| now.since(peer.heard) < MEMORY);
         self.take_members(&note.members, &note.zone, now);
-        let peer = |note: PeerNote| Peer {
+        let peer = |note: PeerHeartbeat| Peer {
             vm: note.vm.clone(),
             zone: note.zone.clone(),
             address,
@@ -110,7 +110,7 @@
     }
 
     /// Takes in words on VMs; those without a zone are of `zone`.
-    pub fn take_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
+    pub fn take_members(&mut self, members: &[MemberStatus], zone: &AvailabilityZone, now: Instant) {
         for member in members {
             if member.vm == self.own {
                 continue;
@@ -214,7 +214,7 @@
         let peers = self.live(now).filter(|peer| peer.zone == *zone).collect();
         rendezvous_rank(upstream.id.as_str(), peers, |peer| peer.vm.clone())
             .into_iter()
-            .take(SHARERS)
+            .take(SHARERS_PER_UPSTREAM)
             .map(|peer| peer.address)
             .collect()
     }
@@ -230,8 +230,8 @@
 
     /// Words on a few live VMs, for a note of a VM in `zone`.
     #[must_use]
-    pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberWord> {
-        let word = |peer: &Peer| MemberWord {
+    pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberStatus> {
+        let word = |peer: &Peer| MemberStatus {
             vm: peer.vm.clone(),
             zone: (peer.zone != *zone).then(|| peer.zone.clone()),
             address: peer.address,
@@ -253,7 +253,7 @@
 
     /// Members to tell a VM that wants some; none where all tell each other anyway.
     #[must_use]
-    pub fn wanted_members(&self, note: &PeerNote, random: u64, now: Instant) -> Vec<MemberWord> {
+    pub fn wanted_members(&self, note: &PeerHeartbeat, random: u64, now: Instant) -> Vec<MemberStatus> {
         if !note.wants_members || self.tells_all(now) {
             return Vec::new();
         }
@@ -277,7 +277,7 @@
     }
 
     /// Takes in the word on a VM. It counts only if it is later than what is known.
-    fn heard_of(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
+    fn heard_of(&mut self, member: &MemberStatus, zone: &AvailabilityZone, now: Instant) {
         let age = Duration::from_millis(member.age_ms.into());
         let heard = Instant(now.0.saturating_sub(age));
         if age >= MEMORY {
@@ -314,12 +314,12 @@
         self.peers
             .iter()
             .filter_map(|peer| peer.note.as_ref())
-            .filter(move |heard| now.since(heard.at) < PEER_LIVES)
+            .filter(move |heard| now.since(heard.at) < PEER_TIMEOUT)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let lives = if self.tells_all(now) {
-            PEER_LIVES
+            PEER_TIMEOUT
         } else {
             PASSED_ON_LIVES
         };
--- a/crates/decisions/src/peer_view.rs
+++ b/crates/decisions/src/peer_view.rs
@@ -26,7 +26,7 @@
     /// Sums up notes, each with its age. `has_peers` says whether any other VM lives, `tells_all` whether all
     /// VMs tell each other.
     pub(crate) fn new(
-        notes: impl Iterator<Item = (&'a PeerNote, Duration)>,
+        notes: impl Iterator<Item = (&'a PeerHeartbeat, Duration)>,
         has_peers: bool,
         tells_all: bool,
     ) -> Self {
@@ -82,7 +82,7 @@
     /// it; `None` for an upstream of another zone.
     #[must_use]
     pub fn is_told_of(&self, rank: Option<usize>) -> bool {
-        let shares = rank.is_some_and(|rank| rank < SHARERS);
+        let shares = rank.is_some_and(|rank| rank < SHARERS_PER_UPSTREAM);
         self.has_peers && (self.tells_all || shares)
     }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -225,7 +225,7 @@
         (true, _) => policy.other_zone_stream + OTHER_PART_ELSEWHERE,
         (false, 0) => 0.0,
         (false, _) if !policy.parts => 0.0,
-        (false, rank) if rank < SHARERS => policy.other_part,
+        (false, rank) if rank < SHARERS_PER_UPSTREAM => policy.other_part,
         (false, _) => policy.not_shared,
     };
     cost
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -1,7 +1,7 @@
 //! How VMs know of each other, a few and many.
 
 use catkin_decisions::{
-    Instant, MemberWord, NOTE_PERIOD, PEER_LIVES, PeerLoad, PeerLoads, PeerNote, SHARERS,
+    Instant, MemberStatus, HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerLoad, PeerLoads, PeerHeartbeat, SHARERS_PER_UPSTREAM,
     UpstreamEntry,
 };
 use googletest::prelude::*;
@@ -46,8 +46,8 @@
     format!("zone-{}", n % zones)
 }
 
-fn note(n: usize, zones: usize, number: u64, members: Vec<MemberWord>) -> PeerNote {
-    PeerNote {
+fn note(n: usize, zones: usize, number: u64, members: Vec<MemberStatus>) -> PeerHeartbeat {
+    PeerHeartbeat {
         vm: name(n),
         zone: zone_of(n, zones).parse().unwrap(),
         incarnation: 1,
@@ -83,7 +83,7 @@
     }
 
     fn now(&self) -> Instant {
-        Instant(NOTE_PERIOD * u32::try_from(self.period).unwrap())
+        Instant(HEARTBEAT_INTERVAL * u32::try_from(self.period).unwrap())
     }
 
     /// One period, in which the VMs in `silent` say nothing. All know the first one by their settings.
@@ -95,7 +95,7 @@
                 let zone = zone_of(n, self.zones).parse().unwrap();
                 let random = self.rng.random::<u64>();
                 let members = self.vms[n].members(&zone, self.rng.random(), now);
-                let note = PeerNote {
+                let note = PeerHeartbeat {
                     wants_members: self.vms[n].wants_members(&zone, now),
                     rollouts: Vec::new(),
                     ..note(n, self.zones, self.period, members)
@@ -201,11 +201,11 @@
 
     let (told, by_another, from_elsewhere) = (told_by(0), told_by(4), told_by(1));
 
-    expect_that!(told.len(), eq(SHARERS));
+    expect_that!(told.len(), eq(SHARERS_PER_UPSTREAM));
     let common = |other: &[SocketAddr]| told.iter().filter(|a| other.contains(a)).count();
-    expect_that!(common(&by_another), ge(SHARERS - 1));
-    expect_that!(common(&from_elsewhere), ge(SHARERS - 1));
-    expect_that!(from_elsewhere.len(), eq(2 * SHARERS));
+    expect_that!(common(&by_another), ge(SHARERS_PER_UPSTREAM - 1));
+    expect_that!(common(&from_elsewhere), ge(SHARERS_PER_UPSTREAM - 1));
+    expect_that!(from_elsewhere.len(), eq(2 * SHARERS_PER_UPSTREAM));
 }
 
 /// Somebody's old word on a VM arrives after the VM's own. It must not make it look dead, or bring back
@@ -213,7 +213,7 @@
 #[gtest]
 fn an_old_word_on_a_vm_does_not_count() {
     let mut peers = PeerLoads::new(name(0));
-    let old = MemberWord {
+    let old = MemberStatus {
         vm: name(1),
         zone: None,
         address: address(99),
@@ -226,7 +226,7 @@
     let mut told = peers.some_addresses(9, 0, at(5100));
     told.sort_unstable();
     expect_that!(told, eq(&vec![address(1), address(2)]));
-    expect_that!(peers.live_count(at(5050).after(PEER_LIVES)), eq(1));
+    expect_that!(peers.live_count(at(5050).after(PEER_TIMEOUT)), eq(1));
 }
 
 /// Two VMs have streams on one engine and prompts still to be read there, and a third one chooses where to send its
@@ -247,7 +247,7 @@
         (1, vec![load(&shared, 2), load(&other, 1)]),
         (2, vec![load(&shared, 3)]),
     ] {
-        let note = PeerNote {
+        let note = PeerHeartbeat {
             loads,
             suspects: vec![other.id.clone()],
             ..note(n, 1, 1, Vec::new())
@@ -265,6 +265,6 @@
     );
     expect_that!(view.is_suspect(&other.id), eq(true));
     expect_that!(view.is_suspect(&shared.id), eq(false));
-    let old = peers.view(at(1000).after(PEER_LIVES));
+    let old = peers.view(at(1000).after(PEER_TIMEOUT));
     expect_that!(old.calls(&shared.id), eq(0));
 }
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,8 +1,8 @@
 //! Where prompts go when many VMs decide at once.
 
 use catkin_decisions::{
-    AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerNote, PlacementCandidate, PlacementFor,
-    Policy, SHARERS, UpstreamEntry, UpstreamLoad, place, place_copy, rank_of_vm, rendezvous_score,
+    AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerHeartbeat, PlacementCandidate, PlacementFor,
+    Policy, SHARERS_PER_UPSTREAM, UpstreamEntry, UpstreamLoad, place, place_copy, rank_of_vm, rendezvous_score,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -95,10 +95,10 @@
         index
     }
 
-    fn note(&mut self, entries: &[Arc<UpstreamEntry>], now: Instant) -> PeerNote {
+    fn note(&mut self, entries: &[Arc<UpstreamEntry>], now: Instant) -> PeerHeartbeat {
         self.notes += 1;
         let loads = entries.iter().zip(&self.loads);
-        PeerNote {
+        PeerHeartbeat {
             vm: self.vm.clone(),
             zone: self.zone.clone(),
             incarnation: 1,
@@ -140,7 +140,7 @@
         })
         .collect::<Vec<_>>();
     let mut prompts = vec![0_u32; entries.len()];
-    let mut notes: Vec<(u64, usize, PeerNote)> = Vec::new();
+    let mut notes: Vec<(u64, usize, PeerHeartbeat)> = Vec::new();
     for step in 0..2 * vms {
         let ms = 1000 + 3 * step as u64;
         let who = step % vms;
@@ -331,7 +331,7 @@
         now: at(1000),
     };
     let shared = |entry: &UpstreamEntry| {
-        entry.zone == own_zone && rank_of_vm(&entry.id, "vm-3", &vms) < SHARERS
+        entry.zone == own_zone && rank_of_vm(&entry.id, "vm-3", &vms) < SHARERS_PER_UPSTREAM
     };
     let candidates = entries
         .iter()
