--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -12,7 +12,7 @@
 pub(crate) struct AdmissionPool {
     pub(crate) service: ServiceId,
     pub(crate) timer: Arc<Timer>,
-    pub(crate) retry_budget: Mutex<RetryBudget>,
+    pub(crate) retry_budget: Mutex<ServiceRetryBudget>,
     pub(crate) hedge: Mutex<Hedge>,
     pub(crate) hot_keys: Mutex<HotKeys>,
     pub(crate) reads: Mutex<ReadMerger<oneshot::Sender<Merged>>>,
--- a/crates/catkinward/src/ctl.rs
+++ b/crates/catkinward/src/ctl.rs
@@ -6,7 +6,7 @@
     ctl_status, ctl_timeline,
     ctl_vms::CtlVms,
 };
-use catkin_decisions::CallBudgetSettings;
+use catkin_decisions::CallLimiterSettings;
 use std::process::ExitCode;
 
 /// Runs the operators' tool on a command line without the program's name.
@@ -52,11 +52,11 @@
 /// One operator makes a few calls, so the budget that VMs share is not needed; pauses after faults
 /// are the store's.
 fn platform(address: SocketAddr) -> Result<Arc<Platform>> {
-    let unlimited = CallBudgetSettings {
+    let unlimited = CallLimiterSettings {
         per_call: Duration::from_millis(1),
         burst: 1_000,
         faults_before_pause: u32::MAX,
-        ..CallBudgetSettings::default()
+        ..CallLimiterSettings::default()
     };
     let cfg = PlatformSettings {
         reads: unlimited,
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -35,7 +35,7 @@
     /// Its availability zone.
     pub zone: AvailabilityZone,
     /// Budget of repeats.
-    pub repeats: RepeatBudgetConfig,
+    pub repeats: RouteRetryBudgetConfig,
     /// Addresses of a few VMs for notes, to begin with; perhaps old ones.
     pub seeds: Vec<SocketAddr>,
     /// Which mechanisms decide.
@@ -64,7 +64,7 @@
     /// Held while engines are asked which prompts they hold.
     pub(crate) searching: tokio::sync::Mutex<()>,
     /// Loans of repeats that are awaited.
-    pub(crate) loans: Mutex<LoanDesk>,
+    pub(crate) loans: Mutex<LoanRequests>,
     /// When this process started.
     pub(crate) started: Instant,
     /// Calls that wait for a repeat.
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -22,10 +22,10 @@
         Admission, AnswerOutcome, Born, CHANGES_TOLD, COMPLETING, CONFIG_WAIT, CachedPrompts,
         ConfigVersion, Crash, CrashTally, EventFate, EventRelay, EventRun, EventSplitter,
         GOSSIP_AGE, GossipState, GossipView, JudgedReport, LinkRate, LoadReading, Loan, LoanAsk,
-        LoanDesk, MOST_CRASHES, MOST_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_LOST,
+        LoanRequests, MOST_CRASHES, MAX_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_LOST,
         OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerHeartbeat, PeerView,
         PlacementCandidate, PlacementFor, Policy, Presence, PresenceChange, PromptPart,
-        RepeatBudget, RepeatBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutFault,
+        RouteRetryBudget, RouteRetryBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutFault,
         RolloutGrant, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
         RolloutRecord, RolloutReport, RolloutSettings, RolloutVerdict, Rollouts, Route,
         RoutingConfig, SEARCH_BOUND, STANDBY_AGE, StaleRestart, StoredRecord, StreamPace, TableRow,
@@ -88,7 +88,7 @@
 mod prompt_search;
 mod read_progress;
 mod readiness;
-mod repeats;
+mod retries;
 mod reply;
 mod reply_log;
 mod rollout_store;
--- a/crates/catkinward/src/gateway/repeats.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -78,7 +78,7 @@
         if budget.left(&cfg, now) <= FEW_LEFT {
             let lenders = state
                 .peers
-                .some_addresses(MOST_LENDERS, rand::random(), now);
+                .some_addresses(MAX_LENDERS, rand::random(), now);
             drop(state);
             self.ask_for_loans(service, waiting + WANTED_BEYOND, lenders, now);
         }
@@ -146,10 +146,10 @@
     }
 
     /// The budget of repeats as it is divided now.
-    fn repeats(&self, state: &GatewayState, now: Instant) -> RepeatBudgetConfig {
+    fn repeats(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
         let settled = alone || now.since(self.started) >= SETTLED_AFTER;
-        RepeatBudgetConfig {
+        RouteRetryBudgetConfig {
             slack: if settled {
                 self.settings.repeats.slack
             } else {
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -11,7 +11,7 @@
     pub(crate) zones: ZoneAlarm,
     pub(crate) services_seen: ServicesSeen,
     /// Sorted by service.
-    budgets: Vec<(ServiceId, RepeatBudget)>,
+    budgets: Vec<(ServiceId, RouteRetryBudget)>,
     pub(crate) crashes: CrashTally,
     /// Calls whose connection broke lately, until it shows whether their upstream died.
     broken: Vec<Crash>,
@@ -192,11 +192,11 @@
             .retain(|u| u.health.in_flight() > 0 || directory.get_usable(&u.id, now).is_some());
     }
 
-    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut RepeatBudget {
+    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut RouteRetryBudget {
         let index = match self.budgets.binary_search_by(|(s, _)| s.cmp(service)) {
             Ok(index) => index,
             Err(index) => {
-                let budget = (service.clone(), RepeatBudget::default());
+                let budget = (service.clone(), RouteRetryBudget::default());
                 self.budgets.insert(index, budget);
                 index
             }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -4,7 +4,7 @@
     copy_keeper::CopyKeeper,
     health_check::probe,
     kept_copy::KeptCopy,
-    repeats::{CALL_PATIENCE, STREAM_PATIENCE},
+    retries::{CALL_PATIENCE, STREAM_PATIENCE},
     reply::StreamCut,
     reply_log::millis,
     run_guard::RunGuard,
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -22,7 +22,7 @@
         ProgressHead, ProgressLimits, ProgressRecord, ProgressStore, ProgressUpdate, QueuePlace,
         QueueTeam, Queued, ReadMerger, ReceivedEnd, ReceivedToken, RecordedAnswer, RecordedBody,
         RecoveryPolicy, RefusalReason, Relay, RequestDigest, RequestId, ReservedAttempt,
-        RetryBudget, ReturnPoint, SLICE_PERIOD, Service, ServiceId, ServiceKind, SliceGrant,
+        ServiceRetryBudget, ReturnPoint, SLICE_PERIOD, Service, ServiceId, ServiceKind, SliceGrant,
         SliceHome, SliceRequest, StallDetector, SuspectConflicts, SuspectRun, Team, TeamId,
         TeamSlice, Term, Token, TokenIndex, TokenLog, Upstream, UpstreamId, UpstreamRecord,
         UpstreamReport, Utf8Joiner, VmId, WallTime, choose, parse_hex, rendezvous_score,
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::http_client::{HttpError, json_bytes};
-use catkin_decisions::{CallBudget, CallBudgetSettings};
+use catkin_decisions::{CallLimiter, CallLimiterSettings};
 use futures::future::BoxFuture;
 
 /// Settings of the platform's client.
@@ -9,9 +9,9 @@
     /// Longest wait for an answer.
     pub bound: Duration,
     /// Budget of reads, scans, VM lists and objects fetched.
-    pub reads: CallBudgetSettings,
+    pub reads: CallLimiterSettings,
     /// Budget of transactions and objects stored.
-    pub writes: CallBudgetSettings,
+    pub writes: CallLimiterSettings,
 }
 
 /// Transactions a second that all VMs take of the platform together, which does several hundred.
@@ -38,12 +38,12 @@
         let reads = (READS_PER_SECOND / vms).max(LEAST_READS_PER_SECOND);
         let second = Duration::from_secs(1);
         Self {
-            reads: CallBudgetSettings {
+            reads: CallLimiterSettings {
                 per_call: second / reads,
                 burst: reads,
                 ..default.reads
             },
-            writes: CallBudgetSettings {
+            writes: CallLimiterSettings {
                 per_call: second * vms / WRITES_PER_SECOND,
                 burst: (WRITES_PER_SECOND / vms).div_ceil(2).max(1),
                 ..default.writes
@@ -57,12 +57,12 @@
     fn default() -> Self {
         Self {
             bound: Duration::from_secs(1),
-            reads: CallBudgetSettings {
+            reads: CallLimiterSettings {
                 per_call: Duration::from_millis(10),
                 burst: 50,
-                ..CallBudgetSettings::default()
+                ..CallLimiterSettings::default()
             },
-            writes: CallBudgetSettings::default(),
+            writes: CallLimiterSettings::default(),
         }
     }
 }
@@ -78,8 +78,8 @@
     timer: Arc<Timer>,
     address: SocketAddr,
     bound: Duration,
-    reads: Mutex<CallBudget>,
-    writes: Mutex<CallBudget>,
+    reads: Mutex<CallLimiter>,
+    writes: Mutex<CallLimiter>,
 }
 
 /// Which budget a call is taken from.
@@ -104,8 +104,8 @@
                 timer,
                 address,
                 bound: cfg.bound,
-                reads: Mutex::new(CallBudget::new(cfg.reads)),
-                writes: Mutex::new(CallBudget::new(cfg.writes)),
+                reads: Mutex::new(CallLimiter::new(cfg.reads)),
+                writes: Mutex::new(CallLimiter::new(cfg.writes)),
             }),
         };
         Self {
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use catkin_decisions::{
     Born, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadReading,
-    PeerHeartbeat, Policy, PromptPart, RepeatBudgetConfig, RolloutSettings, Route, RouteTable,
+    PeerHeartbeat, Policy, PromptPart, RouteRetryBudgetConfig, RolloutSettings, Route, RouteTable,
     RouteTarget, RoutingConfig, ServiceSpec, TableRow, UpstreamEntry, ZoneGossip,
 };
 use catkinward::{
@@ -50,7 +50,7 @@
     upstreams: Vec<UpstreamEntry>,
     routes: Vec<Route>,
     keys: Option<Vec<CallerKey>>,
-    repeats: RepeatBudgetConfig,
+    repeats: RouteRetryBudgetConfig,
     script: Scripted,
     alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     born: Starts,
@@ -81,9 +81,9 @@
                 route("/stream-once/", CallKind::Stream, ENGINES),
             ],
             keys: None,
-            repeats: RepeatBudgetConfig {
+            repeats: RouteRetryBudgetConfig {
                 slack: 100.0,
-                ..RepeatBudgetConfig::default()
+                ..RouteRetryBudgetConfig::default()
             },
             script: Box::new(script),
             alive: Arc::new(|_| true),
@@ -139,7 +139,7 @@
         self
     }
 
-    pub fn repeats(mut self, repeats: RepeatBudgetConfig) -> Self {
+    pub fn repeats(mut self, repeats: RouteRetryBudgetConfig) -> Self {
         self.repeats = repeats;
         self
     }
--- a/crates/decisions/src/call_budget.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -11,9 +11,9 @@
 
 use super::*;
 
-/// Settings of a [`CallBudget`].
+/// Settings of a [`CallLimiter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallBudgetSettings {
+pub struct CallLimiterSettings {
     /// Time in which one call is earned; of 400 VMs each earns less than one a second.
     pub per_call: Duration,
     /// Calls that may come at once.
@@ -27,7 +27,7 @@
     pub longest_pause: Duration,
 }
 
-impl Default for CallBudgetSettings {
+impl Default for CallLimiterSettings {
     fn default() -> Self {
         Self {
             per_call: Duration::from_millis(25),
@@ -41,18 +41,18 @@
 
 /// Budget of calls: a token bucket, closed for growing pauses while calls fail.
 #[derive(Clone, Debug)]
-pub struct CallBudget {
-    cfg: CallBudgetSettings,
+pub struct CallLimiter {
+    cfg: CallLimiterSettings,
     /// Time at which the bucket is full again.
     full_at: Duration,
     faults: u32,
     closed_until: Instant,
 }
 
-impl CallBudget {
+impl CallLimiter {
     /// A full budget.
     #[must_use]
-    pub fn new(cfg: CallBudgetSettings) -> Self {
+    pub fn new(cfg: CallLimiterSettings) -> Self {
         Self {
             cfg,
             full_at: Duration::ZERO,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -41,7 +41,7 @@
     bundle_version::BundleVersion,
     bundle_view::{BundleView, PEERS_WORD_AFTER},
     cached_prompts::{CACHE_WORD_AGE, CachedPrompts, PromptPart, SEARCH_BOUND},
-    call_budget::{CallBudget, CallBudgetSettings},
+    call_limiter::{CallLimiter, CallLimiterSettings},
     call_key::CallKey,
     call_kind::CallKind,
     candidate::Candidate,
@@ -95,7 +95,7 @@
     leaving_source::LeavingSource,
     limit_kind::LimitKind,
     link_rate::LinkRate,
-    loan_desk::{LoanDesk, MOST_LENDERS},
+    loan_requests::{LoanRequests, MAX_LENDERS},
     model::Model,
     operator_name::OperatorName,
     order_permit::OrderPermit,
@@ -128,12 +128,12 @@
     refusal_reason::RefusalReason,
     relay::Relay,
     rendezvous::{rank_among, rendezvous_rank, rendezvous_score},
-    repeat_budget::{RepeatBudget, RepeatBudgetConfig},
+    route_retry_budget::{RouteRetryBudget, RouteRetryBudgetConfig},
     request_digest::RequestDigest,
     request_id::RequestId,
     request_state::{Dispatched, Done, NotRun, NotRunEvidence, Queued, Unknown},
     reserved_attempt::ReservedAttempt,
-    retry_budget::{RetryBudget, RetryBudgetConfig},
+    service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
     retry_refusal::RetryRefusal,
     return_point::ReturnPoint,
     rollout::{OWNER_LOST, Rollout},
@@ -217,7 +217,7 @@
 mod bundle_version;
 mod bundle_view;
 mod cached_prompts;
-mod call_budget;
+mod call_limiter;
 mod call_key;
 mod call_kind;
 mod call_table;
@@ -273,7 +273,7 @@
 mod leaving_source;
 mod limit_kind;
 mod link_rate;
-mod loan_desk;
+mod loan_requests;
 mod model;
 mod operator_name;
 mod order_permit;
@@ -303,12 +303,12 @@
 mod refusal_reason;
 mod relay;
 mod rendezvous;
-mod repeat_budget;
+mod route_retry_budget;
 mod request_digest;
 mod request_id;
 mod request_state;
 mod reserved_attempt;
-mod retry_budget;
+mod service_retry_budget;
 mod retry_refusal;
 mod return_point;
 mod rollout;
--- a/crates/decisions/src/loan_desk.rs
+++ b/crates/decisions/src/loan_requests.rs
@@ -14,7 +14,7 @@
 const ASK_PAUSE: Duration = Duration::from_millis(15);
 
 /// VMs asked at a time.
-pub const MOST_LENDERS: usize = 6;
+pub const MAX_LENDERS: usize = 6;
 
 /// How long a loan is awaited: far longer than an answer takes, far shorter than the window of the
 /// lender's budget, in which what it gave counts as spent.
@@ -22,7 +22,7 @@
 
 /// Questions of this VM that are open.
 #[derive(Clone, Debug, Default)]
-pub struct LoanDesk {
+pub struct LoanRequests {
     /// In the order in which they were asked.
     open: Vec<OpenAsk>,
     last_number: u64,
@@ -36,7 +36,7 @@
     lenders: Vec<SocketAddr>,
 }
 
-impl LoanDesk {
+impl LoanRequests {
     /// Begins a question to `lenders`, unless one has just been sent.
     pub fn ask(
         &mut self,
--- a/crates/decisions/src/repeat_budget.rs
+++ b/crates/decisions/src/route_retry_budget.rs
@@ -23,9 +23,9 @@
 /// over a window less one bucket, repeats over a window and one bucket.
 const USED_PART: f64 = 0.97;
 
-/// Settings of a [`RepeatBudget`].
+/// Settings of a [`RouteRetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatBudgetConfig {
+pub struct RouteRetryBudgetConfig {
     /// Repeats for each call.
     pub ratio: f64,
     /// Repeats beyond that over all VMs.
@@ -36,7 +36,7 @@
     pub vms: u32,
 }
 
-impl Default for RepeatBudgetConfig {
+impl Default for RouteRetryBudgetConfig {
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -49,11 +49,11 @@
 
 /// Counts of the calls and repeats of one service.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
+pub struct RouteRetryBudget {
     buckets: [Bucket; KEPT],
 }
 
-impl Default for RepeatBudget {
+impl Default for RouteRetryBudget {
     fn default() -> Self {
         Self {
             buckets: [Bucket::default(); KEPT],
@@ -71,14 +71,14 @@
     borrowed: u32,
 }
 
-impl RepeatBudget {
+impl RouteRetryBudget {
     /// Notes a caller's call.
-    pub fn called(&mut self, cfg: &RepeatBudgetConfig, now: Instant) {
+    pub fn called(&mut self, cfg: &RouteRetryBudgetConfig, now: Instant) {
         self.bucket(cfg, now).calls += 1;
     }
 
     /// Pays for sending a call once more; `false` if there is nothing left.
-    pub fn pay(&mut self, cfg: &RepeatBudgetConfig, now: Instant) -> bool {
+    pub fn pay(&mut self, cfg: &RouteRetryBudgetConfig, now: Instant) -> bool {
         let paid = self.left(cfg, now) > 0;
         if paid {
             self.bucket(cfg, now).repeats += 1;
@@ -88,7 +88,7 @@
 
     /// Repeats that may be sent now.
     #[must_use]
-    pub fn left(&self, cfg: &RepeatBudgetConfig, now: Instant) -> u32 {
+    pub fn left(&self, cfg: &RouteRetryBudgetConfig, now: Instant) -> u32 {
         let current = number(cfg, now);
         let oldest_repeats = current.saturating_sub(u64::from(BUCKETS));
         let oldest_calls = oldest_repeats + 1;
@@ -111,18 +111,18 @@
 
     /// Gives repeats to another VM: what it wants, down to the last. Another call waits there, and none here;
     /// with the last one kept back by each of 90 VMs, a tenth of all repeats was of no use to anybody.
-    pub fn lend(&mut self, cfg: &RepeatBudgetConfig, wanted: u32, now: Instant) -> u32 {
+    pub fn lend(&mut self, cfg: &RouteRetryBudgetConfig, wanted: u32, now: Instant) -> u32 {
         let given = wanted.min(self.left(cfg, now));
         self.bucket(cfg, now).repeats += given;
         given
     }
 
     /// Takes in repeats that another VM gave.
-    pub fn borrow(&mut self, cfg: &RepeatBudgetConfig, given: u32, now: Instant) {
+    pub fn borrow(&mut self, cfg: &RouteRetryBudgetConfig, given: u32, now: Instant) {
         self.bucket(cfg, now).borrowed += given;
     }
 
-    fn bucket(&mut self, cfg: &RepeatBudgetConfig, now: Instant) -> &mut Bucket {
+    fn bucket(&mut self, cfg: &RouteRetryBudgetConfig, now: Instant) -> &mut Bucket {
         let number = number(cfg, now);
         let index = usize::try_from(number).unwrap_or(0) % self.buckets.len();
         let bucket = &mut self.buckets[index];
@@ -136,7 +136,7 @@
     }
 }
 
-fn number(cfg: &RepeatBudgetConfig, now: Instant) -> u64 {
+fn number(cfg: &RouteRetryBudgetConfig, now: Instant) -> u64 {
     let length = (cfg.window / BUCKETS).max(Duration::from_millis(1));
     // One is added so that no bucket in use has the number of an unused one.
     u64::try_from(now.0.as_nanos() / length.as_nanos()).unwrap_or(u64::MAX - 1) + 1
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/service_retry_budget.rs
@@ -13,9 +13,9 @@
 
 use super::*;
 
-/// Settings of a [`RetryBudget`].
+/// Settings of a [`ServiceRetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBudgetConfig {
+pub struct ServiceRetryBudgetConfig {
     /// Successes that earn one retry.
     pub successes_per_retry: u32,
     /// Retries that can be saved up, and that a new budget holds.
@@ -28,7 +28,7 @@
     pub max_wait: Duration,
 }
 
-impl Default for RetryBudgetConfig {
+impl Default for ServiceRetryBudgetConfig {
     fn default() -> Self {
         Self {
             successes_per_retry: 10,
@@ -43,16 +43,16 @@
 /// Retries that one kind of call may still make. Each service, and each kind of call of the
 /// platform, has a budget of its own, so that the outage of one does not use up another's.
 #[derive(Clone, Debug)]
-pub struct RetryBudget {
-    cfg: RetryBudgetConfig,
+pub struct ServiceRetryBudget {
+    cfg: ServiceRetryBudgetConfig,
     /// In successes, so that no fraction is lost.
     saved: u32,
 }
 
-impl RetryBudget {
+impl ServiceRetryBudget {
     /// A full budget.
     #[must_use]
-    pub fn new(cfg: RetryBudgetConfig) -> Self {
+    pub fn new(cfg: ServiceRetryBudgetConfig) -> Self {
         Self {
             cfg,
             saved: cfg.burst * cfg.successes_per_retry,
@@ -103,8 +103,8 @@
     }
 }
 
-impl Default for RetryBudget {
+impl Default for ServiceRetryBudget {
     fn default() -> Self {
-        Self::new(RetryBudgetConfig::default())
+        Self::new(ServiceRetryBudgetConfig::default())
     }
 }
--- a/crates/decisions/tests/call_budget.rs
+++ b/crates/decisions/tests/call_limiter.rs
@@ -1,6 +1,6 @@
 //! Budget of calls of the platform: no storm in an outage or at its end.
 
-use catkin_decisions::{CallBudget, CallBudgetSettings, Instant};
+use catkin_decisions::{CallLimiter, CallLimiterSettings, Instant};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
     Instant(Duration::from_millis(ms))
 }
 
-fn budget() -> CallBudget {
-    CallBudget::new(CallBudgetSettings {
+fn budget() -> CallLimiter {
+    CallLimiter::new(CallLimiterSettings {
         per_call: Duration::from_millis(100),
         burst: 5,
-        ..CallBudgetSettings::default()
+        ..CallLimiterSettings::default()
     })
 }
 
--- a/crates/decisions/tests/repeat_budget.rs
+++ b/crates/decisions/tests/route_retry_budget.rs
@@ -1,6 +1,6 @@
 //! Repeats over all VMs in any window.
 
-use catkin_decisions::{Instant, RepeatBudget, RepeatBudgetConfig};
+use catkin_decisions::{Instant, RouteRetryBudget, RouteRetryBudgetConfig};
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop, prop_assert, prop_oneof, proptest};
 use rand::{RngExt, SeedableRng};
@@ -9,8 +9,8 @@
 
 const VMS: u32 = 8;
 
-fn cfg() -> RepeatBudgetConfig {
-    RepeatBudgetConfig {
+fn cfg() -> RouteRetryBudgetConfig {
+    RouteRetryBudgetConfig {
         ratio: 0.8,
         slack: 150.0,
         window: Duration::from_secs(10),
@@ -27,7 +27,7 @@
 #[gtest]
 fn all_vms_together_stay_within_the_budget() {
     let cfg = cfg();
-    let mut vms = vec![RepeatBudget::default(); VMS as usize];
+    let mut vms = vec![RouteRetryBudget::default(); VMS as usize];
     let (mut calls, mut repeats) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(5) {
         for (index, vm) in vms.iter_mut().enumerate() {
@@ -64,7 +64,7 @@
 #[gtest]
 fn a_vm_without_calls_has_its_part_of_the_slack() {
     let cfg = cfg();
-    let mut vm = RepeatBudget::default();
+    let mut vm = RouteRetryBudget::default();
 
     let paid = (0..1000).filter(|_| vm.pay(&cfg, at(1000))).count();
 
@@ -77,7 +77,7 @@
 #[gtest]
 fn a_vm_that_runs_short_is_lent_repeats_within_the_budget() {
     let cfg = cfg();
-    let mut vms = vec![RepeatBudget::default(); VMS as usize];
+    let mut vms = vec![RouteRetryBudget::default(); VMS as usize];
     let mut sent = 0;
     for step in 0..40 {
         let now = at(1000 + step);
@@ -105,9 +105,9 @@
 /// the last nobody goes without while the sum is there, or one stream in six was cut.
 #[gtest]
 fn a_mass_crash_leaves_no_vm_without_repeats_while_others_have_some() {
-    let cfg = RepeatBudgetConfig { vms: 90, ..cfg() };
+    let cfg = RouteRetryBudgetConfig { vms: 90, ..cfg() };
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let mut vms = vec![RepeatBudget::default(); 90];
+    let mut vms = vec![RouteRetryBudget::default(); 90];
     let (mut needed, mut sent) = (0, 0);
     for ms in (0..20_000).step_by(10) {
         // 85 streams a second over all VMs.
@@ -128,9 +128,9 @@
 
 /// Pays, or asks six VMs for two repeats each, five times at most.
 fn pay_with_loans(
-    vms: &mut [RepeatBudget],
+    vms: &mut [RouteRetryBudget],
     borrower: usize,
-    cfg: &RepeatBudgetConfig,
+    cfg: &RouteRetryBudgetConfig,
     rng: &mut impl rand::RngExt,
     now: Instant,
 ) -> bool {
@@ -178,7 +178,7 @@
     #[test]
     fn the_sum_holds_over_loans_losses_and_time(steps in prop::collection::vec(step(), 1..1500)) {
         let cfg = cfg();
-        let mut vms = vec![Some(RepeatBudget::default()); VMS as usize];
+        let mut vms = vec![Some(RouteRetryBudget::default()); VMS as usize];
         let (mut ms, mut calls, mut repeats) = (0, Vec::new(), Vec::new());
         for step in steps {
             match step {
@@ -208,7 +208,7 @@
 #[gtest]
 fn a_loan_ends_with_its_window() {
     let cfg = cfg();
-    let mut vm = RepeatBudget::default();
+    let mut vm = RouteRetryBudget::default();
     vm.borrow(&cfg, 10, at(1000));
 
     let (at_once, later) = (vm.left(&cfg, at(1000)), vm.left(&cfg, at(11_600)));
@@ -218,14 +218,14 @@
 
 mod loans {
     use super::*;
-    use catkin_decisions::{Loan, LoanDesk};
+    use catkin_decisions::{Loan, LoanRequests};
     use std::net::SocketAddr;
 
     fn vm(n: u8) -> SocketAddr {
         ([127, 0, 0, n], 7201).into()
     }
 
-    fn asked(desk: &mut LoanDesk, lenders: &[u8], now: Instant) -> Option<Loan> {
+    fn asked(desk: &mut LoanRequests, lenders: &[u8], now: Instant) -> Option<Loan> {
         let lenders = lenders.iter().map(|n| vm(*n)).collect();
         let ask = desk.ask(&"engines".parse().unwrap(), 6, lenders, now)?;
         Some(Loan {
@@ -238,7 +238,7 @@
     /// A datagram arrives twice. Counted twice, the VMs together would repeat more than they may.
     #[gtest]
     fn a_loan_counts_once() {
-        let mut desk = LoanDesk::default();
+        let mut desk = LoanRequests::default();
         let loan = asked(&mut desk, &[1, 2], at(0)).unwrap();
 
         let given = [1, 1, 2, 3].map(|n| desk.receive(&loan, vm(n), at(5)));
@@ -250,7 +250,7 @@
     /// have less already.
     #[gtest]
     fn a_loan_that_the_next_question_overtook_counts() {
-        let mut desk = LoanDesk::default();
+        let mut desk = LoanRequests::default();
         let first = asked(&mut desk, &[1], at(0)).unwrap();
         let second = asked(&mut desk, &[2], at(20)).unwrap();
 
@@ -263,7 +263,7 @@
     /// A loan that was given seconds ago arrives at last. Its lender's allowance is whole again by then.
     #[gtest]
     fn a_loan_of_an_older_question_does_not_count() {
-        let mut desk = LoanDesk::default();
+        let mut desk = LoanRequests::default();
         let late = asked(&mut desk, &[1], at(0)).unwrap();
         asked(&mut desk, &[1], at(5000)).unwrap();
 
@@ -273,7 +273,7 @@
     /// The same, and nothing was asked since.
     #[gtest]
     fn a_loan_that_comes_after_half_a_second_does_not_count() {
-        let mut desk = LoanDesk::default();
+        let mut desk = LoanRequests::default();
         let late = asked(&mut desk, &[1], at(0)).unwrap();
 
         expect_that!(desk.receive(&late, vm(1), at(501)), eq(0));
@@ -281,7 +281,7 @@
 
     #[gtest]
     fn questions_do_not_follow_each_other_at_once() {
-        let mut desk = LoanDesk::default();
+        let mut desk = LoanRequests::default();
         let asked = [0, 5, 20].map(|ms| asked(&mut desk, &[1], at(ms)).is_some());
 
         expect_that!(asked, eq([true, false, true]));
--- a/crates/decisions/tests/retry_budget.rs
+++ b/crates/decisions/tests/service_retry_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget.
 
-use catkin_decisions::{FailedCall, RetryBudget, RetryBudgetConfig, RetryRefusal};
+use catkin_decisions::{FailedCall, ServiceRetryBudget, ServiceRetryBudgetConfig, RetryRefusal};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 }
 
 /// Calls sent in an outage that all callers' calls fail in.
-fn sent_in_outage(budget: &mut RetryBudget, calls: u32) -> u32 {
+fn sent_in_outage(budget: &mut ServiceRetryBudget, calls: u32) -> u32 {
     (0..calls)
         .map(|_| {
             let mut call = idempotent();
@@ -30,10 +30,10 @@
 /// callers notice it as an outage that goes on after its cause is gone.
 #[gtest]
 fn an_outage_adds_at_most_a_tenth() {
-    let mut budget = RetryBudget::default();
-    let mut unbounded = RetryBudget::new(RetryBudgetConfig {
+    let mut budget = ServiceRetryBudget::default();
+    let mut unbounded = ServiceRetryBudget::new(ServiceRetryBudgetConfig {
         successes_per_retry: 0,
-        ..RetryBudgetConfig::default()
+        ..ServiceRetryBudgetConfig::default()
     });
 
     let sent = sent_in_outage(&mut budget, 1000);
@@ -45,7 +45,7 @@
 
 #[gtest]
 fn successes_earn_retries() {
-    let mut budget = RetryBudget::default();
+    let mut budget = ServiceRetryBudget::default();
     sent_in_outage(&mut budget, 1000);
 
     let refused = budget.retry(idempotent(), 0.5);
@@ -62,7 +62,7 @@
 /// write the record twice.
 #[gtest]
 fn never_repeats_what_may_have_run() {
-    let mut budget = RetryBudget::default();
+    let mut budget = ServiceRetryBudget::default();
     let call = FailedCall {
         sent: 1,
         ..FailedCall::default()
@@ -84,7 +84,7 @@
 /// A request crashes each upstream that runs it. Retried, it would take one upstream after another.
 #[gtest]
 fn never_repeats_a_poisoned_request() {
-    let mut budget = RetryBudget::default();
+    let mut budget = ServiceRetryBudget::default();
     let call = FailedCall {
         poisoned: true,
         ..idempotent()
@@ -99,7 +99,7 @@
 proptest! {
     #[test]
     fn retries_never_exceed_what_successes_earned(events in prop::collection::vec(any::<bool>(), 0..400)) {
-        let mut budget = RetryBudget::default();
+        let mut budget = ServiceRetryBudget::default();
         let (mut successes, mut retries) = (0, 0);
 
         for success in events {
@@ -116,7 +116,7 @@
 
     #[test]
     fn waits_stay_below_their_bound(sent in 1..3_u32, random in 0.0..1.0_f64) {
-        let mut budget = RetryBudget::default();
+        let mut budget = ServiceRetryBudget::default();
 
         let wait = budget.retry(FailedCall { sent, ..idempotent() }, random).expect("a full budget");
 
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -4,7 +4,7 @@
     Condition, PlatformFaults, PlatformOutage, Row, RowKey, ScanRequest, TransactRequest, VmEntry,
     VmKind, VmState, Write,
 };
-use catkin_decisions::{CallBudgetSettings, Instant};
+use catkin_decisions::{CallLimiterSettings, Instant};
 use catkin_standins::{PlatformServer, PlatformStore};
 use catkinward::{Platform, PlatformFault, PlatformSettings, Timer, http_client::Connections};
 use googletest::prelude::*;
@@ -24,9 +24,9 @@
     let connections = Arc::new(Connections::new().expect("a client"));
     let cfg = PlatformSettings {
         bound: Duration::from_millis(300),
-        writes: CallBudgetSettings {
+        writes: CallLimiterSettings {
             faults_before_pause: 100,
-            ..CallBudgetSettings::default()
+            ..CallLimiterSettings::default()
         },
         ..PlatformSettings::default()
     };
