--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -73,7 +73,7 @@
     #[from(skip)]
     Held {
         /// Why.
-        hold: PoisonHold,
+        hold: PoisonBlock,
     },
     /// The call failed.
     #[display("{_0}")]
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -20,9 +20,9 @@
     },
     catkin_decisions::{
         Admission, AnswerOutcome, Born, CHANGES_TOLD, COMPLETING, CONFIG_WAIT, CachedPrompts,
-        ConfigVersion, Crash, CrashTally, EventFate, EventRelay, EventRun, EventSplitter,
+        ConfigVersion, Crash, CrashTracker, EventFate, EventRelay, EventRun, EventSplitter,
         GOSSIP_AGE, GossipState, GossipView, JudgedReport, LinkRate, LoadReading, Loan, LoanAsk,
-        LoanRequests, MOST_CRASHES, MAX_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_LOST,
+        LoanRequests, MAX_CRASHES_PER_BODY, MAX_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_LOST,
         OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerHeartbeat, PeerView,
         PlacementCandidate, PlacementFor, Policy, Presence, PresenceChange, PromptPart,
         RouteRetryBudget, RouteRetryBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutFault,
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -12,7 +12,7 @@
     pub(crate) services_seen: ServicesSeen,
     /// Sorted by service.
     budgets: Vec<(ServiceId, RouteRetryBudget)>,
-    pub(crate) crashes: CrashTally,
+    pub(crate) crashes: CrashTracker,
     /// Calls whose connection broke lately, until it shows whether their upstream died.
     broken: Vec<Crash>,
     pub(crate) peers: PeerLoads,
@@ -79,7 +79,7 @@
             zones: ZoneAlarm::default(),
             services_seen: ServicesSeen::default(),
             budgets: Vec::new(),
-            crashes: CrashTally::default(),
+            crashes: CrashTracker::default(),
             broken: Vec::new(),
             peers: PeerLoads::new(vm),
             cached: CachedPrompts::default(),
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -62,7 +62,7 @@
     /// request. Connections also break while their upstreams live, so these are asked first: it costs a
     /// round trip, and only those whose third run ends before its first event.
     async fn kills_upstreams(&mut self) -> bool {
-        if self.broke_beginning.len() < MOST_CRASHES {
+        if self.broke_beginning.len() < MAX_CRASHES_PER_BODY {
             return false;
         }
         let probes = self.broke_beginning.iter();
@@ -71,7 +71,7 @@
         let mut live = live.into_iter();
         self.broke_beginning
             .retain(|_| !live.next().unwrap_or(true));
-        self.broke_beginning.len() >= MOST_CRASHES
+        self.broke_beginning.len() >= MAX_CRASHES_PER_BODY
     }
 
     async fn may_send_again(&mut self) -> bool {
--- a/crates/catkinward/src/gossip.rs
+++ b/crates/catkinward/src/gossip.rs
@@ -9,7 +9,7 @@
     /// Upstreams that are leaving, by incarnation.
     pub leaving: Vec<(UpstreamId, Incarnation)>,
     /// Requests that upstreams died under.
-    pub poison: Vec<PoisonMark>,
+    pub poison: Vec<PoisonRecord>,
     /// Runs of suspects that the sender is about to start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectRun>,
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -18,7 +18,7 @@
         DropReason, DroppedCounts, Eligible, EnginePriority, FailedCall, Finish, FoundClaim,
         GroupAnswer, Hedge, HeldClaim, HotKeys, HybridClock, IdempotencyKey, Incarnation, Instant,
         KeptProgress, KeyHash, Lane, LeavingSource, LimitKind, Model, NotRun, NotRunEvidence,
-        PathRule, PeerEntry, PeerTable, PoisonHold, PoisonMark, PoisonRun, PoisonTracker,
+        PathRule, PeerEntry, PeerTable, PoisonBlock, PoisonRecord, PoisonRun, PoisonTracker,
         ProgressHead, ProgressLimits, ProgressRecord, ProgressStore, ProgressUpdate, QueuePlace,
         QueueTeam, Queued, ReadMerger, ReceivedEnd, ReceivedToken, RecordedAnswer, RecordedBody,
         RecoveryPolicy, RefusalReason, Relay, RequestDigest, RequestId, ReservedAttempt,
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -98,7 +98,7 @@
 
     /// Sends VMs the deaths under a request, and takes what they know of these deaths: all VMs of a small
     /// system, [`MOST_CONFERRED`] of a larger one. Waits for their answers up to [`PROBE_TIMEOUT`].
-    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonMark>) -> ExchangeTally {
+    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonRecord>) -> ExchangeTally {
         let now = self.timer.now();
         let peers = self.table.lock().nearest_of_all(now, MOST_CONFERRED);
         let gossip = Gossip {
@@ -113,7 +113,7 @@
     pub(crate) async fn announce(
         self: &Arc<Self>,
         run: SuspectRun,
-        poison: Vec<PoisonMark>,
+        poison: Vec<PoisonRecord>,
     ) -> ExchangeTally {
         let now = self.timer.now();
         let (peers, awaited) = {
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -186,34 +186,34 @@
 
     /// Marks of requests that upstreams died under, for a peer; each is told eight times.
     #[must_use]
-    pub fn poison_deltas(&self) -> Vec<PoisonMark> {
+    pub fn poison_deltas(&self) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().deltas(now)
     }
 
     /// Such marks of one request.
     #[must_use]
-    pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonMark> {
+    pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().marks_of(digest, now)
     }
 
     /// Marks of the requests that are refused here, for a peer that tells of deaths which they explain.
     #[must_use]
-    pub fn culprits(&self, marks: &[PoisonMark]) -> Vec<PoisonMark> {
+    pub fn culprits(&self, marks: &[PoisonRecord]) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().culprits(marks, now)
     }
 
     /// All such marks.
     #[must_use]
-    pub fn poison_marks(&self) -> Vec<PoisonMark> {
+    pub fn poison_marks(&self) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().marks(now)
     }
 
     /// Takes such marks from a peer.
-    pub fn merge_poison(&self, marks: &[PoisonMark], peer: &VmId) {
+    pub fn merge_poison(&self, marks: &[PoisonRecord], peer: &VmId) {
         let now = self.known.timer.now();
         let new = self.known.poison.lock().merge(marks, now);
         if !new.is_empty() {
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -1,6 +1,6 @@
 //! The connections between VMs.
 
-use catkin_decisions::{PeerEntry, PoisonMark, TokenIndex, UpstreamDeath};
+use catkin_decisions::{PeerEntry, PoisonRecord, TokenIndex, UpstreamCrashId};
 use catkinward::{
     BundleInForce, Generations, Gossip, Node, PEER_PROTOCOL, PeerBody, PeerChallenge, PeerFault,
     PeerHello, PeerKey, PeerMessage, PeerParts, Peers, ProcessClock, Settings, Timeline, Timer,
@@ -203,9 +203,9 @@
 #[gtest]
 #[tokio::test]
 async fn a_vm_that_asks_about_deaths_is_told_who_caused_them() {
-    let mark = |digest: u64, death: u64| PoisonMark {
+    let mark = |digest: u64, death: u64| PoisonRecord {
         digest: format!("{digest:032x}").parse().expect("a digest"),
-        death: UpstreamDeath(death),
+        death: UpstreamCrashId(death),
         cleared: false,
         age_ms: 0,
     };
@@ -237,7 +237,7 @@
         panic!("no news");
     };
     let named = culprit.map(|mark| {
-        let same = |told: &PoisonMark| (told.digest, told.death) == (mark.digest, mark.death);
+        let same = |told: &PoisonRecord| (told.digest, told.death) == (mark.digest, mark.death);
         told.poison.iter().any(same)
     });
     expect_that!(named, eq([true, true]));
--- a/crates/decisions/src/crash_tally.rs
+++ b/crates/decisions/src/crash_tracker.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 /// Upstreams that may die under one body. Two may be chance: whole availability zones crash together.
-pub const MOST_CRASHES: usize = 3;
+pub const MAX_CRASHES_PER_BODY: usize = 3;
 
 /// How long a crash counts: far longer than callers go on asking.
 const EXPIRY: Duration = Duration::from_secs(600);
@@ -23,7 +23,7 @@
 
 /// Deaths of upstreams by the digest of the body that ran there.
 #[derive(Clone, Debug, Default)]
-pub struct CrashTally {
+pub struct CrashTracker {
     /// Sorted by digest and upstream.
     crashes: Vec<KnownCrash>,
 }
@@ -50,7 +50,7 @@
     pub cleared: bool,
 }
 
-impl CrashTally {
+impl CrashTracker {
     /// Notes a death; tells whether it is news.
     pub fn crashed(&mut self, crash: Crash) -> bool {
         let key = (crash.digest, &crash.upstream);
@@ -122,7 +122,7 @@
     /// Whether a body is refused.
     #[must_use]
     pub fn refuses(&self, digest: u64, now: Instant) -> bool {
-        self.crashes(digest, now) >= MOST_CRASHES
+        self.crashes(digest, now) >= MAX_CRASHES_PER_BODY
     }
 
     /// Whether a body that was to be refused earlier than this one ran on the same upstream.
@@ -138,7 +138,7 @@
     /// When so many upstreams had died under a body that it is refused, whoever ran beside it.
     fn refused_at(&self, digest: u64, now: Instant) -> Option<Instant> {
         let times = self.counted(digest, now).map(|crash| crash.at);
-        Instant::nth_smallest(times, MOST_CRASHES)
+        Instant::nth_smallest(times, MAX_CRASHES_PER_BODY)
     }
 
     fn counted(&self, digest: u64, now: Instant) -> impl Iterator<Item = &Crash> {
--- a/crates/decisions/src/suspicion.rs
+++ b/crates/decisions/src/failure_ejection.rs
@@ -23,12 +23,12 @@
 
 /// Failures of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Suspicion {
+pub struct FailureEjection {
     failures: u32,
     last: Instant,
 }
 
-impl Suspicion {
+impl FailureEjection {
     /// Notes a failure: no connection, a broken or silent stream, a garbled answer. Failures of
     /// calls that were under way together count as one.
     pub fn failed(&mut self, now: Instant) {
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -60,7 +60,7 @@
     concurrency_limit::{ConcurrencyLimit, ConcurrencyLimitConfig},
     config_sharing::link_carries_config,
     config_version::ConfigVersion,
-    crash_tally::{Crash, CrashTally, MOST_CRASHES},
+    crash_tracker::{Crash, CrashTracker, MAX_CRASHES_PER_BODY},
     delivery::Delivery,
     draft_id::DraftId,
     drop_reason::DropReason,
@@ -113,9 +113,9 @@
         NOT_SHARED, OTHER_PART, OTHER_ZONE_STREAM, PlacementCandidate, PlacementFor, STREAM_COST,
         place, place_copy, rank_of_vm,
     },
-    poison_hold::PoisonHold,
-    poison_mark::PoisonMark,
-    poison_tracker::{MOST_DEATHS, PoisonRun, PoisonTracker, WATCHED_STEPS},
+    poison_block::PoisonBlock,
+    poison_record::PoisonRecord,
+    poison_tracker::{MAX_CRASHES_PER_DIGEST, PoisonRun, PoisonTracker, PROBATION_STEPS},
     policy::Policy,
     progress_head::ProgressHead,
     progress_record::ProgressRecord,
@@ -166,7 +166,7 @@
     subset::{OTHER_ZONES, OWN_ZONE, subset},
     suspect_run::SuspectRun,
     suspect_runs::{SuspectConflicts, SuspectRuns},
-    suspicion::Suspicion,
+    failure_ejection::FailureEjection,
     table_row::TableRow,
     team::Team,
     team_id::TeamId,
@@ -177,7 +177,7 @@
     token_index::TokenIndex,
     token_log::TokenLog,
     upstream::Upstream,
-    upstream_death::UpstreamDeath,
+    upstream_crash_id::UpstreamCrashId,
     upstream_directory::{LAPSE_GRACE, Presence, PresenceChange, UpstreamDirectory, UpstreamEntry},
     upstream_evidence::{EVIDENCE_BOUND, UpstreamEvidence},
     upstream_health::{PROBE_TIMEOUT, SILENCE, UpstreamHealth},
@@ -236,7 +236,7 @@
 mod concurrency_limit;
 mod config_sharing;
 mod config_version;
-mod crash_tally;
+mod crash_tracker;
 mod delivery;
 mod draft_id;
 mod drop_reason;
@@ -288,8 +288,8 @@
 mod peer_table;
 mod peer_view;
 mod placement;
-mod poison_hold;
-mod poison_mark;
+mod poison_block;
+mod poison_record;
 mod poison_tracker;
 mod policy;
 mod progress_head;
@@ -339,7 +339,7 @@
 mod subset;
 mod suspect_run;
 mod suspect_runs;
-mod suspicion;
+mod failure_ejection;
 mod table_row;
 mod team;
 mod team_id;
@@ -350,7 +350,7 @@
 mod token_index;
 mod token_log;
 mod upstream;
-mod upstream_death;
+mod upstream_crash_id;
 mod upstream_directory;
 mod upstream_evidence;
 mod upstream_health;
--- a/crates/decisions/src/poison_hold.rs
+++ b/crates/decisions/src/poison_block.rs
@@ -2,7 +2,7 @@
 
 /// Why a request may not start on an upstream.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
-pub enum PoisonHold {
+pub enum PoisonBlock {
     /// Upstreams died under it; it runs nowhere until its marks expire.
     #[display("upstreams died under this request")]
     Refused,
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -8,12 +8,12 @@
 //! next run: on one upstream at a time, with no other watched digest beside it. So a second death
 //! marks exactly one digest twice, the culprit's, which is refused from then on. A resume starts
 //! where the upstream died, so the culprit kills again at once, while an innocent request gets past
-//! that point: after [`WATCHED_STEPS`] steps its marks are cleared and the next one is watched.
+//! that point: after [`PROBATION_STEPS`] steps its marks are cleared and the next one is watched.
 //! An innocent request may thus share two upstreams with the culprit and still finish: by the
 //! second time it has been cleared.
 //!
 //! Bounds: two upstreams are lost to one digest if it kills within its watched steps; one that
-//! kills later is refused after [`MOST_DEATHS`]. VMs watch apart from each other only as far as
+//! kills later is refused after [`MAX_CRASHES_PER_DIGEST`]. VMs watch apart from each other only as far as
 //! marks have spread and upstreams are divided among them (`watches` of [`PoisonTracker::may_start`]).
 //! An innocent request that meets two unrelated deaths within its watched steps is refused too,
 //! until its marks expire.
@@ -35,13 +35,13 @@
 use super::*;
 
 /// Calls of [`PoisonTracker::progressed`] until a watched run is cleared.
-pub const WATCHED_STEPS: u32 = 2;
+pub const PROBATION_STEPS: u32 = 2;
 
 /// Deaths under a digest, none of them cleared, after which it is refused.
 const MOST_OPEN_DEATHS: usize = 2;
 
 /// Deaths under a digest, cleared ones counted in, after which it is refused.
-pub const MOST_DEATHS: usize = 3;
+pub const MAX_CRASHES_PER_DIGEST: usize = 3;
 
 /// Upstreams that one unmarked digest runs on at once.
 const MOST_UPSTREAMS: usize = 2;
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 struct Mark {
     digest: RequestDigest,
-    death: UpstreamDeath,
+    death: UpstreamCrashId,
     /// When the death was first noticed, as far as is known here; the same for all marks of a death.
     at: Instant,
     told: u32,
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn refuses(&self, digest: RequestDigest, now: Instant) -> bool {
         let (open, all) = self.deaths(digest, now);
-        open >= MOST_OPEN_DEATHS || all >= MOST_DEATHS
+        open >= MOST_OPEN_DEATHS || all >= MAX_CRASHES_PER_DIGEST
     }
 
     /// Whether a digest is a suspect, to be watched on its next run.
@@ -129,9 +129,9 @@
         upstream: &UpstreamId,
         watches: bool,
         now: Instant,
-    ) -> Result<(), PoisonHold> {
+    ) -> Result<(), PoisonBlock> {
         if self.refuses(digest, now) {
-            return Err(PoisonHold::Refused);
+            return Err(PoisonBlock::Refused);
         }
         let mut elsewhere = self.runs[self.range(digest)]
             .iter()
@@ -153,7 +153,7 @@
         } else {
             elsewhere.len() < MOST_UPSTREAMS
         };
-        free.then_some(()).ok_or(PoisonHold::Elsewhere)
+        free.then_some(()).ok_or(PoisonBlock::Elsewhere)
     }
 
     /// Notes that a request starts on an upstream, after [`Self::may_start`].
@@ -189,7 +189,7 @@
             return;
         }
         run.steps += 1;
-        if run.steps >= WATCHED_STEPS {
+        if run.steps >= PROBATION_STEPS {
             let digest = run.key.digest;
             self.clear(digest);
         }
@@ -243,13 +243,13 @@
     /// # Errors
     ///
     /// Why the order must not be sent.
-    pub fn commit(&mut self, run: PoisonRun, now: Instant) -> Result<(), PoisonHold> {
+    pub fn commit(&mut self, run: PoisonRun, now: Instant) -> Result<(), PoisonBlock> {
         if self.refuses(run.digest, now) {
-            return Err(PoisonHold::Refused);
+            return Err(PoisonBlock::Refused);
         }
         let own = self.suspect_run(run);
         if own.is_some_and(|own| self.others.precedes(&own, now)) {
-            return Err(PoisonHold::Elsewhere);
+            return Err(PoisonBlock::Elsewhere);
         }
         if let Some(run) = self.run_mut(run) {
             run.sent = true;
@@ -317,9 +317,9 @@
         upstream: &UpstreamId,
         incarnation: Incarnation,
         now: Instant,
-    ) -> Vec<PoisonMark> {
+    ) -> Vec<PoisonRecord> {
         self.expire(now);
-        let death = UpstreamDeath::of(upstream, incarnation);
+        let death = UpstreamCrashId::of(upstream, incarnation);
         let (dead, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|run| run.upstream == *upstream && run.incarnation == incarnation);
@@ -350,7 +350,7 @@
     }
 
     /// Marks for a peer: those told least often so far, each eight times in all, 12 at a time.
-    pub fn deltas(&mut self, now: Instant) -> Vec<PoisonMark> {
+    pub fn deltas(&mut self, now: Instant) -> Vec<PoisonRecord> {
         self.expire(now);
         let mut fresh = self
             .marks
@@ -370,7 +370,7 @@
 
     /// Marks of one digest.
     #[must_use]
-    pub fn marks_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonMark> {
+    pub fn marks_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonRecord> {
         let marks = self.fresh(digest, now);
         marks.map(|mark| mark.tell(now)).collect()
     }
@@ -378,7 +378,7 @@
     /// Marks of the digests that are refused here and share a death with one of `marks`: what a peer
     /// has to know before it lays these deaths to another request. At most 12.
     #[must_use]
-    pub fn culprits(&self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
+    pub fn culprits(&self, marks: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
         let shared = |mark: &&Mark| marks.iter().any(|other| other.death == mark.death);
         let sharing = self.marks.iter().filter(shared);
         let mut digests = sharing.map(|mark| mark.digest).collect::<Vec<_>>();
@@ -392,12 +392,12 @@
 
     /// All marks, as for a peer that has just started.
     #[must_use]
-    pub fn marks(&self, now: Instant) -> Vec<PoisonMark> {
+    pub fn marks(&self, now: Instant) -> Vec<PoisonRecord> {
         self.marks.iter().map(|mark| mark.tell(now)).collect()
     }
 
     /// Takes marks from a peer; returns those that were new. What is new here is told on.
-    pub fn merge(&mut self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
+    pub fn merge(&mut self, marks: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
         let mut new = Vec::new();
         for mark in marks {
             let age = Duration::from_millis(mark.age_ms.into());
@@ -445,7 +445,7 @@
     fn convicted_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
         let open = self.fresh(digest, now).filter(|mark| !mark.cleared);
         let open = Instant::nth_smallest(open.map(|mark| mark.at), MOST_OPEN_DEATHS);
-        let all = Instant::nth_smallest(self.fresh(digest, now).map(|mark| mark.at), MOST_DEATHS);
+        let all = Instant::nth_smallest(self.fresh(digest, now).map(|mark| mark.at), MAX_CRASHES_PER_DIGEST);
         open.into_iter().chain(all).min()
     }
 
@@ -544,9 +544,9 @@
 }
 
 impl Mark {
-    fn tell(&self, now: Instant) -> PoisonMark {
+    fn tell(&self, now: Instant) -> PoisonRecord {
         let age = now.since(self.at).as_millis();
-        PoisonMark {
+        PoisonRecord {
             digest: self.digest,
             death: self.death,
             cleared: self.cleared,
--- a/crates/decisions/src/suspect_run.rs
+++ b/crates/decisions/src/suspect_run.rs
@@ -25,7 +25,7 @@
 
     /// The death of the process that it is sent to.
     #[must_use]
-    pub fn death(&self) -> UpstreamDeath {
-        UpstreamDeath::of(&self.upstream, self.incarnation)
+    pub fn death(&self) -> UpstreamCrashId {
+        UpstreamCrashId::of(&self.upstream, self.incarnation)
     }
 }
--- a/crates/decisions/src/suspect_runs.rs
+++ b/crates/decisions/src/suspect_runs.rs
@@ -115,7 +115,7 @@
     }
 
     /// Forgets the runs on a process that has died; the requests that it died under.
-    pub fn died(&mut self, death: UpstreamDeath, now: Instant) -> Vec<RequestDigest> {
+    pub fn died(&mut self, death: UpstreamCrashId, now: Instant) -> Vec<RequestDigest> {
         let on_it = |announced: &&Announced| announced.run.death() == death;
         let under = self.runs.iter().filter(on_it);
         let under = under
--- a/crates/decisions/src/upstream_death.rs
+++ b/crates/decisions/src/upstream_crash_id.rs
@@ -2,15 +2,15 @@
 
 /// Id of the death of one process of an upstream, the same on all VMs that notice it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub struct UpstreamDeath(pub u64);
+pub struct UpstreamCrashId(pub u64);
 
-impl fmt::Display for UpstreamDeath {
+impl fmt::Display for UpstreamCrashId {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl UpstreamDeath {
+impl UpstreamCrashId {
     /// Death of that process.
     #[must_use]
     pub fn of(upstream: &UpstreamId, incarnation: Incarnation) -> Self {
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -10,7 +10,7 @@
 //! measurement.
 
 use super::*;
-use crate::suspicion::climb;
+use crate::failure_ejection::climb;
 
 /// Time in which a fresh process climbs to its whole weight.
 const SLOW_START: Duration = Duration::from_secs(10);
@@ -29,7 +29,7 @@
 pub struct UpstreamRecord {
     /// Whether it may get new work.
     pub evidence: UpstreamEvidence,
-    suspicion: Suspicion,
+    suspicion: FailureEjection,
     report: UpstreamReport,
     own: u32,
     own_in_report: u32,
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -1,7 +1,7 @@
 //! Choice of the upstream for a request.
 
 use catkin_decisions::{
-    Candidate, ChoiceInput, Incarnation, Ineligible, Instant, Model, Suspicion, UpstreamRecord,
+    Candidate, ChoiceInput, Incarnation, Ineligible, Instant, Model, FailureEjection, UpstreamRecord,
     UpstreamReport, choose, rendezvous_score,
 };
 use googletest::prelude::*;
@@ -206,7 +206,7 @@
         .iter()
         .map(|record| record.candidate(None, NOW).expect("eligible"))
         .collect::<Vec<_>>();
-    let mut suspicion = Suspicion::default();
+    let mut suspicion = FailureEjection::default();
     suspicion.failed(NOW);
 
     let counts = chosen(&candidates, false);
--- a/crates/decisions/tests/crash_tally.rs
+++ b/crates/decisions/tests/crash_tracker.rs
@@ -1,6 +1,6 @@
 //! Calls that crash each upstream that runs them.
 
-use catkin_decisions::{Crash, CrashTally, Instant, UpstreamIncarnation};
+use catkin_decisions::{Crash, CrashTracker, Instant, UpstreamIncarnation};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     }
 }
 
-fn tally(crashes: impl IntoIterator<Item = Crash>) -> CrashTally {
-    let mut tally = CrashTally::default();
+fn tally(crashes: impl IntoIterator<Item = Crash>) -> CrashTracker {
+    let mut tally = CrashTracker::default();
     for crash in crashes {
         tally.crashed(crash);
     }
@@ -33,7 +33,7 @@
 }
 
 /// Tells another VM what this one knows, as it is told.
-fn tell(from: &mut CrashTally, to: &mut CrashTally, seconds: u64) {
+fn tell(from: &mut CrashTracker, to: &mut CrashTracker, seconds: u64) {
     for crash in from.to_tell(12, at(seconds)) {
         to.crashed(Crash {
             at: at(seconds),
@@ -57,7 +57,7 @@
 #[gtest]
 fn every_crash_is_told_however_many_there_are() {
     let mut here = tally((0..40).map(|n| crash(n, n % 5, 0)));
-    let mut there = CrashTally::default();
+    let mut there = CrashTracker::default();
 
     for _ in 0..4 {
         tell(&mut here, &mut there, 1);
@@ -72,7 +72,7 @@
 #[gtest]
 fn a_body_that_was_answered_is_not_blamed_again_by_what_others_heard() {
     let mut here = tally((0..3).map(|n| crash(INNOCENT, n, 0)));
-    let mut there = CrashTally::default();
+    let mut there = CrashTracker::default();
     tell(&mut here, &mut there, 0);
     here.delivered(INNOCENT);
 
@@ -85,7 +85,7 @@
 #[gtest]
 fn others_hear_that_a_body_was_answered() {
     let mut here = tally((0..3).map(|n| crash(INNOCENT, n, 0)));
-    let mut there = CrashTally::default();
+    let mut there = CrashTracker::default();
     tell(&mut here, &mut there, 0);
     let before = there.refuses(INNOCENT, at(1));
 
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -3,7 +3,7 @@
 mod poison_support;
 
 use catkin_decisions::{
-    Incarnation, PoisonHold, PoisonRun, PoisonTracker, RequestDigest, WATCHED_STEPS,
+    Incarnation, PoisonBlock, PoisonRun, PoisonTracker, RequestDigest, PROBATION_STEPS,
 };
 use googletest::prelude::*;
 use poison_support::*;
@@ -30,7 +30,7 @@
     die(&mut tracker, 1);
 
     let verdict = tracker.may_start(culprit(), &engine(2), true, at(0));
-    expect_that!(verdict, err(eq(PoisonHold::Refused)));
+    expect_that!(verdict, err(eq(PoisonBlock::Refused)));
 }
 
 /// A rack loses its power: a request's engine dies, and the next one that it is sent to is dead too
@@ -106,7 +106,7 @@
     let beside = tracker.may_start(innocent(), &engine(1), true, at(0));
     let apart = tracker.may_start(innocent(), &engine(2), true, at(0));
 
-    expect_that!(beside, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(beside, err(eq(PoisonBlock::Elsewhere)));
     expect_that!(apart, ok(anything()));
 }
 
@@ -116,7 +116,7 @@
 fn an_innocent_request_finishes_after_two_shared_deaths() {
     let mut tracker = after_one_death();
     let run = start(&mut tracker, innocent(), 1);
-    for _ in 0..WATCHED_STEPS {
+    for _ in 0..PROBATION_STEPS {
         tracker.progressed(run);
     }
     start(&mut tracker, culprit(), 1);
@@ -126,7 +126,7 @@
     let innocent = tracker.may_start(innocent(), &engine(2), true, at(0));
     let culprit = tracker.may_start(culprit(), &engine(2), true, at(0));
     expect_that!(innocent, ok(anything()));
-    expect_that!(culprit, err(eq(PoisonHold::Refused)));
+    expect_that!(culprit, err(eq(PoisonBlock::Refused)));
 }
 
 /// The culprit's caller sent it twice at once, so that a second copy already runs elsewhere.
@@ -141,8 +141,8 @@
 
     let beside = tracker.may_start(innocent(), &engine(1), true, at(0));
     let third_copy = tracker.may_start(culprit(), &engine(2), true, at(0));
-    expect_that!(beside, err(eq(PoisonHold::Elsewhere)));
-    expect_that!(third_copy, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(beside, err(eq(PoisonBlock::Elsewhere)));
+    expect_that!(third_copy, err(eq(PoisonBlock::Elsewhere)));
 }
 
 #[gtest]
@@ -151,7 +151,7 @@
 
     let verdict = tracker.may_start(innocent(), &engine(1), false, at(0));
 
-    expect_that!(verdict, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(verdict, err(eq(PoisonBlock::Elsewhere)));
 }
 
 #[gtest]
@@ -268,11 +268,11 @@
                         request.steps_of_run = 0;
                         break;
                     }
-                    Err(PoisonHold::Refused) => {
+                    Err(PoisonBlock::Refused) => {
                         request.over = true;
                         break;
                     }
-                    Err(PoisonHold::Elsewhere) => {}
+                    Err(PoisonBlock::Elsewhere) => {}
                 }
             }
         }
@@ -286,7 +286,7 @@
             };
             self.requests[i].steps_of_run += 1;
             if self.requests[i].digest == culprit() {
-                if self.rng.random() || self.requests[i].steps_of_run >= WATCHED_STEPS {
+                if self.rng.random() || self.requests[i].steps_of_run >= PROBATION_STEPS {
                     self.kill(n);
                 } else {
                     self.tracker.progressed(run);
--- a/crates/decisions/tests/poison_blame.rs
+++ b/crates/decisions/tests/poison_blame.rs
@@ -2,7 +2,7 @@
 
 mod poison_support;
 
-use catkin_decisions::{PoisonMark, PoisonTracker, UpstreamDeath};
+use catkin_decisions::{PoisonRecord, PoisonTracker, UpstreamCrashId};
 use googletest::prelude::*;
 use poison_support::*;
 use proptest::prelude::*;
@@ -81,14 +81,14 @@
     ) {
         let mut told = deaths
             .into_iter()
-            .map(|(n, death, age, cleared)| PoisonMark {
+            .map(|(n, death, age, cleared)| PoisonRecord {
                 digest: digest(n),
-                death: UpstreamDeath(death),
+                death: UpstreamCrashId(death),
                 cleared,
                 age_ms: 1000 * age,
             })
             .collect::<Vec<_>>();
-        let refused = |told: &[PoisonMark]| {
+        let refused = |told: &[PoisonRecord]| {
             let mut tracker = PoisonTracker::default();
             for mark in told {
                 tracker.merge(&[*mark], at(10));
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -2,7 +2,7 @@
 
 mod poison_support;
 
-use catkin_decisions::{PoisonHold, PoisonRun, PoisonTracker, SuspectRun};
+use catkin_decisions::{PoisonBlock, PoisonRun, PoisonTracker, SuspectRun};
 use googletest::prelude::*;
 use poison_support::*;
 
@@ -80,8 +80,8 @@
     tracker.checked(&run_on(1));
 
     expect_that!(unchecked, eq(&vec![run_on(1)]));
-    expect_that!(before, err(eq(PoisonHold::Elsewhere)));
-    expect_that!(may(&tracker, 1), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(before, err(eq(PoisonBlock::Elsewhere)));
+    expect_that!(may(&tracker, 1), err(eq(PoisonBlock::Elsewhere)));
     expect_that!(may(&tracker, 2), ok(eq(())));
 }
 
@@ -93,7 +93,7 @@
     die(&mut tracker, 3);
     let may = |n, seconds| tracker.may_start(innocent(), &engine(n), true, at(seconds));
 
-    expect_that!(may(1, 1), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(may(1, 1), err(eq(PoisonBlock::Elsewhere)));
     expect_that!(may(2, 1), ok(eq(())));
     expect_that!(may(1, 2), ok(eq(())));
 }
@@ -128,7 +128,7 @@
     tracker.merge(&other.marks(at(0)), at(0));
 
     expect_that!(before, ok(eq(())));
-    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Refused)));
+    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonBlock::Refused)));
 }
 
 /// Guards against VMs that send one suspect to two upstreams at the same time, and against none of them sending it.
@@ -143,7 +143,7 @@
     expect_that!(first.commit(first_run, at(0)), ok(eq(())));
     expect_that!(
         second.commit(second_run, at(0)),
-        err(eq(PoisonHold::Elsewhere))
+        err(eq(PoisonBlock::Elsewhere))
     );
 }
 
@@ -158,7 +158,7 @@
     tracker.runs_elsewhere(conflicts.running[0].clone(), at(0));
 
     expect_that!(conflicts.waiting, is_empty());
-    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonBlock::Elsewhere)));
 }
 
 /// Guards against two VMs that send different suspects to one upstream at the same time.
@@ -175,7 +175,7 @@
     let conflicts = culprits.conflicts(&[announced]);
     tracker.runs_elsewhere(conflicts.running[0].clone(), at(0));
 
-    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonBlock::Elsewhere)));
 }
 
 /// Guards against an innocent request that is blamed for the death of an upstream to which its order was never sent.
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -1,7 +1,7 @@
 //! When upstreams are asked whether they live, and what their losses are taken for.
 
 use catkin_decisions::{
-    AvailabilityZone, Crash, CrashTally, Instant, SILENCE, UpstreamHealth, UpstreamIncarnation,
+    AvailabilityZone, Crash, CrashTracker, Instant, SILENCE, UpstreamHealth, UpstreamIncarnation,
     ZoneAlarm,
 };
 use googletest::prelude::*;
@@ -88,7 +88,7 @@
 /// upstream on it is refused, whichever VM saw the deaths.
 #[gtest]
 fn body_is_refused_after_three_upstreams_died_under_it() {
-    let mut tally = CrashTally::default();
+    let mut tally = CrashTracker::default();
     let crash = |upstream: &str| Crash {
         digest: 7,
         upstream: id(upstream),
@@ -112,7 +112,7 @@
 /// It is innocent and may come again.
 #[gtest]
 fn delivered_body_is_innocent() {
-    let mut tally = CrashTally::default();
+    let mut tally = CrashTracker::default();
     for upstream in ["u1", "u2", "u3"] {
         tally.crashed(Crash {
             digest: 7,
--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -3,7 +3,7 @@
 mod router_support;
 
 use catkin_border::caller::CompletionRequest;
-use catkin_decisions::{Incarnation, PoisonMark, RequestDigest, UpstreamDeath};
+use catkin_decisions::{Incarnation, PoisonRecord, RequestDigest, UpstreamCrashId};
 use catkin_standins::{Answer, CallerClient, DEMO_KEY, EngineServer, EngineSettings, TokenChain};
 use googletest::prelude::*;
 use router_support::{Router, free_address};
@@ -165,12 +165,12 @@
     long.abort();
 }
 
-fn two_deaths(request: &CompletionRequest) -> [PoisonMark; 2] {
+fn two_deaths(request: &CompletionRequest) -> [PoisonRecord; 2] {
     let team = "counter".parse().expect("a name");
     let body = serde_json::to_vec(request).expect("JSON");
-    ["engine-8", "engine-9"].map(|upstream| PoisonMark {
+    ["engine-8", "engine-9"].map(|upstream| PoisonRecord {
         digest: RequestDigest::of(&team, &body),
-        death: UpstreamDeath::of(&upstream.parse().expect("an id"), Incarnation(1)),
+        death: UpstreamCrashId::of(&upstream.parse().expect("an id"), Incarnation(1)),
         cleared: false,
         age_ms: 10,
     })
