--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -15,7 +15,7 @@
     pub(crate) retry_budget: Mutex<ServiceRetryBudget>,
     pub(crate) hedge: Mutex<Hedge>,
     pub(crate) hot_keys: Mutex<HotKeys>,
-    pub(crate) reads: Mutex<ReadMerger<oneshot::Sender<Merged>>>,
+    pub(crate) reads: Mutex<ReadCoalescer<oneshot::Sender<Merged>>>,
     queue: Mutex<AdmissionQueue<Waiting>>,
 }
 
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -2,7 +2,7 @@
 use crate::{bundle_rows, bundle_watch::object_name};
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDraft, BundleKey, BundleRefusal, BundleRelease, BundleRow,
-    CurrentBundle, DraftId, Settled, Stored,
+    CurrentBundle, DraftId, ChangeResult, Stored,
 };
 use std::num::NonZeroU32;
 
@@ -234,9 +234,9 @@
                 }
             }
             match self.settle(change).await {
-                Ok(Settled::Done) => return Ok(true),
-                Ok(Settled::Lost(refusal)) => return Err(refusal.into()),
-                Ok(Settled::Open) => {}
+                Ok(ChangeResult::Done) => return Ok(true),
+                Ok(ChangeResult::Lost(refusal)) => return Err(refusal.into()),
+                Ok(ChangeResult::Open) => {}
                 Err(Error::Platform(fault)) => last = fault,
                 Err(error) => return Err(error),
             }
@@ -247,7 +247,7 @@
         Err(Error::NothingChanged { fault: last })
     }
 
-    async fn settle(&self, change: &BundleChange) -> Result<Settled> {
+    async fn settle(&self, change: &BundleChange) -> Result<ChangeResult> {
         let rows = bundle_rows::read_rows(&self.platform, &[change.witness()]).await?;
         Ok(change.settled(rows.first().map(|(_, row)| row)))
     }
--- a/crates/catkinward/src/caller_border.rs
+++ b/crates/catkinward/src/caller_border.rs
@@ -141,7 +141,7 @@
         let request = self.accept(&caller, &parts.headers, &order)?;
         let point = match header_text(&parts.headers, LAST_EVENT_ID) {
             Some(last) => last.parse().map_err(|_| ProblemKind::Malformed)?,
-            None => ReturnPoint::default(),
+            None => ResumePoint::default(),
         };
         let generation = match header_text(&parts.headers, IDEMPOTENCY_KEY) {
             Some(key) => {
@@ -164,7 +164,7 @@
     async fn keyed(
         &self,
         request: GenerationRequest,
-        point: &ReturnPoint,
+        point: &ResumePoint,
         team: QueueTeam,
     ) -> Result<Arc<Generation>, Problem> {
         let running = self.node.generations.of(&request.id);
--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -15,7 +15,7 @@
 }
 
 /// Who is told what became of a claim.
-pub(crate) struct Waiter(pub(crate) oneshot::Sender<ClaimFate>);
+pub(crate) struct Waiter(pub(crate) oneshot::Sender<ClaimResult>);
 
 /// Claims that expire within so many milliseconds of each other share a row by which they are swept.
 const EXPIRY_STEP: u64 = 60_000;
@@ -85,15 +85,15 @@
             let answer = self.transact(&group).await;
             let settled = self.queue.lock().answer(&answer);
             self.tell(settled);
-            if matches!(answer, GroupAnswer::NotRun | GroupAnswer::Unknown) {
+            if matches!(answer, GroupResult::NotRun | GroupResult::Unknown) {
                 tokio::time::sleep(self.cfg.retry_pause).await;
             }
         }
     }
 
-    fn tell(&self, fates: Vec<(Waiter, ClaimFate)>) {
+    fn tell(&self, fates: Vec<(Waiter, ClaimResult)>) {
         for (waiter, fate) in fates {
-            if let Err(ClaimFate::Claimed(claimed)) = waiter.0.send(fate) {
+            if let Err(ClaimResult::Claimed(claimed)) = waiter.0.send(fate) {
                 self.give_back(claimed);
             }
         }
@@ -108,18 +108,18 @@
             .end(held.end(ClaimStage::Released, expires));
     }
 
-    async fn transact(&self, group: &[ClaimChange]) -> GroupAnswer {
+    async fn transact(&self, group: &[ClaimChange]) -> GroupResult {
         let req = platform_border::TransactRequest {
             conditions: group.iter().map(condition).collect(),
             writes: group.iter().map(write).chain(expiries(group)).collect(),
         };
         metrics::histogram!("catkin_claim_group_size").record(group_size(group));
         match (self.platform.transact)(req).await {
-            Ok(reply) if reply.committed => GroupAnswer::Committed,
-            Ok(reply) => GroupAnswer::Conflicts(reply.conflicts.iter().map(found_claim).collect()),
-            Err(PlatformFault::Unknown) => GroupAnswer::Unknown,
+            Ok(reply) if reply.committed => GroupResult::Committed,
+            Ok(reply) => GroupResult::Conflicts(reply.conflicts.iter().map(found_claim).collect()),
+            Err(PlatformFault::Unknown) => GroupResult::Unknown,
             Err(PlatformFault::NotRun | PlatformFault::Throttled | PlatformFault::OutOfBudget) => {
-                GroupAnswer::NotRun
+                GroupResult::NotRun
             }
         }
     }
--- a/crates/catkinward/src/claim_row.rs
+++ b/crates/catkinward/src/claim_row.rs
@@ -92,7 +92,7 @@
     })
 }
 
-fn write_answer(answer: &RecordedAnswer) -> rows::ClaimAnswer {
+fn write_answer(answer: &RecordedResponse) -> rows::ClaimAnswer {
     let headers = answer
         .headers
         .iter()
@@ -118,7 +118,7 @@
     row
 }
 
-fn read_answer(row: rows::ClaimAnswer) -> Option<RecordedAnswer> {
+fn read_answer(row: rows::ClaimAnswer) -> Option<RecordedResponse> {
     let body = match (row.body_text, row.body_hex, row.body_object) {
         (Some(text), ..) => RecordedBody::Inline(text.into_bytes().into()),
         (_, Some(hex), _) => RecordedBody::Inline(parse_hex(&hex)?.into()),
@@ -126,7 +126,7 @@
         _ => RecordedBody::TooLarge,
     };
     let headers = row.headers.into_iter();
-    Some(RecordedAnswer {
+    Some(RecordedResponse {
         status: row.status,
         headers: headers
             .map(|header| (header.name.into(), header.value.into()))
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -117,7 +117,7 @@
 
     /// Records an upstream's answer, so that a caller who sends the request again gets it.
     pub fn record(self: &Arc<Self>, held: HeldClaim, answer: AnswerToRecord) {
-        let record = |body| RecordedAnswer {
+        let record = |body| RecordedResponse {
             status: answer.status,
             headers: answer.headers.clone(),
             body,
@@ -202,9 +202,9 @@
         self.committer.claim(change, deadline, Waiter(tx));
         // A claim that is settled after this wait finds nobody and is given back.
         match tokio::time::timeout(req.time_left, rx).await {
-            Ok(Ok(ClaimFate::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
-            Ok(Ok(ClaimFate::Taken(found))) => self.verdict(&req.digest, found),
-            Ok(Ok(ClaimFate::GivenUp) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
+            Ok(Ok(ClaimResult::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
+            Ok(Ok(ClaimResult::Taken(found))) => self.verdict(&req.digest, found),
+            Ok(Ok(ClaimResult::GivenUp) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
         }
     }
 
--- a/crates/catkinward/src/event_stream.rs
+++ b/crates/catkinward/src/event_stream.rs
@@ -93,7 +93,7 @@
         self.event.choices[0].text = self.joiner.push(bytes);
         self.event.tokens[0] = id;
         let id = match &self.generation.request.keyed {
-            Some(keyed) => ReturnPoint::event_id(self.next, keyed.chain, &self.vm),
+            Some(keyed) => ResumePoint::event_id(self.next, keyed.chain, &self.vm),
             None => self.next.to_string(),
         };
         write_event(buf, None, Some(&id), &self.event);
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -209,7 +209,7 @@
         &self,
         accepted: &AcceptedCall,
         entry: &UpstreamEntry,
-        outcome: AnswerOutcome,
+        outcome: ResponseOutcome,
     ) {
         let mut state = self.state.lock();
         let Some(rollout) = state.rollouts.get_mut(&accepted.service) else {
@@ -223,8 +223,8 @@
         drop(state);
         let version: &str = if is_new { "new" } else { "old" };
         let result = match outcome {
-            AnswerOutcome::Success(_) => "success",
-            AnswerOutcome::Failure => "failure",
+            ResponseOutcome::Success(_) => "success",
+            ResponseOutcome::Failure => "failure",
         };
         metrics::counter!("catkin_rollout_answers_total", "service" => accepted.service.to_string(),
             "version" => version, "result" => result)
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -175,18 +175,18 @@
         let Some(active) = &mut self.active else {
             return Ok(buf);
         };
-        while let Some(WholeEvent { id, bytes }) = active.splitter.next_event() {
+        while let Some(CompleteEvent { id, bytes }) = active.splitter.next_event() {
             let fate = match id {
                 Some(id) => self.relay.decide(active.number, id),
                 // An event without a number cannot be told from one that was handed on before.
-                None if self.ran_on.len() > 1 => EventFate::Drop,
-                None => EventFate::Deliver,
+                None if self.ran_on.len() > 1 => EventDecision::Drop,
+                None => EventDecision::Deliver,
             };
             match fate {
-                EventFate::Deliver => buf.extend_from_slice(&bytes),
-                EventFate::Drop => {}
-                EventFate::Gap if buf.is_empty() => return Err(Loss::Gap),
-                EventFate::Gap => break,
+                EventDecision::Deliver => buf.extend_from_slice(&bytes),
+                EventDecision::Drop => {}
+                EventDecision::Gap if buf.is_empty() => return Err(Loss::Gap),
+                EventDecision::Gap => break,
             }
         }
         Ok(buf)
@@ -251,7 +251,7 @@
     fn note_delivery(&mut self) {
         let now = self.gateway.timer.now();
         if let (Some(sent), Some(active)) = (self.judged_since.take(), &self.active) {
-            let outcome = AnswerOutcome::Success(now.since(sent));
+            let outcome = ResponseOutcome::Success(now.since(sent));
             let entry = &active.guard.entry;
             self.gateway.rollout_answer(&self.accepted, entry, outcome);
         }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -237,7 +237,7 @@
         self.ran_on.push(entry.id.clone());
         if !answer.status.is_success() || !answer.signed {
             if answer.status.is_server_error() && self.judged_since.take().is_some() {
-                let failure = AnswerOutcome::Failure;
+                let failure = ResponseOutcome::Failure;
                 self.gateway.rollout_answer(&self.accepted, &entry, failure);
             }
             drop(guard);
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -209,8 +209,8 @@
 
     fn note_answer(&self, entry: &UpstreamEntry, sent: &Sent, start: Instant) {
         let outcome = match sent {
-            Sent::Answered(_) => AnswerOutcome::Success(self.gateway.timer.now().since(start)),
-            Sent::Failed(_) => AnswerOutcome::Failure,
+            Sent::Answered(_) => ResponseOutcome::Success(self.gateway.timer.now().since(start)),
+            Sent::Failed(_) => ResponseOutcome::Failure,
             _ => return,
         };
         self.gateway.rollout_answer(&self.accepted, entry, outcome);
--- a/crates/catkinward/src/generation.rs
+++ b/crates/catkinward/src/generation.rs
@@ -120,7 +120,7 @@
     }
 
     /// Whether a caller who comes back at `point` can be given its tokens from there on.
-    pub(crate) fn reaches(&self, point: &ReturnPoint) -> bool {
+    pub(crate) fn reaches(&self, point: &ResumePoint) -> bool {
         let superseded = GenerationOutcome::Failed(ProblemKind::Superseded);
         if self.outcome() == Some(superseded) {
             return false;
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::lease_row::{LEASES, lease_row, lease_value};
 use catkin_decisions::{
-    Lease, LeaseAnswer, LeaseHolder, LeaseSettings, LeaseStep, LeaseWrite, OrderPermit,
+    Lease, LeaseWriteResult, LeaseHolder, LeaseSettings, LeaseStep, LeaseWrite, OrderPermit,
     rendezvous_rank,
 };
 
@@ -231,13 +231,13 @@
         let sent = self.timer.now();
         let reply = (self.platform.transact)(self.transaction(&write)).await;
         let (answer, fault) = match reply {
-            Ok(reply) if reply.committed => (LeaseAnswer::Written, None),
+            Ok(reply) if reply.committed => (LeaseWriteResult::Written, None),
             Ok(reply) => {
                 let row = reply.conflicts.first().map(lease_row);
-                (LeaseAnswer::Conflict(row.unwrap_or_default()), None)
+                (LeaseWriteResult::Conflict(row.unwrap_or_default()), None)
             }
-            Err(fault @ PlatformFault::Unknown) => (LeaseAnswer::Unknown, Some(fault)),
-            Err(fault) => (LeaseAnswer::NotRun, Some(fault)),
+            Err(fault @ PlatformFault::Unknown) => (LeaseWriteResult::Unknown, Some(fault)),
+            Err(fault) => (LeaseWriteResult::NotRun, Some(fault)),
         };
         self.lease
             .lock()
--- a/crates/catkinward/src/peer_copies.rs
+++ b/crates/catkinward/src/peer_copies.rs
@@ -43,7 +43,7 @@
     /// The copy of a generation that this VM keeps.
     ///
     /// Where none reaches as far as the caller has come, any of that key shows what it was used for.
-    pub(crate) fn find_here(&self, id: &RequestId, point: &ReturnPoint) -> Option<ProgressRecord> {
+    pub(crate) fn find_here(&self, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
         let store = self.store.lock();
         store.find(id, point).or_else(|| store.any(id)).cloned()
     }
@@ -53,7 +53,7 @@
     pub(crate) async fn find(
         self: &Arc<Self>,
         id: &RequestId,
-        point: &ReturnPoint,
+        point: &ResumePoint,
     ) -> Option<ProgressRecord> {
         let mut best = self.find_here(id, point);
         if best.as_ref().is_some_and(|record| record.reaches(point)) {
@@ -75,7 +75,7 @@
     }
 
     /// Tells those that may run a generation or keep its copy that this VM has taken it over.
-    pub(crate) fn tell_taken_over(self: &Arc<Self>, point: &ReturnPoint, update: &ProgressUpdate) {
+    pub(crate) fn tell_taken_over(self: &Arc<Self>, point: &ResumePoint, update: &ProgressUpdate) {
         self.take_over(update);
         for peer in self.to_be_asked(point) {
             let (peers, update) = (self.clone(), update.clone());
@@ -92,7 +92,7 @@
         self.store.lock().keep(self.timer.now(), update);
     }
 
-    pub(crate) fn to_be_asked(&self, point: &ReturnPoint) -> Vec<PeerEntry> {
+    pub(crate) fn to_be_asked(&self, point: &ResumePoint) -> Vec<PeerEntry> {
         let now = self.timer.now();
         let table = self.table.lock();
         let Some((vm, _)) = &point.from else {
@@ -109,7 +109,7 @@
         self: Arc<Self>,
         peer: PeerEntry,
         id: RequestId,
-        point: ReturnPoint,
+        point: ResumePoint,
     ) -> Option<ProgressRecord> {
         let asked = async {
             let link = self.link(&peer).await.ok()?;
@@ -133,14 +133,14 @@
         let mut store = self.store.lock();
         let mut superseded = Vec::new();
         for update in updates {
-            if let KeptProgress::Superseded(attempt) = store.keep(now, update) {
+            if let ProgressStoreResult::Superseded(attempt) = store.keep(now, update) {
                 superseded.push((update.id.clone(), update.chain, attempt));
             }
         }
         (!superseded.is_empty()).then_some(PeerBody::Superseded(superseded))
     }
 
-    pub(crate) fn copy(&self, id: &RequestId, point: &ReturnPoint) -> Option<ProgressRecord> {
+    pub(crate) fn copy(&self, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
         let running = self.generations.of(id);
         let reaching = running.iter().find(|generation| generation.reaches(point));
         let reaching = reaching.and_then(|generation| generation.progress());
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -140,7 +140,7 @@
     }
 }
 
-async fn replay(claims: &Claims, answer: RecordedAnswer) -> Result<PlainAnswer, Problem> {
+async fn replay(claims: &Claims, answer: RecordedResponse) -> Result<PlainAnswer, Problem> {
     let body = match claims.body(&answer.body).await {
         Ok(Some(body)) => body,
         Ok(None) => return Err(ProblemKind::AnswerTooLarge.into()),
--- a/crates/catkinward/src/returning_caller.rs
+++ b/crates/catkinward/src/returning_caller.rs
@@ -25,7 +25,7 @@
 pub(crate) async fn find_or_begin(
     node: &Node,
     request: GenerationRequest,
-    point: &ReturnPoint,
+    point: &ResumePoint,
 ) -> Result<Generation, Problem> {
     let Some(record) = await_copy(node, &request, point).await else {
         if point.next == TokenIndex(0) {
@@ -47,7 +47,7 @@
 async fn await_copy(
     node: &Node,
     request: &GenerationRequest,
-    point: &ReturnPoint,
+    point: &ResumePoint,
 ) -> Option<ProgressRecord> {
     let start = node.timer.now();
     let mut backoff = FIRST_BACKOFF;
@@ -70,7 +70,7 @@
     }
 }
 
-async fn find_copy(node: &Node, id: &RequestId, point: &ReturnPoint) -> Option<ProgressRecord> {
+async fn find_copy(node: &Node, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
     let peers = node.peers.as_ref()?;
     if point.next == TokenIndex(0) && peers.entries().len() > SMALL_SYSTEM {
         return peers.find_here(id, point);
@@ -81,7 +81,7 @@
 fn take_over(
     node: &Node,
     request: GenerationRequest,
-    point: &ReturnPoint,
+    point: &ResumePoint,
     record: &ProgressRecord,
 ) -> Generation {
     let request = request.going_on(record);
--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -3,7 +3,7 @@
 
 use catkin_decisions::{
     AdmissionConfig, AdmissionQueue, Arrival, CallKey, HotKeys, Instant, Lane, QueueTeam, Queued,
-    ReadMerger, UpstreamId,
+    ReadCoalescer, UpstreamId,
 };
 use std::{
     hint::black_box,
@@ -50,7 +50,7 @@
     print_cost("look for expired", |_| queue.expire(now).len());
 
     let keys = (0..QUEUED).map(call_key).collect::<Vec<_>>();
-    let (mut hot_keys, mut merger) = (HotKeys::default(), ReadMerger::default());
+    let (mut hot_keys, mut merger) = (HotKeys::default(), ReadCoalescer::default());
     for key in &keys {
         black_box(hot_keys.enter(key));
         merger.join(key, 0);
--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -29,7 +29,7 @@
 
 /// What became of a change whose answer was lost or says that a condition did not hold.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Settled {
+pub enum ChangeResult {
     /// It took effect.
     Done,
     /// It can never take effect: another operator was first.
@@ -192,7 +192,7 @@
 
     /// What became of it, by the row of [`Self::witness`] as it is now.
     #[must_use]
-    pub fn settled(&self, row: Option<&BundleRow>) -> Settled {
+    pub fn settled(&self, row: Option<&BundleRow>) -> ChangeResult {
         match (&self.witness, row) {
             (Witness::Proposal(_), Some(BundleRow::Draft(draft))) => {
                 self.by_author(&draft.proposed, || BundleRefusal::Unexplained)
@@ -201,20 +201,20 @@
                 Some(sign_off) => {
                     self.by_author(&sign_off.author, || signed_off_first(id, sign_off))
                 }
-                None => Settled::Open,
+                None => ChangeResult::Open,
             },
             (Witness::Release(_), Some(BundleRow::Release(release))) => {
                 self.by_author(&release.released, || overtaken_by(release, None))
             }
-            _ => Settled::Open,
+            _ => ChangeResult::Open,
         }
     }
 
-    fn by_author(&self, author: &BundleAuthor, lost: impl FnOnce() -> BundleRefusal) -> Settled {
+    fn by_author(&self, author: &BundleAuthor, lost: impl FnOnce() -> BundleRefusal) -> ChangeResult {
         if author.change == self.change {
-            Settled::Done
+            ChangeResult::Done
         } else {
-            Settled::Lost(lost())
+            ChangeResult::Lost(lost())
         }
     }
 }
--- a/crates/decisions/src/claim_queue.rs
+++ b/crates/decisions/src/claim_queue.rs
@@ -39,7 +39,7 @@
 
 /// What the table service answered to a group.
 #[derive(Clone, Debug, PartialEq)]
-pub enum GroupAnswer {
+pub enum GroupResult {
     /// All changes are made.
     Committed,
     /// None is made, since these rows are other than expected.
@@ -52,7 +52,7 @@
 
 /// What became of a claim in the queue.
 #[derive(Debug, PartialEq)]
-pub enum ClaimFate {
+pub enum ClaimResult {
     /// The key is claimed.
     Claimed(Claimed),
     /// Another try has the key.
@@ -114,14 +114,14 @@
     ///
     /// One that may have been made after all is given back by a release under its own token, or
     /// its key would look claimed until the row expires.
-    pub fn give_up(&mut self, now: Instant) -> Vec<(W, ClaimFate)> {
+    pub fn give_up(&mut self, now: Instant) -> Vec<(W, ClaimResult)> {
         let mut told = Vec::new();
         for mut entry in std::mem::take(&mut self.waiting) {
             if now < entry.deadline {
                 self.waiting.push_back(entry);
                 continue;
             }
-            told.extend(entry.waiter.take().map(|w| (w, ClaimFate::GivenUp)));
+            told.extend(entry.waiter.take().map(|w| (w, ClaimResult::GivenUp)));
             if entry.doubtful {
                 entry.change.record.stage = ClaimStage::Released;
                 entry.deadline = Instant(Duration::MAX);
@@ -154,20 +154,20 @@
 
     /// Takes the answer to the transaction under way. What is not settled by it waits again, before
     /// all others.
-    pub fn answer(&mut self, answer: &GroupAnswer) -> Vec<(W, ClaimFate)> {
+    pub fn answer(&mut self, answer: &GroupResult) -> Vec<(W, ClaimResult)> {
         let mut told = Vec::new();
         for entry in std::mem::take(&mut self.in_flight).into_iter().rev() {
             match answer {
-                GroupAnswer::Committed => {
+                GroupResult::Committed => {
                     let version = entry.change.expected + 1;
                     told.extend(entry.made(version));
                 }
-                GroupAnswer::Conflicts(found) => {
+                GroupResult::Conflicts(found) => {
                     let found = found.iter().find(|found| found.key == entry.change.key);
                     self.settle(entry, found, &mut told);
                 }
-                GroupAnswer::NotRun => self.waiting.push_front(entry),
-                GroupAnswer::Unknown => self.waiting.push_front(Entry {
+                GroupResult::NotRun => self.waiting.push_front(entry),
+                GroupResult::Unknown => self.waiting.push_front(Entry {
                     doubtful: true,
                     ..entry
                 }),
@@ -181,7 +181,7 @@
         &mut self,
         mut entry: Entry<W>,
         found: Option<&FoundClaim>,
-        told: &mut Vec<(W, ClaimFate)>,
+        told: &mut Vec<(W, ClaimResult)>,
     ) {
         let Some(found) = found else {
             self.waiting.push_front(entry);
@@ -194,7 +194,7 @@
                 self.waiting.push_front(entry);
             }
             Judged::Lost => {
-                let taken = ClaimFate::Taken(found.clone());
+                let taken = ClaimResult::Taken(found.clone());
                 told.extend(entry.waiter.map(|waiter| (waiter, taken)));
             }
         }
@@ -202,9 +202,9 @@
 }
 
 impl<W> Entry<W> {
-    fn made(self, version: u64) -> Option<(W, ClaimFate)> {
+    fn made(self, version: u64) -> Option<(W, ClaimResult)> {
         let waiter = self.waiter?;
         let claimed = Claimed::new(self.change, version);
-        Some((waiter, ClaimFate::Claimed(claimed)))
+        Some((waiter, ClaimResult::Claimed(claimed)))
     }
 }
--- a/crates/decisions/src/claim_record.rs
+++ b/crates/decisions/src/claim_record.rs
@@ -50,14 +50,14 @@
 #[strum(serialize_all = "snake_case")]
 pub enum ClaimOutcome {
     /// It was answered.
-    Answered(RecordedAnswer),
+    Answered(RecordedResponse),
     /// It was dispatched, and nobody knows whether it ran.
     Unknown,
 }
 
 /// Answer of an upstream, kept for a caller who sends the request again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RecordedAnswer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers by name and value.
--- a/crates/decisions/src/event_relay.rs
+++ b/crates/decisions/src/event_relay.rs
@@ -18,7 +18,7 @@
 /// What becomes of an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum EventFate {
+pub enum EventDecision {
     /// It goes to the caller.
     Deliver,
     /// It is dropped: the caller has it, or its run is over.
@@ -44,16 +44,16 @@
     }
 
     /// Decides about an event with the number `id`.
-    pub fn decide(&mut self, run: EventRun, id: u64) -> EventFate {
+    pub fn decide(&mut self, run: EventRun, id: u64) -> EventDecision {
         if run != self.run {
-            return EventFate::Drop;
+            return EventDecision::Drop;
         }
         match self.last {
-            Some(last) if id <= last => EventFate::Drop,
-            Some(last) if id > last + 1 => EventFate::Gap,
+            Some(last) if id <= last => EventDecision::Drop,
+            Some(last) if id > last + 1 => EventDecision::Gap,
             _ => {
                 self.last = Some(id);
-                EventFate::Deliver
+                EventDecision::Deliver
             }
         }
     }
--- a/crates/decisions/src/event_splitter.rs
+++ b/crates/decisions/src/event_splitter.rs
@@ -18,7 +18,7 @@
 
 /// A whole event with its bytes as they came.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct WholeEvent {
+pub struct CompleteEvent {
     /// Its number, if it has one.
     pub id: Option<u64>,
     /// Its bytes, the empty line included.
@@ -40,7 +40,7 @@
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<CompleteEvent> {
         let Some(end) = event_end(&self.buf, self.searched) else {
             self.searched = self.buf.len().saturating_sub(3);
             return None;
@@ -48,7 +48,7 @@
         self.searched = 0;
         let rest = self.buf.split_off(end);
         let bytes = std::mem::replace(&mut self.buf, rest);
-        Some(WholeEvent {
+        Some(CompleteEvent {
             id: event_id(&bytes),
             bytes,
         })
--- a/crates/decisions/src/hot_keys.rs
+++ b/crates/decisions/src/hot_keys.rs
@@ -4,7 +4,7 @@
 //! Without a limit these calls take every place of the service and its other callers wait behind
 //! one item. Here at most `limit` calls of one team for one key are queued or in flight at this
 //! node; more are refused at once, not run. Reads that may be merged never come to that limit,
-//! since they hold one place together (see `read_merger`).
+//! since they hold one place together (see `read_coalescer`).
 //!
 //! Grounds for the figure: with 16 calls of 20 ms before the 6 places that one of 8 nodes has at three
 //! workers of 16 places, a key holds a backlog of about 50 ms at most. In the row `hot key` of
--- a/crates/decisions/src/lease.rs
+++ b/crates/decisions/src/lease.rs
@@ -147,9 +147,9 @@
     }
 
     /// Takes the answer to a write that was sent at `sent`.
-    pub fn written(&mut self, sent: Instant, now: Instant, write: LeaseWrite, answer: LeaseAnswer) {
+    pub fn written(&mut self, sent: Instant, now: Instant, write: LeaseWrite, answer: LeaseWriteResult) {
         match answer {
-            LeaseAnswer::Written => {
+            LeaseWriteResult::Written => {
                 self.doubt = None;
                 self.unsettled = false;
                 self.seen = Some(now);
@@ -160,9 +160,9 @@
                     record: Some(write.record),
                 };
             }
-            LeaseAnswer::Conflict(row) => self.read(now, row),
-            LeaseAnswer::NotRun => {}
-            LeaseAnswer::Unknown => {
+            LeaseWriteResult::Conflict(row) => self.read(now, row),
+            LeaseWriteResult::NotRun => {}
+            LeaseWriteResult::Unknown => {
                 self.doubt = self.doubt.or(Some(sent));
                 self.unsettled = true;
             }
--- a/crates/decisions/src/lease_step.rs
+++ b/crates/decisions/src/lease_step.rs
@@ -22,7 +22,7 @@
 
 /// Answer to a write of the lease's row.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LeaseAnswer {
+pub enum LeaseWriteResult {
     /// It is written.
     Written,
     /// It is not, since the row is this one.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -32,7 +32,7 @@
     born::Born,
     bundle::Bundle,
     bundle_author::BundleAuthor,
-    bundle_change::{BundleChange, Settled},
+    bundle_change::{BundleChange, ChangeResult},
     bundle_digest::BundleDigest,
     bundle_draft::{BundleDraft, SignOff},
     bundle_refusal::BundleRefusal,
@@ -50,9 +50,9 @@
     change_token::ChangeToken,
     choice::{ChoiceInput, choose},
     claim_change::{ClaimChange, ClaimRowKey, FoundClaim},
-    claim_queue::{ClaimFate, ClaimQueue, GroupAnswer},
+    claim_queue::{ClaimResult, ClaimQueue, GroupResult},
     claim_record::{
-        ClaimKind, ClaimOutcome, ClaimRecord, ClaimStage, RecordedAnswer, RecordedBody,
+        ClaimKind, ClaimOutcome, ClaimRecord, ClaimStage, RecordedResponse, RecordedBody,
     },
     claim_token::ClaimToken,
     claim_verdict::ClaimVerdict,
@@ -70,8 +70,8 @@
     engine_report::EngineReport,
     engine_state::EngineState,
     error::Error,
-    event_relay::{EventFate, EventRelay, EventRun},
-    event_splitter::{EventSplitter, LARGEST_EVENT, WholeEvent},
+    event_relay::{EventDecision, EventRelay, EventRun},
+    event_splitter::{EventSplitter, LARGEST_EVENT, CompleteEvent},
     exposure::{Exposed, ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, VmLife},
     failed_call::FailedCall,
     fair_queue::{FairQueue, PopTries, QueueTeam},
@@ -85,13 +85,13 @@
     incarnation::Incarnation,
     ineligible::Ineligible,
     instant::Instant,
-    kept_table::{KeptTable, WholeTable},
+    table_replica::{TableReplica, TableSnapshot},
     key_hash::KeyHash,
     lane::Lane,
     lease::Lease,
     lease_row::{LeaseHolder, LeaseRecord, LeaseRow},
     lease_settings::LeaseSettings,
-    lease_step::{LeaseAnswer, LeaseStep, LeaseWrite},
+    lease_step::{LeaseWriteResult, LeaseStep, LeaseWrite},
     leaving_source::LeavingSource,
     limit_kind::LimitKind,
     link_rate::LinkRate,
@@ -119,9 +119,9 @@
     policy::Policy,
     progress_head::ProgressHead,
     progress_record::ProgressRecord,
-    progress_store::{KeptProgress, ProgressLimits, ProgressStore},
+    progress_store::{ProgressStoreResult, ProgressLimits, ProgressStore},
     progress_update::ProgressUpdate,
-    read_merger::ReadMerger,
+    read_coalescer::ReadCoalescer,
     received_end::ReceivedEnd,
     received_token::ReceivedToken,
     recovery_policy::RecoveryPolicy,
@@ -135,10 +135,10 @@
     reserved_attempt::ReservedAttempt,
     service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
     retry_refusal::RetryRefusal,
-    return_point::ReturnPoint,
+    resume_point::ResumePoint,
     rollout::{OWNER_LOST, Rollout},
     rollout_datagram::{RolloutGrant, RolloutReport},
-    rollout_evidence::{AnswerCounts, AnswerOutcome, RouteEvidence, latency_bucket},
+    rollout_evidence::{ResponseCounts, ResponseOutcome, RouteEvidence, latency_bucket},
     rollout_judge::{JudgedReport, ROUTE_TRIES, RolloutJudge, RolloutVerdict},
     rollout_notice::{RolloutNotice, RolloutProgress},
     rollout_order::{RolloutFault, RolloutOrder},
@@ -262,7 +262,7 @@
 mod incarnation;
 mod ineligible;
 mod instant;
-mod kept_table;
+mod table_replica;
 mod key_hash;
 mod lane;
 mod lane_queue;
@@ -296,7 +296,7 @@
 mod progress_record;
 mod progress_store;
 mod progress_update;
-mod read_merger;
+mod read_coalescer;
 mod received_end;
 mod received_token;
 mod recovery_policy;
@@ -310,7 +310,7 @@
 mod reserved_attempt;
 mod service_retry_budget;
 mod retry_refusal;
-mod return_point;
+mod resume_point;
 mod rollout;
 mod rollout_datagram;
 mod rollout_evidence;
--- a/crates/decisions/src/progress_record.rs
+++ b/crates/decisions/src/progress_record.rs
@@ -57,7 +57,7 @@
     /// generation, and their tokens differ from there on: to give a caller of the one what the
     /// other delivered would mix two answers.
     #[must_use]
-    pub fn reaches(&self, point: &ReturnPoint) -> bool {
+    pub fn reaches(&self, point: &ResumePoint) -> bool {
         let shared = match point.from {
             Some((_, chain)) if chain != self.chain => self.head.shared_with(chain),
             _ => Some(self.tokens.len()),
--- a/crates/decisions/src/progress_store.rs
+++ b/crates/decisions/src/progress_store.rs
@@ -22,7 +22,7 @@
 
 /// What a store made of an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum KeptProgress {
+pub enum ProgressStoreResult {
     /// The copy is up to it.
     Kept,
     /// It leaves a gap, or is older than the copy.
@@ -52,9 +52,9 @@
     }
 
     /// Takes in an update.
-    pub fn keep(&mut self, now: Instant, update: &ProgressUpdate) -> KeptProgress {
+    pub fn keep(&mut self, now: Instant, update: &ProgressUpdate) -> ProgressStoreResult {
         if let Some(attempt) = self.superseded_by(update) {
-            return KeptProgress::Superseded(attempt);
+            return ProgressStoreResult::Superseded(attempt);
         }
         let kept = match self.position(&update.id, update.chain) {
             Ok(i) => {
@@ -73,15 +73,15 @@
         };
         self.evict();
         if kept {
-            KeptProgress::Kept
+            ProgressStoreResult::Kept
         } else {
-            KeptProgress::Refused
+            ProgressStoreResult::Refused
         }
     }
 
     /// The best copy of a generation for a caller at `point`.
     #[must_use]
-    pub fn find(&self, id: &RequestId, point: &ReturnPoint) -> Option<&ProgressRecord> {
+    pub fn find(&self, id: &RequestId, point: &ResumePoint) -> Option<&ProgressRecord> {
         self.of(id)
             .filter(|record| record.reaches(point))
             .reduce(|best, other| if best.is_behind(other) { other } else { best })
--- a/crates/decisions/src/read_merger.rs
+++ b/crates/decisions/src/read_coalescer.rs
@@ -15,11 +15,11 @@
 
 /// Reads in flight and those that wait for their answers.
 #[derive(Debug)]
-pub struct ReadMerger<F> {
+pub struct ReadCoalescer<F> {
     followers: CallTable<VecDeque<F>>,
 }
 
-impl<F> Default for ReadMerger<F> {
+impl<F> Default for ReadCoalescer<F> {
     fn default() -> Self {
         Self {
             followers: CallTable::default(),
@@ -27,7 +27,7 @@
     }
 }
 
-impl<F> ReadMerger<F> {
+impl<F> ReadCoalescer<F> {
     /// Adds a read. It comes back if it has to lead: no read of this key is in flight.
     pub fn join(&mut self, key: &CallKey, follower: F) -> Option<F> {
         if let Some(followers) = self.followers.get_mut(key) {
--- a/crates/decisions/src/return_point.rs
+++ b/crates/decisions/src/resume_point.rs
@@ -3,14 +3,14 @@
 /// How far a returning caller has come: the index of the token that it lacks, and the chain of
 /// those that it has with the VM that delivered them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct ReturnPoint {
+pub struct ResumePoint {
     /// The token that is due.
     pub next: TokenIndex,
     /// Where the ones before came from; `None` for a caller who has none.
     pub from: Option<(VmId, ChainId)>,
 }
 
-impl ReturnPoint {
+impl ResumePoint {
     /// The id of an event, which its caller sends back as `Last-Event-ID`: the index, and behind
     /// `@` the chain and the VM.
     #[must_use]
@@ -19,7 +19,7 @@
     }
 }
 
-impl FromStr for ReturnPoint {
+impl FromStr for ResumePoint {
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -111,7 +111,7 @@
     }
 
     /// Counts an answer of an upstream; whether it is a failure of the new version.
-    pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: AnswerOutcome) -> bool {
+    pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: ResponseOutcome) -> bool {
         let place = self
             .evidence
             .binary_search_by(|seen| seen.counts.route.cmp(route));
@@ -130,7 +130,7 @@
         } else {
             seen.counts.old.count(outcome);
         }
-        is_new && outcome == AnswerOutcome::Failure
+        is_new && outcome == ResponseOutcome::Failure
     }
 
     /// At most so many routes with counts that were not reported yet.
--- a/crates/decisions/src/rollout_evidence.rs
+++ b/crates/decisions/src/rollout_evidence.rs
@@ -4,7 +4,7 @@
 
 /// Answers of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AnswerCounts {
+pub struct ResponseCounts {
     /// Failures of the upstream's own.
     #[serde(rename = "f")]
     pub failures: u32,
@@ -21,15 +21,15 @@
     pub route: Arc<str>,
     /// Of the versions in use.
     #[serde(rename = "b")]
-    pub old: AnswerCounts,
+    pub old: ResponseCounts,
     /// Of the version under trial.
     #[serde(rename = "a")]
-    pub new: AnswerCounts,
+    pub new: ResponseCounts,
 }
 
 /// How an upstream answered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AnswerOutcome {
+pub enum ResponseOutcome {
     /// With a success after this time; of a stream, its first event.
     Success(Duration),
     /// With a failure of its own.
@@ -48,12 +48,12 @@
     bucket
 }
 
-impl AnswerCounts {
+impl ResponseCounts {
     /// Counts an answer.
-    pub fn count(&mut self, outcome: AnswerOutcome) {
+    pub fn count(&mut self, outcome: ResponseOutcome) {
         match outcome {
-            AnswerOutcome::Failure => self.failures += 1,
-            AnswerOutcome::Success(latency) => self.add(latency_bucket(latency), 1),
+            ResponseOutcome::Failure => self.failures += 1,
+            ResponseOutcome::Success(latency) => self.add(latency_bucket(latency), 1),
         }
     }
 
@@ -125,8 +125,8 @@
     pub fn new(route: Arc<str>) -> Self {
         Self {
             route,
-            old: AnswerCounts::default(),
-            new: AnswerCounts::default(),
+            old: ResponseCounts::default(),
+            new: ResponseCounts::default(),
         }
     }
 }
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -91,7 +91,7 @@
 struct JudgedRoute {
     sum: RouteEvidence,
     /// The answers of the new version that were judged.
-    judged: AnswerCounts,
+    judged: ResponseCounts,
     suspected: Suspected,
 }
 
@@ -164,7 +164,7 @@
         place.unwrap_or_else(|index| {
             let route = JudgedRoute {
                 sum: RouteEvidence::new(name.clone()),
-                judged: AnswerCounts::default(),
+                judged: ResponseCounts::default(),
                 suspected: Suspected::default(),
             };
             self.routes.insert(index, route);
@@ -176,7 +176,7 @@
 impl JudgedRoute {
     /// Judges the answers that were not judged yet, once the old versions have given enough; `at_once` has those of the
     /// old versions in the same report.
-    fn judge(&mut self, at_once: &AnswerCounts, all: &mut Suspected) -> Option<JudgedReport> {
+    fn judge(&mut self, at_once: &ResponseCounts, all: &mut Suspected) -> Option<JudgedReport> {
         let old = &self.sum.old;
         let median = old.median().filter(|_| old.total() >= BASELINE)?;
         let slowest = (median + SLOW_BUCKETS).max(latency_bucket(NEVER_SLOW));
--- a/crates/decisions/src/kept_table.rs
+++ b/crates/decisions/src/table_replica.rs
@@ -7,7 +7,7 @@
 /// reads them here would take all other rows for removed, or a configuration for unchanged. So what does not
 /// go on from what is kept makes it incomplete until the whole is read again.
 #[derive(Clone, Debug)]
-pub struct KeptTable<R> {
+pub struct TableReplica<R> {
     /// Sorted by key; removed rows are left out.
     rows: Vec<(Arc<str>, R)>,
     /// Version up to which the rows are the whole table; none if they are not.
@@ -16,14 +16,14 @@
 
 /// A table as it was at one version.
 #[derive(Clone, Copy, Debug)]
-pub struct WholeTable<'a, R> {
+pub struct TableSnapshot<'a, R> {
     /// Its rows, sorted by key.
     pub rows: &'a [(Arc<str>, R)],
     /// The version.
     pub version: u64,
 }
 
-impl<R> Default for KeptTable<R> {
+impl<R> Default for TableReplica<R> {
     fn default() -> Self {
         Self {
             rows: Vec::new(),
@@ -32,7 +32,7 @@
     }
 }
 
-impl<R> KeptTable<R> {
+impl<R> TableReplica<R> {
     /// Takes in all rows as of a version.
     pub fn read(&mut self, rows: impl IntoIterator<Item = (Arc<str>, Option<R>)>, version: u64) {
         self.rows.clear();
@@ -58,8 +58,8 @@
 
     /// The whole table, if it is known here.
     #[must_use]
-    pub fn whole(&self) -> Option<WholeTable<'_, R>> {
-        self.version.map(|version| WholeTable {
+    pub fn whole(&self) -> Option<TableSnapshot<'_, R>> {
+        self.version.map(|version| TableSnapshot {
             rows: &self.rows,
             version,
         })
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -1,7 +1,7 @@
 //! Leases and orders together: VMs that crash, pause and come back, and engines of both kinds.
 
 use catkin_decisions::{
-    EngineGoal, EngineReport, EngineState, Incarnation, Instant, Lease, LeaseAnswer, LeaseHolder,
+    EngineGoal, EngineReport, EngineState, Incarnation, Instant, Lease, LeaseWriteResult, LeaseHolder,
     LeaseRow, LeaseSettings, LeaseStep, LeaseWrite, Model, OrderPlanner, OrderSettings, Term,
     UpstreamId,
 };
@@ -135,9 +135,9 @@
             9 => {
                 // The write takes effect and its answer is lost.
                 self.write(vm);
-                self.answer(vm, LeaseAnswer::Unknown);
+                self.answer(vm, LeaseWriteResult::Unknown);
             }
-            10 => self.answer(vm, LeaseAnswer::Unknown),
+            10 => self.answer(vm, LeaseWriteResult::Unknown),
             11 | 12 => self.pause_holder(pick),
             13 => self.vms[vm].paused_until = self.now + 400 * pick,
             14 => {
@@ -199,21 +199,21 @@
     }
 
     /// The table service carries out a VM's write.
-    fn write(&mut self, vm: usize) -> LeaseAnswer {
+    fn write(&mut self, vm: usize) -> LeaseWriteResult {
         let Some((_, write)) = &self.vms[vm].write else {
-            return LeaseAnswer::NotRun;
+            return LeaseWriteResult::NotRun;
         };
         if write.expected != self.row.version {
-            return LeaseAnswer::Conflict(self.row.clone());
+            return LeaseWriteResult::Conflict(self.row.clone());
         }
         self.row = LeaseRow {
             version: write.expected + 1,
             record: Some(write.record.clone()),
         };
-        LeaseAnswer::Written
+        LeaseWriteResult::Written
     }
 
-    fn answer(&mut self, vm: usize, answer: LeaseAnswer) {
+    fn answer(&mut self, vm: usize, answer: LeaseWriteResult) {
         let now = self.instant();
         if let Some((sent, write)) = self.vms[vm].write.take() {
             self.vms[vm].lease.written(sent, now, write, answer);
--- a/crates/decisions/tests/bundle_change.rs
+++ b/crates/decisions/tests/bundle_change.rs
@@ -2,7 +2,7 @@
 
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDigest, BundleDraft, BundleKey, BundleRefusal, BundleRelease,
-    BundleRow, BundleVersion, CurrentBundle, DraftId, OperatorName, ReleaseSource, Settled, Stored,
+    BundleRow, BundleVersion, CurrentBundle, DraftId, OperatorName, ReleaseSource, ChangeResult, Stored,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
         true
     }
 
-    fn settled(&self, change: &BundleChange) -> Settled {
+    fn settled(&self, change: &BundleChange) -> ChangeResult {
         change.settled(self.row(&change.witness()))
     }
 
@@ -150,12 +150,12 @@
         by: operator("ada"),
         version: BundleVersion(1),
     };
-    expect_that!(table.settled(&winner), eq(&Settled::Done));
+    expect_that!(table.settled(&winner), eq(&ChangeResult::Done));
     expect_that!(
         overtaken.to_string(),
         eq("ada rolled out version 1 first; nothing of yours was changed")
     );
-    expect_that!(table.settled(&loser), eq(&Settled::Lost(overtaken)));
+    expect_that!(table.settled(&loser), eq(&ChangeResult::Lost(overtaken)));
 }
 
 #[gtest]
@@ -175,8 +175,8 @@
         draft: draft.id,
         by: operator("bea"),
     };
-    expect_that!(table.settled(&winner), eq(&Settled::Done));
-    expect_that!(table.settled(&loser), eq(&Settled::Lost(signed_off)));
+    expect_that!(table.settled(&winner), eq(&ChangeResult::Done));
+    expect_that!(table.settled(&loser), eq(&ChangeResult::Lost(signed_off)));
 }
 
 /// A bundle comes into force unseen by a second person, or takes back a release that its author has
@@ -294,7 +294,7 @@
 }
 
 /// Each change that was sent, whether any of its calls took effect, and what its author was told.
-type Told = Vec<(BundleChange, bool, Settled)>;
+type Told = Vec<(BundleChange, bool, ChangeResult)>;
 
 fn run(steps: &[Step]) -> (Table, Told) {
     let mut table = Table::default();
@@ -359,9 +359,9 @@
         let current = table.current().map(|stored| (stored.value.version, stored.value.digest));
         prop_assert_eq!(last, current);
         for (change, _, settled) in &told {
-            prop_assert_ne!(settled, &Settled::Open, "{:?}", change);
+            prop_assert_ne!(settled, &ChangeResult::Open, "{:?}", change);
             let effects = told.iter().filter(|(other, took, _)| other == change && *took).count();
-            let expected = usize::from(*settled == Settled::Done);
+            let expected = usize::from(*settled == ChangeResult::Done);
             prop_assert_eq!(effects, expected, "{:?}", change);
         }
     }
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -1,8 +1,8 @@
 //! Claims: one dispatch for each key, whatever becomes of the calls of the table service.
 
 use catkin_decisions::{
-    ClaimChange, ClaimFate, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimRowKey,
-    ClaimStage, ClaimToken, ClaimVerdict, Claimed, FoundClaim, GroupAnswer, HeldClaim, Incarnation,
+    ClaimChange, ClaimResult, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimRowKey,
+    ClaimStage, ClaimToken, ClaimVerdict, Claimed, FoundClaim, GroupResult, HeldClaim, Incarnation,
     Instant, RequestDigest, TeamId, WallTime,
 };
 use googletest::prelude::*;
@@ -52,18 +52,18 @@
     queue.claim(change("b", 2, b"order"), at(1000), "b");
     queue.next_group().expect("two wait");
 
-    let first = queue.answer(&GroupAnswer::Conflicts(vec![found(&theirs, 1)]));
+    let first = queue.answer(&GroupResult::Conflicts(vec![found(&theirs, 1)]));
     let again = queue.next_group().expect("one is left");
-    let second = queue.answer(&GroupAnswer::Committed);
+    let second = queue.answer(&GroupResult::Committed);
 
     expect_that!(
         first,
-        elements_are![(eq(&"a"), eq(&ClaimFate::Taken(found(&theirs, 1))))]
+        elements_are![(eq(&"a"), eq(&ClaimResult::Taken(found(&theirs, 1))))]
     );
     expect_that!(again, eq(&[change("b", 2, b"order")]));
     expect_that!(
         second,
-        elements_are![(eq(&"b"), matches_pattern!(ClaimFate::Claimed(_)))]
+        elements_are![(eq(&"b"), matches_pattern!(ClaimResult::Claimed(_)))]
     );
 }
 
@@ -74,14 +74,14 @@
     let mine = change("a", 1, b"order");
     queue.claim(mine.clone(), at(1000), ());
     queue.next_group().expect("one waits");
-    expect_that!(queue.answer(&GroupAnswer::Unknown), is_empty());
+    expect_that!(queue.answer(&GroupResult::Unknown), is_empty());
     queue.next_group().expect("it waits again");
 
-    let told = queue.answer(&GroupAnswer::Conflicts(vec![found(&mine, 1)]));
+    let told = queue.answer(&GroupResult::Conflicts(vec![found(&mine, 1)]));
 
     expect_that!(
         told,
-        elements_are![(eq(&()), matches_pattern!(ClaimFate::Claimed(_)))]
+        elements_are![(eq(&()), matches_pattern!(ClaimResult::Claimed(_)))]
     );
 }
 
@@ -93,12 +93,12 @@
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
     queue.next_group().expect("one waits");
-    queue.answer(&GroupAnswer::Unknown);
+    queue.answer(&GroupResult::Unknown);
 
     let told = queue.give_up(at(1000));
     let group = queue.next_group().expect("the release waits");
 
-    expect_that!(told, elements_are![eq(&((), ClaimFate::GivenUp))]);
+    expect_that!(told, elements_are![eq(&((), ClaimResult::GivenUp))]);
     expect_that!(group[0].record.stage, eq(&ClaimStage::Released));
     expect_that!(group[0].record.token, eq(ClaimToken(1)));
 }
@@ -108,11 +108,11 @@
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
     queue.next_group().expect("one waits");
-    queue.answer(&GroupAnswer::NotRun);
+    queue.answer(&GroupResult::NotRun);
 
     let told = queue.give_up(at(1000));
 
-    expect_that!(told, elements_are![eq(&((), ClaimFate::GivenUp))]);
+    expect_that!(told, elements_are![eq(&((), ClaimResult::GivenUp))]);
     expect_that!(queue.next_group(), none());
 }
 
@@ -124,7 +124,7 @@
     theirs.record.stage = ClaimStage::Released;
     queue.claim(change("a", 1, b"order"), at(1000), ());
     queue.next_group().expect("one waits");
-    queue.answer(&GroupAnswer::Conflicts(vec![found(&theirs, 4)]));
+    queue.answer(&GroupResult::Conflicts(vec![found(&theirs, 4)]));
 
     let again = queue.next_group().expect("it waits again");
 
@@ -243,7 +243,7 @@
             2 | 3 => self.send(vm),
             4 | 5 => self.deliver(pick, true),
             6 => self.deliver(pick, false),
-            7 => self.answer(vm, &GroupAnswer::Unknown),
+            7 => self.answer(vm, &GroupResult::Unknown),
             8 => self.lose(pick),
             9 => self.give_up(vm),
             10 | 11 => self.dispatch(vm),
@@ -295,7 +295,7 @@
                 if answered {
                     &answer
                 } else {
-                    &GroupAnswer::Unknown
+                    &GroupResult::Unknown
                 },
             );
         }
@@ -314,11 +314,11 @@
         };
         if !self.calls[i].done {
             self.calls[i].done = true;
-            self.answer(vm, &GroupAnswer::NotRun);
+            self.answer(vm, &GroupResult::NotRun);
         }
     }
 
-    fn transact(&mut self, group: &[ClaimChange]) -> GroupAnswer {
+    fn transact(&mut self, group: &[ClaimChange]) -> GroupResult {
         let row = |key: &ClaimRowKey| self.rows.iter().find(|row| row.key == *key).cloned();
         let conflicts = group
             .iter()
@@ -332,22 +332,22 @@
             })
             .collect::<Vec<_>>();
         if !conflicts.is_empty() {
-            return GroupAnswer::Conflicts(conflicts);
+            return GroupResult::Conflicts(conflicts);
         }
         for change in group {
             self.rows.retain(|row| row.key != change.key);
             self.rows.push(found(change, change.expected + 1));
         }
-        GroupAnswer::Committed
+        GroupResult::Committed
     }
 
-    fn answer(&mut self, vm: usize, answer: &GroupAnswer) {
+    fn answer(&mut self, vm: usize, answer: &GroupResult) {
         let vm = &mut self.vms[vm];
         if vm.waits_for.take().is_none() {
             return;
         }
         for ((), fate) in vm.queue.answer(answer) {
-            if let ClaimFate::Claimed(claimed) = fate {
+            if let ClaimResult::Claimed(claimed) = fate {
                 vm.claimed.push(claimed);
             }
         }
@@ -398,7 +398,7 @@
         }
         for _ in 0..20 {
             for vm in 0..VMS {
-                self.answer(vm, &GroupAnswer::Unknown);
+                self.answer(vm, &GroupResult::Unknown);
                 self.send(vm);
                 self.deliver(0, true);
             }
--- a/crates/decisions/tests/events.rs
+++ b/crates/decisions/tests/events.rs
@@ -1,6 +1,6 @@
 //! Whole events, and which of them a caller gets.
 
-use catkin_decisions::{Error, EventFate, EventRelay, EventSplitter, LARGEST_EVENT};
+use catkin_decisions::{Error, EventDecision, EventRelay, EventSplitter, LARGEST_EVENT};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
@@ -71,7 +71,7 @@
             let run = runs[run % runs.len()];
             let id = relay.last().unwrap_or(0) + ahead;
             let fate = relay.decide(run, id);
-            if fate == EventFate::Deliver {
+            if fate == EventDecision::Deliver {
                 prop_assert_eq!(Some(&run), runs.last());
                 got.push(id);
             }
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -1,6 +1,6 @@
 //! Many calls for one key: merged if they are reads, limited if not.
 
-use catkin_decisions::{CallKey, HotKeys, ReadMerger};
+use catkin_decisions::{CallKey, HotKeys, ReadCoalescer};
 use googletest::prelude::*;
 
 fn key(team: &str, path: &str) -> CallKey {
@@ -10,7 +10,7 @@
 
 #[gtest]
 fn identical_reads_get_the_leaders_answer() {
-    let mut merger = ReadMerger::default();
+    let mut merger = ReadCoalescer::default();
     let tile = key("cobalt", "/tiles/7");
 
     let joined = [1, 2, 3].map(|read| merger.join(&tile, read));
@@ -22,7 +22,7 @@
 
 #[gtest]
 fn reads_of_another_team_or_path_are_not_merged() {
-    let mut merger = ReadMerger::default();
+    let mut merger = ReadCoalescer::default();
     merger.join(&key("cobalt", "/tiles/7"), 1);
 
     let other_team = merger.join(&key("carrier", "/tiles/7"), 2);
@@ -35,7 +35,7 @@
 /// that can still be answered and must not share its fate.
 #[gtest]
 fn failed_leader_does_not_fail_its_followers() {
-    let mut merger = ReadMerger::default();
+    let mut merger = ReadCoalescer::default();
     let tile = key("cobalt", "/tiles/7");
     for read in [1, 2, 3] {
         merger.join(&tile, read);
--- a/crates/decisions/tests/lease.rs
+++ b/crates/decisions/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Leases: one holder at a time by its own clock, and a term that tells old orders from new ones.
 
 use catkin_decisions::{
-    Incarnation, Instant, Lease, LeaseAnswer, LeaseHolder, LeaseRecord, LeaseRow, LeaseSettings,
+    Incarnation, Instant, Lease, LeaseWriteResult, LeaseHolder, LeaseRecord, LeaseRow, LeaseSettings,
     LeaseStep, LeaseWrite, Term,
 };
 use googletest::prelude::*;
@@ -35,7 +35,7 @@
 }
 
 /// Has the lease take a row that is absent or lapsed, with the write sent at `sent`.
-fn take(lease: &mut Lease, sent: u64, answered: u64, answer: LeaseAnswer) -> LeaseWrite {
+fn take(lease: &mut Lease, sent: u64, answered: u64, answer: LeaseWriteResult) -> LeaseWrite {
     let LeaseStep::Write(write) = lease.step(at(sent)) else {
         panic!("no write: {:?}", lease.step(at(sent)));
     };
@@ -46,7 +46,7 @@
 fn held_lease() -> Lease {
     let mut lease = lease(1);
     lease.read(at(0), LeaseRow::default());
-    take(&mut lease, 0, 500, LeaseAnswer::Written);
+    take(&mut lease, 0, 500, LeaseWriteResult::Written);
     lease
 }
 
@@ -67,7 +67,7 @@
 
     let before = lease.step(at(3_000));
     lease.read(at(12_900), row(5, 1, 3));
-    let after = take(&mut lease, 13_000, 13_001, LeaseAnswer::Written);
+    let after = take(&mut lease, 13_000, 13_001, LeaseWriteResult::Written);
 
     expect_that!(before, eq(&LeaseStep::Wait(Duration::from_secs(1))));
     expect_that!((after.expected, after.record.term), eq((5, Term(4))));
@@ -89,7 +89,7 @@
 #[gtest]
 fn a_lost_answer_is_settled_by_reading_back() {
     let mut lease = held_lease();
-    take(&mut lease, 3_000, 5_000, LeaseAnswer::Unknown);
+    take(&mut lease, 3_000, 5_000, LeaseWriteResult::Unknown);
 
     let step = lease.step(at(5_000));
     lease.read(at(5_500), row(2, 1, 1));
@@ -106,9 +106,9 @@
 fn a_late_write_counts_from_when_it_was_sent() {
     let mut lease = lease(1);
     lease.read(at(0), LeaseRow::default());
-    take(&mut lease, 0, 1_000, LeaseAnswer::Unknown);
+    take(&mut lease, 0, 1_000, LeaseWriteResult::Unknown);
     lease.read(at(1_000), LeaseRow::default());
-    take(&mut lease, 2_000, 3_000, LeaseAnswer::Unknown);
+    take(&mut lease, 2_000, 3_000, LeaseWriteResult::Unknown);
 
     lease.read(at(3_000), row(1, 1, 1));
 
@@ -162,7 +162,7 @@
     lease.exceed(Term(41));
 
     let permit = lease.permit(at(600));
-    let write = take(&mut lease, 700, 701, LeaseAnswer::Written);
+    let write = take(&mut lease, 700, 701, LeaseWriteResult::Written);
 
     expect_that!(permit, none());
     expect_that!(write.record.term, eq(Term(42)));
@@ -173,7 +173,7 @@
 fn a_lease_given_back_is_free_at_once() {
     let mut first = held_lease();
     first.want(false);
-    let given_back = take(&mut first, 1_000, 1_001, LeaseAnswer::Written);
+    let given_back = take(&mut first, 1_000, 1_001, LeaseWriteResult::Written);
     let mut second = lease(2);
     second.read(
         at(1_100),
@@ -183,7 +183,7 @@
         },
     );
 
-    let taken = take(&mut second, 1_100, 1_101, LeaseAnswer::Written);
+    let taken = take(&mut second, 1_100, 1_101, LeaseWriteResult::Written);
 
     expect_that!(first.held(at(1_002)), none());
     expect_that!(taken.record.term, eq(Term(2)));
@@ -250,7 +250,7 @@
             0..=4 => self.act(vm),
             5 | 6 => self.deliver(pick, true),
             7 => self.deliver(pick, false),
-            8 => self.hear(vm, LeaseAnswer::Unknown),
+            8 => self.hear(vm, LeaseWriteResult::Unknown),
             9 | 10 => self.order(vm),
             11 => self.arrive(pick),
             12 => self.now += 400 * pick,
@@ -298,9 +298,9 @@
                 version: write.expected + 1,
                 record: Some(write.record),
             };
-            LeaseAnswer::Written
+            LeaseWriteResult::Written
         } else {
-            LeaseAnswer::Conflict(self.row.clone())
+            LeaseWriteResult::Conflict(self.row.clone())
         };
         let vm = self.calls[i].vm;
         let waits = self.vms[vm].waits_for == Some(i) && self.vms[vm].me == self.calls[i].holder;
@@ -310,13 +310,13 @@
                 if answered {
                     answer
                 } else {
-                    LeaseAnswer::Unknown
+                    LeaseWriteResult::Unknown
                 },
             );
         }
     }
 
-    fn hear(&mut self, vm: usize, answer: LeaseAnswer) {
+    fn hear(&mut self, vm: usize, answer: LeaseWriteResult) {
         let now = self.clock(vm);
         let Some(i) = self.vms[vm].waits_for.take() else {
             return;
@@ -379,7 +379,7 @@
             for vm in 0..VMS {
                 self.act(vm);
                 self.deliver(0, true);
-                self.hear(vm, LeaseAnswer::Unknown);
+                self.hear(vm, LeaseWriteResult::Unknown);
             }
             self.check();
         }
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -10,7 +10,7 @@
 
 use catkin_decisions::{
     AdmissionConfig, AdmissionQueue, Arrival, CallKey, CapacityReport, CapacityShare, HotKeys,
-    Instant, Lane, NotRun, QueueTeam, Queued, ReadMerger, UpstreamId,
+    Instant, Lane, NotRun, QueueTeam, Queued, ReadCoalescer, UpstreamId,
 };
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -76,7 +76,7 @@
 
 struct Node {
     admission: AdmissionQueue<usize>,
-    merger: ReadMerger<usize>,
+    merger: ReadCoalescer<usize>,
     hot_keys: HotKeys,
     fifo: VecDeque<usize>,
     in_flight: Vec<u32>,
@@ -400,7 +400,7 @@
         }
         Self {
             admission,
-            merger: ReadMerger::default(),
+            merger: ReadCoalescer::default(),
             hot_keys: HotKeys::default(),
             fifo: VecDeque::new(),
             in_flight: vec![0; ids.len()],
--- a/crates/decisions/tests/progress.rs
+++ b/crates/decisions/tests/progress.rs
@@ -1,8 +1,8 @@
 //! Copies of a generation's progress on other VMs.
 
 use catkin_decisions::{
-    Attempt, BundleVersion, ChainId, Finish, Instant, KeptProgress, Model, ProgressHead,
-    ProgressLimits, ProgressStore, ProgressUpdate, RequestDigest, RequestId, ReturnPoint, Token,
+    Attempt, BundleVersion, ChainId, Finish, Instant, ProgressStoreResult, Model, ProgressHead,
+    ProgressLimits, ProgressStore, ProgressUpdate, RequestDigest, RequestId, ResumePoint, Token,
     TokenIndex, TokenLog,
 };
 use googletest::prelude::*;
@@ -62,8 +62,8 @@
     }
 }
 
-fn point(chain: u64, next: u32) -> ReturnPoint {
-    ReturnPoint {
+fn point(chain: u64, next: u32) -> ResumePoint {
+    ResumePoint {
         next: TokenIndex(next),
         from: Some(("vm-1".parse().expect("a name"), ChainId(chain))),
     }
@@ -79,7 +79,7 @@
 
 fn tokens(store: &ProgressStore) -> Vec<u32> {
     store
-        .find(&id(1), &ReturnPoint::default())
+        .find(&id(1), &ResumePoint::default())
         .map(|record| record.tokens.ids().to_vec())
         .unwrap_or_default()
 }
@@ -101,7 +101,7 @@
 
     let kept = store.keep(at(0), &update(1, 1, 1..5));
 
-    expect_that!(kept, eq(KeptProgress::Kept));
+    expect_that!(kept, eq(ProgressStoreResult::Kept));
     expect_that!(tokens(&store), eq(&vec![0, 1, 2, 3, 4]));
 }
 
@@ -114,7 +114,7 @@
 
     let kept = store.keep(at(0), &update(1, 4, 4..6));
 
-    expect_that!(kept, eq(KeptProgress::Refused));
+    expect_that!(kept, eq(ProgressStoreResult::Refused));
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
@@ -129,7 +129,7 @@
 
     let kept = store.keep(at(0), &update(1, 3, [103, 104]));
 
-    expect_that!(kept, eq(KeptProgress::Superseded(Attempt(65536))));
+    expect_that!(kept, eq(ProgressStoreResult::Superseded(Attempt(65536))));
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
@@ -209,16 +209,16 @@
 
     let kept = store.keep(at(0), &update(1, 4, [104]));
 
-    expect_that!(kept, eq(KeptProgress::Refused));
+    expect_that!(kept, eq(ProgressStoreResult::Refused));
 }
 
 #[gtest]
 fn event_ids_are_read_back() {
     let vm = "vm-1".parse().expect("a name");
 
-    let id = ReturnPoint::event_id(TokenIndex(3), ChainId(1), &vm);
+    let id = ResumePoint::event_id(TokenIndex(3), ChainId(1), &vm);
 
-    expect_that!(id.parse::<ReturnPoint>(), ok(eq(&point(1, 4))));
+    expect_that!(id.parse::<ResumePoint>(), ok(eq(&point(1, 4))));
 }
 
 /// A VM has forgotten a copy that still grows. What it would begin in the middle could never be
@@ -229,7 +229,7 @@
 
     let kept = store.keep(at(0), &update(1, 3, [3]));
 
-    expect_that!(kept, eq(KeptProgress::Refused));
+    expect_that!(kept, eq(ProgressStoreResult::Refused));
     expect_that!(store.usage(), eq((0, 0)));
 }
 
--- a/crates/decisions/tests/rollout_judge.rs
+++ b/crates/decisions/tests/rollout_judge.rs
@@ -1,7 +1,7 @@
 //! How often a version under trial is judged rightly, by simulation over many seeds.
 
 use catkin_decisions::{
-    AnswerCounts, AnswerOutcome, RolloutJudge, RolloutVerdict, RouteEvidence, VmLife,
+    ResponseCounts, ResponseOutcome, RolloutJudge, RolloutVerdict, RouteEvidence, VmLife,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -35,10 +35,10 @@
     from: 0,
 };
 
-fn answer(b: Behaviour, n: usize, rng: &mut Xoshiro256PlusPlus) -> AnswerOutcome {
+fn answer(b: Behaviour, n: usize, rng: &mut Xoshiro256PlusPlus) -> ResponseOutcome {
     let b = if n < b.from { USUAL } else { b };
     if rng.random_bool(b.failures) {
-        return AnswerOutcome::Failure;
+        return ResponseOutcome::Failure;
     }
     let spread = 0.6 + 0.8 * rng.random::<f64>();
     let times = if rng.random_bool(b.slow.0) {
@@ -46,7 +46,7 @@
     } else {
         1.0
     };
-    AnswerOutcome::Success(Duration::from_millis(20).mul_f64(spread * times))
+    ResponseOutcome::Success(Duration::from_millis(20).mul_f64(spread * times))
 }
 
 /// Has a version tried on two routes by some VMs; the verdict, and the bad answers until it was bad.
@@ -161,11 +161,11 @@
     for _ in 0..30 {
         evidence
             .old
-            .count(AnswerOutcome::Success(Duration::from_millis(10)));
+            .count(ResponseOutcome::Success(Duration::from_millis(10)));
     }
-    evidence.new.count(AnswerOutcome::Failure);
+    evidence.new.count(ResponseOutcome::Failure);
     let early = evidence.clone();
-    evidence.new.count(AnswerOutcome::Failure);
+    evidence.new.count(ResponseOutcome::Failure);
 
     for report in [&evidence, &early, &evidence] {
         judge.take(&life, report);
@@ -181,7 +181,7 @@
         vm: "vm-1".into(),
         incarnation: 1,
     };
-    let success = AnswerOutcome::Success(Duration::from_millis(10));
+    let success = ResponseOutcome::Success(Duration::from_millis(10));
     let mut evidence = RouteEvidence::new("/quick/".into());
     let mut verdicts = Vec::new();
     for failures in [0, 2] {
@@ -192,7 +192,7 @@
         }
         judge.take(&life, &evidence);
         for _ in 0..failures {
-            evidence.new.count(AnswerOutcome::Failure);
+            evidence.new.count(ResponseOutcome::Failure);
         }
         judge.take(&life, &evidence);
         verdicts.push(judge.verdict());
@@ -206,11 +206,11 @@
 
 #[gtest]
 fn counts_know_their_median_and_their_slow_answers() {
-    let mut counts = AnswerCounts::default();
+    let mut counts = ResponseCounts::default();
     for ms in [10, 10, 10, 10, 100] {
-        counts.count(AnswerOutcome::Success(Duration::from_millis(ms)));
+        counts.count(ResponseOutcome::Success(Duration::from_millis(ms)));
     }
-    counts.count(AnswerOutcome::Failure);
+    counts.count(ResponseOutcome::Failure);
 
     let median = counts.median().unwrap();
 
@@ -229,7 +229,7 @@
             } else {
                 &mut evidence.old
             };
-            counts.count(AnswerOutcome::Success(latency));
+            counts.count(ResponseOutcome::Success(latency));
         }
     };
     count(old, false);
@@ -269,7 +269,7 @@
 fn answers_within_milliseconds_are_not_slow() {
     let mut evidence = moment((400, 0), (0, 0));
     for _ in 0..60 {
-        let outcome = AnswerOutcome::Success(Duration::from_millis(14));
+        let outcome = ResponseOutcome::Success(Duration::from_millis(14));
         evidence.new.count(outcome);
     }
 
--- a/crates/decisions/tests/kept_table.rs
+++ b/crates/decisions/tests/table_replica.rs
@@ -1,6 +1,6 @@
 //! What a VM keeps of the platform's tables for others.
 
-use catkin_decisions::KeptTable;
+use catkin_decisions::TableReplica;
 use googletest::prelude::*;
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 }
 
 /// The table's keys, if it is known in whole.
-fn keys(table: &KeptTable<u32>) -> Option<Vec<&str>> {
+fn keys(table: &TableReplica<u32>) -> Option<Vec<&str>> {
     let whole = table.whole()?;
     Some(whole.rows.iter().map(|(key, _)| key.as_ref()).collect())
 }
 
 #[gtest]
 fn changes_go_on_from_what_was_read() {
-    let mut table = KeptTable::default();
+    let mut table = TableReplica::default();
     table.read([row("b", 1), row("a", 1)], 10);
 
     table.changed(10, [row("c", 1), removed("a"), row("b", 2)], 13);
@@ -33,7 +33,7 @@
 /// the whole table, dropped all its upstreams, and refused every call from then on.
 #[gtest]
 fn changes_alone_are_no_table() {
-    let mut table = KeptTable::default();
+    let mut table = TableReplica::default();
 
     table.changed(10, [], 12);
 
@@ -44,7 +44,7 @@
 /// came through here.
 #[gtest]
 fn a_table_with_a_gap_is_not_shown_until_it_is_read_again() {
-    let mut table = KeptTable::default();
+    let mut table = TableReplica::default();
     table.read([row("a", 1)], 10);
 
     table.changed(20, [row("c", 1)], 21);
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fleet_bundle::GENERATION_SERVICE;
-use catkin_decisions::ReturnPoint;
+use catkin_decisions::ResumePoint;
 use parking_lot::Mutex;
 use std::num::NonZeroU32;
 use volo_http::client::sse::SseReader;
@@ -153,7 +153,7 @@
 
 /// Id under which the engine knows a generation: that of the request, and its chain.
 fn engine_id(answer: &Answer) -> Option<String> {
-    let point: ReturnPoint = answer.last_event_id.as_ref()?.parse().ok()?;
+    let point: ResumePoint = answer.last_event_id.as_ref()?.parse().ok()?;
     let (_, chain) = point.from?;
     Some(format!("{}.{chain}", answer.request_id.as_ref()?))
 }
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use catkin_decisions::{
-    ClaimKind, ClaimOutcome, ClaimVerdict, HeldClaim, Incarnation, RecordedAnswer, RequestDigest,
+    ClaimKind, ClaimOutcome, ClaimVerdict, HeldClaim, Incarnation, RecordedResponse, RequestDigest,
     TeamId, WallTime,
 };
 use catkin_standins::{ScriptedPlatform, TransactFate};
@@ -70,7 +70,7 @@
     claimed.dispatch().1
 }
 
-fn recorded(verdict: ClaimVerdict) -> RecordedAnswer {
+fn recorded(verdict: ClaimVerdict) -> RecordedResponse {
     let ClaimVerdict::Done(ClaimOutcome::Answered(answer)) = verdict else {
         panic!("no answer recorded: {verdict:?}");
     };
