--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -153,7 +153,7 @@
         Lane::iter().map(|lane| queue.waiting(lane)).sum()
     }
 
-    pub(crate) fn withdraw(&self, place: QueuePlace) {
+    pub(crate) fn withdraw(&self, place: QueuePosition) {
         if let Some(not_run) = self.queue.lock().withdraw(place) {
             self.refusal(&not_run);
         }
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -101,7 +101,7 @@
                 // A large configuration takes a second over the link of a small VM, and the teller's link is shared by
                 // all who ask it. Bound like a question that does not wait, it would never come: one sees `not read
                 // from a peer`, `store unreachable` and callers of new routes refused for many seconds.
-                Some(follower.ask_store(CONFIG_WAIT).await)
+                Some(follower.ask_store(CONFIG_POLL_TIMEOUT).await)
             }
             None => ask_for_config(&gateway, &mut follower).await,
         };
@@ -129,7 +129,7 @@
     let wait = if shared {
         SHARED_CONFIG_WAIT
     } else {
-        CONFIG_WAIT
+        CONFIG_POLL_TIMEOUT
     };
     let ahead = tokio::select! {
         read = follower.next(wait) => return Some(read),
--- a/crates/catkinward/src/gateway/prompt_search.rs
+++ b/crates/catkinward/src/gateway/prompt_search.rs
@@ -56,7 +56,7 @@
     async fn ask_cached(&self, engine: Arc<UpstreamEntry>) -> bool {
         let asked = (self.transport.cached)(engine.clone());
         let now = self.timer.now();
-        match tokio::time::timeout(SEARCH_BOUND, asked).await {
+        match tokio::time::timeout(PROMPT_SEARCH_TIMEOUT, asked).await {
             Ok(Ok(parts)) => {
                 self.state.lock().cached.told(&engine.id, parts, now);
                 true
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -558,7 +558,7 @@
         if let Some(rollout) = state.rollouts.get_mut(service) {
             rollout.owner_heard = rollout
                 .owner_heard
-                .max(now.before(OWNER_LOST).after(STORE_RETRY));
+                .max(now.before(OWNER_TIMEOUT).after(STORE_RETRY));
             if rollout.progress.term == 0 {
                 rollout.owner_heard = now;
             }
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -78,7 +78,7 @@
         match (self.ending, self.completing) {
             (Some(phase), _) => Some(phase),
             (None, Some(since)) => {
-                (now.since(since) >= COMPLETING).then_some(RolloutPhase::Completed)
+                (now.since(since) >= COMPLETION_WAIT).then_some(RolloutPhase::Completed)
             }
             (None, None) => Some(RolloutPhase::Running),
         }
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -4,7 +4,7 @@
 //! not anything changes, so that calls of the store grow with the VMs. In a large zone only its reader does. It
 //! tells with each word which configuration is in force there and when the store was last asked; the others read a
 //! newer one from the VM that told of it. A reader whose own question hangs, or that the store turns away, tells an
-//! age that grows, and is not relied on for longer than [`CONFIG_GOSSIP_AGE`].
+//! age that grows, and is not relied on for longer than [`CONFIG_GOSSIP_MAX_AGE`].
 
 use super::*;
 
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -76,7 +76,7 @@
         let now = self.timer.now();
         let state = self.state.lock();
         let read_here = state.table_read.map(|at| now.since(at));
-        let told = match state.gossip.state(GOSSIP_AGE, now) {
+        let told = match state.gossip.state(GOSSIP_MAX_AGE, now) {
             GossipState::Fresh(_) => state.gossip.age(now),
             GossipState::Behind(_) | GossipState::Silent => None,
         };
@@ -100,7 +100,7 @@
         let now = self.timer.now();
         let readers = self.zone_vms().len().saturating_sub(1);
         let state = self.state.lock();
-        let read = state.table_read.filter(|at| now.since(*at) < GOSSIP_AGE);
+        let read = state.table_read.filter(|at| now.since(*at) < GOSSIP_MAX_AGE);
         let Some(read) = read else {
             return;
         };
@@ -123,7 +123,7 @@
         let parts = if changes.is_empty() {
             vec![Vec::new()]
         } else {
-            changes.chunks(CHANGES_TOLD).map(<[_]>::to_vec).collect()
+            changes.chunks(MAX_GOSSIPED_CHANGES).map(<[_]>::to_vec).collect()
         };
         for changes in parts {
             let gossip = ZoneGossip {
@@ -156,7 +156,7 @@
         let table = std::mem::take(&mut state.table);
         state.gossip.take(gossip, &table, now);
         state.table = table;
-        if matches!(state.gossip.state(GOSSIP_AGE, now), GossipState::Fresh(_)) {
+        if matches!(state.gossip.state(GOSSIP_MAX_AGE, now), GossipState::Fresh(_)) {
             state.directory.platform_answers(now);
         }
         drop(state);
@@ -180,7 +180,7 @@
         let state = self.state.lock();
         let read = state
             .table_read
-            .is_some_and(|at| now.since(at) < GOSSIP_AGE && !state.old_directory);
+            .is_some_and(|at| now.since(at) < GOSSIP_MAX_AGE && !state.old_directory);
         drop(state);
         read || matches!(self.gossip_state(ZoneRole::Member), GossipState::Fresh(_))
     }
@@ -192,9 +192,9 @@
 
     pub(crate) fn gossip_state(&self, role: ZoneRole) -> GossipState {
         let age = if role == ZoneRole::Standby {
-            STANDBY_AGE
+            STANDBY_MAX_AGE
         } else {
-            GOSSIP_AGE
+            GOSSIP_MAX_AGE
         };
         let now = self.timer.now();
         let state = self.state.lock();
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -16,7 +16,7 @@
         let sharers = Sharers::of(&*table.upgrade()?);
         granting.grant(request, &sharers.zone, sharers.part)
     });
-    let mut ticks = timer.subscribe(SLICE_PERIOD);
+    let mut ticks = timer.subscribe(SLICE_RENEWAL_INTERVAL);
     let (peers, limits) = (peers.clone(), limits.clone());
     tokio::spawn(async move {
         while ticks.recv().await.is_some() {
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -30,7 +30,7 @@
     kind: LimitKind,
     limit: f64,
     vms: Vec<VmId>,
-    home: SliceHome,
+    home: SliceAllocator,
 }
 
 /// Average demand, a second, below which a slice is not asked for any more.
@@ -118,7 +118,7 @@
             kind: request.kind,
             limit,
             vms: vms.to_vec(),
-            home: SliceHome::new(limit, vms.to_vec(), now),
+            home: SliceAllocator::new(limit, vms.to_vec(), now),
         };
         let mut homes = self.homes.lock();
         let key = (&request.team, request.kind);
--- a/crates/catkinward/src/waiting_place.rs
+++ b/crates/catkinward/src/waiting_place.rs
@@ -8,14 +8,14 @@
 /// A request's place in the queue, given back when it is dropped: a caller that left frees it.
 pub(crate) struct WaitingPlace {
     pool: Arc<AdmissionPool>,
-    place: QueuePlace,
+    place: QueuePosition,
     rx: oneshot::Receiver<Result<Place, Refusal>>,
 }
 
 impl WaitingPlace {
     pub(crate) fn new(
         pool: Arc<AdmissionPool>,
-        place: QueuePlace,
+        place: QueuePosition,
         rx: oneshot::Receiver<Result<Place, Refusal>>,
     ) -> Self {
         Self { pool, place, rx }
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -3,7 +3,7 @@
 mod gateway_support;
 
 use catkin_decisions::{
-    Born, CHANGES_TOLD, ConfigVersion, GOSSIP_AGE, LinkRate, PeerDatagram, RoutingConfig,
+    Born, MAX_GOSSIPED_CHANGES, ConfigVersion, GOSSIP_MAX_AGE, LinkRate, PeerDatagram, RoutingConfig,
     UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
@@ -182,7 +182,7 @@
     running.hear_gossip(&table.news(&[]));
 
     table.set_leaving(0);
-    tokio::time::sleep(GOSSIP_AGE + Duration::from_millis(20)).await;
+    tokio::time::sleep(GOSSIP_MAX_AGE + Duration::from_millis(20)).await;
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
     }
@@ -440,7 +440,7 @@
         version: u64::from(u32::MAX),
         digest: u64::MAX,
         age_ms: 1600,
-        changes: (0..).take(CHANGES_TOLD).map(change).collect(),
+        changes: (0..).take(MAX_GOSSIPED_CHANGES).map(change).collect(),
     };
 
     let mut buf = Vec::new();
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -3,7 +3,7 @@
 mod gateway_support;
 
 use catkin_decisions::{
-    CONFIG_GOSSIP_AGE, ConfigVersion, RoutingConfig, UpstreamEntry, UpstreamTable, ZoneGossip,
+    CONFIG_GOSSIP_MAX_AGE, ConfigVersion, RoutingConfig, UpstreamEntry, UpstreamTable, ZoneGossip,
     ZoneRole,
 };
 use catkinward::gateway::{Feed, FeedFault, FeedPage, follow_config, follow_upstreams};
@@ -314,7 +314,7 @@
         tokio::time::sleep(PERIOD).await;
     }
 
-    expect_that!(start.elapsed(), le(CONFIG_GOSSIP_AGE + PERIOD));
+    expect_that!(start.elapsed(), le(CONFIG_GOSSIP_MAX_AGE + PERIOD));
 }
 
 /// All who tell die at once, right after the store has acknowledged a change.
--- a/crates/decisions/examples/slices.rs
+++ b/crates/decisions/examples/slices.rs
@@ -3,7 +3,7 @@
 //! writes and slice requests at the target size.
 
 use catkin_decisions::{
-    Instant, LimitKind, SLICE_PERIOD, SliceHome, SliceRequest, TeamSlice, VmId,
+    Instant, LimitKind, SLICE_RENEWAL_INTERVAL, SliceAllocator, SliceRequest, TeamSlice, VmId,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -139,13 +139,13 @@
 }
 
 struct Slices {
-    home: SliceHome,
+    home: SliceAllocator,
     slices: Vec<TeamSlice>,
 }
 
 impl Slices {
     fn tick(&mut self, now: u64, cut_off: &[usize]) {
-        let period = u64::try_from(SLICE_PERIOD.as_millis()).expect("short");
+        let period = u64::try_from(SLICE_RENEWAL_INTERVAL.as_millis()).expect("short");
         for vm_number in (0..VMS).filter(|vm| !cut_off.contains(vm)) {
             // Each VM asks at its own moment of the period.
             if now % period != u64::try_from(vm_number).expect("few") * 120 {
@@ -244,7 +244,7 @@
         Way::PerRequest(PerRequest { table, writes: 0 }),
     );
     run("batched", Way::Batched(Batched::default()));
-    let home = SliceHome::new(LIMIT, (0..VMS).map(vm).collect(), at(0));
+    let home = SliceAllocator::new(LIMIT, (0..VMS).map(vm).collect(), at(0));
     let slices = fixed_slices();
     run("slices", Way::Slices(Slices { home, slices }));
     println!(
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -56,7 +56,7 @@
 
 /// Where an admitted request waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct QueuePlace {
+pub struct QueuePosition {
     lane: Lane,
     ticket: Ticket,
 }
@@ -67,7 +67,7 @@
     cfg: AdmissionConfig,
     lanes: [LaneQueue<T>; Lane::COUNT],
     /// Sorted by upstream.
-    upstreams: Vec<(UpstreamId, UpstreamPlaces)>,
+    upstreams: Vec<(UpstreamId, UpstreamSlots)>,
 }
 
 impl<T> AdmissionQueue<T> {
@@ -93,7 +93,7 @@
             .map(
                 |id| match known.binary_search_by(|(other, _)| other.cmp(&id)) {
                     Ok(i) => (id, std::mem::take(&mut known[i].1)),
-                    Err(_) => (id, UpstreamPlaces::new(cfg)),
+                    Err(_) => (id, UpstreamSlots::new(cfg)),
                 },
             )
             .collect();
@@ -121,7 +121,7 @@
         now: Instant,
         arrival: &Arrival,
         request: Queued<T>,
-    ) -> Result<QueuePlace, NotRun<T>> {
+    ) -> Result<QueuePosition, NotRun<T>> {
         let lane = arrival.lane;
         for (_, places) in &mut self.upstreams {
             places.note_arrival(now, lane);
@@ -137,7 +137,7 @@
                 places.note_light(now);
             }
         }
-        Ok(QueuePlace { lane, ticket })
+        Ok(QueuePosition { lane, ticket })
     }
 
     /// Latest start of a request that would be admitted now.
@@ -207,7 +207,7 @@
         choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
     ) -> Option<(Dispatched<T>, P)> {
         let full = self.full(now, lane);
-        let tries = PopTries {
+        let tries = PopOptions {
             teams: TEAMS_TRIED,
             light_only: false,
         };
@@ -218,7 +218,7 @@
             return None;
         }
         let quite_full = self.quite_full();
-        let tries = PopTries {
+        let tries = PopOptions {
             light_only: true,
             ..tries
         };
@@ -230,7 +230,7 @@
         now: Instant,
         lane: Lane,
         full: &[UpstreamId],
-        tries: PopTries,
+        tries: PopOptions,
         choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
     ) -> Option<(Dispatched<T>, P)> {
         if full.len() == self.upstreams.len() {
@@ -257,7 +257,7 @@
     pub fn enter(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
         let cfg = self.cfg.limit;
         let i = self.find(upstream).unwrap_or_else(|i| {
-            let places = UpstreamPlaces::new(cfg);
+            let places = UpstreamSlots::new(cfg);
             self.upstreams.insert(i, (upstream.clone(), places));
             i
         });
@@ -289,7 +289,7 @@
     }
 
     /// Takes a request whose caller has left out of the queue.
-    pub fn withdraw(&mut self, place: QueuePlace) -> Option<NotRun<T>> {
+    pub fn withdraw(&mut self, place: QueuePosition) -> Option<NotRun<T>> {
         let queue = &mut self.lanes[place.lane.index()].queue;
         let request = queue.remove(place.ticket)?;
         Some(request.refuse(RefusalReason::CallerLeft, Duration::ZERO))
@@ -327,7 +327,7 @@
     }
 
     /// Limit and requests in flight of each upstream, for metrics.
-    pub fn places(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamPlaces)> {
+    pub fn places(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamSlots)> {
         self.upstreams.iter().map(|(id, places)| (id, places))
     }
 
--- a/crates/decisions/src/bundle_view.rs
+++ b/crates/decisions/src/bundle_view.rs
@@ -13,7 +13,7 @@
 /// Peers exchange what they know once a second, and a read of the table service is given up after
 /// one second: in three seconds every reachable peer has spoken and the table service has failed
 /// twice.
-pub const PEERS_WORD_AFTER: Duration = Duration::from_secs(3);
+pub const PEER_FALLBACK_DELAY: Duration = Duration::from_secs(3);
 
 /// What a VM knows of releases.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     #[must_use]
     pub fn wanted(&self, now: Instant) -> Option<(BundleVersion, BundleDigest)> {
         let serves = self.in_force > BundleVersion::default();
-        let may_start = self.heard_table || now.since(self.started) >= PEERS_WORD_AFTER;
+        let may_start = self.heard_table || now.since(self.started) >= PEER_FALLBACK_DELAY;
         // Where both name one version, the table service knows its digest.
         let largest = match (self.peers, self.table) {
             (Some(peers), Some(table)) if peers.0 <= table.0 => Some(table),
--- a/crates/decisions/src/cached_prompts.rs
+++ b/crates/decisions/src/cached_prompts.rs
@@ -11,13 +11,13 @@
 
 /// How long an engine's word counts. Callers of a lost VM come back within some hundred milliseconds of
 /// each other, so each engine is asked once for all of them.
-pub const CACHE_WORD_AGE: Duration = Duration::from_secs(2);
+pub const CACHE_REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Engines asked at most: all of a deployment of today, and those of the own zone at the target size.
 const MOST_ASKED: usize = 48;
 
 /// Wait for the engines' answers. One takes 2 to 5 ms; a caller who comes back has lost far more.
-pub const SEARCH_BOUND: Duration = Duration::from_millis(60);
+pub const PROMPT_SEARCH_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Part of the VM's link that the answers may fill in that time; the rest is for streams.
 const LINK_PART: f64 = 0.5;
@@ -81,7 +81,7 @@
             clippy::cast_sign_loss,
             clippy::cast_precision_loss
         )]
-        let most = (link.bytes_in(SEARCH_BOUND) as f64 * LINK_PART
+        let most = (link.bytes_in(PROMPT_SEARCH_TIMEOUT) as f64 * LINK_PART
             / (self.mean_parts.max(1.0) * PART_BYTES)) as usize;
         most.min(MOST_ASKED)
     }
@@ -96,7 +96,7 @@
     /// last.
     pub fn told(&mut self, engine: &UpstreamIncarnation, word: Vec<PromptPart>, now: Instant) {
         self.engines
-            .retain(|known| known.engine != *engine && now.since(known.told) < CACHE_WORD_AGE);
+            .retain(|known| known.engine != *engine && now.since(known.told) < CACHE_REPORT_TTL);
         #[expect(clippy::cast_precision_loss)]
         let size = word.len() as f64;
         self.mean_parts += SIZE_WEIGHT * (size - self.mean_parts);
@@ -121,7 +121,7 @@
     pub fn holders(&self, prompt: &[PromptPart], now: Instant) -> Vec<(UpstreamIncarnation, u32)> {
         self.engines
             .iter()
-            .filter(|engine| now.since(engine.told) < CACHE_WORD_AGE)
+            .filter(|engine| now.since(engine.told) < CACHE_REPORT_TTL)
             .map(|engine| (engine.engine.clone(), engine.held(prompt)))
             .filter(|(_, tokens)| *tokens > 0)
             .collect()
@@ -132,7 +132,7 @@
             .engines
             .binary_search_by(|known| known.engine.cmp(engine));
         let known = &self.engines[index.ok()?];
-        (now.since(known.told) < CACHE_WORD_AGE).then_some(known)
+        (now.since(known.told) < CACHE_REPORT_TTL).then_some(known)
     }
 }
 
--- a/crates/decisions/src/error.rs
+++ b/crates/decisions/src/error.rs
@@ -56,7 +56,7 @@
         source: ParseIntError,
     },
     /// An event of a stream that is too large.
-    #[display("an event of a stream is larger than {LARGEST_EVENT} bytes")]
+    #[display("an event of a stream is larger than {MAX_EVENT_BYTES} bytes")]
     EventTooLarge,
     /// A token log whose parts do not fit together.
     #[display("a token log's ids, ends and bytes do not fit together")]
--- a/crates/decisions/src/event_splitter.rs
+++ b/crates/decisions/src/event_splitter.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 /// Largest event that is taken in.
-pub const LARGEST_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Cuts bytes into events. Each ends with an empty line, whose bytes belong to it.
 #[derive(Clone, Debug, Default)]
@@ -30,9 +30,9 @@
     ///
     /// # Errors
     ///
-    /// If an event grows beyond [`LARGEST_EVENT`].
+    /// If an event grows beyond [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), Error> {
-        if self.buf.len() + bytes.len() > LARGEST_EVENT {
+        if self.buf.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(Error::EventTooLarge);
         }
         self.buf.extend_from_slice(bytes);
--- a/crates/decisions/src/fair_queue.rs
+++ b/crates/decisions/src/fair_queue.rs
@@ -35,14 +35,14 @@
 
 /// Which requests are tried before the others, to be filled in by update syntax.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PopTries {
+pub struct PopOptions {
     /// Teams whose first request is tried.
     pub teams: usize,
     /// Only requests of teams that have had less than their share.
     pub light_only: bool,
 }
 
-impl Default for PopTries {
+impl Default for PopOptions {
     fn default() -> Self {
         Self {
             teams: 1,
@@ -139,7 +139,7 @@
 
     /// Takes the request that is next.
     pub fn pop(&mut self, now: Instant) -> Option<T> {
-        let all = PopTries::default();
+        let all = PopOptions::default();
         self.pop_where(now, all, |_| Some(()))
             .map(|(item, ())| item)
     }
@@ -150,7 +150,7 @@
     pub fn pop_where<P>(
         &mut self,
         now: Instant,
-        tries: PopTries,
+        tries: PopOptions,
         mut place: impl FnMut(&T) -> Option<P>,
     ) -> Option<(T, P)> {
         let first = self.ready.len().saturating_sub(tries.teams);
--- a/crates/decisions/src/hybrid_clock.rs
+++ b/crates/decisions/src/hybrid_clock.rs
@@ -5,7 +5,7 @@
 /// VMs keep their clocks within milliseconds of each other. One whose clock is days ahead would
 /// otherwise pull the readings of every process there with it, and a time line would show events
 /// in the future until that day has come.
-pub const LARGEST_CLOCK_LEAD: Duration = Duration::from_secs(600);
+pub const MAX_CLOCK_LEAD: Duration = Duration::from_secs(600);
 
 /// A hybrid logical clock (Kulkarni and others, 2014): each reading is larger than all earlier ones
 /// of this process and than all that it has received, however far the wall clocks are apart.
@@ -29,10 +29,10 @@
     ///
     /// # Errors
     ///
-    /// If it is further ahead than [`LARGEST_CLOCK_LEAD`]; the clock is as before, and the order
+    /// If it is further ahead than [`MAX_CLOCK_LEAD`]; the clock is as before, and the order
     /// over processes is lost for that message.
     pub fn witness(&mut self, wall: Duration, received: HybridTime) -> Result<(), Error> {
-        let limit = micros(wall.saturating_add(LARGEST_CLOCK_LEAD));
+        let limit = micros(wall.saturating_add(MAX_CLOCK_LEAD));
         if received.micros > limit {
             return Err(Error::ClockLead {
                 lead: Duration::from_micros(received.micros - micros(wall)),
--- a/crates/decisions/src/lane.rs
+++ b/crates/decisions/src/lane.rs
@@ -3,7 +3,7 @@
 //! Load pattern: lookups of milliseconds arrive beside generations of minutes. In one queue a dozen
 //! generations hold every place for minutes, and each lookup behind them misses its deadline
 //! although it would take no time to serve. With a lane each, a quick call waits behind quick calls
-//! only, and a part of each upstream's places is kept for them (see `UpstreamPlaces`).
+//! only, and a part of each upstream's places is kept for them (see `UpstreamSlots`).
 //!
 //! Grounds for the figure: 64 tokens take 1.7 s at the 26 ms a token that generations are to keep,
 //! which is still what a caller of seconds waits for. The rows `mixed lengths`
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -26,7 +26,7 @@
 mod newtype;
 
 pub use crate::{
-    admission_queue::{AdmissionConfig, AdmissionQueue, Arrival, QueuePlace},
+    admission_queue::{AdmissionConfig, AdmissionQueue, Arrival, QueuePosition},
     attempt::Attempt,
     availability_zone::AvailabilityZone,
     born::Born,
@@ -39,8 +39,8 @@
     bundle_release::{BundleRelease, CurrentBundle, ReleaseSource},
     bundle_row::{BundleKey, BundleRow, Stored},
     bundle_version::BundleVersion,
-    bundle_view::{BundleView, PEERS_WORD_AFTER},
-    cached_prompts::{CACHE_WORD_AGE, CachedPrompts, PromptPart, SEARCH_BOUND},
+    bundle_view::{BundleView, PEER_FALLBACK_DELAY},
+    cached_prompts::{CACHE_REPORT_TTL, CachedPrompts, PromptPart, PROMPT_SEARCH_TIMEOUT},
     call_limiter::{CallLimiter, CallLimiterSettings},
     call_key::CallKey,
     call_kind::CallKind,
@@ -71,15 +71,15 @@
     engine_state::EngineState,
     error::Error,
     event_relay::{EventDecision, EventRelay, EventRun},
-    event_splitter::{EventSplitter, LARGEST_EVENT, CompleteEvent},
+    event_splitter::{EventSplitter, MAX_EVENT_BYTES, CompleteEvent},
     exposure::{Exposed, ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, VmLife},
     failed_call::FailedCall,
-    fair_queue::{FairQueue, PopTries, QueueTeam},
+    fair_queue::{FairQueue, PopOptions, QueueTeam},
     finish::Finish,
     hedge::{Hedge, HedgeConfig},
     hex::{parse_hex, to_hex},
     hot_keys::HotKeys,
-    hybrid_clock::{HybridClock, LARGEST_CLOCK_LEAD},
+    hybrid_clock::{HybridClock, MAX_CLOCK_LEAD},
     hybrid_time::HybridTime,
     idempotency_key::IdempotencyKey,
     incarnation::Incarnation,
@@ -110,7 +110,7 @@
     peer_table::PeerTable,
     peer_view::PeerView,
     placement::{
-        NOT_SHARED, OTHER_PART, OTHER_ZONE_STREAM, PlacementCandidate, PlacementFor, STREAM_COST,
+        UNSHARED_COST, OTHER_PARTITION_COST, OTHER_ZONE_STREAM_COST, PlacementCandidate, PlacementFor, STREAM_COST,
         place, place_copy, rank_of_vm,
     },
     poison_block::PoisonBlock,
@@ -136,18 +136,18 @@
     service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
     retry_refusal::RetryRefusal,
     resume_point::ResumePoint,
-    rollout::{OWNER_LOST, Rollout},
+    rollout::{OWNER_TIMEOUT, Rollout},
     rollout_datagram::{RolloutGrant, RolloutReport},
     rollout_evidence::{ResponseCounts, ResponseOutcome, RouteEvidence, latency_bucket},
-    rollout_judge::{JudgedReport, ROUTE_TRIES, RolloutJudge, RolloutVerdict},
+    rollout_judge::{JudgedReport, MIN_ROUTE_SAMPLES, RolloutJudge, RolloutVerdict},
     rollout_notice::{RolloutNotice, RolloutProgress},
     rollout_order::{RolloutFault, RolloutOrder},
     rollout_owner::{
-        COMPLETE_AHEAD, COMPLETING, OwnerStep, RollbackReason, RolloutOwner, VersionSlots,
+        COMPLETION_LEAD, COMPLETION_WAIT, OwnerStep, RollbackReason, RolloutOwner, VersionSlots,
     },
     rollout_phase::RolloutPhase,
     rollout_record::{RolloutRecord, StoredRecord},
-    rollouts::{Admission, ORDER_WAIT, RolloutSettings, Rollouts},
+    rollouts::{Admission, ORDER_TIMEOUT, RolloutSettings, Rollouts},
     route::{Route, RouteTarget},
     route_table::RouteTable,
     routing_config::{CallerKey, CallerLimits, NewestConfig, RoutingConfig, ServiceSpec},
@@ -157,13 +157,13 @@
     service_time::ServiceTime,
     serving_model::serving_model,
     slice_grant::SliceGrant,
-    slice_home::{SLICE_LEASE, SLICE_PERIOD, SliceHome},
+    slice_allocator::{SLICE_LEASE, SLICE_RENEWAL_INTERVAL, SliceAllocator},
     slice_request::SliceRequest,
     software_version::SoftwareVersion,
     stall_detector::StallDetector,
     store_backoff::store_backoff,
     stream_pace::StreamPace,
-    subset::{OTHER_ZONES, OWN_ZONE, subset},
+    subset::{OTHER_ZONES_SUBSET, OWN_ZONE_SUBSET, subset},
     suspect_run::SuspectRun,
     suspect_runs::{SuspectConflicts, SuspectRuns},
     failure_ejection::FailureEjection,
@@ -179,12 +179,12 @@
     upstream::Upstream,
     upstream_crash_id::UpstreamCrashId,
     upstream_directory::{LAPSE_GRACE, Presence, PresenceChange, UpstreamDirectory, UpstreamEntry},
-    upstream_evidence::{EVIDENCE_BOUND, UpstreamEvidence},
-    upstream_health::{PROBE_TIMEOUT, SILENCE, UpstreamHealth},
+    upstream_evidence::{EVIDENCE_MAX_AGE, UpstreamEvidence},
+    upstream_health::{PROBE_TIMEOUT, SILENCE_TIMEOUT, UpstreamHealth},
     upstream_id::UpstreamId,
     upstream_incarnation::UpstreamIncarnation,
     upstream_load::{LoadReading, UpstreamLoad, reading_time},
-    upstream_places::{CapacityReport, UpstreamPlaces},
+    upstream_slots::{CapacityReport, UpstreamSlots},
     upstream_record::{AskedReport, UpstreamRecord},
     upstream_report::UpstreamReport,
     upstream_restart::{RestartEvidence, StaleRestart, TableView, UpstreamRestart},
@@ -195,8 +195,8 @@
     wall_time::WallTime,
     zone_alarm::ZoneAlarm,
     zone_gossip::{
-        CHANGES_TOLD, CONFIG_GOSSIP_AGE, CONFIG_WAIT, GOSSIP_AGE, GossipState, GossipView,
-        REST_WAIT, STANDBY_AGE, ZoneGossip,
+        MAX_GOSSIPED_CHANGES, CONFIG_GOSSIP_MAX_AGE, CONFIG_POLL_TIMEOUT, GOSSIP_MAX_AGE, GossipState, GossipView,
+        DELTA_WAIT, STANDBY_MAX_AGE, ZoneGossip,
     },
     zone_role::{ZoneRole, is_large_zone},
 };
@@ -330,7 +330,7 @@
 mod service_time;
 mod serving_model;
 mod slice_grant;
-mod slice_home;
+mod slice_allocator;
 mod slice_request;
 mod software_version;
 mod stall_detector;
@@ -357,7 +357,7 @@
 mod upstream_id;
 mod upstream_incarnation;
 mod upstream_load;
-mod upstream_places;
+mod upstream_slots;
 mod upstream_record;
 mod upstream_report;
 mod upstream_restart;
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -27,18 +27,18 @@
 /// Advantage of the own zone for streams: less than one running stream costs, so that an idle engine elsewhere
 /// is used before a prompt is read beside a stream here. Zones crash in turn and callers are uneven over them; with a
 /// larger advantage the streams of a zone meet on the engines that are left in it.
-pub const OTHER_ZONE_STREAM: f64 = 100.0;
+pub const OTHER_ZONE_STREAM_COST: f64 = 100.0;
 
 /// Advantage of the own zone for plain calls: two more calls waiting there.
 const OTHER_ZONE_CALL: f64 = 60.0;
 
 /// Cost of an upstream in another VM's part of the zone: above a running stream or two, below a
 /// prompt still to be read.
-pub const OTHER_PART: f64 = 180.0;
+pub const OTHER_PARTITION_COST: f64 = 180.0;
 
 /// Cost of one that this VM does not share, so that its dispatches are not heard of: half a prompt's
 /// reading more, since another VM may be about to send one there.
-pub const NOT_SHARED: f64 = 500.0;
+pub const UNSHARED_COST: f64 = 500.0;
 
 /// Cost of an upstream of another zone that is not in this VM's part of it: the VMs of a zone that lost
 /// its upstreams spread over those of the others, and do not hear of each other in time. Below the cost
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -68,9 +68,9 @@
             loans: true,
             repeat_wait: true,
             stream_cost: STREAM_COST,
-            other_part: OTHER_PART,
-            not_shared: NOT_SHARED,
-            other_zone_stream: OTHER_ZONE_STREAM,
+            other_part: OTHER_PARTITION_COST,
+            not_shared: UNSHARED_COST,
+            other_zone_stream: OTHER_ZONE_STREAM_COST,
         }
     }
 }
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Time without a word of the owner after which another VM takes over.
-pub const OWNER_LOST: Duration = Duration::from_secs(2);
+pub const OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Wait of each rank before it takes over, so that one VM after the other tries.
 const RANK_WAIT: Duration = Duration::from_millis(400);
@@ -95,7 +95,7 @@
         let silence = if self.progress.term == 0 {
             Duration::ZERO
         } else {
-            OWNER_LOST
+            OWNER_TIMEOUT
         };
         !self.progress.is_settled() && now.since(self.owner_heard) >= silence + RANK_WAIT * rank
     }
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -26,7 +26,7 @@
 const BASELINE: u32 = 20;
 
 /// Answers of the new version on each route before it can be good.
-pub const ROUTE_TRIES: u32 = 20;
+pub const MIN_ROUTE_SAMPLES: u32 = 20;
 
 /// Sum of log-likelihood ratios at which a version is bad.
 const ALARM: f64 = 7.0;
@@ -140,7 +140,7 @@
         }
         let sums = self.routes.iter().map(|route| &route.suspected);
         let clear = sums.chain([&self.all]).all(|s| s.sum <= ACCEPTED);
-        if clear && self.all.answers >= ROUTE_TRIES && self.wanted().is_empty() {
+        if clear && self.all.answers >= MIN_ROUTE_SAMPLES && self.wanted().is_empty() {
             return RolloutVerdict::Good;
         }
         RolloutVerdict::Undecided
@@ -202,7 +202,7 @@
     }
 
     fn is_short(&self) -> bool {
-        self.sum.old.total() >= BASELINE && self.suspected.answers < ROUTE_TRIES
+        self.sum.old.total() >= BASELINE && self.suspected.answers < MIN_ROUTE_SAMPLES
     }
 }
 
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -4,10 +4,10 @@
 
 /// Time before the deadline at which a good version takes over. Until then a version may still turn bad; afterwards
 /// there is none to go back to.
-pub const COMPLETE_AHEAD: Duration = Duration::from_millis(1500);
+pub const COMPLETION_LEAD: Duration = Duration::from_millis(1500);
 
 /// How long requests wait for the new version to take over, in which those on the old one end.
-pub const COMPLETING: Duration = Duration::from_millis(300);
+pub const COMPLETION_WAIT: Duration = Duration::from_millis(300);
 
 /// Least part of the old version's slots that the new one must have to take over.
 const LEAST_CAPACITY: f64 = 0.5;
@@ -81,7 +81,7 @@
         if let RolloutVerdict::Bad { .. } = verdict {
             return OwnerStep::RollBack(RollbackReason::Bad(verdict));
         }
-        if left > COMPLETE_AHEAD {
+        if left > COMPLETION_LEAD {
             return OwnerStep::Wait;
         }
         let enough = f64::from(slots.new) >= LEAST_CAPACITY * f64::from(slots.old);
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -2,12 +2,12 @@
 //!
 //! A version under trial gets requests by grants of the rollout's owner alone, one that was rolled back none
 //! until a new order names it. A version that nobody ordered is one of the service's own, as after a release; but the
-//! order may still be on its way, so it is held back for [`ORDER_WAIT`].
+//! order may still be on its way, so it is held back for [`ORDER_TIMEOUT`].
 
 use super::*;
 
 /// How long a version that appears is held back, in which the order that brings it becomes known.
-pub const ORDER_WAIT: Duration = Duration::from_secs(2);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One upstream of so many of a new version is tried, so that each gets its usual load.
 const FOCUS: usize = 10;
@@ -74,7 +74,7 @@
             let from = if at_start || first {
                 now
             } else {
-                now.after(ORDER_WAIT)
+                now.after(ORDER_TIMEOUT)
             };
             let seen = (entry.service.clone(), version.clone(), from);
             self.versions.insert(index, seen);
--- a/crates/decisions/src/slice_home.rs
+++ b/crates/decisions/src/slice_allocator.rs
@@ -21,14 +21,14 @@
 pub const SLICE_LEASE: Duration = Duration::from_secs(3);
 
 /// How often a holder asks again.
-pub const SLICE_PERIOD: Duration = Duration::from_secs(1);
+pub const SLICE_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Part of an even share that a holder keeps whatever happens.
 const FLOOR: f64 = 0.25;
 
 /// Home of one limit.
 #[derive(Clone, Debug)]
-pub struct SliceHome {
+pub struct SliceAllocator {
     limit: f64,
     warm: Instant,
     /// Sorted by VM.
@@ -43,7 +43,7 @@
     slices: Vec<(f64, Instant)>,
 }
 
-impl SliceHome {
+impl SliceAllocator {
     /// The home of a limit, a second, over these VMs.
     #[must_use]
     pub fn new(limit: f64, mut vms: Vec<VmId>, now: Instant) -> Self {
--- a/crates/decisions/src/subset.rs
+++ b/crates/decisions/src/subset.rs
@@ -13,10 +13,10 @@
 use super::*;
 
 /// Upstreams of the own availability zone in a subset.
-pub const OWN_ZONE: usize = 32;
+pub const OWN_ZONE_SUBSET: usize = 32;
 
 /// Upstreams of all other availability zones in a subset.
-pub const OTHER_ZONES: usize = 8;
+pub const OTHER_ZONES_SUBSET: usize = 8;
 
 /// The part of `upstreams`, which all serve one service, that a VM keeps in touch with.
 #[must_use]
@@ -31,7 +31,7 @@
             .into_iter()
             .take(count)
     };
-    best(own, OWN_ZONE)
-        .chain(best(other, OTHER_ZONES))
+    best(own, OWN_ZONE_SUBSET)
+        .chain(best(other, OTHER_ZONES_SUBSET))
         .collect()
 }
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -9,7 +9,7 @@
 //! "not leaving" must not undo a newer "leaving". A returned upstream has another incarnation.
 //!
 //! Grounds for the figures: callers are promised no new work to a leaving upstream after a few
-//! seconds, here 3. The last dispatch happens at most [`EVIDENCE_BOUND`] (2 s) after the upstream's
+//! seconds, here 3. The last dispatch happens at most [`EVIDENCE_MAX_AGE`] (2 s) after the upstream's
 //! last word and takes at most 1 s to reach it; any other source alone has 3 s less its own lag.
 //! Reports are asked for twice a second, so four must be lost before a healthy upstream is taken
 //! for gone. Held by `tests/eligibility.rs`.
@@ -17,7 +17,7 @@
 use super::*;
 
 /// How old the last word of an upstream may be for it to get new work.
-pub const EVIDENCE_BOUND: Duration = Duration::from_secs(2);
+pub const EVIDENCE_MAX_AGE: Duration = Duration::from_secs(2);
 
 /// How many former incarnations are remembered.
 const FORMER: usize = 16;
@@ -128,7 +128,7 @@
     /// Why it may not.
     pub fn eligible(&self, now: Instant) -> Result<Eligible, Ineligible> {
         let incarnation = self.current.ok_or(Ineligible::Unheard)?;
-        if now.since(self.heard) > EVIDENCE_BOUND {
+        if now.since(self.heard) > EVIDENCE_MAX_AGE {
             return Err(Ineligible::Stale);
         }
         if let Some(source_of_word) = self.leaving_source(incarnation) {
@@ -136,7 +136,7 @@
         }
         Ok(Eligible {
             incarnation,
-            until: self.heard.after(EVIDENCE_BOUND),
+            until: self.heard.after(EVIDENCE_MAX_AGE),
         })
     }
 
--- a/crates/decisions/src/upstream_health.rs
+++ b/crates/decisions/src/upstream_health.rs
@@ -9,7 +9,7 @@
 
 /// Silence of an upstream with calls in flight after which it is probed. Events of a stream come every
 /// 30 to 200 ms; a longer bound would leave too little of a caller's patience for the resume.
-pub const SILENCE: Duration = Duration::from_millis(200);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Timeout of a probe; an answer takes 2 to 10 ms.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(180);
@@ -85,7 +85,7 @@
         let due = match (self.probing, self.suspect) {
             (Some(_), _) => false,
             (None, Some(suspect)) => now >= suspect.probe_at,
-            (None, None) => self.in_flight > 0 && now.since(self.last_seen) >= SILENCE,
+            (None, None) => self.in_flight > 0 && now.since(self.last_seen) >= SILENCE_TIMEOUT,
         };
         if due {
             self.probing = Some(now);
--- a/crates/decisions/src/upstream_places.rs
+++ b/crates/decisions/src/upstream_slots.rs
@@ -37,7 +37,7 @@
 
 /// The places of one upstream.
 #[derive(Clone, Debug, Default)]
-pub struct UpstreamPlaces {
+pub struct UpstreamSlots {
     limit: ConcurrencyLimit,
     part: Option<u32>,
     /// The part without what makes up for the time that requests travel.
@@ -47,7 +47,7 @@
     light_seen: Option<Instant>,
 }
 
-impl UpstreamPlaces {
+impl UpstreamSlots {
     /// An upstream with nothing in flight.
     #[must_use]
     pub fn new(cfg: ConcurrencyLimitConfig) -> Self {
--- a/crates/decisions/src/zone_gossip.rs
+++ b/crates/decisions/src/zone_gossip.rs
@@ -5,26 +5,26 @@
 /// Age up to which another VM's poll of the store counts: it polls every 1.1 s and gossips every 0.4 s. A VM whose
 /// gossip is older polls by itself at once, which leaves 0.4 s of the two seconds in which a leaving upstream must
 /// be known.
-pub const GOSSIP_AGE: Duration = Duration::from_millis(1600);
+pub const GOSSIP_MAX_AGE: Duration = Duration::from_millis(1600);
 
 /// Age of the reader's word at which the VM that stands by reads: later than the reader's word comes as a rule, and
 /// sooner than the others do without it.
-pub const STANDBY_AGE: Duration = Duration::from_millis(1300);
+pub const STANDBY_MAX_AGE: Duration = Duration::from_millis(1300);
 
 /// Age up to which another VM's reading of the configuration counts. Its question waits at the store for up to
-/// [`CONFIG_WAIT`]; the rest is for a store that is slow. Beyond that a VM asks by itself, which leaves half a
+/// [`CONFIG_POLL_TIMEOUT`]; the rest is for a store that is slow. Beyond that a VM asks by itself, which leaves half a
 /// second of the three in which a configuration must be in force.
-pub const CONFIG_GOSSIP_AGE: Duration = Duration::from_millis(2400);
+pub const CONFIG_GOSSIP_MAX_AGE: Duration = Duration::from_millis(2400);
 
 /// How long a question for changes of the configuration waits at the store. Its sum with the bound of an answer
 /// stays below three seconds, so that a silent connection is noticed in that time.
-pub const CONFIG_WAIT: Duration = Duration::from_millis(1900);
+pub const CONFIG_POLL_TIMEOUT: Duration = Duration::from_millis(1900);
 
 /// Wait for the rest of a delta that came in part, or overtook a part, before the table is read instead.
-pub const REST_WAIT: Duration = Duration::from_millis(60);
+pub const DELTA_WAIT: Duration = Duration::from_millis(60);
 
 /// Changes in one datagram: about 110 bytes each, within 1,400.
-pub const CHANGES_TOLD: usize = 10;
+pub const MAX_GOSSIPED_CHANGES: usize = 10;
 
 /// What a VM advertises to its zone of what it has read from the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
     #[must_use]
     pub fn config_until(&self) -> Option<Instant> {
         self.config_heard
-            .map(|heard| heard.after(CONFIG_GOSSIP_AGE))
+            .map(|heard| heard.after(CONFIG_GOSSIP_MAX_AGE))
     }
 
     /// Whether the own table can be relied on without reading it, for words up to an age.
@@ -114,8 +114,8 @@
         let until = self.store_heard.map(|heard| heard.after(age));
         match (until, self.behind) {
             (Some(until), None) if now < until => GossipState::Fresh(until),
-            (Some(until), Some(since)) if now < until && now.since(since) < REST_WAIT => {
-                GossipState::Behind(since.after(REST_WAIT))
+            (Some(until), Some(since)) if now < until && now.since(since) < DELTA_WAIT => {
+                GossipState::Behind(since.after(DELTA_WAIT))
             }
             _ => GossipState::Silent,
         }
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -2,7 +2,7 @@
 
 use catkin_decisions::{
     AdmissionConfig, AdmissionQueue, Arrival, CapacityReport, CapacityShare, Instant, Lane,
-    QueuePlace, QueueTeam, Queued, RefusalReason, UpstreamId,
+    QueuePosition, QueueTeam, Queued, RefusalReason, UpstreamId,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     queue
 }
 
-fn admit(queue: &mut AdmissionQueue<u32>, request: u32, deadline_ms: u64) -> QueuePlace {
+fn admit(queue: &mut AdmissionQueue<u32>, request: u32, deadline_ms: u64) -> QueuePosition {
     queue
         .offer(at(0), &arrival(deadline_ms), Queued::new(request))
         .expect("it can start in time")
--- a/crates/decisions/tests/bundle_view.rs
+++ b/crates/decisions/tests/bundle_view.rs
@@ -1,6 +1,6 @@
 //! What a VM puts in force, from word that comes late, crossed and repeated.
 
-use catkin_decisions::{BundleDigest, BundleVersion, BundleView, Instant, PEERS_WORD_AFTER};
+use catkin_decisions::{BundleDigest, BundleVersion, BundleView, Instant, PEER_FALLBACK_DELAY};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     let early = view.wanted(at(2_999));
 
     expect_that!(early, none());
-    expect_that!(view.wanted(Instant(PEERS_WORD_AFTER)), some(eq(word(6))));
+    expect_that!(view.wanted(Instant(PEER_FALLBACK_DELAY)), some(eq(word(6))));
 }
 
 #[gtest]
@@ -92,7 +92,7 @@
     let mut view = BundleView::new(at(0));
     view.table(None);
 
-    expect_that!(view.wanted(Instant(PEERS_WORD_AFTER)), none());
+    expect_that!(view.wanted(Instant(PEER_FALLBACK_DELAY)), none());
 }
 
 /// One event of the property test: VMs of one availability zone, with and without the platform.
--- a/crates/decisions/tests/cached_prompts.rs
+++ b/crates/decisions/tests/cached_prompts.rs
@@ -1,7 +1,7 @@
 //! Which engines hold a prompt that was read before.
 
 use catkin_decisions::{
-    CACHE_WORD_AGE, CachedPrompts, Instant, LinkRate, PromptPart, UpstreamIncarnation,
+    CACHE_REPORT_TTL, CachedPrompts, Instant, LinkRate, PromptPart, UpstreamIncarnation,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -69,7 +69,7 @@
 #[gtest]
 fn words_grow_old() {
     let cached = told(&[(1, &[("own", 8000)])]);
-    let later = at(0).after(CACHE_WORD_AGE);
+    let later = at(0).after(CACHE_REPORT_TTL);
 
     expect_that!(cached.is_due(&engine(1), at(10)), eq(false));
     expect_that!(cached.is_due(&engine(1), later), eq(true));
--- a/crates/decisions/tests/capacity_share.rs
+++ b/crates/decisions/tests/capacity_share.rs
@@ -1,7 +1,7 @@
 //! Parts of a capacity that several nodes use.
 
 use catkin_decisions::{
-    CapacityReport, CapacityShare, Instant, Lane, UpstreamId, UpstreamPlaces, VmId,
+    CapacityReport, CapacityShare, Instant, Lane, UpstreamId, UpstreamSlots, VmId,
 };
 use googletest::prelude::*;
 
@@ -46,8 +46,8 @@
     expect_that!(share.part(8, Lane::Long), eq(1));
 }
 
-fn places() -> UpstreamPlaces {
-    let mut places = UpstreamPlaces::default();
+fn places() -> UpstreamSlots {
+    let mut places = UpstreamSlots::default();
     let report = CapacityReport {
         capacity: 10,
         waiting: 0,
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! The adaptive limit on what is in flight at one upstream.
 
 use catkin_decisions::{
-    CapacityReport, CapacityShare, ConcurrencyLimit, Instant, Lane, UpstreamPlaces,
+    CapacityReport, CapacityShare, ConcurrencyLimit, Instant, Lane, UpstreamSlots,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -82,8 +82,8 @@
     expect_that!(limit.limit(), eq(1));
 }
 
-fn places(capacity: u32, sharers: u32) -> UpstreamPlaces {
-    let mut places = UpstreamPlaces::default();
+fn places(capacity: u32, sharers: u32) -> UpstreamSlots {
+    let mut places = UpstreamSlots::default();
     let report = CapacityReport {
         capacity,
         waiting: 0,
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -1,7 +1,7 @@
 //! Which upstream may get new work.
 
 use catkin_decisions::{
-    EVIDENCE_BOUND, Incarnation, Ineligible, Instant, LeavingSource, UpstreamEvidence,
+    EVIDENCE_MAX_AGE, Incarnation, Ineligible, Instant, LeavingSource, UpstreamEvidence,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -215,7 +215,7 @@
             }
 
             let later = now + wait;
-            let fresh = ms(later).since(ms(heard)) <= EVIDENCE_BOUND;
+            let fresh = ms(later).since(ms(heard)) <= EVIDENCE_MAX_AGE;
             prop_assert_eq!(evidence.eligible(ms(later)).is_ok(), fresh && !left);
         }
     }
--- a/crates/decisions/tests/events.rs
+++ b/crates/decisions/tests/events.rs
@@ -1,6 +1,6 @@
 //! Whole events, and which of them a caller gets.
 
-use catkin_decisions::{Error, EventDecision, EventRelay, EventSplitter, LARGEST_EVENT};
+use catkin_decisions::{Error, EventDecision, EventRelay, EventSplitter, MAX_EVENT_BYTES};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
@@ -85,7 +85,7 @@
 #[gtest]
 fn event_without_an_end_is_an_error() {
     let mut splitter = EventSplitter::default();
-    let bytes = vec![b'x'; LARGEST_EVENT];
+    let bytes = vec![b'x'; MAX_EVENT_BYTES];
 
     let first = splitter.push(&bytes);
     let second = splitter.push(b"x");
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -1,6 +1,6 @@
 //! The queue that is fair between teams.
 
-use catkin_decisions::{FairQueue, Instant, PopTries, QueueTeam};
+use catkin_decisions::{FairQueue, Instant, PopOptions, QueueTeam};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -113,9 +113,9 @@
     queue.push(&team("a", 1), 1, "behind it");
     queue.push(&team("b", 1), 1, "other team");
 
-    let tries = PopTries {
+    let tries = PopOptions {
         teams: 4,
-        ..PopTries::default()
+        ..PopOptions::default()
     };
 
     let placed = queue.pop_where(at(0), tries, |item| (*item != "nowhere").then_some(7));
--- a/crates/decisions/tests/hybrid_clock.rs
+++ b/crates/decisions/tests/hybrid_clock.rs
@@ -1,6 +1,6 @@
 //! The order of events over processes whose wall clocks differ.
 
-use catkin_decisions::{Error, HybridClock, HybridTime, LARGEST_CLOCK_LEAD};
+use catkin_decisions::{Error, HybridClock, HybridTime, MAX_CLOCK_LEAD};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -66,7 +66,7 @@
 
     let lead = Duration::from_secs(24 * 3600);
     expect_that!(refused, err(eq(&Error::ClockLead { lead })));
-    expect_that!(lead, gt(LARGEST_CLOCK_LEAD));
+    expect_that!(lead, gt(MAX_CLOCK_LEAD));
     expect_that!(clock.tick(wall).to_string(), eq("100000000.0"));
 }
 
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -1,7 +1,7 @@
 //! Which versions of a service get requests, as one VM knows its rollout.
 
 use catkin_decisions::{
-    Admission, ExposureLimit, Instant, ORDER_WAIT, OWNER_LOST, OwnerStep, RollbackReason, Rollout,
+    Admission, ExposureLimit, Instant, ORDER_TIMEOUT, OWNER_TIMEOUT, OwnerStep, RollbackReason, Rollout,
     RolloutFault, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
     RolloutSettings, Rollouts, SoftwareVersion, UpstreamEntry, VersionSlots,
 };
@@ -97,7 +97,7 @@
     let rollouts = rollouts();
 
     let soon = admissions(&rollouts, at(1000));
-    let later = admissions(&rollouts, at(1000).after(ORDER_WAIT));
+    let later = admissions(&rollouts, at(1000).after(ORDER_TIMEOUT));
 
     expect_that!(soon, eq([Admission::Open, Admission::Barred]));
     expect_that!(later, eq([Admission::Open, Admission::Open]));
@@ -241,9 +241,9 @@
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
     rollout.take(&notice(order("v2", 7), 1, RolloutPhase::Running), at(0));
 
-    let early = rollout.needs_owner(0, at(0).after(OWNER_LOST / 2));
-    let first = rollout.needs_owner(0, at(0).after(OWNER_LOST));
-    let second = rollout.needs_owner(1, at(0).after(OWNER_LOST));
+    let early = rollout.needs_owner(0, at(0).after(OWNER_TIMEOUT / 2));
+    let first = rollout.needs_owner(0, at(0).after(OWNER_TIMEOUT));
+    let second = rollout.needs_owner(1, at(0).after(OWNER_TIMEOUT));
 
     expect_that!((early, first, second), eq((false, true, false)));
 }
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -1,6 +1,6 @@
 //! Slices of a team's limit.
 
-use catkin_decisions::{Instant, LimitKind, SliceGrant, SliceHome, SliceRequest, TeamSlice, VmId};
+use catkin_decisions::{Instant, LimitKind, SliceGrant, SliceAllocator, SliceRequest, TeamSlice, VmId};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -15,11 +15,11 @@
     format!("vm-{n}").parse().expect("a name")
 }
 
-fn home(vms: usize) -> SliceHome {
-    SliceHome::new(LIMIT, (0..vms).map(vm).collect(), ms(0))
+fn home(vms: usize) -> SliceAllocator {
+    SliceAllocator::new(LIMIT, (0..vms).map(vm).collect(), ms(0))
 }
 
-fn ask(home: &mut SliceHome, n: usize, demand: f64, at: Instant) -> SliceGrant {
+fn ask(home: &mut SliceAllocator, n: usize, demand: f64, at: Instant) -> SliceGrant {
     let request = SliceRequest {
         team: "counter".parse().expect("a name"),
         kind: LimitKind::Requests,
--- a/crates/decisions/tests/subset.rs
+++ b/crates/decisions/tests/subset.rs
@@ -1,6 +1,6 @@
 //! The upstreams that one VM keeps in touch with.
 
-use catkin_decisions::{OTHER_ZONES, OWN_ZONE, Upstream, UpstreamId, VmId, subset};
+use catkin_decisions::{OTHER_ZONES_SUBSET, OWN_ZONE_SUBSET, Upstream, UpstreamId, VmId, subset};
 use googletest::prelude::*;
 
 fn upstream(n: usize) -> Upstream {
@@ -43,7 +43,7 @@
 
     let own = upstreams.iter().step_by(6);
     expect_that!(own.filter(|u| ids.contains(&u.id)).count(), eq(6));
-    expect_that!(ids.len(), eq(6 + OTHER_ZONES));
+    expect_that!(ids.len(), eq(6 + OTHER_ZONES_SUBSET));
 }
 
 #[gtest]
@@ -56,7 +56,7 @@
         .map(|u| subsets.iter().filter(|ids| ids.contains(&u.id)).count());
 
     let counts = counts.collect::<Vec<_>>();
-    expect_that!(subsets, each(len(eq(OWN_ZONE + OTHER_ZONES))));
+    expect_that!(subsets, each(len(eq(OWN_ZONE_SUBSET + OTHER_ZONES_SUBSET))));
     expect_that!(counts, each(all![ge(&4), le(&40)]));
 }
 
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -1,7 +1,7 @@
 //! When upstreams are asked whether they live, and what their losses are taken for.
 
 use catkin_decisions::{
-    AvailabilityZone, Crash, CrashTracker, Instant, SILENCE, UpstreamHealth, UpstreamIncarnation,
+    AvailabilityZone, Crash, CrashTracker, Instant, SILENCE_TIMEOUT, UpstreamHealth, UpstreamIncarnation,
     ZoneAlarm,
 };
 use googletest::prelude::*;
@@ -22,12 +22,12 @@
     for _ in 0..50 {
         health.sent(at(1000));
     }
-    let silent = at(1000).after(SILENCE);
+    let silent = at(1000).after(SILENCE_TIMEOUT);
 
     let asked = [
         health.probe_due(at(1100)),
         health.probe_due(silent),
-        health.probe_due(silent.after(SILENCE)),
+        health.probe_due(silent.after(SILENCE_TIMEOUT)),
     ];
 
     expect_that!(asked, eq([false, true, false]));
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -1,7 +1,7 @@
 //! One VM of a zone reads the platform's table of upstreams, and the others rely on its word.
 
 use catkin_decisions::{
-    ConfigVersion, GOSSIP_AGE, GossipState, GossipView, Instant, REST_WAIT, UpstreamChange,
+    ConfigVersion, GOSSIP_MAX_AGE, GossipState, GossipView, Instant, DELTA_WAIT, UpstreamChange,
     UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use googletest::prelude::*;
@@ -76,7 +76,7 @@
         table.told(&gossip.changes, gossip.version, gossip.digest);
         heard.take(gossip, &table, at(*ms));
     }
-    (table, heard.state(GOSSIP_AGE, now))
+    (table, heard.state(GOSSIP_MAX_AGE, now))
 }
 
 /// Entries are written anew all the time with nothing new in them. Told on, they would fill the links of
@@ -97,7 +97,7 @@
 fn an_upstream_that_leaves_is_known_by_another_vms_word() {
     let (table, state) = after(&[(1000, news(&[entry(2, true)], 11))], at(1010));
 
-    expect_that!(state, eq(GossipState::Fresh(at(1000).after(GOSSIP_AGE))));
+    expect_that!(state, eq(GossipState::Fresh(at(1000).after(GOSSIP_MAX_AGE))));
     expect_that!(table.version(), eq(11));
 }
 
@@ -112,9 +112,9 @@
     };
 
     let (_, soon) = after(&[(1000, next.clone())], at(1010));
-    let (_, later) = after(&[(1000, next)], at(1000).after(REST_WAIT));
+    let (_, later) = after(&[(1000, next)], at(1000).after(DELTA_WAIT));
 
-    expect_that!(soon, eq(GossipState::Behind(at(1000).after(REST_WAIT))));
+    expect_that!(soon, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
     expect_that!(later, eq(GossipState::Silent));
 }
 
@@ -132,8 +132,8 @@
     let (_, half) = after(&[(1000, second.clone())], at(1005));
     let (_, whole) = after(&[(1000, second), (1005, first)], at(1006));
 
-    expect_that!(half, eq(GossipState::Behind(at(1000).after(REST_WAIT))));
-    expect_that!(whole, eq(GossipState::Fresh(at(1005).after(GOSSIP_AGE))));
+    expect_that!(half, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
+    expect_that!(whole, eq(GossipState::Fresh(at(1005).after(GOSSIP_MAX_AGE))));
 }
 
 /// The VM that reads loses its power, or the store turns it away and its words grow old. The others read
@@ -145,7 +145,7 @@
         ..news(&[], 11)
     };
 
-    let (_, lost) = after(&[(5000, news(&[], 11))], at(5000).after(GOSSIP_AGE));
+    let (_, lost) = after(&[(5000, news(&[], 11))], at(5000).after(GOSSIP_MAX_AGE));
     let (_, turned_away) = after(&[(5000, stale)], at(5150));
 
     expect_that!(lost, eq(GossipState::Silent));
