--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -84,7 +84,7 @@
     /// Counts how often a feed noticed that the store answers again.
     pub(crate) store_returns: watch::Sender<u64>,
     /// This life of this VM's process.
-    pub(crate) life: VmLife,
+    pub(crate) life: VmIncarnation,
     /// Rollouts that this VM owns, sorted by service.
     pub(crate) owned_rollouts: Mutex<Vec<(ServiceId, OwnedRollout)>>,
     /// Rollouts whose order was withdrawn, until their end is in the store.
@@ -110,7 +110,7 @@
         crate::metrics_page::start_metrics();
         let gateway = Arc::new(Self {
             state: Mutex::new(GatewayState::new(settings.vm.clone(), settings.rollouts)),
-            life: VmLife {
+            life: VmIncarnation {
                 vm: settings.vm.clone(),
                 incarnation: rand::random(),
             },
@@ -276,7 +276,7 @@
     }
 
     /// Takes in when the process of an upstream started, as it or another VM says.
-    pub(crate) fn upstream_started(&self, id: &UpstreamId, born: Born) {
+    pub(crate) fn upstream_started(&self, id: &UpstreamId, born: ProcessStart) {
         let now = self.timer.now();
         let changes = self.state.lock().directory.started(id, born, now);
         self.presence_changed(&changes);
@@ -447,7 +447,7 @@
     /// Whether an upstream may get any request of its service, whatever rollouts there are.
     pub(crate) fn is_open(&self, entry: &UpstreamEntry) -> bool {
         let now = self.timer.now();
-        self.state.lock().rollouts.admission(entry, now) == Admission::Open
+        self.state.lock().rollouts.admission(entry, now) == VersionAdmission::Open
     }
 
     /// Where this VM takes datagrams of others.
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -9,7 +9,7 @@
     let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(CHECK_PERIOD)) else {
         return;
     };
-    let mut clocks = WakeDetector::default();
+    let mut clocks = SuspendDetector::default();
     while let Some(now) = ticks.recv().await {
         let Some(gateway) = gateway.upgrade() else {
             return;
@@ -249,7 +249,7 @@
         let usable = state.directory.get_usable(&entry.id, now).is_some();
         let suspect = state.upstream(entry, now).health.is_suspect()
             || state.peers.is_suspect(&entry.id, now);
-        let open = state.rollouts.admission(entry, now) == Admission::Open;
+        let open = state.rollouts.admission(entry, now) == VersionAdmission::Open;
         usable && !suspect && open
     }
 
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -239,7 +239,7 @@
 }
 
 /// The upstreams that a note names, with their starts.
-fn started_upstreams(note: &PeerHeartbeat) -> Vec<(UpstreamId, Born)> {
+fn started_upstreams(note: &PeerHeartbeat) -> Vec<(UpstreamId, ProcessStart)> {
     let loads = note.loads.iter().map(|load| &load.upstream);
     loads
         .chain(&note.suspects)
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -8,7 +8,7 @@
     pub(crate) directory_read: DirectoryRead,
     /// Sorted by id.
     upstreams: Vec<UpstreamState>,
-    pub(crate) zones: ZoneAlarm,
+    pub(crate) zones: ZoneOutageDetector,
     pub(crate) services_seen: ServicesSeen,
     /// Sorted by service.
     budgets: Vec<(ServiceId, RouteRetryBudget)>,
@@ -76,7 +76,7 @@
             directory: UpstreamDirectory::default(),
             directory_read: DirectoryRead::Nothing,
             upstreams: Vec::new(),
-            zones: ZoneAlarm::default(),
+            zones: ZoneOutageDetector::default(),
             services_seen: ServicesSeen::default(),
             budgets: Vec::new(),
             crashes: CrashTracker::default(),
@@ -212,7 +212,7 @@
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
             Among::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
-            Among::Open => [Admission::Open, Admission::Retired],
+            Among::Open => [VersionAdmission::Open, VersionAdmission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
             self.rollouts.admission(entry, now)
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -84,7 +84,7 @@
     /// How busy it is, if it says so.
     pub load: Option<LoadReading>,
     /// When the process that answers started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<ProcessStart>,
 }
 
 /// How long a connection to an upstream may take to open: many times what it takes within a region, and short
--- a/crates/catkinward/tests/gateway_replaced.rs
+++ b/crates/catkinward/tests/gateway_replaced.rs
@@ -2,7 +2,7 @@
 
 mod gateway_support;
 
-use catkin_decisions::{Born, UpstreamEntry, UpstreamRestart};
+use catkin_decisions::{ProcessStart, UpstreamEntry, UpstreamRestart};
 use catkinward::gateway::Reply;
 use gateway_support::*;
 use googletest::prelude::*;
@@ -69,12 +69,12 @@
         Script::Stream(events(1, 40), End::Whole)
     })
     .born(move |_| {
-        Some(Born(
+        Some(ProcessStart(
             1000 + 500 * u64::from(started.load(Ordering::Relaxed) > 0),
         ))
     })
-    .born_upstream("engine-a1", ENGINES, "a", Born(1000))
-    .born_upstream("engine-b1", ENGINES, "b", Born(1500))
+    .born_upstream("engine-a1", ENGINES, "a", ProcessStart(1000))
+    .born_upstream("engine-b1", ENGINES, "b", ProcessStart(1500))
     .start();
     let start = running.timer.now();
 
@@ -95,8 +95,8 @@
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 5), End::Hang),
     })
-    .born_upstream("engine-a1", ENGINES, "a", Born(1000))
-    .born_upstream("engine-b1", ENGINES, "b", Born(1000))
+    .born_upstream("engine-a1", ENGINES, "a", ProcessStart(1000))
+    .born_upstream("engine-b1", ENGINES, "b", ProcessStart(1000))
     .start();
     let reading = tokio::spawn(read_stream(running.handle("/stream/1").await));
     tokio::time::sleep(Duration::from_millis(170)).await;
@@ -104,7 +104,7 @@
 
     running
         .gateway
-        .upstream_heard(born_upstream("engine-a1", ENGINES, "a", Born(2000)));
+        .upstream_heard(born_upstream("engine-a1", ENGINES, "a", ProcessStart(2000)));
     tokio::time::sleep(Duration::from_millis(20)).await;
 
     expect_that!(running.seen.lock().len(), eq(2));
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use catkin_decisions::{
-    Born, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadReading,
+    ProcessStart, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadReading,
     PeerHeartbeat, Policy, PromptPart, RouteRetryBudgetConfig, RolloutSettings, Route, RouteTable,
     RouteTarget, RoutingConfig, ServiceSpec, TableRow, UpstreamEntry, ZoneGossip,
 };
@@ -108,7 +108,7 @@
         self
     }
 
-    pub fn born_upstream(mut self, id: &str, service: &str, zone: &str, born: Born) -> Self {
+    pub fn born_upstream(mut self, id: &str, service: &str, zone: &str, born: ProcessStart) -> Self {
         self.upstreams.push(born_upstream(id, service, zone, born));
         self
     }
@@ -151,7 +151,7 @@
     }
 
     /// When the processes of upstreams started, as they answer.
-    pub fn born(mut self, born: impl Fn(&str) -> Option<Born> + Send + Sync + 'static) -> Self {
+    pub fn born(mut self, born: impl Fn(&str) -> Option<ProcessStart> + Send + Sync + 'static) -> Self {
         self.born = Arc::new(born);
         self
     }
@@ -343,7 +343,7 @@
 }
 
 /// Entry of an upstream that says when it started.
-pub fn born_upstream(id: &str, service: &str, zone: &str, born: Born) -> UpstreamEntry {
+pub fn born_upstream(id: &str, service: &str, zone: &str, born: ProcessStart) -> UpstreamEntry {
     let mut entry = upstream(id, service, zone);
     entry.id.born = Some(born);
     entry
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -53,7 +53,7 @@
 }
 
 /// When the process of each upstream started, as it answers.
-pub(super) type Starts = Arc<dyn Fn(&str) -> Option<Born> + Send + Sync>;
+pub(super) type Starts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
 
 pub(super) type Scripted = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
 
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -3,7 +3,7 @@
 mod gateway_support;
 
 use catkin_decisions::{
-    Born, MAX_GOSSIPED_CHANGES, ConfigVersion, GOSSIP_MAX_AGE, LinkRate, PeerDatagram, RoutingConfig,
+    ProcessStart, MAX_GOSSIPED_CHANGES, ConfigVersion, GOSSIP_MAX_AGE, LinkRate, PeerDatagram, RoutingConfig,
     UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
@@ -428,7 +428,7 @@
                 &format!("i-{:010x}", 0xff_ffff_ff00 + n),
                 "ticket-model-long",
                 "stirling-depot-long",
-                Born(1_790_000_000_000),
+                ProcessStart(1_790_000_000_000),
             )
         }),
     };
--- a/crates/decisions/src/exposure.rs
+++ b/crates/decisions/src/exposure.rs
@@ -28,7 +28,7 @@
 
 /// One life of a VM's process.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub struct VmLife {
+pub struct VmIncarnation {
     /// The VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
@@ -37,7 +37,7 @@
     pub incarnation: u64,
 }
 
-impl fmt::Display for VmLife {
+impl fmt::Display for VmIncarnation {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{:x}", self.vm, self.incarnation)
     }
@@ -48,7 +48,7 @@
 pub struct ExposureLedger {
     limit: ExposureLimit,
     /// Sorted by VM.
-    accounts: Vec<(VmLife, Account)>,
+    accounts: Vec<(VmIncarnation, Account)>,
     /// Whether gathered exposures are being granted.
     open: bool,
 }
@@ -71,7 +71,7 @@
     }
 
     /// Takes in a VM's counts and returns what it has been granted in all.
-    pub fn report(&mut self, vm: &VmLife, requests: u64, spent: u64) -> u64 {
+    pub fn report(&mut self, vm: &VmIncarnation, requests: u64, spent: u64) -> u64 {
         let index = match self.accounts.binary_search_by(|(other, _)| other.cmp(vm)) {
             Ok(index) => index,
             Err(index) => {
@@ -122,7 +122,7 @@
 /// Leave to send one request to a version under trial. Only a grant makes one.
 #[derive(Debug)]
 #[must_use]
-pub struct Exposed(());
+pub struct ExposurePermit(());
 
 impl ExposureGrants {
     /// Counts a request of the service.
@@ -150,17 +150,17 @@
     }
 
     /// Spends a grant.
-    pub fn expose(&mut self, now: Instant) -> Option<Exposed> {
+    pub fn expose(&mut self, now: Instant) -> Option<ExposurePermit> {
         let renewed = self.renewed?;
         if now.since(renewed) >= GRANT_LIFETIME || self.spent >= self.granted {
             return None;
         }
         self.spent += 1;
-        Some(Exposed(()))
+        Some(ExposurePermit(()))
     }
 
     /// Takes back a grant for which no upstream was found.
-    pub fn give_back(&mut self, _exposed: Exposed) {
+    pub fn give_back(&mut self, _exposed: ExposurePermit) {
         self.spent = self.spent.saturating_sub(1);
     }
 
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -29,7 +29,7 @@
     admission_queue::{AdmissionConfig, AdmissionQueue, Arrival, QueuePosition},
     attempt::Attempt,
     availability_zone::AvailabilityZone,
-    born::Born,
+    process_start::ProcessStart,
     bundle::Bundle,
     bundle_author::BundleAuthor,
     bundle_change::{BundleChange, ChangeResult},
@@ -72,7 +72,7 @@
     error::Error,
     event_relay::{EventDecision, EventRelay, EventRun},
     event_splitter::{EventSplitter, MAX_EVENT_BYTES, CompleteEvent},
-    exposure::{Exposed, ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, VmLife},
+    exposure::{ExposurePermit, ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, VmIncarnation},
     failed_call::FailedCall,
     fair_queue::{FairQueue, PopOptions, QueueTeam},
     finish::Finish,
@@ -147,7 +147,7 @@
     },
     rollout_phase::RolloutPhase,
     rollout_record::{RolloutRecord, StoredRecord},
-    rollouts::{Admission, ORDER_TIMEOUT, RolloutSettings, Rollouts},
+    rollouts::{VersionAdmission, ORDER_TIMEOUT, RolloutSettings, Rollouts},
     route::{Route, RouteTarget},
     route_table::RouteTable,
     routing_config::{CallerKey, CallerLimits, NewestConfig, RoutingConfig, ServiceSpec},
@@ -191,9 +191,9 @@
     upstream_table::{TableRead, UpstreamChange, UpstreamTable},
     utf8_joiner::Utf8Joiner,
     vm_id::VmId,
-    wake_detector::WakeDetector,
+    suspend_detector::SuspendDetector,
     wall_time::WallTime,
-    zone_alarm::ZoneAlarm,
+    zone_outage_detector::ZoneOutageDetector,
     zone_gossip::{
         MAX_GOSSIPED_CHANGES, CONFIG_GOSSIP_MAX_AGE, CONFIG_POLL_TIMEOUT, GOSSIP_MAX_AGE, GossipState, GossipView,
         DELTA_WAIT, STANDBY_MAX_AGE, ZoneGossip,
@@ -205,7 +205,7 @@
 mod admission_queue;
 mod attempt;
 mod availability_zone;
-mod born;
+mod process_start;
 mod bundle;
 mod bundle_author;
 mod bundle_change;
@@ -364,8 +364,8 @@
 mod upstream_table;
 mod utf8_joiner;
 mod vm_id;
-mod wake_detector;
+mod suspend_detector;
 mod wall_time;
-mod zone_alarm;
+mod zone_outage_detector;
 mod zone_gossip;
 mod zone_role;
--- a/crates/decisions/src/born.rs
+++ b/crates/decisions/src/process_start.rs
@@ -2,6 +2,6 @@
 
 number_newtype!(
     /// When the process of an upstream started, in Unix milliseconds by its own clock.
-    Born,
+    ProcessStart,
     "start of an upstream"
 );
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -101,7 +101,7 @@
     }
 
     /// Counts a request; leave for it to go to the new version, if it is one that should.
-    pub fn request(&mut self, route: &str, now: Instant) -> Option<Exposed> {
+    pub fn request(&mut self, route: &str, now: Instant) -> Option<ExposurePermit> {
         self.grants.count_request();
         let wanted = self.wanted.is_empty() || self.wanted.iter().any(|w| w.as_ref() == route);
         if self.progress.phase != RolloutPhase::Running || !wanted {
--- a/crates/decisions/src/rollout_datagram.rs
+++ b/crates/decisions/src/rollout_datagram.rs
@@ -14,7 +14,7 @@
     pub term: u64,
     /// The VM.
     #[serde(rename = "v")]
-    pub vm: VmLife,
+    pub vm: VmIncarnation,
     /// Requests of the service since that owner became known.
     #[serde(rename = "n")]
     pub requests: u64,
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RolloutJudge {
     /// Latest report of each VM on each route, sorted.
-    reports: Vec<((VmLife, Arc<str>), RouteEvidence)>,
+    reports: Vec<((VmIncarnation, Arc<str>), RouteEvidence)>,
     /// Sorted by route.
     routes: Vec<JudgedRoute>,
     all: Suspected,
@@ -105,7 +105,7 @@
 
 impl RolloutJudge {
     /// Takes in a VM's counts of a route; returns what was judged, once the old versions have given enough answers.
-    pub fn take(&mut self, vm: &VmLife, evidence: &RouteEvidence) -> Option<JudgedReport> {
+    pub fn take(&mut self, vm: &VmIncarnation, evidence: &RouteEvidence) -> Option<JudgedReport> {
         let key = (vm.clone(), evidence.route.clone());
         let place = self.reports.binary_search_by(|(other, _)| other.cmp(&key));
         let index = place.unwrap_or_else(|index| {
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -21,7 +21,7 @@
 
 /// What an upstream may get.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admission {
+pub enum VersionAdmission {
     /// Any request.
     Open,
     /// Requests with leave to be exposed.
@@ -163,9 +163,9 @@
 
     /// What an upstream may get.
     #[must_use]
-    pub fn admission(&self, entry: &UpstreamEntry, now: Instant) -> Admission {
+    pub fn admission(&self, entry: &UpstreamEntry, now: Instant) -> VersionAdmission {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
-            return Admission::Open;
+            return VersionAdmission::Open;
         };
         let rollout = self.position(&entry.service).ok();
         if let Some(Rollout {
@@ -174,17 +174,17 @@
         {
             let is_new = order.to == *version;
             match progress.phase {
-                RolloutPhase::Completed if is_new => return Admission::Open,
-                RolloutPhase::Completed => return Admission::Retired,
-                RolloutPhase::RolledBack if is_new => return Admission::Barred,
-                _ if is_new => return Admission::Trial,
+                RolloutPhase::Completed if is_new => return VersionAdmission::Open,
+                RolloutPhase::Completed => return VersionAdmission::Retired,
+                RolloutPhase::RolledBack if is_new => return VersionAdmission::Barred,
+                _ if is_new => return VersionAdmission::Trial,
                 _ => {}
             }
         }
         if self.is_rolled_back(&entry.service, version) || self.is_held(entry, version, now) {
-            return Admission::Barred;
+            return VersionAdmission::Barred;
         }
-        Admission::Open
+        VersionAdmission::Open
     }
 
     /// The few upstreams of a new version that are tried, of all those that take calls: the same on all VMs.
--- a/crates/decisions/src/wake_detector.rs
+++ b/crates/decisions/src/suspend_detector.rs
@@ -13,11 +13,11 @@
 
 /// Looks at two clocks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WakeDetector {
+pub struct SuspendDetector {
     last: Option<(Instant, Duration)>,
 }
 
-impl WakeDetector {
+impl SuspendDetector {
     /// Looks at the steady clock and at the time since the boot, suspensions counted in; tells how long
     /// the process did not run, if that is long.
     pub fn look(&mut self, steady: Instant, since_boot: Duration) -> Option<Duration> {
--- a/crates/decisions/src/upstream_incarnation.rs
+++ b/crates/decisions/src/upstream_incarnation.rs
@@ -15,7 +15,7 @@
     pub id: UpstreamId,
     /// When it started, if it says so.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub born: Option<Born>,
+    pub born: Option<ProcessStart>,
 }
 
 impl UpstreamIncarnation {
@@ -27,7 +27,7 @@
 
     /// Whether this is surely an earlier incarnation of the same upstream than one that started at `born`.
     #[must_use]
-    pub fn is_before(&self, born: Option<Born>) -> bool {
+    pub fn is_before(&self, born: Option<ProcessStart>) -> bool {
         matches!((self.born, born), (Some(own), Some(other)) if own < other)
     }
 }
--- a/crates/decisions/src/zone_alarm.rs
+++ b/crates/decisions/src/zone_outage_detector.rs
@@ -18,14 +18,14 @@
 
 /// Losses in each availability zone.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneAlarm {
+pub struct ZoneOutageDetector {
     /// Latest losses, one for each upstream.
     losses: Vec<(AvailabilityZone, UpstreamIncarnation, Instant)>,
     /// Zones that come last, with the end of that.
     avoided: Vec<(AvailabilityZone, Instant)>,
 }
 
-impl ZoneAlarm {
+impl ZoneOutageDetector {
     /// Notes the loss of an upstream; tells whether its zone became suspect by it.
     pub fn lost(
         &mut self,
--- a/crates/decisions/tests/exposure.rs
+++ b/crates/decisions/tests/exposure.rs
@@ -1,7 +1,7 @@
 //! Exposures of a version under trial, summed over all VMs.
 
 use catkin_decisions::{
-    ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, Instant, VmLife,
+    ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, Instant, VmIncarnation,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -18,8 +18,8 @@
     Instant(Duration::from_millis(ms))
 }
 
-fn life(vm: usize, incarnation: u64) -> VmLife {
-    VmLife {
+fn life(vm: usize, incarnation: u64) -> VmIncarnation {
+    VmIncarnation {
         vm: format!("vm-{vm}").into(),
         incarnation,
     }
@@ -72,7 +72,7 @@
 
 /// A VM of the simulated fleet.
 struct Vm {
-    life: VmLife,
+    life: VmIncarnation,
     grants: ExposureGrants,
     term: u64,
     alive: bool,
@@ -86,8 +86,8 @@
     vms: Vec<Vm>,
     /// The ledger of each term; earlier owners may still answer.
     ledgers: Vec<ExposureLedger>,
-    reports: Vec<(VmLife, u64, u64, u64)>,
-    answers: Vec<(VmLife, u64, u64)>,
+    reports: Vec<(VmIncarnation, u64, u64, u64)>,
+    answers: Vec<(VmIncarnation, u64, u64)>,
     requests: u64,
     exposures: u64,
     now: Instant,
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -1,7 +1,7 @@
 //! Restart reports that arrive late, beside a table of upstreams that some VMs cannot read.
 
 use catkin_decisions::{
-    Born, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableView, UpstreamChange,
+    ProcessStart, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableView, UpstreamChange,
     UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, UpstreamRestart, UpstreamTable,
 };
 use googletest::prelude::*;
@@ -128,13 +128,13 @@
 fn later_process_of_a_removed_upstream_is_ignored() {
     let mut directory = UpstreamDirectory::default();
     let id = UpstreamIncarnation {
-        born: Some(Born(1000)),
+        born: Some(ProcessStart(1000)),
         ..entry(0).id
     };
     directory.heard(UpstreamEntry { id, ..entry(0) });
     directory.removed(&entry(0).id.id, at(1000));
 
-    directory.started(&entry(0).id.id, Born(2000), at(1000));
+    directory.started(&entry(0).id.id, ProcessStart(2000), at(1000));
 
     expect_that!(usable(&directory, at(1000)), is_empty());
 }
--- a/crates/decisions/tests/rollout_judge.rs
+++ b/crates/decisions/tests/rollout_judge.rs
@@ -1,7 +1,7 @@
 //! How often a version under trial is judged rightly, by simulation over many seeds.
 
 use catkin_decisions::{
-    ResponseCounts, ResponseOutcome, RolloutJudge, RolloutVerdict, RouteEvidence, VmLife,
+    ResponseCounts, ResponseOutcome, RolloutJudge, RolloutVerdict, RouteEvidence, VmIncarnation,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -56,7 +56,7 @@
     let names = ["/once/", "/quick/"];
     let mut vms = Vec::new();
     for vm in 0..8 {
-        let life = VmLife {
+        let life = VmIncarnation {
             vm: format!("vm-{vm}").into(),
             incarnation: 1,
         };
@@ -153,7 +153,7 @@
 #[gtest]
 fn repeated_and_late_reports_add_nothing() {
     let mut judge = RolloutJudge::default();
-    let life = VmLife {
+    let life = VmIncarnation {
         vm: "vm-1".into(),
         incarnation: 1,
     };
@@ -177,7 +177,7 @@
 /// The last answers before the deadline are bad, too few to be sure.
 #[gtest]
 fn version_under_suspicion_is_not_good() {
-    let life = VmLife {
+    let life = VmIncarnation {
         vm: "vm-1".into(),
         incarnation: 1,
     };
@@ -239,7 +239,7 @@
 
 fn verdict_after(moments: &[RouteEvidence]) -> RolloutVerdict {
     let mut judge = RolloutJudge::default();
-    let vm = VmLife {
+    let vm = VmIncarnation {
         vm: "vm-1".into(),
         incarnation: 1,
     };
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -1,7 +1,7 @@
 //! Which versions of a service get requests, as one VM knows its rollout.
 
 use catkin_decisions::{
-    Admission, ExposureLimit, Instant, ORDER_TIMEOUT, OWNER_TIMEOUT, OwnerStep, RollbackReason, Rollout,
+    VersionAdmission, ExposureLimit, Instant, ORDER_TIMEOUT, OWNER_TIMEOUT, OwnerStep, RollbackReason, Rollout,
     RolloutFault, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
     RolloutSettings, Rollouts, SoftwareVersion, UpstreamEntry, VersionSlots,
 };
@@ -69,13 +69,13 @@
 }
 
 /// What upstreams of v1 and v2 may get.
-fn admissions(rollouts: &Rollouts, now: Instant) -> [Admission; 2] {
+fn admissions(rollouts: &Rollouts, now: Instant) -> [VersionAdmission; 2] {
     [("u1", "v1"), ("u2", "v2")].map(|(id, v)| rollouts.admission(&entry(id, v), now))
 }
 
 #[gtest]
 fn each_phase_admits_its_versions() {
-    use Admission::{Barred, Open, Retired, Trial};
+    use VersionAdmission::{Barred, Open, Retired, Trial};
     let cases = [
         (RolloutPhase::Running, [Open, Trial]),
         (RolloutPhase::Completing, [Open, Trial]),
@@ -99,8 +99,8 @@
     let soon = admissions(&rollouts, at(1000));
     let later = admissions(&rollouts, at(1000).after(ORDER_TIMEOUT));
 
-    expect_that!(soon, eq([Admission::Open, Admission::Barred]));
-    expect_that!(later, eq([Admission::Open, Admission::Open]));
+    expect_that!(soon, eq([VersionAdmission::Open, VersionAdmission::Barred]));
+    expect_that!(later, eq([VersionAdmission::Open, VersionAdmission::Open]));
 }
 
 /// A version that was rolled back returns with a new order alone.
@@ -121,7 +121,7 @@
 
     expect_that!(
         [after_the_same, after_another, after_its_own],
-        eq([Admission::Barred, Admission::Barred, Admission::Trial])
+        eq([VersionAdmission::Barred, VersionAdmission::Barred, VersionAdmission::Trial])
     );
 }
 
@@ -139,7 +139,7 @@
             rollouts.take(&notice(order("v3", 8), 1, RolloutPhase::Running), at(2000));
         }
 
-        expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Barred));
+        expect_that!(admissions(&rollouts, at(60_000))[1], eq(VersionAdmission::Barred));
     }
 }
 
@@ -169,7 +169,7 @@
 
     rollouts.withdraw(&"shop".parse().unwrap(), 8);
 
-    expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Barred));
+    expect_that!(admissions(&rollouts, at(60_000))[1], eq(VersionAdmission::Barred));
 }
 
 /// Notices overtake each other.
@@ -214,7 +214,7 @@
     );
 
     expect_that!(taken, eq(false));
-    expect_that!(admissions(&rollouts, at(1000)), eq([Admission::Open; 2]));
+    expect_that!(admissions(&rollouts, at(1000)), eq([VersionAdmission::Open; 2]));
 }
 
 /// Each VM tries the same few upstreams, so that these are loaded.
--- a/crates/decisions/tests/wake_detector.rs
+++ b/crates/decisions/tests/suspend_detector.rs
@@ -1,6 +1,6 @@
 //! A process that did not run for a while.
 
-use catkin_decisions::{Instant, WakeDetector};
+use catkin_decisions::{Instant, SuspendDetector};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 /// Gaps told by looks at these times of the steady clock and of the one since the boot.
 fn gaps(looks: &[(u64, u64)]) -> Vec<Option<Duration>> {
-    let mut detector = WakeDetector::default();
+    let mut detector = SuspendDetector::default();
     let look = |(steady, boot): &(u64, u64)| detector.look(Instant(ms(*steady)), ms(*boot));
     looks.iter().map(look).collect()
 }
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -1,7 +1,7 @@
 //! Which upstreams there are, from entries that come late, lapse and return.
 
 use catkin_decisions::{
-    Born, Instant, LAPSE_GRACE, Presence, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation,
+    ProcessStart, Instant, LAPSE_GRACE, Presence, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation,
 };
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop, prop_assert_eq, prop_oneof, proptest};
@@ -118,7 +118,7 @@
 fn incarnation(id: &str, born: u64) -> UpstreamIncarnation {
     UpstreamIncarnation {
         id: id.parse().unwrap(),
-        born: Some(Born(born)),
+        born: Some(ProcessStart(born)),
     }
 }
 
@@ -175,9 +175,9 @@
     let mut directory = UpstreamDirectory::default();
     directory.heard(born("u1", 1, 1000, false));
 
-    let changes = directory.started(&"u1".parse().unwrap(), Born(5000), at(0));
-    let again = directory.started(&"u1".parse().unwrap(), Born(5000), at(0));
-    let earlier = directory.started(&"u1".parse().unwrap(), Born(1000), at(0));
+    let changes = directory.started(&"u1".parse().unwrap(), ProcessStart(5000), at(0));
+    let again = directory.started(&"u1".parse().unwrap(), ProcessStart(5000), at(0));
+    let earlier = directory.started(&"u1".parse().unwrap(), ProcessStart(1000), at(0));
 
     let superseded = (incarnation("u1", 1000), Presence::Superseded);
     expect_that!(changes, contains(eq(&superseded)));
@@ -295,7 +295,7 @@
                     expected = hear(n, says_leaving);
                 }
                 Word::Report(n) => {
-                    directory.started(&"u1".parse().unwrap(), Born(n), at(0));
+                    directory.started(&"u1".parse().unwrap(), ProcessStart(n), at(0));
                     if expected.0.is_some() {
                         expected = hear(n, false);
                     }
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -2,7 +2,7 @@
 
 use catkin_decisions::{
     AvailabilityZone, Crash, CrashTracker, Instant, SILENCE_TIMEOUT, UpstreamHealth, UpstreamIncarnation,
-    ZoneAlarm,
+    ZoneOutageDetector,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -72,7 +72,7 @@
 #[gtest]
 fn zone_is_suspect_after_several_upstreams_are_lost_together() {
     let zone: AvailabilityZone = "a".parse().unwrap();
-    let mut alarm = ZoneAlarm::default();
+    let mut alarm = ZoneOutageDetector::default();
 
     let one = (0..5).any(|n| alarm.lost(&zone, &id("u1"), at(100 * n)));
     let apart = alarm.lost(&zone, &id("u2"), at(1500)) || alarm.lost(&zone, &id("u3"), at(2200));
--- a/crates/decisions/tests/whole_read.rs
+++ b/crates/decisions/tests/whole_read.rs
@@ -1,7 +1,7 @@
 //! What it costs a VM to read the whole table of a large deployment.
 
 use catkin_decisions::{
-    Born, Instant, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
+    ProcessStart, Instant, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
 };
 use googletest::prelude::*;
 use std::{net::SocketAddr, time::Duration};
@@ -13,7 +13,7 @@
             id: format!("u-{:016x}", rendezvous_score("upstream", &n.to_string()))
                 .parse()
                 .unwrap(),
-            born: Some(Born(born)),
+            born: Some(ProcessStart(born)),
         },
         service: "engines".parse().unwrap(),
         address: SocketAddr::from(([10, 0, 0, 1], u16::try_from(8000 + n).unwrap())),
