--- a/crates/catkinward/src/attempt_stream.rs
+++ b/crates/catkinward/src/attempt_stream.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::engine_event::{AttemptFault, EngineEvent};
+use crate::engine_event::{AttemptError, EngineEvent};
 use std::pin::Pin;
 use tokio::time::{Instant, Sleep};
 use volo_http::client::sse::{SseEvent, SseReader};
@@ -23,10 +23,10 @@
     /// # Errors
     ///
     /// If the answer is no event stream.
-    pub(crate) fn new(attempt: Attempt, response: Response) -> Result<Self, AttemptFault> {
+    pub(crate) fn new(attempt: Attempt, response: Response) -> Result<Self, AttemptError> {
         Ok(Self {
             attempt,
-            reader: SseReader::into_sse(response).map_err(|_| AttemptFault::Broken)?,
+            reader: SseReader::into_sse(response).map_err(|_| AttemptError::Broken)?,
             unread: None,
             look: Box::pin(tokio::time::sleep(Duration::ZERO)),
         })
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// If none comes within `bound`, the stream breaks off, or an event cannot be read.
-    pub(crate) async fn next(&mut self, bound: Duration) -> Result<EngineEvent, AttemptFault> {
+    pub(crate) async fn next(&mut self, bound: Duration) -> Result<EngineEvent, AttemptError> {
         if let Some(event) = self.unread.take() {
             return Ok(event);
         }
@@ -53,7 +53,7 @@
                 read = self.reader.read() => return read_event(read),
                 () = &mut self.look => {
                     if Instant::now() >= silent_at {
-                        return Err(AttemptFault::Silent { bound });
+                        return Err(AttemptError::Silent { bound });
                     }
                     self.look.as_mut().reset(silent_at);
                 }
@@ -62,7 +62,7 @@
     }
 
     /// An event that has come already, if there is one.
-    pub(crate) fn ready(&mut self) -> Option<Result<EngineEvent, AttemptFault>> {
+    pub(crate) fn ready(&mut self) -> Option<Result<EngineEvent, AttemptError>> {
         if let Some(event) = self.unread.take() {
             return Some(Ok(event));
         }
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// As for [`Self::next`].
-    pub(crate) async fn wait_for_progress(&mut self, bound: Duration) -> Result<(), AttemptFault> {
+    pub(crate) async fn wait_for_progress(&mut self, bound: Duration) -> Result<(), AttemptError> {
         loop {
             let event = self.next(bound).await?;
             if event != EngineEvent::Heartbeat {
@@ -85,7 +85,7 @@
     }
 }
 
-fn read_event(read: ReadEvent) -> Result<EngineEvent, AttemptFault> {
-    let event = read.ok().flatten().ok_or(AttemptFault::Broken)?;
+fn read_event(read: ReadEvent) -> Result<EngineEvent, AttemptError> {
+    let event = read.ok().flatten().ok_or(AttemptError::Broken)?;
     EngineEvent::read(event.event(), event.data().unwrap_or_default())
 }
--- a/crates/catkinward/src/bundle_format.rs
+++ b/crates/catkinward/src/bundle_format.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::error::BundleFault;
+use crate::error::BundleError;
 
 /// Deadline of a call where neither the call nor the bundle names one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
@@ -85,9 +85,9 @@
 }
 
 fn check_model(place: &str, entry: Option<&border_bundle::ModelEntry>) -> Result<Model> {
-    let model = entry.ok_or_else(|| fault(place, "model", BundleFault::ModelAbsent))?;
+    let model = entry.ok_or_else(|| fault(place, "model", BundleError::ModelAbsent))?;
     let text = |name: &str, value: &str| match value {
-        "" => Err(fault(place, &format!("model.{name}"), BundleFault::Empty)),
+        "" => Err(fault(place, &format!("model.{name}"), BundleError::Empty)),
         value => Ok(value.into()),
     };
     Ok(Model {
@@ -112,7 +112,7 @@
         .to_vec(),
     };
     match foreign.iter().find(|(_, present)| *present) {
-        Some((name, _)) => Err(fault(place, name, BundleFault::OtherKind(entry.kind))),
+        Some((name, _)) => Err(fault(place, name, BundleError::OtherKind(entry.kind))),
         None => Ok(()),
     }
 }
@@ -121,10 +121,10 @@
     let rules = entries.iter().enumerate().map(|(i, entry)| {
         let place = format!("{place}.paths[{i}]");
         if entry.method.is_empty() || !entry.method.bytes().all(|b| b.is_ascii_uppercase()) {
-            return Err(fault(&place, "method", BundleFault::Method));
+            return Err(fault(&place, "method", BundleError::Method));
         }
         if !entry.prefix.starts_with('/') {
-            return Err(fault(&place, "prefix", BundleFault::Prefix));
+            return Err(fault(&place, "prefix", BundleError::Prefix));
         }
         Ok(PathRule {
             method: entry.method.as_str().into(),
@@ -152,7 +152,7 @@
         Some(pair) => Err(fault(
             place,
             name,
-            BundleFault::Duplicate(pair[0].to_string()),
+            BundleError::Duplicate(pair[0].to_string()),
         )),
         None => Ok(()),
     }
@@ -170,7 +170,7 @@
         fault(
             place,
             "address",
-            BundleFault::Address(entry.address.clone()),
+            BundleError::Address(entry.address.clone()),
         )
     })?;
     Ok(Upstream {
@@ -191,7 +191,7 @@
         Some(pair) => Err(fault(
             &format!("team `{}`", pair[1].id),
             "key_sha256",
-            BundleFault::SharedKey(pair[0].id.clone()),
+            BundleError::SharedKey(pair[0].id.clone()),
         )),
         None => Ok(()),
     }
@@ -205,7 +205,7 @@
                 return Err(fault(
                     &place,
                     "services",
-                    BundleFault::Unknown(service.to_string()),
+                    BundleError::Unknown(service.to_string()),
                 ));
             }
         }
@@ -217,7 +217,7 @@
                 return Err(fault(
                     &place,
                     "teams",
-                    BundleFault::Unknown(team.to_string()),
+                    BundleError::Unknown(team.to_string()),
                 ));
             }
         }
@@ -241,7 +241,7 @@
     {
         Some(pair) => Err(Error::BundleField {
             field: list.to_owned(),
-            source: BundleFault::Duplicate(name(&pair[0])),
+            source: BundleError::Duplicate(name(&pair[0])),
         }),
         None => Ok(items),
     }
@@ -251,7 +251,7 @@
     value.map_err(|source| fault(place, name, source.into()))
 }
 
-fn fault(place: &str, name: &str, source: BundleFault) -> Error {
+fn fault(place: &str, name: &str, source: BundleError) -> Error {
     Error::BundleField {
         field: format!("{place}.{name}"),
         source,
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -217,7 +217,7 @@
     /// take effect once at most, so an earlier call that comes late does no harm.
     async fn apply(&self, change: &BundleChange) -> Result<bool> {
         let mut in_doubt = false;
-        let mut last = PlatformFault::NotRun;
+        let mut last = PlatformError::NotRun;
         for attempt in 0..self.cfg.tries {
             if attempt > 0 {
                 tokio::time::sleep(self.cfg.pause).await;
@@ -226,9 +226,9 @@
                 Ok(reply) if reply.committed => return Ok(false),
                 Ok(_) => {}
                 Err(fault) => {
-                    in_doubt |= fault == PlatformFault::Unknown;
+                    in_doubt |= fault == PlatformError::Unknown;
                     last = fault;
-                    if last != PlatformFault::Unknown {
+                    if last != PlatformError::Unknown {
                         continue;
                     }
                 }
--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -117,8 +117,8 @@
         match (self.platform.transact)(req).await {
             Ok(reply) if reply.committed => GroupResult::Committed,
             Ok(reply) => GroupResult::Conflicts(reply.conflicts.iter().map(found_claim).collect()),
-            Err(PlatformFault::Unknown) => GroupResult::Unknown,
-            Err(PlatformFault::NotRun | PlatformFault::Throttled | PlatformFault::OutOfBudget) => {
+            Err(PlatformError::Unknown) => GroupResult::Unknown,
+            Err(PlatformError::NotRun | PlatformError::Throttled | PlatformError::OutOfBudget) => {
                 GroupResult::NotRun
             }
         }
--- a/crates/catkinward/src/claim_sweep.rs
+++ b/crates/catkinward/src/claim_sweep.rs
@@ -12,7 +12,7 @@
 /// full group writes.
 const PAGE: std::num::NonZeroU32 = std::num::NonZeroU32::new(20).expect("not zero");
 
-pub(crate) async fn sweep_page(platform: &Platform, now: WallTime) -> Result<bool, PlatformFault> {
+pub(crate) async fn sweep_page(platform: &Platform, now: WallTime) -> Result<bool, PlatformError> {
     let page = platform_border::ScanRequest {
         table: EXPIRIES.to_owned(),
         prefix: String::new(),
@@ -55,7 +55,7 @@
 async fn read_claims(
     platform: &Platform,
     keys: Vec<String>,
-) -> Result<Vec<FoundClaim>, PlatformFault> {
+) -> Result<Vec<FoundClaim>, PlatformError> {
     let keys = keys.into_iter().map(|key| platform_border::RowKey {
         key,
         table: CLAIMS.to_owned(),
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// If the object store gives none; `Ok(None)` if it was too large to keep, or is gone.
-    pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformFault> {
+    pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
         match body {
             RecordedBody::Inline(body) => Ok(Some(Bytes::copy_from_slice(body))),
             RecordedBody::Object(name) => (self.platform.get_object)(name.clone()).await,
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// If the table service does not answer. Another try does no harm.
-    pub async fn sweep_page(&self, now: WallTime) -> Result<bool, PlatformFault> {
+    pub async fn sweep_page(&self, now: WallTime) -> Result<bool, PlatformError> {
         claim_sweep::sweep_page(&self.platform, now).await
     }
 
--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     attempt_stream::AttemptStream,
-    engine_event::AttemptFault,
+    engine_event::AttemptError,
     http_client::{HttpError, json_bytes},
     upstream_handle::UpstreamHandle,
 };
@@ -21,7 +21,7 @@
     upstream: &UpstreamHandle,
     order: &engine::EngineGenerate,
     bound: Duration,
-) -> Result<AttemptStream, AttemptFault> {
+) -> Result<AttemptStream, AttemptError> {
     upstream.check_eligible()?;
     let call = HttpCall {
         address: upstream.address(),
@@ -60,7 +60,7 @@
 pub(crate) async fn reattach(
     connections: &Connections,
     reattach: Reattach<'_>,
-) -> Result<AttemptStream, AttemptFault> {
+) -> Result<AttemptStream, AttemptError> {
     let Reattach {
         address,
         id,
@@ -109,7 +109,7 @@
     connections: &Connections,
     attempt: Attempt,
     call: HttpCall,
-) -> Result<(AttemptStream, Option<engine::UpstreamLoad>), AttemptFault> {
+) -> Result<(AttemptStream, Option<engine::UpstreamLoad>), AttemptError> {
     let HttpCall { address, bound, .. } = call;
     let response = connections.call(call).await?;
     let status = response.status();
@@ -127,5 +127,5 @@
         .map_err(|_| HttpError::Status { address, status })?;
     let refusal: engine::EngineRefusal = serde_json::from_slice(&body.to_bytes())
         .map_err(|_| HttpError::Status { address, status })?;
-    Err(AttemptFault::Refused { kind: refusal.kind })
+    Err(AttemptError::Refused { kind: refusal.kind })
 }
--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -17,18 +17,18 @@
     /// # Errors
     ///
     /// If it has another form than agreed.
-    pub(crate) fn read(name: &str, data: &str) -> Result<Self, AttemptFault> {
+    pub(crate) fn read(name: &str, data: &str) -> Result<Self, AttemptError> {
         match name {
             "heartbeat" => Ok(Self::Heartbeat),
             "token" => read_token(serde_json::from_str(data)?),
             "end" => read_end(&serde_json::from_str(data)?),
-            _ => Err(AttemptFault::UnknownEvent { name: name.into() }),
+            _ => Err(AttemptError::UnknownEvent { name: name.into() }),
         }
     }
 }
 
-fn read_token(event: engine::EngineToken) -> Result<EngineEvent, AttemptFault> {
-    let bytes = parse_hex(&event.bytes).ok_or(AttemptFault::TokenBytes)?;
+fn read_token(event: engine::EngineToken) -> Result<EngineEvent, AttemptError> {
+    let bytes = parse_hex(&event.bytes).ok_or(AttemptError::TokenBytes)?;
     Ok(EngineEvent::Token(ReceivedToken {
         request_id: event.request_id.try_into()?,
         attempt: Attempt(event.attempt),
@@ -40,7 +40,7 @@
     }))
 }
 
-fn read_end(event: &engine::EngineEnd) -> Result<EngineEvent, AttemptFault> {
+fn read_end(event: &engine::EngineEnd) -> Result<EngineEvent, AttemptError> {
     Ok(EngineEvent::End(ReceivedEnd {
         request_id: event.request_id.parse()?,
         attempt: Attempt(event.attempt),
@@ -49,14 +49,14 @@
             engine::FinishReason::Length => Finish::Length,
             engine::FinishReason::Stop => Finish::Stop,
             // An answer that was cancelled is not whole, whoever cancelled it.
-            engine::FinishReason::Cancelled => return Err(AttemptFault::Cancelled),
+            engine::FinishReason::Cancelled => return Err(AttemptError::Cancelled),
         },
     }))
 }
 
 /// Why an attempt came to nothing, or broke off.
 #[derive(Debug, Display, StdError, From)]
-pub(crate) enum AttemptFault {
+pub(crate) enum AttemptError {
     /// The stream ended without an end event.
     #[display("the stream broke off")]
     #[from(skip)]
@@ -116,7 +116,7 @@
     },
 }
 
-impl AttemptFault {
+impl AttemptError {
     /// Whether the request surely was not on the upstream: no order reached it, or it refused the order.
     pub(crate) fn never_ran(&self) -> bool {
         match self {
--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -10,7 +10,7 @@
 /// Why an order may have had no effect.
 #[derive(Debug, Display, StdError, From, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub(crate) enum OrderFault {
+pub(crate) enum OrderError {
     /// The engine did not answer in time.
     #[display("{_0}")]
     Call(HttpError),
@@ -63,7 +63,7 @@
         upstream: &Upstream,
         permit: OrderPermit,
         state: &EngineState,
-    ) -> Result<(), OrderFault> {
+    ) -> Result<(), OrderError> {
         let order = engine::EngineOrder {
             holder: self.vm.to_string(),
             models: state.models.iter().map(border_model).collect(),
@@ -84,10 +84,10 @@
             return Ok(());
         }
         let refusal = serde_json::from_slice::<engine::EngineRefusal>(&body);
-        let refusal = refusal.map_err(|_| OrderFault::Form)?;
+        let refusal = refusal.map_err(|_| OrderError::Form)?;
         Err(match (refusal.kind, refusal.highest_term) {
-            (engine::EngineRefusalKind::StaleTerm, Some(term)) => OrderFault::StaleTerm(Term(term)),
-            (kind, _) => OrderFault::Refused(kind),
+            (engine::EngineRefusalKind::StaleTerm, Some(term)) => OrderError::StaleTerm(Term(term)),
+            (kind, _) => OrderError::Refused(kind),
         })
     }
 }
--- a/crates/catkinward/src/error.rs
+++ b/crates/catkinward/src/error.rs
@@ -10,7 +10,7 @@
         /// Where in the bundle, as in `upstreams[2].address`.
         field: String,
         /// What is wrong.
-        source: BundleFault,
+        source: BundleError,
     },
     /// A row of the bundle store cannot be read.
     #[display("the row `{key}` of the bundle store cannot be read: {source}")]
@@ -62,7 +62,7 @@
     #[from(skip)]
     ChangeInDoubt {
         /// The last fault.
-        fault: PlatformFault,
+        fault: PlatformError,
     },
     /// A second signal ended the process before the drain had.
     #[display("ended at the second signal; {in_flight} requests were cut off")]
@@ -122,7 +122,7 @@
     #[from(skip)]
     CtlVmList {
         /// Why not.
-        fault: PlatformFault,
+        fault: PlatformError,
     },
     /// A decision refused its input.
     #[display("{_0}")]
@@ -156,11 +156,11 @@
     #[from(skip)]
     NothingChanged {
         /// The last fault.
-        fault: PlatformFault,
+        fault: PlatformError,
     },
     /// The platform gave no answer.
     #[display("{_0}")]
-    Platform(PlatformFault),
+    Platform(PlatformError),
     /// The HTTP server ended by itself.
     #[display("the HTTP server on {address} ended: {source}")]
     #[from(skip)]
@@ -216,7 +216,7 @@
 
 /// What can be wrong with a value of a bundle.
 #[derive(Debug, Display, StdError, From)]
-pub enum BundleFault {
+pub enum BundleError {
     /// It is no IP address and port.
     #[display("must be an IP address and port, but is `{_0}`")]
     #[from(skip)]
--- a/crates/catkinward/src/gateway/copy_keeper.rs
+++ b/crates/catkinward/src/gateway/copy_keeper.rs
@@ -36,7 +36,7 @@
 
 struct Making {
     holder: Arc<UpstreamEntry>,
-    answer: BoxFuture<'static, Result<CopySource, CopyFault>>,
+    answer: BoxFuture<'static, Result<CopySource, CopyError>>,
 }
 
 impl CopyKeeper {
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -42,16 +42,16 @@
 
 /// Reads all of a feed, and shows what has come of it meanwhile.
 pub type ReadWhole<T> = Box<
-    dyn Fn(ReadProgress<T>) -> BoxFuture<'static, Result<FeedPage<T>, FeedFault>> + Send + Sync,
+    dyn Fn(ReadProgress<T>) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync,
 >;
 
 /// Reads a feed from another VM, named by the address that its notes come from.
 pub type ReadFromPeer<T> =
-    Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<FeedPage<T>, FeedFault>> + Send + Sync>;
+    Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
 /// Asks for changes after a version.
 pub type AskChanges<T> =
-    Box<dyn Fn(u64, Duration) -> BoxFuture<'static, Result<FeedPage<T>, FeedFault>> + Send + Sync>;
+    Box<dyn Fn(u64, Duration) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
 /// Entries as of one version.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
 /// Why the platform's word could not be had.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum FeedFault {
+pub enum FeedError {
     /// The changes asked for are no longer kept.
     #[display("the changes asked for are no longer kept")]
     HistoryGone,
@@ -186,7 +186,7 @@
 async fn ask_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
     // A VM whose link is full must not be kept busy by those that read from it; they have the store.
     let answer = tokio::time::timeout(PEER_BOUND, (feed.read_from_peer)(peer)).await;
-    match answer.unwrap_or(Err(FeedFault::NoAnswer)) {
+    match answer.unwrap_or(Err(FeedError::NoAnswer)) {
         Ok(page) => {
             tracing::info!(feed = feed.name, %peer, version = page.version, "read from a peer");
             Some(page)
@@ -369,7 +369,7 @@
     }
 
     /// Notes a fault; returns what another VM has instead, if that is to be had.
-    async fn failed(&mut self, fault: FeedFault) -> Option<FeedPage<T>> {
+    async fn failed(&mut self, fault: FeedError) -> Option<FeedPage<T>> {
         let fault_name: &str = fault.into();
         if self.answers {
             tracing::warn!(
@@ -378,7 +378,7 @@
                 "store unreachable"
             );
         }
-        if fault == FeedFault::HistoryGone {
+        if fault == FeedError::HistoryGone {
             self.version = None;
             return None;
         }
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -25,7 +25,7 @@
         LoanRequests, MAX_CRASHES_PER_BODY, MAX_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_TIMEOUT,
         OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerHeartbeat, PeerView,
         PlacementCandidate, PlacementFor, Policy, Presence, PresenceChange, PromptPart,
-        RouteRetryBudget, RouteRetryBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutFault,
+        RouteRetryBudget, RouteRetryBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutOrderError,
         RolloutGrant, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
         RolloutRecord, RolloutReport, RolloutSettings, RolloutVerdict, Rollouts, Route,
         RoutingConfig, PROMPT_SEARCH_TIMEOUT, STANDBY_MAX_AGE, StaleRestart, StoredRecord, StreamPace, TableRow,
@@ -43,15 +43,15 @@
     call::{Call, Prompt},
     call_log::{CallLog, LineKind},
     core::{Gateway, GatewaySettings, NOT_READY_RETRY},
-    feed::{AskChanges, Feed, FeedFault, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
+    feed::{AskChanges, Feed, FeedError, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
     peer_heartbeats::exchange_notes,
     read_progress::{ReadPart, ReadProgress},
     reply::{EventBody, Reply, StreamCut},
     rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWritten, WriteRecord},
     rollout_task::follow_rollouts,
     upstream_transport::{
-        AnswerBody, BodyFault, CopyFault, CopyOrder, CopySource, HealthProbe, HealthReport,
-        SendFault, UpstreamAnswer, UpstreamCall, UpstreamTransport,
+        AnswerBody, BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport,
+        SendError, UpstreamAnswer, UpstreamCall, UpstreamTransport,
     },
 };
 
--- a/crates/catkinward/src/gateway/read_progress.rs
+++ b/crates/catkinward/src/gateway/read_progress.rs
@@ -22,11 +22,11 @@
 /// Waits for a read for as long as its parts come within `bound` of each other. A large table takes seconds over a
 /// small link; read anew from its start each time, it would never be there.
 pub(crate) async fn while_it_progresses<T>(
-    read: impl Future<Output = Result<FeedPage<T>, FeedFault>>,
+    read: impl Future<Output = Result<FeedPage<T>, FeedError>>,
     mut parts: ReadParts<T>,
     bound: Duration,
     mut rows: impl FnMut(Vec<TableRow<T>>),
-) -> Result<FeedPage<T>, FeedFault> {
+) -> Result<FeedPage<T>, FeedError> {
     let start = tokio::time::Instant::now();
     let mut until = start + bound;
     let mut read = std::pin::pin!(read);
@@ -40,7 +40,7 @@
                     rows(page);
                 }
             }
-            () = tokio::time::sleep_until(until) => return Err(FeedFault::NoAnswer),
+            () = tokio::time::sleep_until(until) => return Err(FeedError::NoAnswer),
         }
     }
 }
--- a/crates/catkinward/src/gateway/rollout_store.rs
+++ b/crates/catkinward/src/gateway/rollout_store.rs
@@ -10,11 +10,11 @@
 
 /// Reads the record of a service's rollout.
 pub type ReadRecord =
-    Box<dyn Fn(ServiceId) -> BoxFuture<'static, Result<StoredRecord, FeedFault>> + Send + Sync>;
+    Box<dyn Fn(ServiceId) -> BoxFuture<'static, Result<StoredRecord, FeedError>> + Send + Sync>;
 
 /// Writes the record of a service's rollout.
 pub type WriteRecord = Box<
-    dyn Fn(RolloutWrite) -> BoxFuture<'static, Result<RolloutWritten, FeedFault>> + Send + Sync,
+    dyn Fn(RolloutWrite) -> BoxFuture<'static, Result<RolloutWritten, FeedError>> + Send + Sync,
 >;
 
 /// A write of a record.
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -514,7 +514,7 @@
     }
 
     /// What is wrong with an order. Later owners do not look at the versions: the old one may be down.
-    fn fault(&self, rollout: &Rollout, term: u64) -> Option<RolloutFault> {
+    fn fault(&self, rollout: &Rollout, term: u64) -> Option<RolloutOrderError> {
         let config = self.gateway.config()?;
         let now = self.gateway.timer.now();
         let state = self.gateway.state.lock();
@@ -567,7 +567,7 @@
 
     async fn read(&self, service: &ServiceId) -> Option<StoredRecord> {
         let read = tokio::time::timeout(STORE_BOUND, (self.store.read)(service.clone())).await;
-        match read.unwrap_or(Err(FeedFault::NoAnswer)) {
+        match read.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(stored) => Some(stored),
             Err(fault) => {
                 let fault: &str = fault.into();
@@ -590,7 +590,7 @@
             order: rollout.order.written,
         };
         let written = tokio::time::timeout(STORE_BOUND, (self.store.write)(write)).await;
-        match written.unwrap_or(Err(FeedFault::NoAnswer)) {
+        match written.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(written) => Some(written),
             Err(fault) => {
                 let fault: &str = fault.into();
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -26,7 +26,7 @@
     /// The end that was decided and is not in the store yet.
     pub(crate) ending: Option<RolloutPhase>,
     /// What is wrong with the order.
-    pub(crate) fault: Option<RolloutFault>,
+    pub(crate) fault: Option<RolloutOrderError>,
     /// Not before this time the store is called again.
     pub(crate) not_before: Instant,
     /// Not before this time the new version is to take over, after that could not be written.
@@ -42,7 +42,7 @@
         now: Instant,
     ) -> Option<RolloutPhase> {
         let step = match self.fault {
-            Some(RolloutFault::VersionInUse) => OwnerStep::Complete,
+            Some(RolloutOrderError::VersionInUse) => OwnerStep::Complete,
             Some(fault) => OwnerStep::RollBack(RollbackReason::Fault(fault)),
             None => self.owner.step(rollout.deadline.since(now), slots),
         };
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -211,7 +211,7 @@
                     active.progress = tokio::time::Instant::now();
                     Received::Bytes(bytes)
                 }
-                Some(Err(BodyFault)) => Received::Broken(Loss::Broken),
+                Some(Err(BodyError)) => Received::Broken(Loss::Broken),
                 None => Received::End,
             },
             () = active.guard.lost() => Received::Broken(Loss::Silent),
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -269,9 +269,9 @@
     fn send_failed(
         &mut self,
         entry: &Arc<UpstreamEntry>,
-        fault: SendFault,
+        fault: SendError,
     ) -> Result<bool, StreamStop> {
-        if fault == SendFault::NoConnection {
+        if fault == SendError::NoConnection {
             self.avoid.push(entry.id.clone());
             // Nothing arrived there, so the next send is the same one still.
             self.send_paid = true;
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -18,23 +18,23 @@
 
 /// Sends a call to an upstream.
 pub type SendCall = Box<
-    dyn Fn(UpstreamCall) -> BoxFuture<'static, Result<UpstreamAnswer, SendFault>> + Send + Sync,
+    dyn Fn(UpstreamCall) -> BoxFuture<'static, Result<UpstreamAnswer, SendError>> + Send + Sync,
 >;
 
 /// Asks an engine which parts of prompts it holds.
 pub type AskCached = Box<
-    dyn Fn(Arc<UpstreamEntry>) -> BoxFuture<'static, Result<Vec<PromptPart>, SendFault>>
+    dyn Fn(Arc<UpstreamEntry>) -> BoxFuture<'static, Result<Vec<PromptPart>, SendError>>
         + Send
         + Sync,
 >;
 
 /// Asks an upstream a question.
 pub type ProbeUpstream =
-    Box<dyn Fn(HealthProbe) -> BoxFuture<'static, Result<HealthReport, SendFault>> + Send + Sync>;
+    Box<dyn Fn(HealthProbe) -> BoxFuture<'static, Result<HealthReport, SendError>> + Send + Sync>;
 
 /// Has an engine copy the memory of a run.
 pub type CopyMemory =
-    Box<dyn Fn(CopyOrder) -> BoxFuture<'static, Result<CopySource, CopyFault>> + Send + Sync>;
+    Box<dyn Fn(CopyOrder) -> BoxFuture<'static, Result<CopySource, CopyError>> + Send + Sync>;
 
 /// Has an engine free a copy. Nothing depends on its success: an engine frees it by itself later.
 pub type FreeCopy = Box<dyn Fn(CopySource) -> BoxFuture<'static, ()> + Send + Sync>;
@@ -53,7 +53,7 @@
 /// Why memory was not copied.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum CopyFault {
+pub enum CopyError {
     /// The engine does not run the call, or not yet.
     #[display("the engine does not run the call")]
     NoRun,
@@ -117,7 +117,7 @@
     pub copy_from: Option<CopySource>,
     /// How long the connection may have been idle; zero for a fresh one.
     pub longest_idle: Duration,
-    /// How long a fresh connection may take to open; [`SendFault::NoConnection`] afterwards.
+    /// How long a fresh connection may take to open; [`SendError::NoConnection`] afterwards.
     pub connect_bound: Duration,
 }
 
@@ -151,12 +151,12 @@
 }
 
 /// The body of an upstream's answer.
-pub type AnswerBody = BoxStream<'static, Result<Bytes, BodyFault>>;
+pub type AnswerBody = BoxStream<'static, Result<Bytes, BodyError>>;
 
 /// Why a call got no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum SendFault {
+pub enum SendError {
     /// No connection could be opened, so nothing was sent.
     #[display("no connection to the upstream could be opened")]
     NoConnection,
@@ -174,4 +174,4 @@
 /// Why a body ended early.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError)]
 #[display("the connection to the upstream broke within the answer")]
-pub struct BodyFault;
+pub struct BodyError;
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -179,12 +179,12 @@
             tokio::select! {
                 answer = &mut answer => break answer,
                 // A call that runs once at most stays with its upstream: it may yet answer.
-                () = guard.lost(), if repeat => break Err(SendFault::Lost),
+                () = guard.lost(), if repeat => break Err(SendError::Lost),
                 () = stall, if repeat && stalls_at.is_some() => {
                     // Without another try left it is better to wait on.
                     self.runs += 1;
                     if let Some(next) = self.next_for_repeat().await {
-                        self.log_fault(entry, SendFault::Stalled);
+                        self.log_fault(entry, SendError::Stalled);
                         gateway.outcome(entry, true);
                         return Sent::Moved(next);
                     }
@@ -244,24 +244,24 @@
         Sent::Answered(reply)
     }
 
-    fn failed(&mut self, entry: &Arc<UpstreamEntry>, fault: SendFault) -> Sent {
+    fn failed(&mut self, entry: &Arc<UpstreamEntry>, fault: SendError) -> Sent {
         self.log_fault(entry, fault);
         match fault {
-            SendFault::NoConnection => {
+            SendError::NoConnection => {
                 // Nothing arrived there, so the next send is the same one still.
                 self.send_paid = true;
                 self.gateway.broke(entry);
                 Sent::NotRun(NotRunEvidence::NoConnection)
             }
-            SendFault::Lost => {
+            SendError::Lost => {
                 self.gateway.crashed_under(entry, self.accepted.digest);
                 Sent::Lost
             }
-            SendFault::Crossed | SendFault::Stalled => Sent::Lost,
+            SendError::Crossed | SendError::Stalled => Sent::Lost,
         }
     }
 
-    fn log_fault(&self, entry: &UpstreamEntry, fault: SendFault) {
+    fn log_fault(&self, entry: &UpstreamEntry, fault: SendError) {
         let fault: &str = fault.into();
         tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id, fault,
             "call failed");
@@ -310,7 +310,7 @@
     other_incarnation: bool,
 }
 
-async fn collect(answer: UpstreamAnswer) -> Result<CollectedAnswer, SendFault> {
+async fn collect(answer: UpstreamAnswer) -> Result<CollectedAnswer, SendError> {
     let head = CollectedHead {
         status: answer.status,
         headers: answer.headers,
@@ -321,9 +321,9 @@
     let mut chunks = answer.body;
     let mut body = Vec::new();
     while let Some(chunk) = chunks.next().await {
-        let chunk = chunk.map_err(|BodyFault| SendFault::Lost)?;
+        let chunk = chunk.map_err(|BodyError| SendError::Lost)?;
         if body.len() + chunk.len() > LARGEST_ANSWER {
-            return Err(SendFault::Lost);
+            return Err(SendError::Lost);
         }
         body.extend_from_slice(&chunk);
     }
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     engine_client,
-    engine_event::{AttemptFault, EngineEvent},
+    engine_event::{AttemptError, EngineEvent},
     generation::GenerationOutcome,
     generation_admission::SUSPECT_PATIENCE,
     peer_exchange::ExchangeTally,
@@ -262,7 +262,7 @@
     }
 
     /// Starts an attempt and makes it the live one.
-    async fn start(&mut self, upstream: Place) -> Result<RunningAttempt, AttemptFault> {
+    async fn start(&mut self, upstream: Place) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         self.generation.adopt(reserved);
         self.open(upstream, &order).await
@@ -272,7 +272,7 @@
         &mut self,
         upstream: Place,
         order: &engine::EngineGenerate,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         self.avoid.push(upstream.id().clone());
         let attempt = Attempt(order.attempt);
         let kind = match attempt {
@@ -313,7 +313,7 @@
     }
 
     /// Hands on tokens until the end, recovering what can be recovered.
-    async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptFault> {
+    async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptError> {
         loop {
             let fault = match self.relay_events(&mut attempt).await {
                 Ok(finish) => return Ok(finish),
@@ -332,7 +332,7 @@
                 %fault,
                 "stream lost"
             );
-            if !matches!(fault, AttemptFault::Silent { .. } | AttemptFault::Broken) {
+            if !matches!(fault, AttemptError::Silent { .. } | AttemptError::Broken) {
                 return Err(fault);
             }
             // Boxed, as what is rare must not take memory in each stream's task.
@@ -340,7 +340,7 @@
         }
     }
 
-    async fn relay_events(&mut self, attempt: &mut RunningAttempt) -> Result<Finish, AttemptFault> {
+    async fn relay_events(&mut self, attempt: &mut RunningAttempt) -> Result<Finish, AttemptError> {
         self.generation.runs_on(attempt.upstream.id());
         let mut went_on = false;
         let mut stalls = StallDetector::default();
@@ -373,7 +373,7 @@
         &self,
         attempt: &mut RunningAttempt,
         event: EngineEvent,
-    ) -> Result<Option<Finish>, AttemptFault> {
+    ) -> Result<Option<Finish>, AttemptError> {
         match event {
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -44,7 +44,7 @@
 pub enum NoPermit {
     /// The lease's row cannot be read, so another VM may have taken it.
     #[display("the lease cannot be confirmed: {_0}")]
-    Unconfirmed(PlatformFault),
+    Unconfirmed(PlatformError),
     /// This VM does not hold the lease, or not for long enough.
     #[display("the lease is not held")]
     NotHeld,
@@ -216,7 +216,7 @@
         }
     }
 
-    async fn read(&self) -> Result<(), PlatformFault> {
+    async fn read(&self) -> Result<(), PlatformError> {
         let key = platform_border::RowKey {
             key: self.scope.to_string(),
             table: LEASES.to_owned(),
@@ -227,7 +227,7 @@
         Ok(())
     }
 
-    async fn write(&self, write: LeaseWrite) -> Result<(), PlatformFault> {
+    async fn write(&self, write: LeaseWrite) -> Result<(), PlatformError> {
         let sent = self.timer.now();
         let reply = (self.platform.transact)(self.transaction(&write)).await;
         let (answer, fault) = match reply {
@@ -236,7 +236,7 @@
                 let row = reply.conflicts.first().map(lease_row);
                 (LeaseWriteResult::Conflict(row.unwrap_or_default()), None)
             }
-            Err(fault @ PlatformFault::Unknown) => (LeaseWriteResult::Unknown, Some(fault)),
+            Err(fault @ PlatformError::Unknown) => (LeaseWriteResult::Unknown, Some(fault)),
             Err(fault) => (LeaseWriteResult::NotRun, Some(fault)),
         };
         self.lease
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -82,11 +82,11 @@
     metrics_page::metrics_text,
     node::Node,
     orders::{OrderRight, Orders},
-    peer_fault::PeerFault,
+    peer_error::PeerError,
     peer_key::PeerKey,
     peer_message::{PEER_PROTOCOL, PeerBody, PeerChallenge, PeerHello, PeerMessage, PeerWelcome},
     peers::{PeerParts, Peers},
-    platform::{Platform, PlatformCall, PlatformFault},
+    platform::{Platform, PlatformCall, PlatformError},
     platform_client::PlatformSettings,
     process_clock::{CLOCK_HEADER, ProcessClock},
     read_bundle::{ReadBundle, read_bundle, read_canonical},
@@ -162,7 +162,7 @@
 mod orders;
 mod peer_copies;
 mod peer_exchange;
-mod peer_fault;
+mod peer_error;
 mod peer_handshake;
 mod peer_key;
 mod peer_link;
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::engine_orders::{EngineOrders, OrderFault};
+use crate::engine_orders::{EngineOrders, OrderError};
 use catkin_decisions::{
     EngineGoal, EngineReport, EngineState, OrderPlanner, OrderScope, OrderSettings, order_scopes,
 };
@@ -195,8 +195,8 @@
         metrics::counter!("catkin_orders_total", "result" => name).increment(1);
         match result {
             Ok(()) => {}
-            Err(OrderFault::StaleTerm(highest)) => lease.exceed(highest),
-            Err(OrderFault::Refused(kind)) => {
+            Err(OrderError::StaleTerm(highest)) => lease.exceed(highest),
+            Err(OrderError::Refused(kind)) => {
                 holding.planner.refused(&state.upstream);
                 tracing::warn!(upstream = %state.upstream, %kind, "order refused");
             }
--- a/crates/catkinward/src/peer_copies.rs
+++ b/crates/catkinward/src/peer_copies.rs
@@ -22,13 +22,13 @@
         peer: &PeerEntry,
         link: &PeerLink,
         update: ProgressUpdate,
-    ) -> Result<(), PeerFault> {
+    ) -> Result<(), PeerError> {
         let sent = link
             .send(PeerBody::Progress(vec![update]), PROGRESS_BOUND)
             .await;
         match sent {
             Ok(()) => Ok(()),
-            Err(PeerFault::Timeout) => {
+            Err(PeerError::Timeout) => {
                 metrics::counter!("catkin_progress_copies_late_total").increment(1);
                 Ok(())
             }
--- a/crates/catkinward/src/peer_fault.rs
+++ b/crates/catkinward/src/peer_error.rs
@@ -2,7 +2,7 @@
 
 /// Why a peer could not be talked with.
 #[derive(Clone, Debug, Display, Eq, PartialEq, StdError)]
-pub enum PeerFault {
+pub enum PeerError {
     /// The connection could not be had, or broke.
     #[display("the connection to the peer broke")]
     Broken,
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -64,11 +64,11 @@
         self.gossip.spread(gossip, sender);
     }
 
-    pub(crate) async fn exchange_with(self: &Arc<Self>, peer: &PeerEntry) -> Result<(), PeerFault> {
+    pub(crate) async fn exchange_with(self: &Arc<Self>, peer: &PeerEntry) -> Result<(), PeerError> {
         self.exchange(peer, self.news()).await
     }
 
-    async fn exchange(self: &Arc<Self>, peer: &PeerEntry, news: Gossip) -> Result<(), PeerFault> {
+    async fn exchange(self: &Arc<Self>, peer: &PeerEntry, news: Gossip) -> Result<(), PeerError> {
         let start = self.timer.now();
         let link = self.link(peer).await?;
         let (deaths, asked) = (news.poison.len(), self.timer.now());
@@ -86,7 +86,7 @@
                 self.hear(&gossip, &peer.vm);
                 Ok(())
             }
-            Ok(_) => Err(PeerFault::Form),
+            Ok(_) => Err(PeerError::Form),
             Err(fault) => {
                 // A connection that went silent is not noticed by TCP for minutes.
                 self.drop_link(&peer.vm, link.serial);
--- a/crates/catkinward/src/peer_handshake.rs
+++ b/crates/catkinward/src/peer_handshake.rs
@@ -19,9 +19,9 @@
         callee: &VmId,
         tx: &mut PeerSender<S>,
         rx: &mut PeerReceiver<S>,
-    ) -> Result<(), PeerFault> {
+    ) -> Result<(), PeerError> {
         let PeerBody::Challenge(challenge) = rx.receive_within(STEP_BOUND).await?.body else {
-            return Err(PeerFault::Form);
+            return Err(PeerError::Form);
         };
         check_protocol(challenge.protocol)?;
         let nonce = draw_nonce();
@@ -37,15 +37,15 @@
         };
         tx.send(vec![(0, PeerBody::Hello(hello))]).await?;
         let PeerBody::Welcome(welcome) = rx.receive_within(STEP_BOUND).await?.body else {
-            return Err(PeerFault::Key);
+            return Err(PeerError::Key);
         };
         let vm = welcome.vm.as_str().as_bytes();
         let parts: [&[u8]; 4] = [b"welcome", &challenge.nonce, &nonce, vm];
         if !self.key.verify(&parts, &welcome.proof) {
-            return Err(PeerFault::Key);
+            return Err(PeerError::Key);
         }
         if welcome.vm != *callee {
-            return Err(PeerFault::OtherVm {
+            return Err(PeerError::OtherVm {
                 expected: callee.clone(),
                 found: welcome.vm,
             });
@@ -58,7 +58,7 @@
         &self,
         tx: &mut PeerSender<S>,
         rx: &mut PeerReceiver<S>,
-    ) -> Result<PeerEntry, PeerFault> {
+    ) -> Result<PeerEntry, PeerError> {
         let nonce = draw_nonce();
         let challenge = PeerChallenge {
             protocol: PEER_PROTOCOL,
@@ -66,12 +66,12 @@
         };
         tx.send(vec![(0, PeerBody::Challenge(challenge))]).await?;
         let PeerBody::Hello(hello) = rx.receive_within(STEP_BOUND).await?.body else {
-            return Err(PeerFault::Form);
+            return Err(PeerError::Form);
         };
         let vm = hello.entry.vm.as_str().as_bytes();
         let parts: [&[u8]; 4] = [b"hello", &nonce, &hello.nonce, vm];
         if !self.key.verify(&parts, &hello.proof) {
-            return Err(PeerFault::Key);
+            return Err(PeerError::Key);
         }
         let own = self.entry.vm.as_str().as_bytes();
         let welcome = PeerWelcome {
@@ -83,11 +83,11 @@
     }
 }
 
-fn check_protocol(theirs: u16) -> Result<(), PeerFault> {
+fn check_protocol(theirs: u16) -> Result<(), PeerError> {
     if theirs == PEER_PROTOCOL {
         return Ok(());
     }
-    Err(PeerFault::Protocol { theirs })
+    Err(PeerError::Protocol { theirs })
 }
 
 fn draw_nonce() -> Vec<u8> {
--- a/crates/catkinward/src/peer_link.rs
+++ b/crates/catkinward/src/peer_link.rs
@@ -51,7 +51,7 @@
         sent: &Arc<AtomicU64>,
         on_message: impl Fn(PeerBody) + Send + 'static,
         on_end: impl FnOnce(u64) + Send + 'static,
-    ) -> Result<Self, PeerFault> {
+    ) -> Result<Self, PeerError> {
         let open = async {
             let (mut tx, mut rx) = peer_socket::connect(peer.address, clock, sent).await?;
             identity.call(&peer.vm, &mut tx, &mut rx).await?;
@@ -59,7 +59,7 @@
         };
         let (sender, receiver) = tokio::time::timeout(OPEN_BOUND, open)
             .await
-            .unwrap_or(Err(PeerFault::Timeout))?;
+            .unwrap_or(Err(PeerError::Timeout))?;
         let (tx, rx) = mpsc::channel(QUEUE);
         let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
@@ -74,13 +74,13 @@
     }
 
     /// Sends a message and waits until the operating system has it.
-    pub(crate) async fn send(&self, body: PeerBody, bound: Duration) -> Result<(), PeerFault> {
+    pub(crate) async fn send(&self, body: PeerBody, bound: Duration) -> Result<(), PeerError> {
         let (tx, rx) = oneshot::channel();
         self.queue(body, Then::Flushed(tx), rx, bound).await
     }
 
     /// Sends a question and waits for its answer.
-    pub(crate) async fn ask(&self, body: PeerBody, bound: Duration) -> Result<PeerBody, PeerFault> {
+    pub(crate) async fn ask(&self, body: PeerBody, bound: Duration) -> Result<PeerBody, PeerError> {
         let (tx, rx) = oneshot::channel();
         self.queue(body, Then::Answer(tx), rx, bound).await
     }
@@ -91,13 +91,13 @@
         then: Then,
         rx: oneshot::Receiver<T>,
         bound: Duration,
-    ) -> Result<T, PeerFault> {
+    ) -> Result<T, PeerError> {
         let outgoing = Outgoing { body, then };
-        self.tx.try_send(outgoing).map_err(|_| PeerFault::Broken)?;
+        self.tx.try_send(outgoing).map_err(|_| PeerError::Broken)?;
         match tokio::time::timeout(bound, rx).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) => Err(PeerFault::Broken),
-            Err(_) => Err(PeerFault::Timeout),
+            Ok(Err(_)) => Err(PeerError::Broken),
+            Err(_) => Err(PeerError::Timeout),
         }
     }
 }
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -28,19 +28,19 @@
     pub(crate) async fn link(
         self: &Arc<Self>,
         peer: &PeerEntry,
-    ) -> Result<Arc<PeerLink>, PeerFault> {
+    ) -> Result<Arc<PeerLink>, PeerError> {
         if let Some(link) = self.open_link(&peer.vm) {
             return Ok(link);
         }
         // A caller that gives up must not abandon the connection: to a distant VM it would never open.
         let (peers, peer) = (self.clone(), peer.clone());
         let opening = tokio::spawn(async move { peers.open_once(&peer).await });
-        opening.await.unwrap_or(Err(PeerFault::Broken))
+        opening.await.unwrap_or(Err(PeerError::Broken))
     }
 
     /// Opens a connection to a VM unless another task has just done so: one at a time to each VM, or many streams that
     /// lose a connection would open one each.
-    async fn open_once(self: &Arc<Self>, peer: &PeerEntry) -> Result<Arc<PeerLink>, PeerFault> {
+    async fn open_once(self: &Arc<Self>, peer: &PeerEntry) -> Result<Arc<PeerLink>, PeerError> {
         let opening = self.opening(&peer.vm);
         let _guard = opening.lock().await;
         if let Some(link) = self.open_link(&peer.vm) {
@@ -74,7 +74,7 @@
     pub(crate) async fn open(
         self: &Arc<Self>,
         peer: &PeerEntry,
-    ) -> Result<Arc<PeerLink>, PeerFault> {
+    ) -> Result<Arc<PeerLink>, PeerError> {
         let (receiver, ender) = (Arc::downgrade(self), Arc::downgrade(self));
         let vm = peer.vm.clone();
         let link = PeerLink::open(
--- a/crates/catkinward/src/peer_message.rs
+++ b/crates/catkinward/src/peer_message.rs
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// If it is none.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, PeerFault> {
-        ciborium::from_reader(bytes).map_err(|_| PeerFault::Form)
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, PeerError> {
+        ciborium::from_reader(bytes).map_err(|_| PeerError::Form)
     }
 }
--- a/crates/catkinward/src/peer_server.rs
+++ b/crates/catkinward/src/peer_server.rs
@@ -80,7 +80,7 @@
     }
 }
 
-async fn serve_call(peers: &Arc<Peers>, stream: TcpStream) -> Result<(), PeerFault> {
+async fn serve_call(peers: &Arc<Peers>, stream: TcpStream) -> Result<(), PeerError> {
     let open = async {
         let clock = peers.timeline.clock();
         let (mut tx, mut rx) = peer_socket::accept(stream, clock, &peers.sent).await?;
@@ -90,12 +90,12 @@
     let bound = Duration::from_secs(2);
     let (entry, mut tx, mut rx) = tokio::time::timeout(bound, open)
         .await
-        .unwrap_or(Err(PeerFault::Timeout))?;
+        .unwrap_or(Err(PeerError::Timeout))?;
     peers.heard_of(entry.clone());
     loop {
         let message = match rx.receive_within(SILENT_CALLER_BOUND).await {
             Ok(message) => message,
-            Err(PeerFault::Broken) => return Ok(()),
+            Err(PeerError::Broken) => return Ok(()),
             Err(fault) => return Err(fault),
         };
         if let Some(answer) = peers.answer(&entry.vm, message.body) {
--- a/crates/catkinward/src/peer_socket.rs
+++ b/crates/catkinward/src/peer_socket.rs
@@ -63,10 +63,10 @@
     address: SocketAddr,
     clock: &Arc<ProcessClock>,
     sent: &Arc<AtomicU64>,
-) -> Result<PeerSocket<MaybeTlsStream<TcpStream>>, PeerFault> {
+) -> Result<PeerSocket<MaybeTlsStream<TcpStream>>, PeerError> {
     let stream = TcpStream::connect(address)
         .await
-        .map_err(|_| PeerFault::Broken)?;
+        .map_err(|_| PeerError::Broken)?;
     // Progress must be on its way before the caller gets the token.
     let _ = stream.set_nodelay(true);
     let (socket, _) = tokio_tungstenite::client_async_with_config(
@@ -75,7 +75,7 @@
         Some(config()),
     )
     .await
-    .map_err(|_| PeerFault::Broken)?;
+    .map_err(|_| PeerError::Broken)?;
     Ok(split(socket, clock, sent))
 }
 
@@ -84,11 +84,11 @@
     stream: TcpStream,
     clock: &Arc<ProcessClock>,
     sent: &Arc<AtomicU64>,
-) -> Result<PeerSocket<TcpStream>, PeerFault> {
+) -> Result<PeerSocket<TcpStream>, PeerError> {
     let _ = stream.set_nodelay(true);
     let socket = tokio_tungstenite::accept_async_with_config(stream, Some(config()))
         .await
-        .map_err(|_| PeerFault::Broken)?;
+        .map_err(|_| PeerError::Broken)?;
     Ok(split(socket, clock, sent))
 }
 
@@ -97,7 +97,7 @@
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
     /// Hands messages to the operating system, in order and in as few writes as they take.
-    pub(crate) async fn send(&mut self, bodies: Vec<(u64, PeerBody)>) -> Result<(), PeerFault> {
+    pub(crate) async fn send(&mut self, bodies: Vec<(u64, PeerBody)>) -> Result<(), PeerError> {
         let all = async {
             for (number, body) in bodies {
                 let time = self.clock.tick();
@@ -114,8 +114,8 @@
             self.sink.flush().await
         };
         match tokio::time::timeout(WRITE_BOUND, all).await {
-            Ok(sent) => sent.map_err(|_| PeerFault::Broken),
-            Err(_) => Err(PeerFault::Timeout),
+            Ok(sent) => sent.map_err(|_| PeerError::Broken),
+            Err(_) => Err(PeerError::Timeout),
         }
     }
 }
@@ -125,12 +125,12 @@
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
     /// The next message.
-    pub(crate) async fn receive(&mut self) -> Result<PeerMessage, PeerFault> {
+    pub(crate) async fn receive(&mut self) -> Result<PeerMessage, PeerError> {
         loop {
             let message = self.stream.next().await;
             match message
-                .ok_or(PeerFault::Broken)?
-                .map_err(|_| PeerFault::Broken)?
+                .ok_or(PeerError::Broken)?
+                .map_err(|_| PeerError::Broken)?
             {
                 Message::Binary(bytes) => {
                     let message = PeerMessage::from_bytes(&bytes)?;
@@ -140,7 +140,7 @@
                 }
                 Message::Ping(_) | Message::Pong(_) => {}
                 Message::Text(_) | Message::Close(_) | Message::Frame(_) => {
-                    return Err(PeerFault::Form);
+                    return Err(PeerError::Form);
                 }
             }
         }
@@ -150,9 +150,9 @@
     pub(crate) async fn receive_within(
         &mut self,
         bound: Duration,
-    ) -> Result<PeerMessage, PeerFault> {
+    ) -> Result<PeerMessage, PeerError> {
         tokio::time::timeout(bound, self.receive())
             .await
-            .unwrap_or(Err(PeerFault::Timeout))
+            .unwrap_or(Err(PeerError::Timeout))
     }
 }
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -8,7 +8,7 @@
     plain_answer::PlainAnswer,
     plain_call::PlainCall,
     plain_dispatch::{PlainDispatch, refused},
-    plain_send::{SendFault, send},
+    plain_send::{SendError, send},
     problem::{Problem, ProblemKind},
 };
 
@@ -103,8 +103,8 @@
             }
             Err(fault) => {
                 match fault {
-                    SendFault::NotRun(_) => claims.release(held),
-                    SendFault::Lost | SendFault::TooLarge => claims.record_unknown(held),
+                    SendError::NotRun(_) => claims.release(held),
+                    SendError::Lost | SendError::TooLarge => claims.record_unknown(held),
                 }
                 Err(self.failed(dispatched, fault))
             }
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -6,7 +6,7 @@
     place::Place,
     plain_answer::PlainAnswer,
     plain_call::PlainCall,
-    plain_send::{SendFault, SendOptions, send},
+    plain_send::{SendError, SendOptions, send},
     problem::{Problem, ProblemKind},
     upstream_handle::UpstreamHandle,
 };
@@ -61,7 +61,7 @@
             place = next;
             self.pool.count("catkin_retries_total");
             dispatched = match fault {
-                SendFault::NotRun(evidence) => match dispatched.not_run(evidence) {
+                SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                     Ok(queued) => queued.dispatch(),
                     Err(unknown) => unknown.dispatch_again(),
                 },
@@ -101,7 +101,7 @@
         mut place: Place,
         call: &PlainCall,
         avoid: &mut Vec<UpstreamId>,
-    ) -> Result<PlainAnswer, SendFault> {
+    ) -> Result<PlainAnswer, SendError> {
         let start = self.pool.timer.now();
         self.record(EventKind::Dispatched, call, place.id());
         let connections = &self.node.connections;
@@ -138,8 +138,8 @@
     fn observed(
         &self,
         start: Instant,
-        answer: Result<PlainAnswer, SendFault>,
-    ) -> Result<PlainAnswer, SendFault> {
+        answer: Result<PlainAnswer, SendError>,
+    ) -> Result<PlainAnswer, SendError> {
         if answer.is_ok() {
             let latency = self.pool.timer.now().since(start);
             self.pool.hedge.lock().answered(latency);
@@ -165,13 +165,13 @@
         self.pool.take(Lane::Quick, false, choose)
     }
 
-    async fn wait_for_retry(&self, call: &PlainCall, fault: SendFault, sent: u32) -> bool {
-        if fault == SendFault::TooLarge {
+    async fn wait_for_retry(&self, call: &PlainCall, fault: SendError, sent: u32) -> bool {
+        if fault == SendError::TooLarge {
             return false;
         }
         let failed = FailedCall {
             idempotent: call.idempotent,
-            not_run: matches!(fault, SendFault::NotRun(_)),
+            not_run: matches!(fault, SendError::NotRun(_)),
             sent,
             ..FailedCall::default()
         };
@@ -185,9 +185,9 @@
         }
     }
 
-    pub(crate) fn failed(&self, dispatched: Dispatched<PlainCall>, fault: SendFault) -> Problem {
+    pub(crate) fn failed(&self, dispatched: Dispatched<PlainCall>, fault: SendError) -> Problem {
         let kind = match fault {
-            SendFault::NotRun(evidence) => match dispatched.not_run(evidence) {
+            SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                 Ok(queued) => {
                     let reason = match evidence {
                         NotRunEvidence::NoConnection => RefusalReason::UpstreamUnreachable,
@@ -205,8 +205,8 @@
                 }
                 Err(_) => ProblemKind::AnswerLost,
             },
-            SendFault::Lost => ProblemKind::AnswerLost,
-            SendFault::TooLarge => ProblemKind::AnswerTooLarge,
+            SendError::Lost => ProblemKind::AnswerLost,
+            SendError::TooLarge => ProblemKind::AnswerTooLarge,
         };
         kind.into()
     }
@@ -249,16 +249,16 @@
 /// The answer of the first of two copies, or else of the other. If both fail, it is known not to
 /// have run only if neither did.
 async fn either(
-    first: Result<PlainAnswer, SendFault>,
-    other: impl Future<Output = Result<PlainAnswer, SendFault>>,
-) -> Result<PlainAnswer, SendFault> {
+    first: Result<PlainAnswer, SendError>,
+    other: impl Future<Output = Result<PlainAnswer, SendError>>,
+) -> Result<PlainAnswer, SendError> {
     let fault = match first {
         Ok(answer) => return Ok(answer),
         Err(fault) => fault,
     };
     match (fault, other.await) {
         (_, Ok(answer)) => Ok(answer),
-        (SendFault::NotRun(_), Err(other)) => Err(other),
+        (SendError::NotRun(_), Err(other)) => Err(other),
         (fault, Err(_)) => Err(fault),
     }
 }
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -11,7 +11,7 @@
 
 /// Why a dispatch brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum SendFault {
+pub(crate) enum SendError {
     /// It certainly did not run.
     NotRun(NotRunEvidence),
     /// It may have run: a byte of it may have left, and no answer came.
@@ -26,7 +26,7 @@
     place: &mut Place,
     call: &PlainCall,
     dispatch: SendOptions,
-) -> Result<PlainAnswer, SendFault> {
+) -> Result<PlainAnswer, SendError> {
     let bound = dispatch.bound;
     let http_call = HttpCall {
         address: place.address(),
@@ -48,7 +48,7 @@
         Err(_) => {
             place.failed();
             place.overloaded();
-            Err(SendFault::Lost)
+            Err(SendError::Lost)
         }
     }
 }
@@ -66,13 +66,13 @@
     pub(crate) limit: usize,
 }
 
-fn answered(place: &mut Place, answer: PlainAnswer) -> Result<PlainAnswer, SendFault> {
+fn answered(place: &mut Place, answer: PlainAnswer) -> Result<PlainAnswer, SendError> {
     if let Some(kind) = refusal_kind(&answer) {
         if kind == engine::EngineRefusalKind::Full {
             place.overloaded();
         }
         place.refused(kind);
-        return Err(SendFault::NotRun(NotRunEvidence::UpstreamRefused));
+        return Err(SendError::NotRun(NotRunEvidence::UpstreamRefused));
     }
     place.begun();
     place.answered();
@@ -99,7 +99,7 @@
     connections: &Connections,
     call: HttpCall,
     limit: usize,
-) -> Result<PlainAnswer, SendFault> {
+) -> Result<PlainAnswer, SendError> {
     let response = connections
         .call(call)
         .await
@@ -110,8 +110,8 @@
     let body =
         body.map_err(
             |fault| match fault.downcast::<http_body_util::LengthLimitError>() {
-                Ok(_) => SendFault::TooLarge,
-                Err(_) => SendFault::Lost,
+                Ok(_) => SendError::TooLarge,
+                Err(_) => SendError::Lost,
             },
         )?;
     Ok(PlainAnswer {
@@ -123,11 +123,11 @@
 
 /// Only a call that never had a connection is known not to have run. A request that failed on one
 /// may have been received whole, however the connection ended.
-fn fault_of(fault: &HttpError) -> SendFault {
+fn fault_of(fault: &HttpError) -> SendError {
     if fault.never_connected() {
-        SendFault::NotRun(NotRunEvidence::NoConnection)
+        SendError::NotRun(NotRunEvidence::NoConnection)
     } else {
-        SendFault::Lost
+        SendError::Lost
     }
 }
 
--- a/crates/catkinward/src/platform.rs
+++ b/crates/catkinward/src/platform.rs
@@ -20,12 +20,12 @@
 
 /// One call of the platform.
 pub type PlatformCall<Q, A> =
-    Box<dyn Fn(Q) -> BoxFuture<'static, Result<A, PlatformFault>> + Send + Sync>;
+    Box<dyn Fn(Q) -> BoxFuture<'static, Result<A, PlatformError>> + Send + Sync>;
 
 /// Why a call of the platform brought no answer.
 #[derive(Clone, Debug, Display, IntoStaticStr, PartialEq, StdError)]
 #[strum(serialize_all = "snake_case")]
-pub enum PlatformFault {
+pub enum PlatformError {
     /// It certainly took no effect: it was refused, or never left.
     #[display("the platform is not available")]
     NotRun,
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -140,12 +140,12 @@
 impl PlatformClient {
     fn call_of<Q, A, F>(&self, run: fn(Self, Q) -> F) -> PlatformCall<Q, A>
     where
-        F: Future<Output = Result<A, PlatformFault>> + Send + 'static,
+        F: Future<Output = Result<A, PlatformError>> + Send + 'static,
         Q: 'static,
         A: 'static,
     {
         let client = self.clone();
-        Box::new(move |q| -> BoxFuture<'static, Result<A, PlatformFault>> {
+        Box::new(move |q| -> BoxFuture<'static, Result<A, PlatformError>> {
             Box::pin(run(client.clone(), q))
         })
     }
@@ -154,7 +154,7 @@
         &self,
         path: &str,
         body: Bytes,
-    ) -> Result<Vec<platform_border::Row>, PlatformFault> {
+    ) -> Result<Vec<platform_border::Row>, PlatformError> {
         let reply: platform_border::RowsReply = self.post(Budget::Reads, path, body).await?;
         Ok(reply.rows)
     }
@@ -164,18 +164,18 @@
         budget: Budget,
         path: &str,
         body: Bytes,
-    ) -> Result<T, PlatformFault> {
+    ) -> Result<T, PlatformError> {
         let call = self.http_call(Method::POST, path, body);
         let body = self.call(budget, call).await?;
         parsed(&body.unwrap_or_default())
     }
 
-    async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformFault> {
+    async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
         let call = self.http_call(Method::PUT, &object_path(name), body);
         self.call(Budget::Writes, call).await.map(|_| ())
     }
 
-    async fn get_object(&self, name: &str) -> Result<Option<Bytes>, PlatformFault> {
+    async fn get_object(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
         let call = self.http_call(Method::GET, &object_path(name), Bytes::new());
         self.call(Budget::Reads, call).await
     }
@@ -192,15 +192,15 @@
     }
 
     /// Makes a call within its budget; `None` if the platform has no such thing.
-    async fn call(&self, budget: Budget, call: HttpCall) -> Result<Option<Bytes>, PlatformFault> {
+    async fn call(&self, budget: Budget, call: HttpCall) -> Result<Option<Bytes>, PlatformError> {
         let inner = &self.inner;
         let budget = match budget {
             Budget::Reads => &inner.reads,
             Budget::Writes => &inner.writes,
         };
         if !budget.lock().take(inner.timer.now()) {
-            count(Some(&PlatformFault::OutOfBudget));
-            return Err(PlatformFault::OutOfBudget);
+            count(Some(&PlatformError::OutOfBudget));
+            return Err(PlatformError::OutOfBudget);
         }
         let answer = match inner.connections.call_whole(call).await {
             Ok((status, body)) => of_status(status, body),
@@ -218,34 +218,34 @@
     }
 }
 
-fn count(fault: Option<&PlatformFault>) {
+fn count(fault: Option<&PlatformError>) {
     let result = fault.map_or("answered", Into::into);
     metrics::counter!("catkin_platform_calls_total", "result" => result).increment(1);
 }
 
 /// The platform answers 429 and 503 before a call has any effect; of every other failure the caller
 /// cannot tell.
-fn of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformFault> {
+fn of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformError> {
     match status {
         StatusCode::NOT_FOUND => Ok(None),
-        StatusCode::TOO_MANY_REQUESTS => Err(PlatformFault::Throttled),
-        StatusCode::SERVICE_UNAVAILABLE => Err(PlatformFault::NotRun),
+        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::Throttled),
+        StatusCode::SERVICE_UNAVAILABLE => Err(PlatformError::NotRun),
         status if status.is_success() => Ok(Some(body)),
-        status if status.is_client_error() => Err(PlatformFault::NotRun),
-        _ => Err(PlatformFault::Unknown),
+        status if status.is_client_error() => Err(PlatformError::NotRun),
+        _ => Err(PlatformError::Unknown),
     }
 }
 
-fn of_error(error: &HttpError) -> PlatformFault {
+fn of_error(error: &HttpError) -> PlatformError {
     if error.never_connected() {
-        PlatformFault::NotRun
+        PlatformError::NotRun
     } else {
-        PlatformFault::Unknown
+        PlatformError::Unknown
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatformFault> {
-    serde_json::from_slice(body).map_err(|_| PlatformFault::Unknown)
+fn parsed<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatformError> {
+    serde_json::from_slice(body).map_err(|_| PlatformError::Unknown)
 }
 
 /// Object names are opaque: all but letters, digits, `-`, `_` and `.` is escaped.
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{bundle_canonical::canonical_bundle, bundle_format::check_bundle, error::BundleFault};
+use crate::{bundle_canonical::canonical_bundle, bundle_format::check_bundle, error::BundleError};
 
 /// A bundle that was read and checked.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
             },
             field => Error::BundleField {
                 field: field.to_owned(),
-                source: BundleFault::Syntax(fault.into_inner()),
+                source: BundleError::Syntax(fault.into_inner()),
             },
         }
     })?;
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -4,7 +4,7 @@
 use crate::{
     attempt_stream::AttemptStream,
     engine_client::{self, Reattach},
-    engine_event::AttemptFault,
+    engine_event::AttemptError,
     generation_driver::Driver,
     place::Place,
     running_attempt::{AttemptGuard, RunningAttempt},
@@ -70,10 +70,10 @@
         &self,
         upstream: &Place,
         order: &engine::EngineGenerate,
-        fault: &AttemptFault,
+        fault: &AttemptError,
     ) -> Option<AttemptStream> {
         let full = engine::EngineRefusalKind::Full;
-        if matches!(fault, AttemptFault::Refused { kind } if *kind == full) {
+        if matches!(fault, AttemptError::Refused { kind } if *kind == full) {
             upstream.overloaded();
         }
         upstream.lost(fault).await;
@@ -92,7 +92,7 @@
     pub(crate) async fn recover(
         &mut self,
         attempt: RunningAttempt,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         match self.generation.request.recovery {
             RecoveryPolicy::LeastWork => self.probe(attempt).await,
             RecoveryPolicy::LeastWait => match self.choose(false) {
@@ -102,12 +102,12 @@
         }
     }
 
-    async fn probe(&self, mut attempt: RunningAttempt) -> Result<RunningAttempt, AttemptFault> {
+    async fn probe(&self, mut attempt: RunningAttempt) -> Result<RunningAttempt, AttemptError> {
         attempt.stream = self.reattached(&attempt).await?;
         Ok(attempt)
     }
 
-    async fn reattached(&self, attempt: &RunningAttempt) -> Result<AttemptStream, AttemptFault> {
+    async fn reattached(&self, attempt: &RunningAttempt) -> Result<AttemptStream, AttemptError> {
         let upstream = &attempt.upstream;
         let number = attempt.stream.attempt();
         let found = async {
@@ -115,7 +115,7 @@
             stream.wait_for_progress(PROBE_BOUND).await?;
             Ok(stream)
         };
-        let found: Result<_, AttemptFault> = found.await;
+        let found: Result<_, AttemptError> = found.await;
         match &found {
             Ok(_) => self.record(EventKind::ReAttached, number, upstream.id(), None),
             Err(fault) => upstream.lost(fault).await,
@@ -128,7 +128,7 @@
         &self,
         upstream: &Place,
         attempt: Attempt,
-    ) -> Result<AttemptStream, AttemptFault> {
+    ) -> Result<AttemptStream, AttemptError> {
         let reattach = Reattach {
             address: upstream.address(),
             id: &self.generation.request.engine_id,
@@ -144,7 +144,7 @@
         &mut self,
         mut old: RunningAttempt,
         other: Place,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         let second = match self.first_to_go_on(&old, other, &order).await? {
             Raced::Old(stream) => {
@@ -157,7 +157,7 @@
         if self.generation.adopt(reserved) {
             return Ok(*second);
         }
-        Err(AttemptFault::Broken)
+        Err(AttemptError::Broken)
     }
 
     async fn first_to_go_on(
@@ -165,7 +165,7 @@
         old: &RunningAttempt,
         other: Place,
         order: &engine::EngineGenerate,
-    ) -> Result<Raced, AttemptFault> {
+    ) -> Result<Raced, AttemptError> {
         let mut probe = std::pin::pin!(self.reattached(old));
         let mut second = std::pin::pin!(self.second_attempt(other, order));
         tokio::select! {
@@ -191,7 +191,7 @@
         &self,
         upstream: Place,
         order: &engine::EngineGenerate,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         let mut driver = Driver::new(self.node.clone(), self.generation.clone());
         let mut attempt = driver.open(upstream, order).await?;
         match attempt.stream.wait_for_progress(SECOND_BOUND).await {
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    engine_event::AttemptFault,
+    engine_event::AttemptError,
     http_client::HttpError,
     known::{Known, load_call},
     upstream_state::{UpstreamState, read_report},
@@ -65,11 +65,11 @@
     /// # Errors
     ///
     /// If the hold is not for new work, or the proof that the upstream may get it is too old.
-    pub(crate) fn check_eligible(&self) -> Result<(), AttemptFault> {
+    pub(crate) fn check_eligible(&self) -> Result<(), AttemptError> {
         let now = self.known.timer.now();
         match &self.eligible {
             Some(eligible) if eligible.holds(now) => Ok(()),
-            _ => Err(AttemptFault::NotEligible),
+            _ => Err(AttemptError::NotEligible),
         }
     }
 
@@ -139,24 +139,24 @@
     ///
     /// This comes before the handle is dropped: only a request that is still counted as running
     /// there is known to have been there when the upstream died.
-    pub(crate) async fn lost(&self, fault: &AttemptFault) {
+    pub(crate) async fn lost(&self, fault: &AttemptError) {
         match fault {
-            AttemptFault::Refused { kind } => self.refused(*kind),
-            AttemptFault::NotEligible | AttemptFault::Held { .. } => {}
-            AttemptFault::Unproven => {
+            AttemptError::Refused { kind } => self.refused(*kind),
+            AttemptError::NotEligible | AttemptError::Held { .. } => {}
+            AttemptError::Unproven => {
                 self.failed();
                 // Nothing was sent, so the request was not there when the upstream died.
                 self.forget_run();
                 self.find_out().await;
             }
-            AttemptFault::Http(fault) if fault.never_connected() => {
+            AttemptError::Http(fault) if fault.never_connected() => {
                 self.failed();
                 // No connection was made, so the request was not there when the upstream died.
                 self.forget_run();
                 self.find_out().await;
             }
-            AttemptFault::Http(HttpError::Call { .. } | HttpError::Body { .. })
-            | AttemptFault::Broken => {
+            AttemptError::Http(HttpError::Call { .. } | HttpError::Body { .. })
+            | AttemptError::Broken => {
                 self.failed();
                 self.find_out().await;
             }
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// If it does not answer, or another process of it does.
-    pub(crate) async fn prove_alive(&self) -> Result<(), AttemptFault> {
+    pub(crate) async fn prove_alive(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
         };
@@ -197,13 +197,13 @@
             .await
             .map_err(|fault| {
                 tracing::info!(upstream = %self.id(), %fault, "no proof that the upstream lives");
-                AttemptFault::Unproven
+                AttemptError::Unproven
             })?;
         let report = read_report(load);
         let same = report.incarnation == self.incarnation;
         self.known.reported(&self.state, asked, report);
         if !same {
-            return Err(AttemptFault::Unproven);
+            return Err(AttemptError::Unproven);
         }
         self.known.poison.lock().proven(run);
         Ok(())
@@ -219,13 +219,13 @@
     /// # Errors
     ///
     /// If deaths under the request or its run on another VM became known since the upstream was chosen.
-    pub(crate) fn commit(&self) -> Result<(), AttemptFault> {
+    pub(crate) fn commit(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
         };
         let now = self.known.timer.now();
         let committed = self.known.poison.lock().commit(run, now);
-        committed.map_err(|hold| AttemptFault::Held { hold })
+        committed.map_err(|hold| AttemptError::Held { hold })
     }
 
     async fn find_out(&self) {
--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -4,7 +4,7 @@
 
 use catkin_decisions::{ConfigVersion, RouteTable, RoutingConfig, UpstreamEntry};
 use catkinward::gateway::{
-    Feed, FeedFault, FeedPage, ReadPart, ReadProgress, follow_config, follow_upstreams,
+    Feed, FeedError, FeedPage, ReadPart, ReadProgress, follow_config, follow_upstreams,
 };
 use gateway_support::*;
 use googletest::prelude::*;
@@ -38,7 +38,7 @@
         }
     }
 
-    async fn read(self) -> std::result::Result<FeedPage<RoutingConfig>, FeedFault> {
+    async fn read(self) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
         if *self.away.lock() {
             std::future::pending::<()>().await;
         }
@@ -50,7 +50,7 @@
         self,
         after: u64,
         wait: Duration,
-    ) -> std::result::Result<FeedPage<RoutingConfig>, FeedFault> {
+    ) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
         let end = tokio::time::Instant::now() + wait;
         loop {
             if *self.away.lock() {
@@ -72,7 +72,7 @@
             changes: Box::new(move |after, wait| Box::pin(asking.clone().changes(after, wait))),
             read_from_peer: Box::new(move |_| {
                 let peer = peer.clone();
-                Box::pin(async move { peer.map(|p| p.page()).ok_or(FeedFault::NoAnswer) })
+                Box::pin(async move { peer.map(|p| p.page()).ok_or(FeedError::NoAnswer) })
             }),
         }
     }
@@ -223,7 +223,7 @@
         name: "upstreams",
         read: Box::new(move |progress| Box::pin(read(progress))),
         changes: Box::new(|_, _| Box::pin(std::future::pending())),
-        read_from_peer: Box::new(|_| Box::pin(async { Err(FeedFault::NoAnswer) })),
+        read_from_peer: Box::new(|_| Box::pin(async { Err(FeedError::NoAnswer) })),
     }
 }
 
@@ -302,7 +302,7 @@
         while progress.send(ReadPart::Bytes).is_ok() {
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
-        Err(FeedFault::NoAnswer)
+        Err(FeedError::NoAnswer)
     };
     let feed = Feed {
         read: Box::new(move |progress| {
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -14,8 +14,8 @@
 use catkinward::{
     Timer,
     gateway::{
-        AnswerBody, BodyFault, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt,
-        Reply, SendFault, UpstreamAnswer, UpstreamCall, UpstreamTransport,
+        AnswerBody, BodyError, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt,
+        Reply, SendError, UpstreamAnswer, UpstreamCall, UpstreamTransport,
     },
 };
 use futures::{StreamExt, stream};
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -135,7 +135,7 @@
     }
 }
 
-async fn play(script: Script) -> Result<UpstreamAnswer, SendFault> {
+async fn play(script: Script) -> Result<UpstreamAnswer, SendError> {
     // An upstream takes a while.
     tokio::time::sleep(Duration::from_millis(5)).await;
     match script {
@@ -158,8 +158,8 @@
             signed: false,
             ..answer(StatusCode::MISDIRECTED_REQUEST, stream::empty().boxed())
         }),
-        Script::NoConnection => Err(SendFault::NoConnection),
-        Script::Lost => Err(SendFault::Lost),
+        Script::NoConnection => Err(SendError::NoConnection),
+        Script::Lost => Err(SendError::Lost),
         Script::Hang => std::future::pending().await,
         Script::Stream(parts, end) => Ok(answer(StatusCode::OK, scripted_body(parts, end))),
     }
@@ -190,7 +190,7 @@
     });
     match end {
         End::Whole => parts.boxed(),
-        End::Break => parts.chain(stream::iter([Err(BodyFault)])).boxed(),
+        End::Break => parts.chain(stream::iter([Err(BodyError)])).boxed(),
         End::Hang => parts.chain(stream::pending()).boxed(),
     }
 }
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -7,7 +7,7 @@
     UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
-    Feed, FeedFault, FeedPage, exchange_notes, follow_config, follow_upstreams,
+    Feed, FeedError, FeedPage, exchange_notes, follow_config, follow_upstreams,
 };
 use gateway_support::*;
 use googletest::prelude::*;
@@ -62,8 +62,8 @@
         let peer = self.clone();
         Feed {
             name: "upstreams",
-            read: Box::new(|_| Box::pin(async { Err(FeedFault::Refused) })),
-            changes: Box::new(|_, _| Box::pin(async { Err(FeedFault::Refused) })),
+            read: Box::new(|_| Box::pin(async { Err(FeedError::Refused) })),
+            changes: Box::new(|_, _| Box::pin(async { Err(FeedError::Refused) })),
             read_from_peer: Box::new(move |_| {
                 let page = peer.page();
                 Box::pin(async move { Ok(page) })
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -6,7 +6,7 @@
     CONFIG_GOSSIP_MAX_AGE, ConfigVersion, RoutingConfig, UpstreamEntry, UpstreamTable, ZoneGossip,
     ZoneRole,
 };
-use catkinward::gateway::{Feed, FeedFault, FeedPage, follow_config, follow_upstreams};
+use catkinward::gateway::{Feed, FeedError, FeedPage, follow_config, follow_upstreams};
 use gateway_support::*;
 use googletest::prelude::*;
 use parking_lot::Mutex;
@@ -65,12 +65,12 @@
         self,
         after: u64,
         wait: Duration,
-    ) -> std::result::Result<FeedPage<RoutingConfig>, FeedFault> {
+    ) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
         *self.store_calls.lock() += 1;
         let end = Instant::now() + wait;
         loop {
             if !*self.store_answers.lock() {
-                return Err(FeedFault::Refused);
+                return Err(FeedError::Refused);
             }
             let page = self.page();
             if page.version > after {
@@ -95,7 +95,7 @@
                 peer.peers_asked.lock().push(address);
                 let answers = *peer.peer_answers.lock();
                 let page = answers.then(|| peer.page());
-                Box::pin(async move { page.ok_or(FeedFault::NoAnswer) })
+                Box::pin(async move { page.ok_or(FeedError::NoAnswer) })
             }),
         }
     }
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use catkin_decisions::{PeerEntry, PoisonRecord, TokenIndex, UpstreamCrashId};
 use catkinward::{
-    BundleInForce, Generations, Gossip, Node, PEER_PROTOCOL, PeerBody, PeerChallenge, PeerFault,
+    BundleInForce, Generations, Gossip, Node, PEER_PROTOCOL, PeerBody, PeerChallenge, PeerError,
     PeerHello, PeerKey, PeerMessage, PeerParts, Peers, ProcessClock, Settings, Timeline, Timer,
 };
 use futures::{SinkExt, StreamExt};
@@ -249,7 +249,7 @@
     fn any_bytes_are_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = PeerMessage::from_bytes(&bytes);
 
-        prop_assert!(read.is_ok() || matches!(read, Err(PeerFault::Form)));
+        prop_assert!(read.is_ok() || matches!(read, Err(PeerError::Form)));
     }
 
     /// A message is damaged on its way. What is read from it is still sound, or refused.
@@ -267,6 +267,6 @@
 
         let read = PeerMessage::from_bytes(&bytes);
 
-        prop_assert!(read.is_ok() || matches!(read, Err(PeerFault::Form)));
+        prop_assert!(read.is_ok() || matches!(read, Err(PeerError::Form)));
     }
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -141,7 +141,7 @@
     rollout_evidence::{ResponseCounts, ResponseOutcome, RouteEvidence, latency_bucket},
     rollout_judge::{JudgedReport, MIN_ROUTE_SAMPLES, RolloutJudge, RolloutVerdict},
     rollout_notice::{RolloutNotice, RolloutProgress},
-    rollout_order::{RolloutFault, RolloutOrder},
+    rollout_order::{RolloutOrderError, RolloutOrder},
     rollout_owner::{
         COMPLETION_LEAD, COMPLETION_WAIT, OwnerStep, RollbackReason, RolloutOwner, VersionSlots,
     },
--- a/crates/decisions/src/rollout_order.rs
+++ b/crates/decisions/src/rollout_order.rs
@@ -20,7 +20,7 @@
 /// What is wrong with an order.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum RolloutFault {
+pub enum RolloutOrderError {
     /// No configuration names the service.
     #[display("the configuration does not name the service")]
     UnknownService,
@@ -42,15 +42,15 @@
         &self,
         service_is_known: bool,
         versions: &[SoftwareVersion],
-    ) -> Result<(), RolloutFault> {
+    ) -> Result<(), RolloutOrderError> {
         if !service_is_known {
-            return Err(RolloutFault::UnknownService);
+            return Err(RolloutOrderError::UnknownService);
         }
         if self.duration.is_zero() {
-            return Err(RolloutFault::NoTime);
+            return Err(RolloutOrderError::NoTime);
         }
         if !versions.is_empty() && versions.iter().all(|version| *version == self.to) {
-            return Err(RolloutFault::VersionInUse);
+            return Err(RolloutOrderError::VersionInUse);
         }
         Ok(())
     }
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -22,7 +22,7 @@
     /// Its upstreams are too few at the deadline.
     TooFewUpstreams,
     /// The order is wrong.
-    Fault(RolloutFault),
+    Fault(RolloutOrderError),
 }
 
 /// What the owner does next.
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -2,7 +2,7 @@
 
 use catkin_decisions::{
     VersionAdmission, ExposureLimit, Instant, ORDER_TIMEOUT, OWNER_TIMEOUT, OwnerStep, RollbackReason, Rollout,
-    RolloutFault, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
+    RolloutOrderError, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
     RolloutSettings, Rollouts, SoftwareVersion, UpstreamEntry, VersionSlots,
 };
 use googletest::prelude::*;
@@ -278,14 +278,14 @@
             order("v2", 7),
             false,
             vec![v1.clone()],
-            Err(RolloutFault::UnknownService),
+            Err(RolloutOrderError::UnknownService),
         ),
-        (no_time, true, vec![v1.clone()], Err(RolloutFault::NoTime)),
+        (no_time, true, vec![v1.clone()], Err(RolloutOrderError::NoTime)),
         (
             order("v1", 7),
             true,
             vec![v1.clone(), v1],
-            Err(RolloutFault::VersionInUse),
+            Err(RolloutOrderError::VersionInUse),
         ),
     ];
     for (order, known, versions, expected) in cases {
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -5,7 +5,7 @@
 pub enum Error {
     /// A call of a caller failed.
     #[display("{_0}")]
-    Call(catkin_standins::CallFault),
+    Call(catkin_standins::CallError),
     /// A flag or argument is not known.
     #[display("{_0}; `catkin-load help` lists the commands")]
     Flag(lexopt::Error),
--- a/crates/load/tests/drain.rs
+++ b/crates/load/tests/drain.rs
@@ -2,7 +2,7 @@
 
 use catkin_border::{bundle::RecoveryPolicy, caller::CompletionRequest};
 use catkin_load::{Process, Role};
-use catkin_standins::{Answer, CallFault, CallerClient, DEMO_KEY, TokenChain, demo_bundle};
+use catkin_standins::{Answer, CallError, CallerClient, DEMO_KEY, TokenChain, demo_bundle};
 use googletest::prelude::*;
 use rustix::process::{Pid, Signal, kill_process};
 use std::{num::NonZeroU32, path::Path, sync::Arc};
@@ -46,7 +46,7 @@
 }
 
 /// Starts to read an answer and returns once its first token is there.
-async fn reading(router: &Process, tokens: u32) -> JoinHandle<(Result<(), CallFault>, Answer)> {
+async fn reading(router: &Process, tokens: u32) -> JoinHandle<(Result<(), CallError>, Answer)> {
     let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client");
     let request = CompletionRequest {
         max_tokens: NonZeroU32::new(tokens).expect("not zero"),
--- a/crates/standins/src/answer.rs
+++ b/crates/standins/src/answer.rs
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// Says what is wrong.
-    pub fn check(&self, chain: TokenChain, max_tokens: usize) -> Result<(), AnswerFault> {
+    pub fn check(&self, chain: TokenChain, max_tokens: usize) -> Result<(), AnswerError> {
         check_answer(chain, max_tokens, &self.ids, &self.text)
     }
 }
--- a/crates/standins/src/answer_check.rs
+++ b/crates/standins/src/answer_check.rs
@@ -3,7 +3,7 @@
 
 /// What is wrong with an answer.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
-pub enum AnswerFault {
+pub enum AnswerError {
     /// The text is not that of the token ids in this order: a token is missing, repeated, or of
     /// another generation.
     #[display("the text differs from the chain at byte {at}: expected `{expected}`, got `{found}`")]
@@ -35,9 +35,9 @@
     max_tokens: usize,
     ids: &[u32],
     text: &str,
-) -> Result<(), AnswerFault> {
+) -> Result<(), AnswerError> {
     if ids.len() != max_tokens {
-        return Err(AnswerFault::Length {
+        return Err(AnswerError::Length {
             expected: max_tokens,
             found: ids.len(),
         });
@@ -51,7 +51,7 @@
         .zip(text.bytes())
         .take_while(|(a, b)| a == b)
         .count();
-    Err(AnswerFault::Chain {
+    Err(AnswerError::Chain {
         at,
         expected: excerpt(&expected, at),
         found: excerpt(text, at),
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -14,7 +14,7 @@
 
 /// Why a call brought no answer, or no whole one.
 #[derive(Debug, Display, Error, From)]
-pub enum CallFault {
+pub enum CallError {
     /// The call failed.
     #[display("{_0}")]
     Http(HttpError),
@@ -39,7 +39,7 @@
     /// # Errors
     ///
     /// If no client can be made.
-    pub fn new(address: SocketAddr, key: &str) -> Result<Self, CallFault> {
+    pub fn new(address: SocketAddr, key: &str) -> Result<Self, CallError> {
         Ok(Self {
             connections: Arc::new(Connections::new()?),
             address,
@@ -59,7 +59,7 @@
         idempotency_key: Option<&str>,
         answer: &mut Answer,
         mut on_token: impl FnMut(&Answer),
-    ) -> Result<(), CallFault> {
+    ) -> Result<(), CallError> {
         let start = *answer.started.get_or_insert_with(Instant::now);
         answer.problem = None;
         let mut headers = self.headers(idempotency_key);
@@ -78,15 +78,15 @@
         let response = self.connections.call(call).await?;
         if !response.status().is_success() {
             let body = response.into_body().into_bytes().await;
-            let body = body.map_err(|_| CallFault::Broken)?;
+            let body = body.map_err(|_| CallError::Broken)?;
             answer.problem = Some(serde_json::from_slice(&body)?);
             return Ok(());
         }
         answer.accepted = true;
-        let mut reader = SseReader::into_sse(response).map_err(|_| CallFault::Broken)?;
+        let mut reader = SseReader::into_sse(response).map_err(|_| CallError::Broken)?;
         loop {
-            let event = reader.read().await.map_err(|_| CallFault::Broken)?;
-            let event = event.ok_or(CallFault::Broken)?;
+            let event = reader.read().await.map_err(|_| CallError::Broken)?;
+            let event = event.ok_or(CallError::Broken)?;
             let data = event.data().unwrap_or_default();
             if data == "[DONE]" {
                 return Ok(());
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// If it does not answer.
-    pub async fn peers(&self) -> Result<usize, CallFault> {
+    pub async fn peers(&self) -> Result<usize, CallError> {
         let call = HttpCall {
             address: self.address,
             path: "/readyz".to_owned(),
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -33,9 +33,9 @@
 
 pub use crate::{
     answer::Answer,
-    answer_check::{AnswerFault, check_answer},
+    answer_check::{AnswerError, check_answer},
     answer_verdict::AnswerVerdict,
-    caller_client::{CallFault, CallerClient},
+    caller_client::{CallError, CallerClient},
     daemon::{StandinError, run_standin},
     demo_bundle::{DEMO_KEY, demo_bundle},
     engine_batch::{POISON, UNANSWERED_POISON},
--- a/crates/standins/src/scripted_platform.rs
+++ b/crates/standins/src/scripted_platform.rs
@@ -1,5 +1,5 @@
 use super::*;
-use catkinward::{Platform, PlatformFault};
+use catkinward::{Platform, PlatformError};
 use std::collections::VecDeque;
 
 /// Fate of one transaction of a [`ScriptedPlatform`].
@@ -78,35 +78,35 @@
     fn transact(
         &self,
         req: catkin_border::platform::TransactRequest,
-    ) -> Result<catkin_border::platform::TransactReply, PlatformFault> {
+    ) -> Result<catkin_border::platform::TransactReply, PlatformError> {
         let mut guard = self.inner.lock();
         let inner = &mut *guard;
         for late in std::mem::take(&mut inner.late) {
             inner.store.transact(late);
         }
         if inner.out {
-            return Err(PlatformFault::NotRun);
+            return Err(PlatformError::NotRun);
         }
         match inner.fates.pop_front().unwrap_or(TransactFate::Answered) {
             TransactFate::Answered => Ok(inner.store.transact(req)),
             TransactFate::LostAfterEffect => {
                 inner.store.transact(req);
-                Err(PlatformFault::Unknown)
+                Err(PlatformError::Unknown)
             }
-            TransactFate::LostBeforeEffect => Err(PlatformFault::Unknown),
+            TransactFate::LostBeforeEffect => Err(PlatformError::Unknown),
             TransactFate::Late => {
                 inner.late.push(req);
-                Err(PlatformFault::Unknown)
+                Err(PlatformError::Unknown)
             }
-            TransactFate::NotRun => Err(PlatformFault::NotRun),
-            TransactFate::Throttled => Err(PlatformFault::Throttled),
+            TransactFate::NotRun => Err(PlatformError::NotRun),
+            TransactFate::Throttled => Err(PlatformError::Throttled),
         }
     }
 
-    fn up<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> Result<T, PlatformFault> {
+    fn up<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> Result<T, PlatformError> {
         let mut inner = self.inner.lock();
         if inner.out {
-            return Err(PlatformFault::NotRun);
+            return Err(PlatformError::NotRun);
         }
         Ok(f(&mut inner.store))
     }
--- a/crates/standins/src/upstream_probe.rs
+++ b/crates/standins/src/upstream_probe.rs
@@ -5,7 +5,7 @@
 /// # Errors
 ///
 /// If it does not answer.
-pub async fn upstream_load(address: SocketAddr) -> Result<engine::UpstreamLoad, CallFault> {
+pub async fn upstream_load(address: SocketAddr) -> Result<engine::UpstreamLoad, CallError> {
     let call = HttpCall {
         address,
         path: "/v1/load".to_owned(),
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// If one of them does not answer.
-pub async fn first_busy(addresses: &[SocketAddr]) -> Result<Option<usize>, CallFault> {
+pub async fn first_busy(addresses: &[SocketAddr]) -> Result<Option<usize>, CallError> {
     for (i, address) in addresses.iter().enumerate() {
         if upstream_load(*address).await?.running > 0 {
             return Ok(Some(i));
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -9,7 +9,7 @@
     EngineServer, EngineSettings, ScriptedPlatform, TransactFate, WeightStore, demo_bundle,
 };
 use catkinward::{
-    BundleInForce, EventKind, Leases, NoPermit, OrderRight, Orders, Platform, PlatformFault,
+    BundleInForce, EventKind, Leases, NoPermit, OrderRight, Orders, Platform, PlatformError,
     ReadBundle, Timeline, TimelineQuery, Timer, http_client::Connections, read_bundle,
 };
 use googletest::prelude::*;
@@ -61,7 +61,7 @@
             let (inner, cut) = (inner.clone(), cut.clone());
             Box::new(move |q| {
                 if cut.load(Ordering::Relaxed) {
-                    Box::pin(std::future::ready(Err(PlatformFault::NotRun)))
+                    Box::pin(std::future::ready(Err(PlatformError::NotRun)))
                 } else {
                     (inner.$call)(q)
                 }
@@ -382,7 +382,7 @@
     expect_that!(
         refused,
         err(any![
-            eq(&NoPermit::Unconfirmed(PlatformFault::NotRun)),
+            eq(&NoPermit::Unconfirmed(PlatformError::NotRun)),
             eq(&NoPermit::NotHeld)
         ])
     );
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -6,7 +6,7 @@
 };
 use catkin_decisions::{CallLimiterSettings, Instant};
 use catkin_standins::{PlatformServer, PlatformStore};
-use catkinward::{Platform, PlatformFault, PlatformSettings, Timer, http_client::Connections};
+use catkinward::{Platform, PlatformError, PlatformSettings, Timer, http_client::Connections};
 use googletest::prelude::*;
 use std::{net::SocketAddr, num::NonZeroU32, sync::Arc, time::Duration};
 
@@ -118,7 +118,7 @@
 struct FaultCase {
     name: &'static str,
     faults: PlatformFaults,
-    seen: PlatformFault,
+    seen: PlatformError,
     took_effect: bool,
 }
 
@@ -130,7 +130,7 @@
                 outage: Some(PlatformOutage::Refused),
                 ..no_faults()
             },
-            seen: PlatformFault::NotRun,
+            seen: PlatformError::NotRun,
             took_effect: false,
         },
         FaultCase {
@@ -139,7 +139,7 @@
                 outage: Some(PlatformOutage::Silent),
                 ..no_faults()
             },
-            seen: PlatformFault::Unknown,
+            seen: PlatformError::Unknown,
             took_effect: false,
         },
         FaultCase {
@@ -148,7 +148,7 @@
                 lose_answers: Some(1),
                 ..no_faults()
             },
-            seen: PlatformFault::Unknown,
+            seen: PlatformError::Unknown,
             took_effect: true,
         },
         FaultCase {
@@ -157,7 +157,7 @@
                 answer_delay_ms: Some(10_000),
                 ..no_faults()
             },
-            seen: PlatformFault::Unknown,
+            seen: PlatformError::Unknown,
             took_effect: true,
         },
     ]
@@ -191,7 +191,7 @@
 
     let seen = (platform.transact)(put("a", 0, "one")).await;
 
-    expect_that!(seen, err(eq(&PlatformFault::NotRun)));
+    expect_that!(seen, err(eq(&PlatformError::NotRun)));
 }
 
 /// More writes come than the platform does in a second. Those beyond are refused, and their senders
@@ -211,7 +211,7 @@
 
     let seen = (platform.transact)(put("b", 0, "one")).await;
 
-    expect_that!(seen, err(eq(&PlatformFault::Throttled)));
+    expect_that!(seen, err(eq(&PlatformError::Throttled)));
     expect_that!(server.stats().throttled, eq(1));
 }
 
