--- a/crates/catkinward/src/bundle_canonical.rs
+++ b/crates/catkinward/src/bundle_canonical.rs
@@ -5,7 +5,7 @@
 /// Two files that say the same differ in white space, in the order of lists, or in whether they
 /// write out defaults. A sign-off must hold for what is said, so the digest is taken of one form:
 /// compact JSON with sorted lists and all defaults.
-pub(crate) fn canonical_bundle(bundle: &border_bundle::Bundle) -> (Arc<str>, BundleDigest) {
+pub(crate) fn canonical_bundle(bundle: &bundle_api::Bundle) -> (Arc<str>, BundleDigest) {
     let mut bundle = bundle.clone();
     bundle.teams.sort_by(|a, b| a.name.cmp(&b.name));
     bundle.services.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/catkinward/src/bundle_format.rs
+++ b/crates/catkinward/src/bundle_format.rs
@@ -15,7 +15,7 @@
 pub(crate) fn check_bundle(
     version: BundleVersion,
     digest: BundleDigest,
-    bundle: &border_bundle::Bundle,
+    bundle: &bundle_api::Bundle,
 ) -> Result<Bundle> {
     let teams = each("teams", &bundle.teams, check_team)?;
     let teams = sorted("teams", teams, |team: &Team| team.id.to_string())?;
@@ -39,7 +39,7 @@
     Ok(bundle)
 }
 
-fn check_team(place: &str, entry: &border_bundle::TeamEntry) -> Result<Team> {
+fn check_team(place: &str, entry: &bundle_api::TeamEntry) -> Result<Team> {
     Ok(Team {
         id: field(place, "name", entry.name.parse())?,
         key: field(place, "key_sha256", entry.key_sha256.parse())?,
@@ -49,17 +49,17 @@
     })
 }
 
-fn check_service(place: &str, entry: &border_bundle::ServiceEntry) -> Result<Service> {
+fn check_service(place: &str, entry: &bundle_api::ServiceEntry) -> Result<Service> {
     check_kind(place, entry)?;
     let kind = match entry.kind {
-        border_bundle::ServiceKind::Generation => ServiceKind::Generation {
+        bundle_api::ServiceKind::Generation => ServiceKind::Generation {
             model: check_model(place, entry.model.as_ref())?,
             recovery: match entry.recovery {
-                Some(border_bundle::RecoveryPolicy::LeastWork) => RecoveryPolicy::LeastWork,
-                Some(border_bundle::RecoveryPolicy::LeastWait) | None => RecoveryPolicy::LeastWait,
+                Some(bundle_api::RecoveryPolicy::LeastWork) => RecoveryPolicy::LeastWork,
+                Some(bundle_api::RecoveryPolicy::LeastWait) | None => RecoveryPolicy::LeastWait,
             },
         },
-        border_bundle::ServiceKind::Plain => ServiceKind::Plain {
+        bundle_api::ServiceKind::Plain => ServiceKind::Plain {
             paths: check_paths(place, &entry.paths)?,
         },
     };
@@ -84,7 +84,7 @@
     })
 }
 
-fn check_model(place: &str, entry: Option<&border_bundle::ModelEntry>) -> Result<Model> {
+fn check_model(place: &str, entry: Option<&bundle_api::ModelEntry>) -> Result<Model> {
     let model = entry.ok_or_else(|| fault(place, "model", BundleError::ModelAbsent))?;
     let text = |name: &str, value: &str| match value {
         "" => Err(fault(place, &format!("model.{name}"), BundleError::Empty)),
@@ -102,10 +102,10 @@
 
 /// A field that only the other kind of service has would be ignored, and its author would believe
 /// that it is in force.
-fn check_kind(place: &str, entry: &border_bundle::ServiceEntry) -> Result<()> {
+fn check_kind(place: &str, entry: &bundle_api::ServiceEntry) -> Result<()> {
     let foreign = match entry.kind {
-        border_bundle::ServiceKind::Generation => [("paths", !entry.paths.is_empty())].to_vec(),
-        border_bundle::ServiceKind::Plain => [
+        bundle_api::ServiceKind::Generation => [("paths", !entry.paths.is_empty())].to_vec(),
+        bundle_api::ServiceKind::Plain => [
             ("model", entry.model.is_some()),
             ("recovery", entry.recovery.is_some()),
         ]
@@ -117,7 +117,7 @@
     }
 }
 
-fn check_paths(place: &str, entries: &[border_bundle::PathRule]) -> Result<Vec<PathRule>> {
+fn check_paths(place: &str, entries: &[bundle_api::PathRule]) -> Result<Vec<PathRule>> {
     let rules = entries.iter().enumerate().map(|(i, entry)| {
         let place = format!("{place}.paths[{i}]");
         if entry.method.is_empty() || !entry.method.bytes().all(|b| b.is_ascii_uppercase()) {
@@ -158,7 +158,7 @@
     }
 }
 
-fn check_upstream(place: &str, entry: &border_bundle::UpstreamEntry) -> Result<Upstream> {
+fn check_upstream(place: &str, entry: &bundle_api::UpstreamEntry) -> Result<Upstream> {
     let mut services = entry
         .services
         .iter()
--- a/crates/catkinward/src/bundle_rows.rs
+++ b/crates/catkinward/src/bundle_rows.rs
@@ -15,7 +15,7 @@
     platform: &Platform,
     keys: &[BundleKey],
 ) -> Result<Vec<(u64, BundleRow)>> {
-    let keys = keys.iter().map(|key| platform_border::RowKey {
+    let keys = keys.iter().map(|key| platform_api::RowKey {
         key: key.to_string(),
         table: TABLE.to_owned(),
     });
@@ -34,7 +34,7 @@
     after: Option<&BundleKey>,
     limit: std::num::NonZeroU32,
 ) -> Result<Vec<(u64, BundleRow)>> {
-    let rows = (platform.scan)(platform_border::ScanRequest {
+    let rows = (platform.scan)(platform_api::ScanRequest {
         after: after.map(ToString::to_string),
         limit,
         prefix: prefix.to_owned(),
@@ -44,19 +44,19 @@
 }
 
 /// A change as a transaction of the table service.
-pub(crate) fn transaction(change: &BundleChange) -> platform_border::TransactRequest {
+pub(crate) fn transaction(change: &BundleChange) -> platform_api::TransactRequest {
     let conditions = change.conditions.iter();
-    let conditions = conditions.map(|(key, version)| platform_border::Condition {
+    let conditions = conditions.map(|(key, version)| platform_api::Condition {
         key: key.to_string(),
         table: TABLE.to_owned(),
         version: *version,
     });
-    let writes = change.writes.iter().map(|row| platform_border::Write {
+    let writes = change.writes.iter().map(|row| platform_api::Write {
         key: row.key().to_string(),
         table: TABLE.to_owned(),
         value: Some(value(row)),
     });
-    platform_border::TransactRequest {
+    platform_api::TransactRequest {
         conditions: conditions.collect(),
         writes: writes.collect(),
     }
@@ -71,7 +71,7 @@
     value.expect("rows have text keys only")
 }
 
-fn parse_rows(rows: &[platform_border::Row]) -> Result<Vec<(u64, BundleRow)>> {
+fn parse_rows(rows: &[platform_api::Row]) -> Result<Vec<(u64, BundleRow)>> {
     rows.iter()
         .map(|row| Ok((row.version, parse_row(&row.key, &row.value)?)))
         .collect()
--- a/crates/catkinward/src/caller_border.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -25,7 +25,7 @@
 
 /// The HTTP service that callers see.
 #[derive(Clone)]
-pub(crate) struct CallerBorder {
+pub(crate) struct CallerApi {
     pub(crate) node: Arc<Node>,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-impl volo::Service<ServerContext, Request> for CallerBorder {
+impl volo::Service<ServerContext, Request> for CallerApi {
     type Response = Response;
     type Error = Infallible;
 
@@ -67,7 +67,7 @@
     }
 }
 
-impl CallerBorder {
+impl CallerApi {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -109,7 +109,7 @@
     }
 
     async fn transact(&self, group: &[ClaimChange]) -> GroupResult {
-        let req = platform_border::TransactRequest {
+        let req = platform_api::TransactRequest {
             conditions: group.iter().map(condition).collect(),
             writes: group.iter().map(write).chain(expiries(group)).collect(),
         };
@@ -129,16 +129,16 @@
     f64::from(u32::try_from(group.len()).unwrap_or(u32::MAX))
 }
 
-fn condition(change: &ClaimChange) -> platform_border::Condition {
-    platform_border::Condition {
+fn condition(change: &ClaimChange) -> platform_api::Condition {
+    platform_api::Condition {
         key: change.key.to_string(),
         table: CLAIMS.to_owned(),
         version: change.expected,
     }
 }
 
-fn write(change: &ClaimChange) -> platform_border::Write {
-    platform_border::Write {
+fn write(change: &ClaimChange) -> platform_api::Write {
+    platform_api::Write {
         key: change.key.to_string(),
         table: CLAIMS.to_owned(),
         value: Some(claim_value(&change.record)),
@@ -146,7 +146,7 @@
 }
 
 /// The rows by which the claims of a group are swept: one for each minute in which some expire.
-fn expiries(group: &[ClaimChange]) -> Vec<platform_border::Write> {
+fn expiries(group: &[ClaimChange]) -> Vec<platform_api::Write> {
     let mut steps = group
         .iter()
         .map(|change| change.record.expires.0.div_ceil(EXPIRY_STEP))
--- a/crates/catkinward/src/claim_row.rs
+++ b/crates/catkinward/src/claim_row.rs
@@ -11,7 +11,7 @@
 pub(crate) const EXPIRIES: &str = "claim_expiries";
 
 /// The claim in a row; `None` in it if the row is absent or cannot be read.
-pub(crate) fn found_claim(row: &platform_border::Row) -> FoundClaim {
+pub(crate) fn found_claim(row: &platform_api::Row) -> FoundClaim {
     FoundClaim {
         key: ClaimRowKey::from(row.key.as_str()),
         version: row.version,
@@ -51,8 +51,8 @@
     expires: WallTime,
     salt: u64,
     keys: Vec<String>,
-) -> platform_border::Write {
-    platform_border::Write {
+) -> platform_api::Write {
+    platform_api::Write {
         key: format!("{:015}/{salt:016x}", expires.0),
         table: EXPIRIES.to_owned(),
         value: Some(json_text(&rows::ClaimExpiryRow { keys })),
@@ -60,7 +60,7 @@
 }
 
 /// When the claims of an expiry row expire, and their keys.
-pub(crate) fn read_expiry(row: &platform_border::Row) -> Option<(WallTime, Vec<String>)> {
+pub(crate) fn read_expiry(row: &platform_api::Row) -> Option<(WallTime, Vec<String>)> {
     let (expires, _) = row.key.split_once('/')?;
     let value = serde_json::from_str::<rows::ClaimExpiryRow>(&row.value).ok()?;
     Some((expires.parse().ok()?, value.keys))
--- a/crates/catkinward/src/claim_sweep.rs
+++ b/crates/catkinward/src/claim_sweep.rs
@@ -13,7 +13,7 @@
 const PAGE: std::num::NonZeroU32 = std::num::NonZeroU32::new(20).expect("not zero");
 
 pub(crate) async fn sweep_page(platform: &Platform, now: WallTime) -> Result<bool, PlatformError> {
-    let page = platform_border::ScanRequest {
+    let page = platform_api::ScanRequest {
         table: EXPIRIES.to_owned(),
         prefix: String::new(),
         after: None,
@@ -43,7 +43,7 @@
     let rows = expired
         .iter()
         .map(|claim| deletion(CLAIMS, claim.key.as_str()));
-    let req = platform_border::TransactRequest {
+    let req = platform_api::TransactRequest {
         // A claim that has been written meanwhile has a new expiry row, and this one is tried again.
         conditions: expired.iter().map(|claim| unchanged(claim)).collect(),
         writes: index.chain(rows).collect(),
@@ -56,7 +56,7 @@
     platform: &Platform,
     keys: Vec<String>,
 ) -> Result<Vec<FoundClaim>, PlatformError> {
-    let keys = keys.into_iter().map(|key| platform_border::RowKey {
+    let keys = keys.into_iter().map(|key| platform_api::RowKey {
         key,
         table: CLAIMS.to_owned(),
     });
@@ -64,16 +64,16 @@
     Ok(rows.iter().map(found_claim).collect())
 }
 
-fn deletion(table: &str, key: &str) -> platform_border::Write {
-    platform_border::Write {
+fn deletion(table: &str, key: &str) -> platform_api::Write {
+    platform_api::Write {
         key: key.to_owned(),
         table: table.to_owned(),
         value: None,
     }
 }
 
-fn unchanged(claim: &FoundClaim) -> platform_border::Condition {
-    platform_border::Condition {
+fn unchanged(claim: &FoundClaim) -> platform_api::Condition {
+    platform_api::Condition {
         key: claim.key.to_string(),
         table: CLAIMS.to_owned(),
         version: claim.version,
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -254,7 +254,7 @@
     }
 
     async fn read(&self, key: &ClaimRowKey) -> Option<FoundClaim> {
-        let key = platform_border::RowKey {
+        let key = platform_api::RowKey {
             table: CLAIMS.to_owned(),
             key: key.as_str().to_owned(),
         };
--- a/crates/catkinward/src/ctl_vms.rs
+++ b/crates/catkinward/src/ctl_vms.rs
@@ -88,7 +88,7 @@
             .map_err(|fault| Error::CtlVmList { fault })?;
         let routers = list
             .into_iter()
-            .filter(|entry| entry.kind == platform_border::VmKind::Router);
+            .filter(|entry| entry.kind == platform_api::VmKind::Router);
         let mut vms = routers
             .map(|entry| CtlVm {
                 address: entry.operator_address.and_then(|a| a.parse().ok()),
--- a/crates/catkinward/src/error.rs
+++ b/crates/catkinward/src/error.rs
@@ -232,7 +232,7 @@
     /// It belongs to the other kind of service.
     #[display("is not allowed for a service of kind `{_0}`")]
     #[from(skip)]
-    OtherKind(#[error(not(source))] border_bundle::ServiceKind),
+    OtherKind(#[error(not(source))] bundle_api::ServiceKind),
     /// It is no path.
     #[display("must begin with `/`")]
     #[from(skip)]
--- a/crates/catkinward/src/lease_row.rs
+++ b/crates/catkinward/src/lease_row.rs
@@ -8,7 +8,7 @@
 pub(crate) const LEASES: &str = "leases";
 
 /// The lease in a row.
-pub(crate) fn lease_row(row: &platform_border::Row) -> LeaseRow {
+pub(crate) fn lease_row(row: &platform_api::Row) -> LeaseRow {
     LeaseRow {
         version: row.version,
         record: read_record(&row.value),
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -125,8 +125,8 @@
         };
         let routers = vms
             .iter()
-            .filter(|vm| vm.kind == platform_border::VmKind::Router)
-            .filter(|vm| vm.state == platform_border::VmState::Live)
+            .filter(|vm| vm.kind == platform_api::VmKind::Router)
+            .filter(|vm| vm.state == platform_api::VmState::Live)
             .filter_map(|vm| vm.id.parse().ok());
         *self.routers.lock() = routers.collect();
         for handle in self.handles.lock().clone() {
@@ -217,7 +217,7 @@
     }
 
     async fn read(&self) -> Result<(), PlatformError> {
-        let key = platform_border::RowKey {
+        let key = platform_api::RowKey {
             key: self.scope.to_string(),
             table: LEASES.to_owned(),
         };
@@ -245,14 +245,14 @@
         fault.map_or(Ok(()), Err)
     }
 
-    fn transaction(&self, write: &LeaseWrite) -> platform_border::TransactRequest {
-        platform_border::TransactRequest {
-            conditions: vec![platform_border::Condition {
+    fn transaction(&self, write: &LeaseWrite) -> platform_api::TransactRequest {
+        platform_api::TransactRequest {
+            conditions: vec![platform_api::Condition {
                 key: self.scope.to_string(),
                 table: LEASES.to_owned(),
                 version: write.expected,
             }],
-            writes: vec![platform_border::Write {
+            writes: vec![platform_api::Write {
                 key: self.scope.to_string(),
                 table: LEASES.to_owned(),
                 value: Some(lease_value(&write.record)),
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -8,7 +8,7 @@
     arc_swap::ArcSwap,
     bytes::Bytes,
     catkin_border::{
-        bundle as border_bundle, caller, engine, operator, platform as platform_border,
+        bundle as bundle_api, caller, engine, operator, platform as platform_api,
     },
     catkin_decisions::{
         AdmissionConfig, AdmissionQueue, Arrival, AskedReport, Attempt, AvailabilityZone, Bundle,
@@ -114,7 +114,7 @@
 mod bundle_rows;
 mod bundle_store;
 mod bundle_watch;
-mod caller_border;
+mod caller_api;
 mod claim_committer;
 mod claim_row;
 mod claim_settings;
@@ -157,7 +157,7 @@
 mod metrics_page;
 mod news;
 mod node;
-mod operator_border;
+mod operator_api;
 mod operator_problem;
 mod orders;
 mod peer_copies;
@@ -173,7 +173,7 @@
 mod peers;
 mod place;
 mod plain_answer;
-mod plain_border;
+mod plain_api;
 mod plain_call;
 mod plain_calls;
 mod plain_claim;
--- a/crates/catkinward/src/news.rs
+++ b/crates/catkinward/src/news.rs
@@ -80,11 +80,11 @@
     }
 }
 
-fn take_entry(peers: Option<&Peers>, upstreams: &Upstreams, entry: &platform_border::VmEntry) {
-    let leaving = entry.state == platform_border::VmState::Leaving;
+fn take_entry(peers: Option<&Peers>, upstreams: &Upstreams, entry: &platform_api::VmEntry) {
+    let leaving = entry.state == platform_api::VmState::Leaving;
     match entry.kind {
-        platform_border::VmKind::Router if leaving => {}
-        platform_border::VmKind::Router => {
+        platform_api::VmKind::Router if leaving => {}
+        platform_api::VmKind::Router => {
             let parsed = (
                 entry.id.parse(),
                 entry.address.parse(),
@@ -98,7 +98,7 @@
                 tracing::warn!(id = entry.id, "an entry of the list of VMs cannot be read");
             }
         }
-        platform_border::VmKind::Upstream => {
+        platform_api::VmKind::Upstream => {
             if let Ok(id) = entry.id.parse() {
                 upstreams.listed(&id, leaving);
             }
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::{
     agreement::{AgreementParts, start_agreement},
-    caller_border::CallerBorder,
+    caller_api::CallerApi,
     http_server::Listener,
     metrics_page::start_metrics,
     news::{read_list, start_news},
-    operator_border::OperatorBorder,
+    operator_api::OperatorApi,
     slice_exchange::exchange_slices,
     upstream_gossip::gossip_upstreams,
 };
@@ -161,7 +161,7 @@
         let address = listener.address()?;
         tracing::info!(%address, vm = %self.settings.vm, "serving callers");
         let node = self.clone();
-        Server::new(CallerBorder::new(self.clone()))
+        Server::new(CallerApi::new(self.clone()))
             .register_shutdown_hook(move || Box::pin(async move { node.drained().await }))
             .run(listener)
             .await
@@ -182,7 +182,7 @@
         let address = listener.address()?;
         let key = self.settings.operator_key()?;
         let node = self.clone();
-        Server::new(OperatorBorder::new(self.clone(), key))
+        Server::new(OperatorApi::new(self.clone(), key))
             .register_shutdown_hook(move || Box::pin(async move { node.drain.ended().await }))
             .run(listener)
             .await
--- a/crates/catkinward/src/operator_border.rs
+++ b/crates/catkinward/src/operator_api.rs
@@ -3,12 +3,12 @@
 
 /// The HTTP service that operators see, on an address of its own.
 #[derive(Clone)]
-pub(crate) struct OperatorBorder {
+pub(crate) struct OperatorApi {
     node: Arc<Node>,
     key: KeyHash,
 }
 
-impl volo::Service<ServerContext, Request> for OperatorBorder {
+impl volo::Service<ServerContext, Request> for OperatorApi {
     type Response = Response;
     type Error = Infallible;
 
@@ -22,7 +22,7 @@
     }
 }
 
-impl OperatorBorder {
+impl OperatorApi {
     pub(crate) fn new(node: Arc<Node>, key: KeyHash) -> Self {
         Self { node, key }
     }
--- a/crates/catkinward/src/plain_border.rs
+++ b/crates/catkinward/src/plain_api.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::{
-    caller_border::{Caller, CallerBorder, new_request_id},
+    caller_api::{Caller, CallerApi, new_request_id},
     plain_call::{
         DEADLINE_HEADER, PlainCall, headers_for_upstream, idempotency_key, is_idempotent,
         split_path,
@@ -11,7 +11,7 @@
     problem::{Problem, ProblemKind},
 };
 
-impl CallerBorder {
+impl CallerApi {
     /// Serves `/v1/services/{service}/...`.
     pub(crate) async fn plain(&self, req: Request) -> Result<Response, Problem> {
         let _in_flight = self.node.drain.enter();
--- a/crates/catkinward/src/platform.rs
+++ b/crates/catkinward/src/platform.rs
@@ -5,17 +5,17 @@
 /// stand-in's and a test's fake differ here and nowhere else.
 pub struct Platform {
     /// Writes rows in one transaction, if all conditions hold.
-    pub transact: PlatformCall<platform_border::TransactRequest, platform_border::TransactReply>,
+    pub transact: PlatformCall<platform_api::TransactRequest, platform_api::TransactReply>,
     /// Reads rows by key.
-    pub read: PlatformCall<Vec<platform_border::RowKey>, Vec<platform_border::Row>>,
+    pub read: PlatformCall<Vec<platform_api::RowKey>, Vec<platform_api::Row>>,
     /// Reads rows of a table by key prefix, in key order.
-    pub scan: PlatformCall<platform_border::ScanRequest, Vec<platform_border::Row>>,
+    pub scan: PlatformCall<platform_api::ScanRequest, Vec<platform_api::Row>>,
     /// Stores an object under a name.
     pub put_object: PlatformCall<(Arc<str>, Bytes), ()>,
     /// Fetches an object; `None` if there is none of that name.
     pub get_object: PlatformCall<Arc<str>, Option<Bytes>>,
     /// Lists live and leaving VMs and upstreams; the list lags.
-    pub vms: PlatformCall<(), Vec<platform_border::VmEntry>>,
+    pub vms: PlatformCall<(), Vec<platform_api::VmEntry>>,
 }
 
 /// One call of the platform.
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -116,7 +116,7 @@
                     .await
             }),
             read: client.call_of(|client, keys| async move {
-                let body = json_bytes(&platform_border::ReadRequest { keys });
+                let body = json_bytes(&platform_api::ReadRequest { keys });
                 client.rows("/v1/table/read", body).await
             }),
             scan: client.call_of(|client, req| async move {
@@ -130,7 +130,7 @@
             vms: client.call_of(|client, ()| async move {
                 let call = client.http_call(Method::GET, "/v1/vms", Bytes::new());
                 let body = client.call(Budget::Reads, call).await?;
-                let list = parsed::<platform_border::VmList>(&body.unwrap_or_default())?;
+                let list = parsed::<platform_api::VmList>(&body.unwrap_or_default())?;
                 Ok(list.vms)
             }),
         }
@@ -154,8 +154,8 @@
         &self,
         path: &str,
         body: Bytes,
-    ) -> Result<Vec<platform_border::Row>, PlatformError> {
-        let reply: platform_border::RowsReply = self.post(Budget::Reads, path, body).await?;
+    ) -> Result<Vec<platform_api::Row>, PlatformError> {
+        let reply: platform_api::RowsReply = self.post(Budget::Reads, path, body).await?;
         Ok(reply.rows)
     }
 
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -48,7 +48,7 @@
     })
 }
 
-fn parse_bundle(json: &str) -> Result<border_bundle::Bundle> {
+fn parse_bundle(json: &str) -> Result<bundle_api::Bundle> {
     let mut reader = serde_json::Deserializer::from_str(json);
     let bundle = serde_path_to_error::deserialize(&mut reader).map_err(|fault| {
         match fault.path().to_string().as_str() {
