--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    place::Place, read_leader::Merged, upstream_handle::UpstreamHandle, waiting_place::WaitingPlace,
+    slot_guard::SlotGuard, read_leader::Merged, upstream_handle::UpstreamHandle, queued_request::QueuedRequest,
 };
 use strum::IntoEnumIterator;
 use tokio::sync::oneshot;
@@ -29,7 +29,7 @@
 /// A request in the queue: how its upstream is chosen, and whom to tell.
 pub(crate) struct Waiting {
     choose: ChooseUpstream,
-    tx: oneshot::Sender<Result<Place, Refusal>>,
+    tx: oneshot::Sender<Result<SlotGuard, Refusal>>,
     since: Instant,
 }
 
@@ -71,7 +71,7 @@
         self: &Arc<Self>,
         arrival: &Arrival,
         choose: ChooseUpstream,
-    ) -> Result<WaitingPlace, Refusal> {
+    ) -> Result<QueuedRequest, Refusal> {
         let (tx, rx) = oneshot::channel();
         let now = self.timer.now();
         let waiting = Waiting {
@@ -83,7 +83,7 @@
         match offered {
             Ok(place) => {
                 self.pump();
-                Ok(WaitingPlace::new(self.clone(), place, rx))
+                Ok(QueuedRequest::new(self.clone(), place, rx))
             }
             Err(not_run) => Err(self.refusal(&not_run)),
         }
@@ -96,21 +96,21 @@
         lane: Lane,
         must: bool,
         choose: impl Fn(&[UpstreamId]) -> Option<UpstreamHandle>,
-    ) -> Option<Place> {
+    ) -> Option<SlotGuard> {
         let now = self.timer.now();
         let mut queue = self.queue.lock();
         let upstream =
             choose(&queue.full(now, lane)).or_else(|| if must { choose(&[]) } else { None })?;
         queue.enter(now, lane, upstream.id());
         drop(queue);
-        Some(Place::new(self.clone(), lane, upstream))
+        Some(SlotGuard::new(self.clone(), lane, upstream))
     }
 
     /// Takes a place for a request that runs at an upstream already.
-    pub(crate) fn hold(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> Place {
+    pub(crate) fn hold(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> SlotGuard {
         let now = self.timer.now();
         self.queue.lock().enter(now, lane, upstream.id());
-        Place::new(self.clone(), lane, upstream)
+        SlotGuard::new(self.clone(), lane, upstream)
     }
 
     /// Gives places to those who wait, and tells those whose time is over.
@@ -140,7 +140,7 @@
                 .record(waited);
             let _ = waiting
                 .tx
-                .send(Ok(Place::new(self.clone(), lane, upstream)));
+                .send(Ok(SlotGuard::new(self.clone(), lane, upstream)));
         }
         for not_run in expired {
             let refusal = self.refusal(&not_run);
--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -8,7 +8,7 @@
     metrics_page::metrics_page,
     problem::{Problem, ProblemKind},
     returning_caller::find_or_begin,
-    waiting_place::WaitingPlace,
+    queued_request::QueuedRequest,
 };
 
 /// Header with the caller's deadline in milliseconds from now.
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    fn start(&self, generation: &Arc<Generation>, waiting: Option<WaitingPlace>) {
+    fn start(&self, generation: &Arc<Generation>, waiting: Option<QueuedRequest>) {
         self.node.timeline.record(Event {
             request: Some(generation.request.id.clone()),
             bundle: Some(generation.request.bundle),
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -34,7 +34,7 @@
 
 /// Answer of an upstream, as it is to be recorded.
 #[derive(Clone, Debug)]
-pub struct AnswerToRecord {
+pub struct ResponseToRecord {
     /// HTTP status.
     pub status: u16,
     /// Headers by name and value.
@@ -116,7 +116,7 @@
     }
 
     /// Records an upstream's answer, so that a caller who sends the request again gets it.
-    pub fn record(self: &Arc<Self>, held: HeldClaim, answer: AnswerToRecord) {
+    pub fn record(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
         let record = |body| RecordedResponse {
             status: answer.status,
             headers: answer.headers.clone(),
--- a/crates/catkinward/src/agreement.rs
+++ b/crates/catkinward/src/coordination.rs
@@ -12,7 +12,7 @@
 const SWEEP_SCOPE: &str = "claims-sweep";
 
 /// What the services of agreement are made of.
-pub(crate) struct AgreementParts {
+pub(crate) struct CoordinationParts {
     pub(crate) platform: Arc<Platform>,
     pub(crate) timer: Arc<Timer>,
     pub(crate) timeline: Arc<Timeline>,
@@ -21,12 +21,12 @@
 }
 
 /// Starts claims, leases and orders, and returns the claims.
-pub(crate) fn start_agreement(
+pub(crate) fn start_coordination(
     kernel: &Kernel,
     settings: &Settings,
-    parts: AgreementParts,
+    parts: CoordinationParts,
 ) -> Result<Arc<Claims>> {
-    let AgreementParts {
+    let CoordinationParts {
         platform,
         timer,
         timeline,
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -2,7 +2,7 @@
 use crate::{
     admission_pool::{ChooseUpstream, Refusal},
     generation_request::GenerationRequest,
-    waiting_place::WaitingPlace,
+    queued_request::QueuedRequest,
 };
 
 /// How long a suspected request waits for an upstream that this VM watches.
@@ -18,7 +18,7 @@
     node: &Node,
     request: &GenerationRequest,
     team: QueueTeam,
-) -> Result<WaitingPlace, Refusal> {
+) -> Result<QueuedRequest, Refusal> {
     let pool = node.admission.pool(&request.service);
     if node.upstreams.refuses(request.body) {
         pool.count_refusal(RefusalReason::Poisoned);
@@ -56,7 +56,7 @@
     Box::new(move |taken| {
         // A suspect that no watched upstream takes would hold up its team's queue behind it.
         let urgent = timer.now().since(start) > SUSPECT_PATIENCE;
-        let want = UpstreamWant {
+        let want = UpstreamQuery {
             avoid: taken,
             urgent,
             ..request.want()
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -5,11 +5,11 @@
     generation::GenerationOutcome,
     generation_admission::SUSPECT_PATIENCE,
     peer_exchange::ExchangeTally,
-    place::Place,
+    slot_guard::SlotGuard,
     problem::{Problem, ProblemKind},
     progress_keeper::ProgressKeeper,
     running_attempt::{AttemptGuard, RunningAttempt},
-    waiting_place::WaitingPlace,
+    queued_request::QueuedRequest,
 };
 
 /// Bound until an engine answers an order with the headers of its stream.
@@ -25,7 +25,7 @@
 pub(crate) async fn drive(
     node: Arc<Node>,
     generation: Arc<Generation>,
-    waiting: Option<WaitingPlace>,
+    waiting: Option<QueuedRequest>,
 ) {
     let admitted_here = waiting.is_some();
     let mut driver = Driver::new(node.clone(), generation.clone());
@@ -103,7 +103,7 @@
         }
     }
 
-    async fn run(&mut self, waiting: Option<WaitingPlace>) -> GenerationOutcome {
+    async fn run(&mut self, waiting: Option<QueuedRequest>) -> GenerationOutcome {
         if let Some(attempt) = Box::pin(self.go_on_with_left_running()).await {
             match self.follow(attempt).await {
                 Ok(finish) => return GenerationOutcome::Whole(finish),
@@ -134,7 +134,7 @@
 
     /// The place that a new generation waits for in the queue, or that one which was taken over
     /// takes by itself.
-    async fn first_place(&mut self, waiting: Option<WaitingPlace>) -> Result<Place, ProblemKind> {
+    async fn first_place(&mut self, waiting: Option<QueuedRequest>) -> Result<SlotGuard, ProblemKind> {
         let Some(waiting) = waiting else {
             return self.wait_for_upstream().await;
         };
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// Once its deadline is over, or upstreams died under it.
-    async fn wait_for_upstream(&mut self) -> Result<Place, ProblemKind> {
+    async fn wait_for_upstream(&mut self) -> Result<SlotGuard, ProblemKind> {
         let start = self.node.timer.now();
         loop {
             let now = self.node.timer.now();
@@ -220,7 +220,7 @@
     }
 
     /// Announces the run of a suspect to the other VMs.
-    async fn announce(&self, upstream: &Place) {
+    async fn announce(&self, upstream: &SlotGuard) {
         let (Some(peers), Some(run)) = (&self.node.peers, upstream.suspect_run()) else {
             return;
         };
@@ -245,14 +245,14 @@
         }
     }
 
-    pub(crate) fn choose(&self, urgent: bool) -> Option<Place> {
+    pub(crate) fn choose(&self, urgent: bool) -> Option<SlotGuard> {
         let request = &self.generation.request;
         // A caller who has had part of the answer waits in the middle of it: an upstream without
         // room will do.
         let must = self.generation.next_index() > TokenIndex(0);
         let pool = self.node.admission.pool(&request.service);
         pool.take(request.lane(), must, |taken| {
-            let want = UpstreamWant {
+            let want = UpstreamQuery {
                 avoid: &[&self.avoid, taken].concat(),
                 urgent,
                 ..request.want()
@@ -262,7 +262,7 @@
     }
 
     /// Starts an attempt and makes it the live one.
-    async fn start(&mut self, upstream: Place) -> Result<RunningAttempt, AttemptError> {
+    async fn start(&mut self, upstream: SlotGuard) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         self.generation.adopt(reserved);
         self.open(upstream, &order).await
@@ -270,7 +270,7 @@
 
     pub(crate) async fn open(
         &mut self,
-        upstream: Place,
+        upstream: SlotGuard,
         order: &engine::EngineGenerate,
     ) -> Result<RunningAttempt, AttemptError> {
         self.avoid.push(upstream.id().clone());
--- a/crates/catkinward/src/generation_request.rs
+++ b/crates/catkinward/src/generation_request.rs
@@ -11,7 +11,7 @@
     /// Its id with engines: a key that two VMs begin under at once is two generations to them.
     pub engine_id: RequestId,
     /// `None` if its caller gave no key, and so cannot come back.
-    pub keyed: Option<Keyed>,
+    pub keyed: Option<ResumableState>,
     /// Digest of the team and its body, by which a caller who comes back is recognised, and a
     /// request that kills upstreams.
     pub body: RequestDigest,
@@ -56,19 +56,19 @@
     }
 
     /// What it wants of an upstream.
-    pub(crate) fn want(&self) -> UpstreamWant<'_> {
-        UpstreamWant {
+    pub(crate) fn want(&self) -> UpstreamQuery<'_> {
+        UpstreamQuery {
             model: Some(&self.model),
             digest: Some(self.body),
             prefix: &self.prompt,
-            ..UpstreamWant::new(&self.service)
+            ..UpstreamQuery::new(&self.service)
         }
     }
 
     /// The request under an idempotency key.
     pub(crate) fn under_key(self, key: &str) -> Self {
         let id = RequestId::of_key(&self.team, key);
-        Self { id, ..self }.with_chain(Keyed::begin())
+        Self { id, ..self }.with_chain(ResumableState::begin())
     }
 
     /// The request as it goes on after a copy: what the VM that accepted it had fixed stays.
@@ -79,10 +79,10 @@
             seed: record.head.seed,
             ..self
         };
-        request.with_chain(Keyed::go_on(record))
+        request.with_chain(ResumableState::go_on(record))
     }
 
-    fn with_chain(self, keyed: Keyed) -> Self {
+    fn with_chain(self, keyed: ResumableState) -> Self {
         let engine_id = format!("{}.{}", self.id, keyed.root());
         Self {
             engine_id: engine_id
@@ -94,7 +94,7 @@
     }
 
     /// What it keeps on whichever VM goes on with it.
-    pub(crate) fn head(&self, keyed: &Keyed) -> ProgressHead {
+    pub(crate) fn head(&self, keyed: &ResumableState) -> ProgressHead {
         ProgressHead {
             digest: self.body,
             bundle: self.bundle,
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -41,7 +41,7 @@
 
 /// Why no order may be given.
 #[derive(Clone, Debug, Display, PartialEq, StdError)]
-pub enum NoPermit {
+pub enum PermitError {
     /// The lease's row cannot be read, so another VM may have taken it.
     #[display("the lease cannot be confirmed: {_0}")]
     Unconfirmed(PlatformError),
@@ -159,14 +159,14 @@
     /// # Errors
     ///
     /// If the row cannot be read, or another VM has the lease.
-    pub async fn permit(&self) -> Result<OrderPermit, NoPermit> {
+    pub async fn permit(&self) -> Result<OrderPermit, PermitError> {
         if self.held().is_none() {
-            return Err(NoPermit::NotHeld);
+            return Err(PermitError::NotHeld);
         }
         let _calling = self.calling.lock().await;
-        self.read().await.map_err(NoPermit::Unconfirmed)?;
+        self.read().await.map_err(PermitError::Unconfirmed)?;
         let permit = self.lease.lock().permit(self.timer.now());
-        permit.ok_or(NoPermit::NotHeld)
+        permit.ok_or(PermitError::NotHeld)
     }
 
     fn want(&self, wanted: bool) {
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -66,7 +66,7 @@
     bundle_store::{Applied, BundleStore, BundleStoreSettings},
     bundle_watch::{BundleWatch, FetchBundle},
     claim_settings::ClaimSettings,
-    claims::{AnswerToRecord, ClaimRequest, Claims},
+    claims::{ResponseToRecord, ClaimRequest, Claims},
     ctl::run_ctl,
     daemon::run_daemon,
     drain::{Drain, InFlight},
@@ -76,8 +76,8 @@
     generations::Generations,
     gossip::{Gossip, GossipSources},
     kernel::Kernel,
-    keyed::Keyed,
-    leases::{LeaseHandle, Leases, NoPermit},
+    resumable_state::ResumableState,
+    leases::{LeaseHandle, Leases, PermitError},
     logging::{start_decision_log, start_logging},
     metrics_page::metrics_text,
     node::Node,
@@ -92,11 +92,11 @@
     read_bundle::{ReadBundle, read_bundle, read_canonical},
     service_name::ServiceName,
     settings::{Command, HELP, Settings},
-    team_limits::{SliceAsk, TeamLimits},
+    team_limits::{TeamSliceRequest, TeamLimits},
     timeline::{Timeline, TimelineExtract, TimelineQuery, TimelineRecord},
     timer::Timer,
     upstream_handle::UpstreamHandle,
-    upstream_want::{NoUpstream, UpstreamWant},
+    upstream_query::{NoUpstream, UpstreamQuery},
     upstreams::Upstreams,
 };
 
@@ -105,7 +105,7 @@
 
 mod admission;
 mod admission_pool;
-mod agreement;
+mod coordination;
 mod attempt_stream;
 mod bundle_canonical;
 mod bundle_diff;
@@ -149,13 +149,13 @@
 /// The HTTP server and its connection limits.
 pub mod http_server;
 mod kernel;
-mod keyed;
-mod known;
+mod resumable_state;
+mod upstream_observer;
 mod lease_row;
 mod leases;
 mod logging;
 mod metrics_page;
-mod news;
+mod peer_updates;
 mod node;
 mod operator_api;
 mod operator_problem;
@@ -171,8 +171,8 @@
 mod peer_server;
 mod peer_socket;
 mod peers;
-mod place;
-mod plain_answer;
+mod slot_guard;
+mod plain_response;
 mod plain_api;
 mod plain_call;
 mod plain_calls;
@@ -199,6 +199,6 @@
 mod upstream_gossip;
 mod upstream_handle;
 mod upstream_state;
-mod upstream_want;
+mod upstream_query;
 mod upstreams;
-mod waiting_place;
+mod queued_request;
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::{
-    agreement::{AgreementParts, start_agreement},
+    coordination::{CoordinationParts, start_coordination},
     caller_api::CallerApi,
     http_server::Listener,
     metrics_page::start_metrics,
-    news::{read_list, start_news},
+    peer_updates::{read_list, start_peer_updates},
     operator_api::OperatorApi,
     slice_exchange::exchange_slices,
     upstream_gossip::gossip_upstreams,
@@ -79,14 +79,14 @@
         let bundle_watch = kernel.register(ServiceName::BundleWatch, bundle_watch)?;
         let claims = match &platform {
             Some(platform) => {
-                let parts = AgreementParts {
+                let parts = CoordinationParts {
                     platform: platform.clone(),
                     timer: timer.clone(),
                     timeline: timeline.clone(),
                     connections: connections.clone(),
                     bundle: bundle.clone(),
                 };
-                Some(start_agreement(&kernel, &settings, parts)?)
+                Some(start_coordination(&kernel, &settings, parts)?)
             }
             None => None,
         };
@@ -111,7 +111,7 @@
         if let Some(peers) = &peers {
             kernel.register(ServiceName::Peers, peers.clone())?;
             gossip_upstreams(peers, &upstreams);
-            start_news(peers, &bundle_watch, &upstreams, &bundle);
+            start_peer_updates(peers, &bundle_watch, &upstreams, &bundle);
             exchange_slices(peers, &limits, &timer);
         }
         if let Some(platform) = platform.clone() {
--- a/crates/catkinward/src/news.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -13,7 +13,7 @@
 const LIST_PERIOD: Duration = Duration::from_secs(2);
 
 /// Joins the exchange between VMs with the parts that have news.
-pub(crate) fn start_news(
+pub(crate) fn start_peer_updates(
     peers: &Arc<Peers>,
     watch: &Arc<BundleWatch>,
     upstreams: &Arc<Upstreams>,
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{
     admission_pool::{AdmissionPool, Refusal},
-    plain_answer::PlainAnswer,
+    plain_response::PlainResponse,
     plain_call::PlainCall,
     plain_dispatch::PlainDispatch,
     problem::{Problem, ProblemKind},
@@ -23,7 +23,7 @@
 }
 
 /// Makes a call of a plain service.
-pub(crate) async fn call_plain(node: Arc<Node>, call: PlainCall) -> Result<PlainAnswer, Problem> {
+pub(crate) async fn call_plain(node: Arc<Node>, call: PlainCall) -> Result<PlainResponse, Problem> {
     let pool = node.admission.pool(&call.service);
     let dispatch = PlainDispatch { node, pool };
     let request = call.id.clone();
@@ -48,7 +48,7 @@
 }
 
 /// Makes a call of which only so many for one item are under way.
-async fn call_counted(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainAnswer, Problem> {
+async fn call_counted(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainResponse, Problem> {
     let key = call.item_key();
     if !dispatch.pool.hot_keys.lock().enter(&key) {
         let refusal = Refusal {
@@ -71,7 +71,7 @@
 }
 
 /// Makes a read, or gets the answer of one like it that is under way.
-async fn call_merged(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainAnswer, Problem> {
+async fn call_merged(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainResponse, Problem> {
     let leader = match ReadLeader::join(&dispatch.pool, &call.read_key()) {
         Ok(leader) => leader,
         Err(rx) => {
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::{
     admission_pool::Refusal,
-    claims::{AnswerToRecord, ClaimRequest, Claims},
-    place::Place,
-    plain_answer::PlainAnswer,
+    claims::{ResponseToRecord, ClaimRequest, Claims},
+    slot_guard::SlotGuard,
+    plain_response::PlainResponse,
     plain_call::PlainCall,
     plain_dispatch::{PlainDispatch, refused},
     plain_send::{SendError, send},
@@ -21,7 +21,7 @@
         &self,
         call: PlainCall,
         key: IdempotencyKey,
-    ) -> Result<PlainAnswer, Problem> {
+    ) -> Result<PlainResponse, Problem> {
         let Some(claims) = self.node.claims.clone() else {
             return self.call_once(call).await;
         };
@@ -68,7 +68,7 @@
         &self,
         claims: Arc<Claims>,
         claimed: Claimed<PlainCall>,
-    ) -> Result<PlainAnswer, Problem> {
+    ) -> Result<PlainResponse, Problem> {
         let dispatch = self.clone();
         let in_flight = self.node.drain.enter();
         let task = tokio::spawn(async move {
@@ -82,7 +82,7 @@
         &self,
         claims: &Arc<Claims>,
         claimed: Claimed<PlainCall>,
-    ) -> Result<PlainAnswer, Problem> {
+    ) -> Result<PlainResponse, Problem> {
         let mut place = match self.place(claimed.request()).await {
             Ok(place) => place,
             Err(refusal) => {
@@ -111,7 +111,7 @@
         }
     }
 
-    async fn place(&self, call: &PlainCall) -> Result<Place, Refusal> {
+    async fn place(&self, call: &PlainCall) -> Result<SlotGuard, Refusal> {
         let waiting = self.pool.offer(&call.arrival(), self.chooser(Vec::new()))?;
         waiting.granted().await
     }
@@ -128,19 +128,19 @@
     }
 }
 
-fn to_record(answer: &PlainAnswer) -> AnswerToRecord {
+fn to_record(answer: &PlainResponse) -> ResponseToRecord {
     let headers = answer.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
         Some((name.as_str().into(), value.into()))
     });
-    AnswerToRecord {
+    ResponseToRecord {
         status: answer.status.as_u16(),
         headers: headers.collect(),
         body: answer.body.clone(),
     }
 }
 
-async fn replay(claims: &Claims, answer: RecordedResponse) -> Result<PlainAnswer, Problem> {
+async fn replay(claims: &Claims, answer: RecordedResponse) -> Result<PlainResponse, Problem> {
     let body = match claims.body(&answer.body).await {
         Ok(Some(body)) => body,
         Ok(None) => return Err(ProblemKind::AnswerTooLarge.into()),
@@ -150,7 +150,7 @@
         let name: header::HeaderName = name.parse().ok()?;
         Some((name, value.parse().ok()?))
     });
-    Ok(PlainAnswer {
+    Ok(PlainResponse {
         status: StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK),
         headers: headers.collect(),
         body,
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::{
     admission_pool::{AdmissionPool, ChooseUpstream, Refusal},
-    place::Place,
-    plain_answer::PlainAnswer,
+    slot_guard::SlotGuard,
+    plain_response::PlainResponse,
     plain_call::PlainCall,
     plain_send::{SendError, SendOptions, send},
     problem::{Problem, ProblemKind},
@@ -23,7 +23,7 @@
     /// Dispatches a call that may not be repeated: once, over a connection of its own, and never
     /// again. A kept connection may have been closed by the other end just now, and an error on it
     /// would leave it open whether the call has run.
-    pub(crate) async fn call_once(&self, call: PlainCall) -> Result<PlainAnswer, Problem> {
+    pub(crate) async fn call_once(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
         let (queued, mut place) = self.admitted(call).await?;
         let options = self.options(queued.request(), true);
         let dispatched = queued.dispatch();
@@ -36,7 +36,7 @@
     }
 
     /// Dispatches an idempotent call, again while the retry budget pays for it.
-    pub(crate) async fn call_repeatedly(&self, call: PlainCall) -> Result<PlainAnswer, Problem> {
+    pub(crate) async fn call_repeatedly(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
         let (queued, mut place) = self.admitted(call).await?;
         let mut dispatched = queued.dispatch();
         let mut avoid = Vec::new();
@@ -79,7 +79,7 @@
         });
     }
 
-    async fn admitted(&self, call: PlainCall) -> Result<(Queued<PlainCall>, Place), Problem> {
+    async fn admitted(&self, call: PlainCall) -> Result<(Queued<PlainCall>, SlotGuard), Problem> {
         let queued = Queued::new(call);
         let waiting = match self
             .pool
@@ -98,10 +98,10 @@
     /// The loser is cancelled by being dropped.
     async fn send_hedged(
         &self,
-        mut place: Place,
+        mut place: SlotGuard,
         call: &PlainCall,
         avoid: &mut Vec<UpstreamId>,
-    ) -> Result<PlainAnswer, SendError> {
+    ) -> Result<PlainResponse, SendError> {
         let start = self.pool.timer.now();
         self.record(EventKind::Dispatched, call, place.id());
         let connections = &self.node.connections;
@@ -138,8 +138,8 @@
     fn observed(
         &self,
         start: Instant,
-        answer: Result<PlainAnswer, SendError>,
-    ) -> Result<PlainAnswer, SendError> {
+        answer: Result<PlainResponse, SendError>,
+    ) -> Result<PlainResponse, SendError> {
         if answer.is_ok() {
             let latency = self.pool.timer.now().since(start);
             self.pool.hedge.lock().answered(latency);
@@ -147,7 +147,7 @@
         answer
     }
 
-    fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<Place> {
+    fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let choose = self.chooser(avoid.to_vec());
         let place = self.pool.take(Lane::Quick, false, choose)?;
         if !self.pool.hedge.lock().pay(true) {
@@ -158,7 +158,7 @@
     }
 
     /// A place for a retry: on an upstream that has not failed this call, if there is one.
-    fn place_again(&self, avoid: &[UpstreamId]) -> Option<Place> {
+    fn place_again(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let elsewhere = self.chooser(avoid.to_vec());
         let anywhere = self.chooser(Vec::new());
         let choose = |taken: &[UpstreamId]| elsewhere(taken).or_else(|| anywhere(taken));
@@ -239,9 +239,9 @@
     taken: &[UpstreamId],
 ) -> Option<UpstreamHandle> {
     let avoid = [avoid, taken].concat();
-    let want = UpstreamWant {
+    let want = UpstreamQuery {
         avoid: &avoid,
-        ..UpstreamWant::new(service)
+        ..UpstreamQuery::new(service)
     };
     upstreams.choose(&want).ok()
 }
@@ -249,9 +249,9 @@
 /// The answer of the first of two copies, or else of the other. If both fail, it is known not to
 /// have run only if neither did.
 async fn either(
-    first: Result<PlainAnswer, SendError>,
-    other: impl Future<Output = Result<PlainAnswer, SendError>>,
-) -> Result<PlainAnswer, SendError> {
+    first: Result<PlainResponse, SendError>,
+    other: impl Future<Output = Result<PlainResponse, SendError>>,
+) -> Result<PlainResponse, SendError> {
     let fault = match first {
         Ok(answer) => return Ok(answer),
         Err(fault) => fault,
--- a/crates/catkinward/src/plain_answer.rs
+++ b/crates/catkinward/src/plain_response.rs
@@ -2,13 +2,13 @@
 
 /// The answer of a plain service.
 #[derive(Clone, Debug)]
-pub(crate) struct PlainAnswer {
+pub(crate) struct PlainResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl PlainAnswer {
+impl PlainResponse {
     /// The answer to the caller.
     pub(crate) fn response(self) -> Response {
         let mut response = Response::new(Body::from(self.body));
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::{
     http_client::HttpError,
-    place::Place,
-    plain_answer::PlainAnswer,
+    slot_guard::SlotGuard,
+    plain_response::PlainResponse,
     plain_call::{DEADLINE_HEADER, PlainCall},
     plain_headers::passed_on,
 };
@@ -23,10 +23,10 @@
 /// Sends a call to the upstream of its place and reads the whole answer, of `limit` bytes at most.
 pub(crate) async fn send(
     connections: &Connections,
-    place: &mut Place,
+    place: &mut SlotGuard,
     call: &PlainCall,
     dispatch: SendOptions,
-) -> Result<PlainAnswer, SendError> {
+) -> Result<PlainResponse, SendError> {
     let bound = dispatch.bound;
     let http_call = HttpCall {
         address: place.address(),
@@ -66,7 +66,7 @@
     pub(crate) limit: usize,
 }
 
-fn answered(place: &mut Place, answer: PlainAnswer) -> Result<PlainAnswer, SendError> {
+fn answered(place: &mut SlotGuard, answer: PlainResponse) -> Result<PlainResponse, SendError> {
     if let Some(kind) = refusal_kind(&answer) {
         if kind == engine::EngineRefusalKind::Full {
             place.overloaded();
@@ -83,7 +83,7 @@
 
 /// An upstream's word that it did not run this call, as the border defines it. Any other answer, and
 /// any other body of that status, is the service's own and is passed on.
-fn refusal_kind(answer: &PlainAnswer) -> Option<engine::EngineRefusalKind> {
+fn refusal_kind(answer: &PlainResponse) -> Option<engine::EngineRefusalKind> {
     if answer.status != StatusCode::CONFLICT {
         return None;
     }
@@ -99,7 +99,7 @@
     connections: &Connections,
     call: HttpCall,
     limit: usize,
-) -> Result<PlainAnswer, SendError> {
+) -> Result<PlainResponse, SendError> {
     let response = connections
         .call(call)
         .await
@@ -114,7 +114,7 @@
                 Err(_) => SendError::Lost,
             },
         )?;
-    Ok(PlainAnswer {
+    Ok(PlainResponse {
         status: parts.status,
         headers: passed_on(&parts.headers),
         body: body.to_bytes(),
--- a/crates/catkinward/src/waiting_place.rs
+++ b/crates/catkinward/src/queued_request.rs
@@ -1,22 +1,22 @@
 use super::*;
 use crate::{
     admission_pool::{AdmissionPool, Refusal},
-    place::Place,
+    slot_guard::SlotGuard,
 };
 use tokio::sync::oneshot;
 
 /// A request's place in the queue, given back when it is dropped: a caller that left frees it.
-pub(crate) struct WaitingPlace {
+pub(crate) struct QueuedRequest {
     pool: Arc<AdmissionPool>,
     place: QueuePosition,
-    rx: oneshot::Receiver<Result<Place, Refusal>>,
+    rx: oneshot::Receiver<Result<SlotGuard, Refusal>>,
 }
 
-impl WaitingPlace {
+impl QueuedRequest {
     pub(crate) fn new(
         pool: Arc<AdmissionPool>,
         place: QueuePosition,
-        rx: oneshot::Receiver<Result<Place, Refusal>>,
+        rx: oneshot::Receiver<Result<SlotGuard, Refusal>>,
     ) -> Self {
         Self { pool, place, rx }
     }
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// If it cannot be had in time.
-    pub(crate) async fn granted(mut self) -> Result<Place, Refusal> {
+    pub(crate) async fn granted(mut self) -> Result<SlotGuard, Refusal> {
         (&mut self.rx).await.unwrap_or(Err(Refusal {
             reason: RefusalReason::NoUpstream,
             retry_after: Duration::ZERO,
@@ -34,7 +34,7 @@
     }
 }
 
-impl Drop for WaitingPlace {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         // Of no effect once the request has left the queue.
         self.pool.withdraw(self.place);
--- a/crates/catkinward/src/read_leader.rs
+++ b/crates/catkinward/src/read_leader.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::{admission_pool::AdmissionPool, plain_answer::PlainAnswer};
+use crate::{admission_pool::AdmissionPool, plain_response::PlainResponse};
 use tokio::sync::oneshot;
 
 /// What a read that was merged with another gets.
 pub(crate) enum Merged {
     /// The other's answer.
-    Answer(PlainAnswer),
+    Answer(PlainResponse),
     /// The other failed; this one is sent by itself now.
     Lead(ReadLeader),
 }
@@ -31,7 +31,7 @@
     }
 
     /// Hands the answer on to all who followed.
-    pub(crate) fn answered(mut self, answer: &PlainAnswer) {
+    pub(crate) fn answered(mut self, answer: &PlainResponse) {
         self.is_over = true;
         let followers = self.pool.reads.lock().answered(&self.key);
         for follower in followers {
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -6,7 +6,7 @@
     engine_client::{self, Reattach},
     engine_event::AttemptError,
     generation_driver::Driver,
-    place::Place,
+    slot_guard::SlotGuard,
     running_attempt::{AttemptGuard, RunningAttempt},
 };
 
@@ -68,7 +68,7 @@
     /// policy of least work the attempt is looked for and gone on with.
     pub(crate) async fn find_started(
         &self,
-        upstream: &Place,
+        upstream: &SlotGuard,
         order: &engine::EngineGenerate,
         fault: &AttemptError,
     ) -> Option<AttemptStream> {
@@ -126,7 +126,7 @@
     /// Asks an engine to go on with an attempt over a new connection.
     async fn reattach(
         &self,
-        upstream: &Place,
+        upstream: &SlotGuard,
         attempt: Attempt,
     ) -> Result<AttemptStream, AttemptError> {
         let reattach = Reattach {
@@ -143,7 +143,7 @@
     async fn race(
         &mut self,
         mut old: RunningAttempt,
-        other: Place,
+        other: SlotGuard,
     ) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         let second = match self.first_to_go_on(&old, other, &order).await? {
@@ -163,7 +163,7 @@
     async fn first_to_go_on(
         &self,
         old: &RunningAttempt,
-        other: Place,
+        other: SlotGuard,
         order: &engine::EngineGenerate,
     ) -> Result<Raced, AttemptError> {
         let mut probe = std::pin::pin!(self.reattached(old));
@@ -189,7 +189,7 @@
 
     async fn second_attempt(
         &self,
-        upstream: Place,
+        upstream: SlotGuard,
         order: &engine::EngineGenerate,
     ) -> Result<RunningAttempt, AttemptError> {
         let mut driver = Driver::new(self.node.clone(), self.generation.clone());
--- a/crates/catkinward/src/keyed.rs
+++ b/crates/catkinward/src/resumable_state.rs
@@ -2,14 +2,14 @@
 
 /// What a generation has whose caller gave an idempotency key, and can come back with it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Keyed {
+pub struct ResumableState {
     /// The chain of the tokens that this VM delivers.
     pub chain: ChainId,
     /// Chains that it goes on from, the oldest first, each with the tokens taken over from it.
     pub lineage: Vec<(ChainId, TokenIndex)>,
 }
 
-impl Keyed {
+impl ResumableState {
     /// A chain of its own.
     #[must_use]
     pub fn begin() -> Self {
--- a/crates/catkinward/src/running_attempt.rs
+++ b/crates/catkinward/src/running_attempt.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::{attempt_stream::AttemptStream, engine_client, place::Place};
+use crate::{attempt_stream::AttemptStream, engine_client, slot_guard::SlotGuard};
 
 /// An attempt on its upstream.
 pub(crate) struct RunningAttempt {
-    pub(crate) upstream: Place,
+    pub(crate) upstream: SlotGuard,
     pub(crate) stream: AttemptStream,
     pub(crate) guard: AttemptGuard,
 }
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -64,8 +64,8 @@
 }
 
 /// Asks one home. Without an answer the slices run out, and the floors remain.
-async fn ask_home(peers: &Arc<Peers>, limits: &TeamLimits, sharers: &Sharers, asks: &[SliceAsk]) {
-    let Some(SliceAsk { home, asked, .. }) = asks.first() else {
+async fn ask_home(peers: &Arc<Peers>, limits: &TeamLimits, sharers: &Sharers, asks: &[TeamSliceRequest]) {
+    let Some(TeamSliceRequest { home, asked, .. }) = asks.first() else {
         return;
     };
     let requests = asks.iter().map(|ask| ask.request.clone());
--- a/crates/catkinward/src/place.rs
+++ b/crates/catkinward/src/slot_guard.rs
@@ -3,7 +3,7 @@
 use std::ops::Deref;
 
 /// A place at an upstream, given back when it is dropped.
-pub(crate) struct Place {
+pub(crate) struct SlotGuard {
     pool: Arc<AdmissionPool>,
     lane: Lane,
     upstream: UpstreamHandle,
@@ -12,7 +12,7 @@
     has_ended: bool,
 }
 
-impl Place {
+impl SlotGuard {
     pub(crate) fn new(pool: Arc<AdmissionPool>, lane: Lane, upstream: UpstreamHandle) -> Self {
         Self {
             since: pool.timer.now(),
@@ -47,7 +47,7 @@
     }
 }
 
-impl Deref for Place {
+impl Deref for SlotGuard {
     type Target = UpstreamHandle;
 
     fn deref(&self) -> &UpstreamHandle {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let held = self.has_ended.then(|| self.held());
         self.pool.leave(self.lane, self.upstream.id(), held);
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -38,7 +38,7 @@
 
 /// A slice to ask for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SliceAsk {
+pub struct TeamSliceRequest {
     /// The home of the limit.
     pub home: VmId,
     /// What to ask it.
@@ -85,12 +85,12 @@
     /// Slices to ask for, of the limits that callers lately used here, from their homes among
     /// `vms`.
     #[must_use]
-    pub fn asks(&self, vms: &[VmId]) -> Vec<SliceAsk> {
+    pub fn asks(&self, vms: &[VmId]) -> Vec<TeamSliceRequest> {
         let now = self.timer.now();
         let mut slices = self.slices.lock();
         let asks = slices.iter_mut().filter_map(|entry| {
             let demand = entry.slice.demand(now);
-            Some(SliceAsk {
+            Some(TeamSliceRequest {
                 home: home_of(&entry.team, entry.kind, vms)?,
                 request: SliceRequest {
                     team: entry.team.clone(),
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -2,7 +2,7 @@
 use crate::{
     engine_event::AttemptError,
     http_client::HttpError,
-    known::{Known, load_call},
+    upstream_observer::{UpstreamObserver, load_call},
     upstream_state::{UpstreamState, read_report},
 };
 
@@ -11,7 +11,7 @@
 /// It is made from an [`Eligible`] only, and orders are sent to handles only, so that no work goes
 /// to an upstream that may get none.
 pub struct UpstreamHandle {
-    known: Arc<Known>,
+    known: Arc<UpstreamObserver>,
     state: Arc<UpstreamState>,
     incarnation: Incarnation,
     /// None for a request that runs there already and is only held.
@@ -26,7 +26,7 @@
 impl UpstreamHandle {
     /// A hold for new work.
     pub(crate) fn new(
-        known: &Arc<Known>,
+        known: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         eligible: Eligible,
         run: Option<PoisonRun>,
@@ -41,7 +41,7 @@
 
     /// A hold for a request that runs there already.
     pub(crate) fn held(
-        known: &Arc<Known>,
+        known: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         incarnation: Incarnation,
     ) -> Self {
--- a/crates/catkinward/src/known.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -20,7 +20,7 @@
 const TELLINGS: u32 = 8;
 
 /// What requests and polls tell of upstreams.
-pub(crate) struct Known {
+pub(crate) struct UpstreamObserver {
     pub(crate) timer: Arc<Timer>,
     pub(crate) connections: Arc<Connections>,
     timeline: Arc<Timeline>,
@@ -31,7 +31,7 @@
     untold: Mutex<Vec<(UpstreamId, Incarnation, u32)>>,
 }
 
-impl Known {
+impl UpstreamObserver {
     pub(crate) fn new(
         timer: &Arc<Timer>,
         connections: &Arc<Connections>,
--- a/crates/catkinward/src/upstream_want.rs
+++ b/crates/catkinward/src/upstream_query.rs
@@ -2,7 +2,7 @@
 
 /// What a request wants of an upstream.
 #[derive(Clone, Debug)]
-pub struct UpstreamWant<'a> {
+pub struct UpstreamQuery<'a> {
     /// The service asked for.
     pub service: &'a ServiceId,
     /// The model that must be loaded; none for a plain service.
@@ -21,7 +21,7 @@
 /// Bytes of a text that decide where it is cached.
 const PREFIX_LEN: usize = 256;
 
-impl<'a> UpstreamWant<'a> {
+impl<'a> UpstreamQuery<'a> {
     /// A request of a service that wants nothing else.
     #[must_use]
     pub fn new(service: &'a ServiceId) -> Self {
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{known::Known, upstream_handle::UpstreamHandle, upstream_state::UpstreamState};
+use crate::{upstream_observer::UpstreamObserver, upstream_handle::UpstreamHandle, upstream_state::UpstreamState};
 
 /// How often each upstream of the subset is asked for its load.
 const POLL_PERIOD: Duration = Duration::from_millis(500);
@@ -9,7 +9,7 @@
 
 /// The upstreams of the bundle in force and what is known of them.
 pub struct Upstreams {
-    known: Arc<Known>,
+    known: Arc<UpstreamObserver>,
     vm: VmId,
     zone: AvailabilityZone,
     /// Of the whole bundle, sorted by id.
@@ -30,7 +30,7 @@
         settings: &Settings,
     ) -> Arc<Self> {
         let upstreams = Arc::new(Self {
-            known: Arc::new(Known::new(timer, connections, timeline)),
+            known: Arc::new(UpstreamObserver::new(timer, connections, timeline)),
             vm: settings.vm.clone(),
             zone: settings.zone.clone(),
             states: RwLock::default(),
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// If none may get it.
-    pub fn choose(&self, want: &UpstreamWant<'_>) -> Result<UpstreamHandle, NoUpstream> {
+    pub fn choose(&self, want: &UpstreamQuery<'_>) -> Result<UpstreamHandle, NoUpstream> {
         let now = self.known.timer.now();
         let mut poison = self.known.poison.lock();
         if want
@@ -293,7 +293,7 @@
     fn may_start(
         &self,
         poison: &PoisonTracker,
-        want: &UpstreamWant<'_>,
+        want: &UpstreamQuery<'_>,
         state: &UpstreamState,
         now: Instant,
     ) -> bool {
@@ -317,7 +317,7 @@
     fn candidate(
         &self,
         state: &UpstreamState,
-        want: &UpstreamWant<'_>,
+        want: &UpstreamQuery<'_>,
         prefix: Option<&str>,
         now: Instant,
     ) -> Option<Candidate> {
--- a/crates/standins/examples/claim_rate.rs
+++ b/crates/standins/examples/claim_rate.rs
@@ -8,7 +8,7 @@
 use catkin_decisions::{ClaimKind, ClaimVerdict, Incarnation, RequestDigest, TeamId};
 use catkin_standins::PlatformServer;
 use catkinward::{
-    AnswerToRecord, ClaimRequest, ClaimSettings, Claims, Platform, PlatformSettings, Timeline,
+    ResponseToRecord, ClaimRequest, ClaimSettings, Claims, Platform, PlatformSettings, Timeline,
     Timer, http_client::Connections,
 };
 use std::{
@@ -165,7 +165,7 @@
             continue;
         };
         waits.push(Some(asked.elapsed()));
-        let answer = AnswerToRecord {
+        let answer = ResponseToRecord {
             status: 201,
             headers: Vec::new(),
             body: Bytes::from_static(b"ticket"),
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -6,7 +6,7 @@
     TeamId, WallTime,
 };
 use catkin_standins::{ScriptedPlatform, TransactFate};
-use catkinward::{AnswerToRecord, ClaimRequest, ClaimSettings, Claims, Timeline, Timer};
+use catkinward::{ResponseToRecord, ClaimRequest, ClaimSettings, Claims, Timeline, Timer};
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
 
@@ -55,8 +55,8 @@
     }
 }
 
-fn answer(body: &str) -> AnswerToRecord {
-    AnswerToRecord {
+fn answer(body: &str) -> ResponseToRecord {
+    ResponseToRecord {
         status: 201,
         headers: vec![("content-type".into(), "text/plain".into())],
         body: Bytes::copy_from_slice(body.as_bytes()),
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -9,7 +9,7 @@
     EngineServer, EngineSettings, ScriptedPlatform, TransactFate, WeightStore, demo_bundle,
 };
 use catkinward::{
-    BundleInForce, EventKind, Leases, NoPermit, OrderRight, Orders, Platform, PlatformError,
+    BundleInForce, EventKind, Leases, PermitError, OrderRight, Orders, Platform, PlatformError,
     ReadBundle, Timeline, TimelineQuery, Timer, http_client::Connections, read_bundle,
 };
 use googletest::prelude::*;
@@ -382,8 +382,8 @@
     expect_that!(
         refused,
         err(any![
-            eq(&NoPermit::Unconfirmed(PlatformError::NotRun)),
-            eq(&NoPermit::NotHeld)
+            eq(&PermitError::Unconfirmed(PlatformError::NotRun)),
+            eq(&PermitError::NotHeld)
         ])
     );
 }
