--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -2,10 +2,10 @@
 
 use super::{
     accepted_call::AcceptedCall,
-    beliefs::show_beliefs,
+    gauges::update_gauges,
     health_check::{adopt, watch_upstreams},
     reply_log::{CallerWatch, count_reply, log_own_reply, millis},
-    shutdown::Leaving,
+    shutdown::Shutdown,
     stream_call::call_stream,
     whole_call::call_whole,
     *,
@@ -55,7 +55,7 @@
     pub(crate) transport: UpstreamTransport,
     pub(crate) state: Mutex<GatewayState>,
     pub(crate) log: CallLog,
-    pub(crate) leaving: Mutex<Option<Leaving>>,
+    pub(crate) leaving: Mutex<Option<Shutdown>>,
     /// Whether a configuration and upstreams are known, and not from before a time in which this process
     /// did not run.
     known: watch::Sender<bool>,
@@ -80,7 +80,7 @@
     /// Tells that news of the zone came.
     pub(crate) gossip_came: Notify,
     /// Newest configuration that another VM of the zone has in force.
-    pub(crate) zone_config: watch::Sender<Option<ToldConfig>>,
+    pub(crate) zone_config: watch::Sender<Option<AdvertisedConfig>>,
     /// Counts how often a feed noticed that the store answers again.
     pub(crate) store_returns: watch::Sender<u64>,
     /// This life of this VM's process.
@@ -140,7 +140,7 @@
             timer,
         });
         tokio::spawn(watch_upstreams(Arc::downgrade(&gateway)));
-        tokio::spawn(show_beliefs(Arc::downgrade(&gateway)));
+        tokio::spawn(update_gauges(Arc::downgrade(&gateway)));
         gateway
     }
 
--- a/crates/catkinward/src/gateway/beliefs.rs
+++ b/crates/catkinward/src/gateway/gauges.rs
@@ -7,7 +7,7 @@
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// Sets the gauges until the gateway is gone.
-pub(crate) async fn show_beliefs(gateway: Weak<Gateway>) {
+pub(crate) async fn update_gauges(gateway: Weak<Gateway>) {
     let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(PERIOD)) else {
         return;
     };
--- a/crates/catkinward/src/gateway/kept_copy.rs
+++ b/crates/catkinward/src/gateway/kv_copy.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// A copy of a run's memory, counted at its holder until it is dropped.
-pub(crate) struct KeptCopy {
+pub(crate) struct KvCopy {
     gateway: Arc<Gateway>,
     /// The upstream that keeps it.
     pub(crate) holder: Arc<UpstreamEntry>,
@@ -11,7 +11,7 @@
     to_free: bool,
 }
 
-impl KeptCopy {
+impl KvCopy {
     /// The copy that an upstream is told to keep of a run as it grows. It bears the call's name.
     pub(crate) fn growing(
         gateway: &Arc<Gateway>,
@@ -67,7 +67,7 @@
     }
 }
 
-impl Drop for KeptCopy {
+impl Drop for KvCopy {
     fn drop(&mut self) {
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
--- a/crates/catkinward/src/gateway/copy_keeper.rs
+++ b/crates/catkinward/src/gateway/kv_copy_manager.rs
@@ -9,7 +9,7 @@
 //! upstreams. When the own zone is cut off then, its caller is still here, and both are out of reach. So such
 //! a run gets a second copy, in the own zone.
 
-use super::{accepted_call::AcceptedCall, kept_copy::KeptCopy, *};
+use super::{accepted_call::AcceptedCall, kv_copy::KvCopy, *};
 
 /// How often the holder is looked at.
 const COPY_LOOK: Duration = Duration::from_millis(200);
@@ -22,12 +22,12 @@
 const FAULT_WAIT: Duration = Duration::from_millis(400);
 
 /// The copies of one run.
-pub(crate) struct CopyKeeper {
+pub(crate) struct KvCopyManager {
     gateway: Arc<Gateway>,
     /// Grows with the run.
-    growing: Option<KeptCopy>,
+    growing: Option<KvCopy>,
     /// Was made later, with its time.
-    made: Option<(KeptCopy, Instant)>,
+    made: Option<(KvCopy, Instant)>,
     making: Option<Making>,
     not_before: Instant,
     /// When to look again. Kept, since waits are cut short by every event of the stream.
@@ -39,8 +39,8 @@
     answer: BoxFuture<'static, Result<CopySource, CopyError>>,
 }
 
-impl CopyKeeper {
-    pub(crate) fn new(gateway: &Arc<Gateway>, growing: Option<KeptCopy>) -> Self {
+impl KvCopyManager {
+    pub(crate) fn new(gateway: &Arc<Gateway>, growing: Option<KvCopy>) -> Self {
         Self {
             gateway: gateway.clone(),
             growing,
@@ -53,9 +53,9 @@
 
     /// The best copy that there is: the one that grew with the run, which lacks least. After a silence, in
     /// which the own zone may have been cut off, one in the own zone goes first.
-    pub(crate) fn into_best(self, after_silence: bool) -> Option<KeptCopy> {
-        let growing = self.growing.filter(KeptCopy::is_usable);
-        let made = self.made.map(|(copy, _)| copy).filter(KeptCopy::is_usable);
+    pub(crate) fn into_best(self, after_silence: bool) -> Option<KvCopy> {
+        let growing = self.growing.filter(KvCopy::is_usable);
+        let made = self.made.map(|(copy, _)| copy).filter(KvCopy::is_usable);
         let own = &self.gateway.settings.zone;
         match (growing, made) {
             (Some(growing), Some(made))
@@ -94,7 +94,7 @@
                 {
                     before.keep();
                 }
-                let copy = KeptCopy::ordered(&self.gateway, holder, source);
+                let copy = KvCopy::ordered(&self.gateway, holder, source);
                 self.made = Some((copy, now));
             }
             Err(fault) => {
@@ -108,7 +108,7 @@
     /// Orders a copy if there is none that will do.
     pub(crate) fn look(&mut self, accepted: &AcceptedCall, run: &Arc<UpstreamEntry>) {
         let now = self.gateway.timer.now();
-        let grows = self.growing.as_ref().is_some_and(KeptCopy::is_usable);
+        let grows = self.growing.as_ref().is_some_and(KvCopy::is_usable);
         let exposed = grows && self.is_exposed(run);
         if !grows && !self.gateway.settings.policy.remade_copies {
             return;
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -10,7 +10,7 @@
         readiness::{Readiness, ServicesSeen},
         rollouts::OwnedRollout,
         state::{Among, DirectoryRead, GatewayState},
-        zone_config::ToldConfig,
+        zone_config::AdvertisedConfig,
     },
     super::{
         Arc, AtomicU32, AtomicU64, AvailabilityZone, Bytes, Debug, Display, Drain, Duration,
@@ -50,39 +50,39 @@
     rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWritten, WriteRecord},
     rollout_task::follow_rollouts,
     upstream_transport::{
-        AnswerBody, BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport,
-        SendError, UpstreamAnswer, UpstreamCall, UpstreamTransport,
+        ResponseBody, BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport,
+        SendError, UpstreamResponse, UpstreamCall, UpstreamTransport,
     },
 };
 
 /// Age up to which what one VM has read of the platform is of use to another: changes are read within
 /// two seconds, so an older one is itself turned away.
-pub const MIRROR_AGE: Duration = Duration::from_millis(2200);
+pub const MIRROR_MAX_AGE: Duration = Duration::from_millis(2200);
 
 /// Pause after a connection could not be accepted, mostly for want of descriptors: long enough for
 /// some to be closed, short against a caller's patience of a second.
-pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How often the settings file is looked at for a change that nobody told of: a small file, read twice in
 /// the time in which a configuration must be in force.
-pub const SETTINGS_LOOK: Duration = Duration::from_secs(1);
+pub const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often the limits on callers' connections are looked at; they are seconds.
-pub const LIMITS_LOOK: Duration = Duration::from_millis(250);
+pub const LIMITS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long idle connections to upstreams are kept: longer than any call may use one.
-pub const KEPT_IDLE: Duration = Duration::from_secs(5);
+pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod accepted_call;
-mod beliefs;
+mod gauges;
 mod call;
 mod call_log;
-mod copy_keeper;
+mod kv_copy_manager;
 mod core;
 mod dispatches;
 mod feed;
 mod health_check;
-mod kept_copy;
+mod kv_copy;
 mod outbox;
 mod peer_heartbeats;
 mod prompt_search;
--- a/crates/catkinward/src/gateway/shutdown.rs
+++ b/crates/catkinward/src/gateway/shutdown.rs
@@ -14,14 +14,14 @@
 
 /// A shutdown that has begun.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Leaving {
+pub(crate) struct Shutdown {
     /// Until when callers still come that could not know of it.
     served_until: Instant,
     /// When the process ends at the latest.
     ends: Instant,
 }
 
-impl Leaving {
+impl Shutdown {
     /// Whether a call may still be taken that takes up to `needs`.
     ///
     /// Where most VMs of an availability zone shut down together, the platform sends callers to them
@@ -47,7 +47,7 @@
         tracing::info!(in_flight = self.drain.in_flight(), "shutdown begun");
         self.drain.begin();
         let ends = self.timer.now().after(grace.saturating_sub(LAST_MOMENT));
-        *self.leaving.lock() = Some(Leaving {
+        *self.leaving.lock() = Some(Shutdown {
             served_until: self.timer.now().after(LEAVES_ROTATION),
             ends,
         });
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -2,8 +2,8 @@
 
 use super::{
     accepted_call::AcceptedCall,
-    copy_keeper::CopyKeeper,
-    kept_copy::KeptCopy,
+    kv_copy_manager::KvCopyManager,
+    kv_copy::KvCopy,
     reply::StreamCut,
     reply_log::{log_caller_left, millis},
     run_guard::RunGuard,
@@ -28,7 +28,7 @@
     pub(super) relay: EventRelay,
     pub(super) active: Option<ActiveRun>,
     /// A copy of the memory of the run before.
-    pub(super) copy: Option<KeptCopy>,
+    pub(super) copy: Option<KvCopy>,
     /// Tokens of its prompt that engines hold, sorted by engine.
     pub(super) cached: Vec<(UpstreamIncarnation, u32)>,
     /// Upstreams that lost or refused it.
@@ -66,8 +66,8 @@
 pub(super) struct ActiveRun {
     pub(super) number: EventRun,
     pub(super) guard: RunGuard,
-    pub(super) copies: CopyKeeper,
-    pub(super) body: AnswerBody,
+    pub(super) copies: KvCopyManager,
+    pub(super) body: ResponseBody,
     pub(super) splitter: EventSplitter,
     pub(super) gave_events: bool,
     /// When something came last.
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -1,9 +1,9 @@
 //! How a stream's runs begin: which upstream, from which copy, and what its answer means.
 
 use super::{
-    copy_keeper::CopyKeeper,
+    kv_copy_manager::KvCopyManager,
     health_check::probe,
-    kept_copy::KeptCopy,
+    kv_copy::KvCopy,
     retries::{CALL_PATIENCE, STREAM_PATIENCE},
     reply::StreamCut,
     reply_log::millis,
@@ -37,7 +37,7 @@
                 return Err(self.stop());
             }
             self.send_paid = false;
-            let mut from = self.copy.take().filter(KeptCopy::is_usable);
+            let mut from = self.copy.take().filter(KvCopy::is_usable);
             if let Some(copy) = &mut from {
                 copy.keep();
             }
@@ -162,7 +162,7 @@
     async fn send(
         &mut self,
         entry: Arc<UpstreamEntry>,
-        from: Option<KeptCopy>,
+        from: Option<KvCopy>,
     ) -> Result<bool, StreamStop> {
         self.sends += 1;
         let gateway = self.gateway.clone();
@@ -190,7 +190,7 @@
         } else {
             self.tokens_to_read(&entry)
         };
-        let copy = copy.map(|holder| KeptCopy::growing(&gateway, holder, &self.accepted.call.id));
+        let copy = copy.map(|holder| KvCopy::growing(&gateway, holder, &self.accepted.call.id));
         let mut guard = RunGuard::begin(&gateway, entry.clone(), tokens);
         let repeat = self.accepted.route.kind.may_repeat();
         let answer = tokio::select! {
@@ -222,8 +222,8 @@
     fn begun(
         &mut self,
         guard: RunGuard,
-        copy: Option<KeptCopy>,
-        answer: UpstreamAnswer,
+        copy: Option<KvCopy>,
+        answer: UpstreamResponse,
     ) -> Result<bool, StreamStop> {
         let entry = guard.entry.clone();
         self.gateway.heard(&entry, answer.load);
@@ -251,7 +251,7 @@
         self.active = Some(ActiveRun {
             number: self.relay.begin_run(),
             guard,
-            copies: CopyKeeper::new(&self.gateway, copy),
+            copies: KvCopyManager::new(&self.gateway, copy),
             body: answer.body,
             splitter: EventSplitter::default(),
             gave_events: false,
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -18,7 +18,7 @@
 
 /// Sends a call to an upstream.
 pub type SendCall = Box<
-    dyn Fn(UpstreamCall) -> BoxFuture<'static, Result<UpstreamAnswer, SendError>> + Send + Sync,
+    dyn Fn(UpstreamCall) -> BoxFuture<'static, Result<UpstreamResponse, SendError>> + Send + Sync,
 >;
 
 /// Asks an engine which parts of prompts it holds.
@@ -131,7 +131,7 @@
 }
 
 /// The head of an upstream's answer, and its body to come.
-pub struct UpstreamAnswer {
+pub struct UpstreamResponse {
     /// Its status.
     pub status: StatusCode,
     /// Headers that go to the caller as they are.
@@ -147,11 +147,11 @@
     /// The upstream's word on its load.
     pub load: Option<LoadReading>,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// The body of an upstream's answer.
-pub type AnswerBody = BoxStream<'static, Result<Bytes, BodyError>>;
+pub type ResponseBody = BoxStream<'static, Result<Bytes, BodyError>>;
 
 /// Why a call got no answer.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -310,7 +310,7 @@
     other_incarnation: bool,
 }
 
-async fn collect(answer: UpstreamAnswer) -> Result<CollectedAnswer, SendError> {
+async fn collect(answer: UpstreamResponse) -> Result<CollectedAnswer, SendError> {
     let head = CollectedHead {
         status: answer.status,
         headers: answer.headers,
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -17,7 +17,7 @@
 
 /// Configuration that another VM of the zone has in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct ToldConfig {
+pub(crate) struct AdvertisedConfig {
     /// Its version.
     pub(crate) version: ConfigVersion,
     /// Address of the notes of the VM that told of it first.
@@ -36,7 +36,7 @@
         self.zone_config.send_if_modified(|newest| {
             let newer = newest.is_none_or(|told| told.version < version);
             if newer {
-                *newest = Some(ToldConfig {
+                *newest = Some(AdvertisedConfig {
                     version,
                     by,
                     from_store,
@@ -75,7 +75,7 @@
 
     /// Waits until the zone tells of a newer configuration than is in force here; `None` as soon as the zone cannot
     /// be relied on for it.
-    pub(crate) async fn newer_config_in_zone(&self) -> Option<ToldConfig> {
+    pub(crate) async fn newer_config_in_zone(&self) -> Option<AdvertisedConfig> {
         let mut wakes = self.wakes.subscribe();
         let mut newest = self.zone_config.subscribe();
         loop {
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -14,8 +14,8 @@
 use catkinward::{
     Timer,
     gateway::{
-        AnswerBody, BodyError, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt,
-        Reply, SendError, UpstreamAnswer, UpstreamCall, UpstreamTransport,
+        ResponseBody, BodyError, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt,
+        Reply, SendError, UpstreamResponse, UpstreamCall, UpstreamTransport,
     },
 };
 use futures::{StreamExt, stream};
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -135,7 +135,7 @@
     }
 }
 
-async fn play(script: Script) -> Result<UpstreamAnswer, SendError> {
+async fn play(script: Script) -> Result<UpstreamResponse, SendError> {
     // An upstream takes a while.
     tokio::time::sleep(Duration::from_millis(5)).await;
     match script {
@@ -143,16 +143,16 @@
             let chunk = Ok(Bytes::from_static(body.as_bytes()));
             Ok(answer(status, stream::iter([chunk]).boxed()))
         }
-        Script::Unsigned(status) => Ok(UpstreamAnswer {
+        Script::Unsigned(status) => Ok(UpstreamResponse {
             signed: false,
             ..answer(status, stream::empty().boxed())
         }),
-        Script::NotExecuted => Ok(UpstreamAnswer {
+        Script::NotExecuted => Ok(UpstreamResponse {
             not_executed: true,
             signed: false,
             ..answer(StatusCode::SERVICE_UNAVAILABLE, stream::empty().boxed())
         }),
-        Script::OtherIncarnation(by) => Ok(UpstreamAnswer {
+        Script::OtherIncarnation(by) => Ok(UpstreamResponse {
             other_incarnation: true,
             incarnation: by.map(|by| by.parse().unwrap()),
             signed: false,
@@ -165,8 +165,8 @@
     }
 }
 
-fn answer(status: StatusCode, body: AnswerBody) -> UpstreamAnswer {
-    UpstreamAnswer {
+fn answer(status: StatusCode, body: ResponseBody) -> UpstreamResponse {
+    UpstreamResponse {
         status,
         headers: HeaderMap::new(),
         signed: true,
@@ -178,7 +178,7 @@
     }
 }
 
-fn scripted_body(parts: Vec<Part>, end: End) -> AnswerBody {
+fn scripted_body(parts: Vec<Part>, end: End) -> ResponseBody {
     let parts = stream::iter(parts).filter_map(|part| async move {
         match part {
             Part::Bytes(text) => Some(Ok(Bytes::from(text))),
