--- a/crates/catkinward/tests/bundle_store.rs
+++ b/crates/catkinward/tests/bundle_store.rs
@@ -1,7 +1,7 @@
 //! The bundle store on a platform whose answers are lost, late or refused.
 
 use catkin_decisions::{BundleAuthor, BundleVersion, DraftId};
-use catkin_standins::{ScriptedPlatform, TransactFate};
+use catkin_standins::{ScriptedPlatform, TransactOutcome};
 use catkinward::{Applied, BundleStore, BundleStoreSettings, Platform, PlatformCall, Result};
 use googletest::prelude::*;
 use std::{num::NonZeroU32, sync::Arc, time::Duration};
@@ -116,7 +116,7 @@
 
 /// Runs a step under the fates; returns whether its answer was settled, or its error, and whether
 /// it took effect in the end.
-async fn run(step: Step, fates: &[TransactFate]) -> (Result<bool>, bool) {
+async fn run(step: Step, fates: &[TransactOutcome]) -> (Result<bool>, bool) {
     let site = site();
     site.release("one").await;
     site.release("two").await;
@@ -139,7 +139,7 @@
         }
     };
     // Whatever is under way arrives before the next transaction.
-    site.platform.script([TransactFate::Answered]);
+    site.platform.script([TransactOutcome::Answered]);
     let _ = site.propose("six").await;
     let took_effect = match step {
         Step::Propose => {
@@ -164,13 +164,13 @@
 #[gtest]
 #[tokio::test]
 async fn each_step_tells_the_truth_under_each_fault() {
-    use TransactFate::{Answered, Late, LostAfterEffect, LostBeforeEffect, NotRun, Throttled};
+    use TransactOutcome::{Answered, Late, LostAfterEffect, LostBeforeEffect, NotRun, Throttled};
     const REFUSED: &str = "the platform is not available; nothing was changed";
     const LIMITED: &str = "the platform's rate limit is reached; nothing was changed";
     const IN_DOUBT: &str = "the platform's answer was lost, and reading back did not settle it: \
                             the change may have taken effect, or may yet; `catkinctl bundle \
                             status` tells once the platform answers";
-    let cases: [(&[TransactFate], std::result::Result<bool, &str>, bool); 10] = [
+    let cases: [(&[TransactOutcome], std::result::Result<bool, &str>, bool); 10] = [
         (&[Answered], Ok(false), true),
         (&[LostAfterEffect], Ok(true), true),
         (&[LostBeforeEffect, Answered], Ok(false), true),
@@ -204,8 +204,8 @@
 #[tokio::test]
 async fn loser_of_a_race_is_told_who_won() {
     for fates in [
-        [TransactFate::Answered; 2],
-        [TransactFate::LostAfterEffect; 2],
+        [TransactOutcome::Answered; 2],
+        [TransactOutcome::LostAfterEffect; 2],
     ] {
         let site = site();
         site.release("one").await;
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fleet_bundle::{PLAIN_SERVICE, team_key};
-use catkin_standins::PlainAnswer;
+use catkin_standins::PlainResponse;
 use catkinward::http_client::{Connections, HttpCall};
 
 /// How long a caller waits for its answer.
@@ -70,7 +70,7 @@
         let end = match connections.call_whole(call).await {
             Err(_) => QuickEnd::Lost,
             Ok((status, body)) if status.is_success() => {
-                match serde_json::from_slice::<PlainAnswer>(&body) {
+                match serde_json::from_slice::<PlainResponse>(&body) {
                     Ok(answer) if answer.digest == self.digest() => QuickEnd::Answered,
                     _ => QuickEnd::Crossed,
                 }
--- a/crates/standins/src/plain_server.rs
+++ b/crates/standins/src/plain_server.rs
@@ -33,7 +33,7 @@
 
 /// What a plain service answers: which request it ran.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// [`request_digest`] of the request.
     pub digest: u64,
     /// Runs of it on this upstream so far.
@@ -131,7 +131,7 @@
         match fault {
             PlainFault::LoseAnswer => std::future::pending().await,
             PlainFault::BreakOff => broken_answer(),
-            _ => Response::new(json_bytes(&PlainAnswer { digest, run }).into()),
+            _ => Response::new(json_bytes(&PlainResponse { digest, run }).into()),
         }
     }
 
--- a/crates/standins/src/scripted_platform.rs
+++ b/crates/standins/src/scripted_platform.rs
@@ -4,7 +4,7 @@
 
 /// Fate of one transaction of a [`ScriptedPlatform`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TransactFate {
+pub enum TransactOutcome {
     /// It runs and is answered.
     Answered,
     /// It runs, but its answer is lost.
@@ -28,14 +28,14 @@
 #[derive(Default)]
 struct Inner {
     store: PlatformStore,
-    fates: VecDeque<TransactFate>,
+    fates: VecDeque<TransactOutcome>,
     late: Vec<catkin_border::platform::TransactRequest>,
     out: bool,
 }
 
 impl ScriptedPlatform {
     /// Gives the next transactions these fates; those after them are answered.
-    pub fn script(&self, fates: impl IntoIterator<Item = TransactFate>) {
+    pub fn script(&self, fates: impl IntoIterator<Item = TransactOutcome>) {
         self.inner.lock().fates.extend(fates);
     }
 
@@ -87,19 +87,19 @@
         if inner.out {
             return Err(PlatformError::NotRun);
         }
-        match inner.fates.pop_front().unwrap_or(TransactFate::Answered) {
-            TransactFate::Answered => Ok(inner.store.transact(req)),
-            TransactFate::LostAfterEffect => {
+        match inner.fates.pop_front().unwrap_or(TransactOutcome::Answered) {
+            TransactOutcome::Answered => Ok(inner.store.transact(req)),
+            TransactOutcome::LostAfterEffect => {
                 inner.store.transact(req);
                 Err(PlatformError::Unknown)
             }
-            TransactFate::LostBeforeEffect => Err(PlatformError::Unknown),
-            TransactFate::Late => {
+            TransactOutcome::LostBeforeEffect => Err(PlatformError::Unknown),
+            TransactOutcome::Late => {
                 inner.late.push(req);
                 Err(PlatformError::Unknown)
             }
-            TransactFate::NotRun => Err(PlatformError::NotRun),
-            TransactFate::Throttled => Err(PlatformError::Throttled),
+            TransactOutcome::NotRun => Err(PlatformError::NotRun),
+            TransactOutcome::Throttled => Err(PlatformError::Throttled),
         }
     }
 
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -5,7 +5,7 @@
     ClaimKind, ClaimOutcome, ClaimVerdict, HeldClaim, Incarnation, RecordedResponse, RequestDigest,
     TeamId, WallTime,
 };
-use catkin_standins::{ScriptedPlatform, TransactFate};
+use catkin_standins::{ScriptedPlatform, TransactOutcome};
 use catkinward::{ResponseToRecord, ClaimRequest, ClaimSettings, Claims, Timeline, Timer};
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
@@ -102,12 +102,12 @@
 #[tokio::test]
 async fn every_fate_of_a_transaction_is_settled() {
     let fates = [
-        TransactFate::Answered,
-        TransactFate::LostAfterEffect,
-        TransactFate::LostBeforeEffect,
-        TransactFate::Late,
-        TransactFate::NotRun,
-        TransactFate::Throttled,
+        TransactOutcome::Answered,
+        TransactOutcome::LostAfterEffect,
+        TransactOutcome::LostBeforeEffect,
+        TransactOutcome::Late,
+        TransactOutcome::NotRun,
+        TransactOutcome::Throttled,
     ];
     for fate in fates {
         let platform = ScriptedPlatform::default();
@@ -166,14 +166,14 @@
 #[tokio::test]
 async fn an_outage_is_not_run_and_leaves_the_key_free() {
     for fate in [
-        TransactFate::NotRun,
-        TransactFate::LostAfterEffect,
-        TransactFate::Late,
+        TransactOutcome::NotRun,
+        TransactOutcome::LostAfterEffect,
+        TransactOutcome::Late,
     ] {
         let platform = ScriptedPlatform::default();
         let vm = vm(&platform, "vm-1");
         platform.script([fate]);
-        platform.script(std::iter::repeat_n(TransactFate::LostBeforeEffect, 100_000));
+        platform.script(std::iter::repeat_n(TransactOutcome::LostBeforeEffect, 100_000));
         let hurried = ClaimRequest {
             time_left: Duration::from_millis(50),
             ..order("k")
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -6,7 +6,7 @@
     VmId,
 };
 use catkin_standins::{
-    EngineServer, EngineSettings, ScriptedPlatform, TransactFate, WeightStore, demo_bundle,
+    EngineServer, EngineSettings, ScriptedPlatform, TransactOutcome, WeightStore, demo_bundle,
 };
 use catkinward::{
     BundleInForce, EventKind, Leases, PermitError, OrderRight, Orders, Platform, PlatformError,
@@ -346,12 +346,12 @@
 #[tokio::test]
 async fn a_lease_is_held_through_every_fate_of_its_writes() {
     let fates = [
-        TransactFate::Answered,
-        TransactFate::LostAfterEffect,
-        TransactFate::LostBeforeEffect,
-        TransactFate::Late,
-        TransactFate::NotRun,
-        TransactFate::Throttled,
+        TransactOutcome::Answered,
+        TransactOutcome::LostAfterEffect,
+        TransactOutcome::LostBeforeEffect,
+        TransactOutcome::Late,
+        TransactOutcome::NotRun,
+        TransactOutcome::Throttled,
     ];
     for fate in fates {
         let platform = ScriptedPlatform::default();
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -1,7 +1,7 @@
 //! The stand-in plain service: it counts runs, and fails on demand.
 
 use bytes::Bytes;
-use catkin_standins::{PlainAnswer, PlainFault, PlainServer, PlainSettings, request_digest};
+use catkin_standins::{PlainResponse, PlainFault, PlainServer, PlainSettings, request_digest};
 use catkinward::http_client::{Connections, HttpCall, HttpError};
 use googletest::prelude::*;
 use http::Method;
@@ -20,7 +20,7 @@
 async fn post(
     plain: &PlainServer,
     body: &'static str,
-) -> std::result::Result<PlainAnswer, HttpError> {
+) -> std::result::Result<PlainResponse, HttpError> {
     let call = HttpCall {
         address: plain.address(),
         method: Method::POST,
@@ -44,11 +44,11 @@
     let digest = request_digest("", b"reprint");
     expect_that!(
         first.expect("an answer"),
-        eq(&PlainAnswer { digest, run: 1 })
+        eq(&PlainResponse { digest, run: 1 })
     );
     expect_that!(
         second.expect("an answer"),
-        eq(&PlainAnswer { digest, run: 2 })
+        eq(&PlainResponse { digest, run: 2 })
     );
     expect_that!(plain.counts().of_digest(digest), eq(2));
 }
