--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    slot_guard::SlotGuard, read_leader::Merged, upstream_handle::UpstreamHandle, queued_request::QueuedRequest,
+    slot_guard::SlotGuard, read_leader::CoalescedRead, upstream_handle::UpstreamHandle, queued_request::QueuedRequest,
 };
 use strum::IntoEnumIterator;
 use tokio::sync::oneshot;
@@ -15,7 +15,7 @@
     pub(crate) retry_budget: Mutex<ServiceRetryBudget>,
     pub(crate) hedge: Mutex<Hedge>,
     pub(crate) hot_keys: Mutex<HotKeys>,
-    pub(crate) reads: Mutex<ReadCoalescer<oneshot::Sender<Merged>>>,
+    pub(crate) reads: Mutex<ReadCoalescer<oneshot::Sender<CoalescedRead>>>,
     queue: Mutex<AdmissionQueue<Waiting>>,
 }
 
--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -5,9 +5,9 @@
     generation_driver,
     generation_request::GenerationRequest,
     http_client::json_bytes,
-    metrics_page::metrics_page,
+    metrics_endpoint::metrics_response,
     problem::{Problem, ProblemKind},
-    returning_caller::find_or_begin,
+    generation_lookup::find_or_begin,
     queued_request::QueuedRequest,
 };
 
@@ -94,7 +94,7 @@
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/healthz") => Ok(Response::new("ok\n".into())),
             (&Method::GET, "/readyz") => self.ready(),
-            (&Method::GET, "/metrics") => Ok(metrics_page()),
+            (&Method::GET, "/metrics") => Ok(metrics_response()),
             (&Method::POST, "/v1/completions") => self.complete(req).await,
             (_, path) if path.starts_with("/v1/services/") => self.plain(req).await,
             _ => Err(ProblemKind::NoSuchPath.into()),
--- a/crates/catkinward/src/coordination.rs
+++ b/crates/catkinward/src/coordination.rs
@@ -22,7 +22,7 @@
 
 /// Starts claims, leases and orders, and returns the claims.
 pub(crate) fn start_coordination(
-    kernel: &Kernel,
+    kernel: &ServiceRegistry,
     settings: &Settings,
     parts: CoordinationParts,
 ) -> Result<Arc<Claims>> {
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -107,7 +107,7 @@
         timer: Arc<Timer>,
         transport: UpstreamTransport,
     ) -> Arc<Self> {
-        crate::metrics_page::start_metrics();
+        crate::metrics_endpoint::start_metrics();
         let gateway = Arc::new(Self {
             state: Mutex::new(GatewayState::new(settings.vm.clone(), settings.rollouts)),
             life: VmIncarnation {
@@ -372,7 +372,7 @@
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
     ) -> Option<Arc<UpstreamEntry>> {
-        self.choose(accepted, avoid, cached, Among::Open, |candidates, who| {
+        self.choose(accepted, avoid, cached, CandidateFilter::Open, |candidates, who| {
             place(candidates, who).cloned()
         })
     }
@@ -401,7 +401,7 @@
             // Another version does not go on from its memory.
             return None;
         }
-        self.choose(accepted, &[], &[], Among::Open, |candidates, who| {
+        self.choose(accepted, &[], &[], CandidateFilter::Open, |candidates, who| {
             place_copy(candidates, run, who).cloned()
         })
     }
@@ -417,15 +417,15 @@
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Among,
-        choose: impl FnOnce(&[PlacementCandidate], &PlacementFor) -> T,
+        among: CandidateFilter,
+        choose: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
     ) -> T {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let zone = &self.settings.zone;
         let mut zone_vms = state.peers.live_in(zone, now).collect::<Vec<_>>();
         zone_vms.push(self.settings.vm.clone());
-        let who = PlacementFor {
+        let who = PlacementContext {
             zone: &self.settings.zone,
             vm: &self.settings.vm,
             zone_vms: &zone_vms,
@@ -456,7 +456,7 @@
     }
 
     /// Notes that something came from an upstream.
-    pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadReading>) {
+    pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -173,7 +173,7 @@
 
     /// Takes in another VM's report of a restart, unless it is stale.
     pub fn take_restart(&self, restart: &UpstreamRestart) {
-        let table = TableView {
+        let table = TableFreshness {
             version: self.table_version(),
             current: self.table_is_current(),
         };
--- a/crates/catkinward/src/gateway/rollout_store.rs
+++ b/crates/catkinward/src/gateway/rollout_store.rs
@@ -14,7 +14,7 @@
 
 /// Writes the record of a service's rollout.
 pub type WriteRecord = Box<
-    dyn Fn(RolloutWrite) -> BoxFuture<'static, Result<RolloutWritten, FeedError>> + Send + Sync,
+    dyn Fn(RolloutWrite) -> BoxFuture<'static, Result<RolloutWriteResult, FeedError>> + Send + Sync,
 >;
 
 /// A write of a record.
@@ -32,7 +32,7 @@
 
 /// What came of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RolloutWritten {
+pub enum RolloutWriteResult {
     /// It was done, at this version.
     Done(u64),
     /// The row or the order has another version than expected.
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -168,11 +168,11 @@
             deadline_ms: stored.now_ms.saturating_add(left_ms),
         };
         match self.write(rollout, &record, stored.version).await {
-            Some(RolloutWritten::Done(version)) => self.begin(rollout, &record, version, left),
-            Some(RolloutWritten::Conflict) if rollout.progress.phase.is_final() => {
+            Some(RolloutWriteResult::Done(version)) => self.begin(rollout, &record, version, left),
+            Some(RolloutWriteResult::Conflict) if rollout.progress.phase.is_final() => {
                 self.end_without_order(rollout).await;
             }
-            Some(RolloutWritten::Conflict) | None => self.wait_before_claim(service),
+            Some(RolloutWriteResult::Conflict) | None => self.wait_before_claim(service),
         }
     }
 
@@ -261,8 +261,8 @@
             Due::Nothing => {}
             Due::Confirm { term } => self.confirm(rollout, term).await,
             Due::End { record, version } => match self.write(rollout, &record, version).await {
-                Some(RolloutWritten::Done(_)) => self.ended(rollout, record.progress),
-                Some(RolloutWritten::Conflict) | None => {
+                Some(RolloutWriteResult::Done(_)) => self.ended(rollout, record.progress),
+                Some(RolloutWriteResult::Conflict) | None => {
                     self.read_back(rollout, &record, version).await;
                 }
             },
@@ -582,7 +582,7 @@
         rollout: &Rollout,
         record: &RolloutRecord,
         expected: u64,
-    ) -> Option<RolloutWritten> {
+    ) -> Option<RolloutWriteResult> {
         let write = RolloutWrite {
             service: rollout.order.service.clone(),
             record: record.clone(),
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -190,7 +190,7 @@
             accepted,
             &[],
             &[],
-            Among::Only(&focus),
+            CandidateFilter::Only(&focus),
             |candidates, who| {
                 let live = candidates.iter().filter(|c| !c.suspect).cloned();
                 place(&live.collect::<Vec<_>>(), who).cloned()
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -28,7 +28,7 @@
     /// When the store last answered the question for the configuration.
     pub(crate) config_read: Option<Instant>,
     pub(crate) rollouts: Rollouts,
-    pub(crate) pace: StreamPace,
+    pub(crate) pace: StreamDurationEstimator,
 }
 
 /// How far the directory has been read since this process started.
@@ -44,7 +44,7 @@
 
 /// Which upstreams of a service are chosen from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Among<'a> {
+pub(crate) enum CandidateFilter<'a> {
     /// Those that may get any request; if there are none, those that stop with the end of a rollout.
     Open,
     /// These.
@@ -88,7 +88,7 @@
             table_read: None,
             config_read: None,
             rollouts: Rollouts::new(rollouts),
-            pace: StreamPace::default(),
+            pace: StreamDurationEstimator::default(),
             old_config: false,
             old_directory: false,
         }
@@ -205,14 +205,14 @@
     }
 
     /// Upstreams of a service to choose from.
-    fn eligible(&self, service: &ServiceId, among: Among, now: Instant) -> Vec<Arc<UpstreamEntry>> {
+    fn eligible(&self, service: &ServiceId, among: CandidateFilter, now: Instant) -> Vec<Arc<UpstreamEntry>> {
         let usable = self.directory.usable(service, now).cloned();
         let only = match among {
-            Among::Only(only) => {
+            CandidateFilter::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
-            Among::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
-            Among::Open => [VersionAdmission::Open, VersionAdmission::Retired],
+            CandidateFilter::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
+            CandidateFilter::Open => [VersionAdmission::Open, VersionAdmission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
             self.rollouts.admission(entry, now)
@@ -231,8 +231,8 @@
         service: &ServiceId,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Among,
-        who: &PlacementFor,
+        among: CandidateFilter,
+        who: &PlacementContext,
         choose: impl FnOnce(&[PlacementCandidate]) -> T,
     ) -> T {
         let now = who.now;
@@ -276,7 +276,7 @@
 }
 
 /// Whether all who have calls on an upstream tell the VM that chooses.
-fn is_told_of(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementFor) -> bool {
+fn is_told_of(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementContext) -> bool {
     let in_zone = entry.zone == *who.zone;
     let rank = in_zone.then(|| rank_of_vm(&entry.id, who.vm, who.zone_vms));
     peers.is_told_of(rank)
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -109,7 +109,7 @@
             return false;
         }
         let now = self.gateway.timer.now();
-        let mut needed = reading_time(self.tokens_to_read(entry));
+        let mut needed = prefill_time(self.tokens_to_read(entry));
         if policy.refuse_unfinished && self.sends == 0 {
             let had = self.accepted.call.last_event.unwrap_or(0);
             let rest = self.gateway.state.lock().pace.least_rest(had);
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HealthReport {
     /// How busy it is, if it says so.
-    pub load: Option<LoadReading>,
+    pub load: Option<LoadSample>,
     /// When the process that answers started, if it says so.
     pub born: Option<ProcessStart>,
 }
@@ -145,7 +145,7 @@
     /// Which incarnation answered, if it says so.
     pub incarnation: Option<UpstreamId>,
     /// The upstream's word on its load.
-    pub load: Option<LoadReading>,
+    pub load: Option<LoadSample>,
     /// Its body.
     pub body: ResponseBody,
 }
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -4,10 +4,10 @@
     engine_event::{AttemptError, EngineEvent},
     generation::GenerationOutcome,
     generation_admission::SUSPECT_PATIENCE,
-    peer_exchange::ExchangeTally,
+    peer_exchange::ExchangeResult,
     slot_guard::SlotGuard,
     problem::{Problem, ProblemKind},
-    progress_keeper::ProgressKeeper,
+    progress_replicator::ProgressReplicator,
     running_attempt::{AttemptGuard, RunningAttempt},
     queued_request::QueuedRequest,
 };
@@ -90,14 +90,14 @@
     pub(crate) generation: Arc<Generation>,
     /// Upstreams that this generation has been on since one was last found wanting.
     pub(crate) avoid: Vec<UpstreamId>,
-    keeper: ProgressKeeper,
+    keeper: ProgressReplicator,
 }
 
 impl Driver {
     pub(crate) fn new(node: Arc<Node>, generation: Arc<Generation>) -> Self {
         Self {
             avoid: Vec::new(),
-            keeper: ProgressKeeper::new(node.clone(), generation.clone()),
+            keeper: ProgressReplicator::new(node.clone(), generation.clone()),
             node,
             generation,
         }
@@ -210,7 +210,7 @@
         };
         let (marks, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
         let deaths = marks.len();
-        let ExchangeTally {
+        let ExchangeResult {
             asked, answered, ..
         } = peers.confer(marks).await;
         let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
@@ -227,7 +227,7 @@
         let (body, start) = (run.digest, self.node.timer.now());
         let marks = self.node.upstreams.poison_marks_of(body);
         let tally = peers.announce(run, marks).await;
-        let ExchangeTally {
+        let ExchangeResult {
             asked,
             awaited,
             answered,
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -18,7 +18,7 @@
         DropReason, DroppedCounts, Eligible, EnginePriority, FailedCall, Finish, FoundClaim,
         GroupResult, Hedge, HeldClaim, HotKeys, HybridClock, IdempotencyKey, Incarnation, Instant,
         ProgressStoreResult, KeyHash, Lane, LeavingSource, LimitKind, Model, NotRun, NotRunEvidence,
-        PathRule, PeerEntry, PeerTable, PoisonBlock, PoisonRecord, PoisonRun, PoisonTracker,
+        PathRule, PeerEntry, PeerTable, PoisonBlock, PoisonRecord, TrackedRunId, PoisonTracker,
         ProgressHead, ProgressLimits, ProgressRecord, ProgressStore, ProgressUpdate, QueuePosition,
         QueueTeam, Queued, ReadCoalescer, ReceivedEnd, ReceivedToken, RecordedResponse, RecordedBody,
         RecoveryPolicy, RefusalReason, Relay, RequestDigest, RequestId, ReservedAttempt,
@@ -75,13 +75,13 @@
     generation::Generation,
     generations::Generations,
     gossip::{Gossip, GossipSources},
-    kernel::Kernel,
+    service_registry::ServiceRegistry,
     resumable_state::ResumableState,
     leases::{LeaseHandle, Leases, PermitError},
     logging::{start_decision_log, start_logging},
-    metrics_page::metrics_text,
+    metrics_endpoint::metrics_text,
     node::Node,
-    orders::{OrderRight, Orders},
+    orders::{OrderPermission, Orders},
     peer_error::PeerError,
     peer_key::PeerKey,
     peer_message::{PEER_PROTOCOL, PeerBody, PeerChallenge, PeerHello, PeerMessage, PeerWelcome},
@@ -148,19 +148,19 @@
 pub mod http_client;
 /// The HTTP server and its connection limits.
 pub mod http_server;
-mod kernel;
+mod service_registry;
 mod resumable_state;
 mod upstream_observer;
 mod lease_row;
 mod leases;
 mod logging;
-mod metrics_page;
+mod metrics_endpoint;
 mod peer_updates;
 mod node;
 mod operator_api;
 mod operator_problem;
 mod orders;
-mod peer_copies;
+mod progress_replicas;
 mod peer_exchange;
 mod peer_error;
 mod peer_handshake;
@@ -184,11 +184,11 @@
 mod platform_client;
 mod problem;
 mod process_clock;
-mod progress_keeper;
+mod progress_replicator;
 mod read_bundle;
 mod read_leader;
 mod recovery;
-mod returning_caller;
+mod generation_lookup;
 mod running_attempt;
 mod service_name;
 mod settings;
--- a/crates/catkinward/src/metrics_page.rs
+++ b/crates/catkinward/src/metrics_endpoint.rs
@@ -26,7 +26,7 @@
 }
 
 /// The metrics as an answer.
-pub(crate) fn metrics_page() -> Response {
+pub(crate) fn metrics_response() -> Response {
     let mut response = Response::new(Body::from(metrics_text()));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -3,7 +3,7 @@
     coordination::{CoordinationParts, start_coordination},
     caller_api::CallerApi,
     http_server::Listener,
-    metrics_page::start_metrics,
+    metrics_endpoint::start_metrics,
     peer_updates::{read_list, start_peer_updates},
     operator_api::OperatorApi,
     slice_exchange::exchange_slices,
@@ -16,7 +16,7 @@
     /// Settings it was started with.
     pub settings: Settings,
     /// All services by name.
-    pub kernel: Kernel,
+    pub kernel: ServiceRegistry,
     /// Tells the time.
     pub timer: Arc<Timer>,
     /// Events of this process.
@@ -52,7 +52,7 @@
     ///
     /// If one cannot be started.
     pub fn start(settings: Settings) -> Result<Arc<Self>> {
-        let kernel = Kernel::default();
+        let kernel = ServiceRegistry::default();
         let timer = kernel.register(ServiceName::Timer, Timer::start())?;
         let timeline = kernel.register(ServiceName::Timeline, new_timeline(&settings))?;
         timeline.record(Event::new(EventKind::Started));
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::engine_orders::{EngineOrders, OrderError};
 use catkin_decisions::{
-    EngineGoal, EngineReport, EngineState, OrderPlanner, OrderScope, OrderSettings, order_scopes,
+    EngineTarget, EngineReport, EngineState, OrderPlanner, OrderScope, OrderSettings, order_scopes,
 };
 
 /// Which upstreams this VM may give orders to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum OrderRight {
+pub enum OrderPermission {
     /// All of them.
     #[default]
     All,
@@ -25,7 +25,7 @@
     timeline: Arc<Timeline>,
     bundle: Arc<BundleInForce>,
     engines: EngineOrders,
-    right: OrderRight,
+    right: OrderPermission,
     cfg: OrderSettings,
     scopes: Mutex<Vec<Arc<str>>>,
 }
@@ -45,7 +45,7 @@
         timeline: Arc<Timeline>,
         connections: Arc<Connections>,
         bundle: Arc<BundleInForce>,
-        right: OrderRight,
+        right: OrderPermission,
         cfg: OrderSettings,
     ) -> Arc<Self> {
         let engines = EngineOrders::new(connections, timer.clone(), timeline.vm().clone());
@@ -59,7 +59,7 @@
             cfg,
             scopes: Mutex::default(),
         });
-        if right != OrderRight::None {
+        if right != OrderPermission::None {
             tokio::spawn(follow(orders.clone()));
         }
         orders
@@ -105,12 +105,12 @@
     /// a VM that may.
     fn allowed_scopes(&self) -> Vec<OrderScope> {
         let bundle = self.bundle.current();
-        let checked = |goal: &EngineGoal| {
+        let checked = |goal: &EngineTarget| {
             let upstream = bundle.upstream(&goal.upstream);
             upstream.is_some_and(|upstream| upstream.checks_orderer)
         };
         let mut scopes = order_scopes(&bundle);
-        scopes.retain(|scope| self.right == OrderRight::All || scope.goals.iter().all(checked));
+        scopes.retain(|scope| self.right == OrderPermission::All || scope.goals.iter().all(checked));
         scopes
     }
 
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -15,7 +15,7 @@
 
 /// How an exchange with several VMs went.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ExchangeTally {
+pub(crate) struct ExchangeResult {
     /// VMs that got the message.
     pub(crate) asked: usize,
     /// Those of them whose answers were awaited.
@@ -98,7 +98,7 @@
 
     /// Sends VMs the deaths under a request, and takes what they know of these deaths: all VMs of a small
     /// system, [`MOST_CONFERRED`] of a larger one. Waits for their answers up to [`PROBE_TIMEOUT`].
-    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonRecord>) -> ExchangeTally {
+    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonRecord>) -> ExchangeResult {
         let now = self.timer.now();
         let peers = self.table.lock().nearest_of_all(now, MOST_CONFERRED);
         let gossip = Gossip {
@@ -114,7 +114,7 @@
         self: &Arc<Self>,
         run: SuspectRun,
         poison: Vec<PoisonRecord>,
-    ) -> ExchangeTally {
+    ) -> ExchangeResult {
         let now = self.timer.now();
         let (peers, awaited) = {
             let table = self.table.lock();
@@ -148,7 +148,7 @@
         peers: &[PeerEntry],
         awaited: &[PeerEntry],
         gossip: &Gossip,
-    ) -> ExchangeTally {
+    ) -> ExchangeResult {
         let exchanges = peers.iter().filter_map(|peer| {
             let is_awaited = awaited.contains(peer);
             let (peers, peer, gossip) = (self.clone(), peer.clone(), gossip.clone());
@@ -159,7 +159,7 @@
         let answered = results
             .iter()
             .filter(|result| matches!(result, Ok(Ok(Ok(())))));
-        ExchangeTally {
+        ExchangeResult {
             asked: peers.len(),
             awaited: awaited.len(),
             answered: answered.count(),
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -7,7 +7,7 @@
     plain_call::PlainCall,
     plain_dispatch::PlainDispatch,
     problem::{Problem, ProblemKind},
-    read_leader::{Merged, ReadLeader},
+    read_leader::{CoalescedRead, ReadLeader},
 };
 
 /// One call for an item, counted until it is dropped.
@@ -78,8 +78,8 @@
             dispatch.pool.count("catkin_merged_reads_total");
             let until_deadline = call.deadline.since(dispatch.pool.timer.now());
             match tokio::time::timeout(until_deadline, rx).await {
-                Ok(Ok(Merged::Answer(answer))) => return Ok(answer),
-                Ok(Ok(Merged::Lead(leader))) => leader,
+                Ok(Ok(CoalescedRead::Answer(answer))) => return Ok(answer),
+                Ok(Ok(CoalescedRead::Lead(leader))) => leader,
                 _ => return Err(ProblemKind::AnswerLost.into()),
             }
         }
--- a/crates/catkinward/src/progress_keeper.rs
+++ b/crates/catkinward/src/progress_replicator.rs
@@ -7,7 +7,7 @@
 /// would come back with an index that no one else has reached, and if the engine is gone too, its
 /// answer could not be gone on with. So the copy is handed to the operating system first; it is not
 /// waited for any longer, since a round trip for each token would cost more than it saves.
-pub(crate) struct ProgressKeeper {
+pub(crate) struct ProgressReplicator {
     node: Arc<Node>,
     generation: Arc<Generation>,
     kept: Vec<Kept>,
@@ -21,7 +21,7 @@
     attempt: Attempt,
 }
 
-impl ProgressKeeper {
+impl ProgressReplicator {
     pub(crate) fn new(node: Arc<Node>, generation: Arc<Generation>) -> Self {
         Self {
             node,
--- a/crates/catkinward/src/read_leader.rs
+++ b/crates/catkinward/src/read_leader.rs
@@ -3,7 +3,7 @@
 use tokio::sync::oneshot;
 
 /// What a read that was merged with another gets.
-pub(crate) enum Merged {
+pub(crate) enum CoalescedRead {
     /// The other's answer.
     Answer(PlainResponse),
     /// The other failed; this one is sent by itself now.
@@ -22,7 +22,7 @@
     pub(crate) fn join(
         pool: &Arc<AdmissionPool>,
         key: &CallKey,
-    ) -> Result<Self, oneshot::Receiver<Merged>> {
+    ) -> Result<Self, oneshot::Receiver<CoalescedRead>> {
         let (tx, rx) = oneshot::channel();
         match pool.reads.lock().join(key, tx) {
             Some(_) => Ok(Self::new(pool.clone(), key.clone())),
@@ -35,7 +35,7 @@
         self.is_over = true;
         let followers = self.pool.reads.lock().answered(&self.key);
         for follower in followers {
-            let _ = follower.send(Merged::Answer(answer.clone()));
+            let _ = follower.send(CoalescedRead::Answer(answer.clone()));
         }
     }
 
@@ -60,8 +60,8 @@
                 return;
             };
             let lead = Self::new(self.pool.clone(), self.key.clone());
-            match next.send(Merged::Lead(lead)) {
-                Err(Merged::Lead(mut lead)) => lead.is_over = true,
+            match next.send(CoalescedRead::Lead(lead)) {
+                Err(CoalescedRead::Lead(mut lead)) => lead.is_over = true,
                 _ => return,
             }
         }
--- a/crates/catkinward/src/kernel.rs
+++ b/crates/catkinward/src/service_registry.rs
@@ -6,12 +6,12 @@
 /// The micro-kernel: services register under a name, find each other by it, and are stopped in
 /// reverse order of their registration.
 #[derive(Default)]
-pub struct Kernel {
+pub struct ServiceRegistry {
     services: RwLock<Vec<(ServiceName, AnyService)>>,
     stop_hooks: Mutex<Vec<StopHook>>,
 }
 
-impl Kernel {
+impl ServiceRegistry {
     /// Registers a service.
     ///
     /// # Errors
--- a/crates/catkinward/src/settings.rs
+++ b/crates/catkinward/src/settings.rs
@@ -27,7 +27,7 @@
     /// VMs to begin with, besides those of the platform's list.
     pub peers: Vec<PeerEntry>,
     /// Which upstreams this VM may give orders to.
-    pub orders: OrderRight,
+    pub orders: OrderPermission,
     /// How long nothing must have been in flight before the process ends.
     pub drain_grace: Duration,
     /// How long a generation goes on without a caller who reads it.
@@ -52,7 +52,7 @@
             operator_key: None,
             bundle_file: None,
             platform: None,
-            orders: OrderRight::default(),
+            orders: OrderPermission::default(),
             peer_listen: None,
             peer_advertise: None,
             peer_key: PeerKey::default(),
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -20,7 +20,7 @@
     /// Whether its answer is still due.
     awaits: AtomicBool,
     asked: AskedReport,
-    run: Option<PoisonRun>,
+    run: Option<TrackedRunId>,
 }
 
 impl UpstreamHandle {
@@ -29,7 +29,7 @@
         known: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         eligible: Eligible,
-        run: Option<PoisonRun>,
+        run: Option<TrackedRunId>,
     ) -> Self {
         let mut handle = Self::held(known, state, eligible.incarnation());
         handle.eligible = Some(eligible);
--- a/crates/catkinward/tests/bundle_store.rs
+++ b/crates/catkinward/tests/bundle_store.rs
@@ -1,18 +1,18 @@
 //! The bundle store on a platform whose answers are lost, late or refused.
 
 use catkin_decisions::{BundleAuthor, BundleVersion, DraftId};
-use catkin_standins::{ScriptedPlatform, TransactOutcome};
+use catkin_standins::{MockPlatform, TransactOutcome};
 use catkinward::{Applied, BundleStore, BundleStoreSettings, Platform, PlatformCall, Result};
 use googletest::prelude::*;
 use std::{num::NonZeroU32, sync::Arc, time::Duration};
 
 struct Site {
-    platform: ScriptedPlatform,
+    platform: MockPlatform,
     store: BundleStore,
 }
 
 fn site() -> Site {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let store = BundleStore::new(
         Arc::new(stepwise(platform.platform())),
         BundleStoreSettings {
--- a/crates/catkinward/tests/bundle_watch.rs
+++ b/crates/catkinward/tests/bundle_watch.rs
@@ -1,7 +1,7 @@
 //! How a release comes into force on a VM, with faults of the platform and of peers.
 
 use catkin_decisions::{BundleAuthor, BundleDigest, BundleVersion};
-use catkin_standins::ScriptedPlatform;
+use catkin_standins::MockPlatform;
 use catkinward::{
     BundleInForce, BundleStore, BundleStoreSettings, BundleWatch, Timeline, Timer, read_bundle,
 };
@@ -13,7 +13,7 @@
     watch: Arc<BundleWatch>,
 }
 
-fn vm(platform: Option<&ScriptedPlatform>) -> Vm {
+fn vm(platform: Option<&MockPlatform>) -> Vm {
     let name = "vm-1".parse().expect("a valid name");
     let zone = "zone-1".parse().expect("a valid name");
     let timeline = Arc::new(Timeline::new(name, zone, Arc::default(), 100));
@@ -44,7 +44,7 @@
     read.body.to_string()
 }
 
-async fn roll_out(platform: &ScriptedPlatform, team: &str) -> BundleDigest {
+async fn roll_out(platform: &MockPlatform, team: &str) -> BundleDigest {
     let author = |operator: &str| BundleAuthor {
         operator: operator.parse().expect("a valid name"),
         change: format!("{:08x}", rand::random::<u32>())
@@ -73,7 +73,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn releases_come_into_force_one_after_the_other() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(Some(&platform));
     wait().await;
     let before = vm.version();
@@ -92,7 +92,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn outage_keeps_the_bundle_in_force() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
     vm.in_force(1).await;
@@ -112,7 +112,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_starts_cut_off_takes_what_its_peers_have() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     platform.outage(true);
     let vm = vm(Some(&platform));
     let (old, new) = (body("old"), body("new"));
@@ -149,7 +149,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn content_that_is_wrong_or_late_comes_from_the_object_store() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(Some(&platform));
     vm.watch
         .add_source(Box::new(|_| Box::pin(std::future::pending())));
@@ -167,7 +167,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn word_without_content_does_not_stop_later_releases() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
     vm.in_force(1).await;
@@ -185,7 +185,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn peers_word_is_taken_while_the_platform_is_out() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
     vm.in_force(1).await;
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use catkin_decisions::{
-    ProcessStart, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadReading,
+    ProcessStart, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
     PeerHeartbeat, Policy, PromptPart, RouteRetryBudgetConfig, RolloutSettings, Route, RouteTable,
     RouteTarget, RoutingConfig, ServiceSpec, TableRow, UpstreamEntry, ZoneGossip,
 };
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -125,7 +125,7 @@
             Box::pin(async move {
                 if alive {
                     return Ok(HealthReport {
-                        load: Some(LoadReading::default()),
+                        load: Some(LoadSample::default()),
                         born,
                     });
                 }
--- a/crates/decisions/src/address_index.rs
+++ b/crates/decisions/src/address_index.rs
@@ -11,7 +11,7 @@
 pub(crate) struct AddressIndex {
     /// Sorted by address, then by incarnation.
     shown: Vec<(SocketAddr, UpstreamIncarnation)>,
-    comparisons: Comparisons,
+    comparisons: ComparisonCounter,
 }
 
 impl AddressIndex {
--- a/crates/decisions/src/comparisons.rs
+++ b/crates/decisions/src/comparison_counter.rs
@@ -3,9 +3,9 @@
 /// Counts the comparisons that a table makes, so that work which grows faster than the table shows up without
 /// a clock.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Comparisons(Cell<u64>);
+pub(crate) struct ComparisonCounter(Cell<u64>);
 
-impl Comparisons {
+impl ComparisonCounter {
     /// Counts one comparison and hands on its outcome.
     pub(crate) fn note<T>(&self, outcome: T) -> T {
         self.0.set(self.0.get() + 1);
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -5,7 +5,7 @@
 
 /// An engine as the planner sees it; `report` is `None` if there is none that may be acted on.
 pub(crate) struct EngineView<'a> {
-    pub(crate) goal: &'a EngineGoal,
+    pub(crate) goal: &'a EngineTarget,
     pub(crate) report: Option<&'a EngineReport>,
     /// Models that are being loaded there.
     pub(crate) loading: Vec<Model>,
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -6,7 +6,7 @@
 pub(crate) use {
     crate::claim_change::Judged,
     crate::{
-        address_index::AddressIndex, call_table::CallTable, comparisons::Comparisons,
+        address_index::AddressIndex, call_table::CallTable, comparison_counter::ComparisonCounter,
         lane_queue::LaneQueue,
     },
     derive_more::{Display, Error},
@@ -100,7 +100,7 @@
     operator_name::OperatorName,
     order_permit::OrderPermit,
     order_planner::OrderPlanner,
-    order_scope::{EngineGoal, OrderScope, order_scopes},
+    order_scope::{EngineTarget, OrderScope, order_scopes},
     order_settings::OrderSettings,
     path_rule::PathRule,
     peer_datagram::{Loan, LoanAsk, PeerDatagram},
@@ -110,12 +110,12 @@
     peer_table::PeerTable,
     peer_view::PeerView,
     placement::{
-        UNSHARED_COST, OTHER_PARTITION_COST, OTHER_ZONE_STREAM_COST, PlacementCandidate, PlacementFor, STREAM_COST,
+        UNSHARED_COST, OTHER_PARTITION_COST, OTHER_ZONE_STREAM_COST, PlacementCandidate, PlacementContext, STREAM_COST,
         place, place_copy, rank_of_vm,
     },
     poison_block::PoisonBlock,
     poison_record::PoisonRecord,
-    poison_tracker::{MAX_CRASHES_PER_DIGEST, PoisonRun, PoisonTracker, PROBATION_STEPS},
+    poison_tracker::{MAX_CRASHES_PER_DIGEST, TrackedRunId, PoisonTracker, PROBATION_STEPS},
     policy::Policy,
     progress_head::ProgressHead,
     progress_record::ProgressRecord,
@@ -162,7 +162,7 @@
     software_version::SoftwareVersion,
     stall_detector::StallDetector,
     store_backoff::store_backoff,
-    stream_pace::StreamPace,
+    stream_duration_estimator::StreamDurationEstimator,
     subset::{OTHER_ZONES_SUBSET, OWN_ZONE_SUBSET, subset},
     suspect_run::SuspectRun,
     suspect_runs::{SuspectConflicts, SuspectRuns},
@@ -183,11 +183,11 @@
     upstream_health::{PROBE_TIMEOUT, SILENCE_TIMEOUT, UpstreamHealth},
     upstream_id::UpstreamId,
     upstream_incarnation::UpstreamIncarnation,
-    upstream_load::{LoadReading, UpstreamLoad, reading_time},
+    upstream_load::{LoadSample, UpstreamLoad, prefill_time},
     upstream_slots::{CapacityReport, UpstreamSlots},
     upstream_record::{AskedReport, UpstreamRecord},
     upstream_report::UpstreamReport,
-    upstream_restart::{RestartEvidence, StaleRestart, TableView, UpstreamRestart},
+    upstream_restart::{RestartEvidence, StaleRestart, TableFreshness, UpstreamRestart},
     upstream_table::{TableRead, UpstreamChange, UpstreamTable},
     utf8_joiner::Utf8Joiner,
     vm_id::VmId,
@@ -232,7 +232,7 @@
 mod claim_token;
 mod claim_verdict;
 mod claimed;
-mod comparisons;
+mod comparison_counter;
 mod concurrency_limit;
 mod config_sharing;
 mod config_version;
@@ -335,7 +335,7 @@
 mod software_version;
 mod stall_detector;
 mod store_backoff;
-mod stream_pace;
+mod stream_duration_estimator;
 mod subset;
 mod suspect_run;
 mod suspect_runs;
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -65,7 +65,7 @@
     pub fn plan(
         &mut self,
         now: Instant,
-        goals: &[EngineGoal],
+        goals: &[EngineTarget],
         reports: &[(UpstreamId, EngineReport)],
     ) -> Vec<EngineState> {
         let mut views = goals
@@ -90,7 +90,7 @@
     fn view<'a>(
         &self,
         now: Instant,
-        goal: &'a EngineGoal,
+        goal: &'a EngineTarget,
         reports: &'a [(UpstreamId, EngineReport)],
     ) -> EngineView<'a> {
         let report = find(reports, &goal.upstream);
@@ -130,7 +130,7 @@
     fn note_use(
         &mut self,
         now: Instant,
-        goals: &[EngineGoal],
+        goals: &[EngineTarget],
         reports: &[(UpstreamId, EngineReport)],
     ) {
         let wanted = |model: &Model| goals.iter().any(|g| g.models.binary_search(model).is_ok());
--- a/crates/decisions/src/order_scope.rs
+++ b/crates/decisions/src/order_scope.rs
@@ -2,7 +2,7 @@
 
 /// An engine and the models that the bundle in force wants on it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineGoal {
+pub struct EngineTarget {
     /// The engine.
     pub upstream: UpstreamId,
     /// Its availability zone.
@@ -19,19 +19,19 @@
     /// Name of the lease.
     pub name: Arc<str>,
     /// The engines, sorted.
-    pub goals: Vec<EngineGoal>,
+    pub goals: Vec<EngineTarget>,
 }
 
 /// The scopes of a bundle, sorted by name.
 #[must_use]
 pub fn order_scopes(bundle: &Bundle) -> Vec<OrderScope> {
-    let mut groups: Vec<(Vec<&ServiceId>, Vec<EngineGoal>)> = Vec::new();
+    let mut groups: Vec<(Vec<&ServiceId>, Vec<EngineTarget>)> = Vec::new();
     for upstream in &bundle.upstreams {
         let (mut services, models) = generation_services(bundle, upstream);
         if services.is_empty() {
             continue;
         }
-        let mut goals = vec![EngineGoal {
+        let mut goals = vec![EngineTarget {
             upstream: upstream.id.clone(),
             zone: upstream.zone.clone(),
             models,
@@ -53,7 +53,7 @@
     scopes
 }
 
-fn scope((services, mut goals): (Vec<&ServiceId>, Vec<EngineGoal>)) -> OrderScope {
+fn scope((services, mut goals): (Vec<&ServiceId>, Vec<EngineTarget>)) -> OrderScope {
     goals.sort_by(|a, b| a.upstream.cmp(&b.upstream));
     OrderScope {
         name: format!("orders/{}", services[0]).into(),
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -94,7 +94,7 @@
 
 /// For whom an upstream is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementFor<'a> {
+pub struct PlacementContext<'a> {
     /// This VM's zone.
     pub zone: &'a AvailabilityZone,
     /// This VM.
@@ -115,7 +115,7 @@
 #[must_use]
 pub fn place<'a>(
     candidates: &[PlacementCandidate<'a>],
-    who: &PlacementFor,
+    who: &PlacementContext,
 ) -> Option<&'a Arc<UpstreamEntry>> {
     let start = random_start(candidates.len(), who.random);
     let (before, after) = candidates.split_at(start);
@@ -134,7 +134,7 @@
 pub fn place_copy<'a>(
     candidates: &[PlacementCandidate<'a>],
     run: &UpstreamEntry,
-    who: &PlacementFor,
+    who: &PlacementContext,
 ) -> Option<&'a Arc<UpstreamEntry>> {
     let fitting = candidates
         .iter()
@@ -163,7 +163,7 @@
     start.min(len)
 }
 
-fn cost(candidate: &PlacementCandidate, usual: f64, who: &PlacementFor) -> f64 {
+fn cost(candidate: &PlacementCandidate, usual: f64, who: &PlacementContext) -> f64 {
     let other_zone = who.policy.own_zone && candidate.entry.zone != *who.zone;
     let mut cost = if who.stream {
         stream_cost(candidate, usual, who, other_zone)
@@ -180,7 +180,7 @@
 }
 
 /// What the streams and copies on an engine cost the next prompt there, and what prompts still to be read.
-fn load_cost(candidate: &PlacementCandidate, who: &PlacementFor) -> f64 {
+fn load_cost(candidate: &PlacementCandidate, who: &PlacementContext) -> f64 {
     let (load, now) = (candidate.load, who.now);
     let stream_cost = who.policy.stream_cost;
     let reading = load.reading_left(now) + candidate.peer_reading;
@@ -196,7 +196,7 @@
 /// knows little of the others; taken for idle, these would get its prompts on top of those of VMs that know
 /// them. Prompts that wait on the known ones are left out: after the loss of a zone they are those of this
 /// VM itself, on the few engines left to it, and the others are better.
-fn usual_load(candidates: &[PlacementCandidate], who: &PlacementFor) -> f64 {
+fn usual_load(candidates: &[PlacementCandidate], who: &PlacementContext) -> f64 {
     let known = candidates.iter().filter(|c| c.all_tell && !c.suspect);
     let (sum, count) = known.fold((0.0, 0.0), |(sum, count), candidate| {
         (sum + f64::from(candidate.streams(who.now)), count + 1.0)
@@ -208,7 +208,7 @@
 fn stream_cost(
     candidate: &PlacementCandidate,
     usual: f64,
-    who: &PlacementFor,
+    who: &PlacementContext,
     other_zone: bool,
 ) -> f64 {
     let policy = who.policy;
@@ -216,7 +216,7 @@
     if !candidate.all_tell {
         cost = cost.max(usual);
     }
-    cost -= reading_time(candidate.cached).as_secs_f64() * 1000.0;
+    cost -= prefill_time(candidate.cached).as_secs_f64() * 1000.0;
     cost += match (
         other_zone,
         rank_of_vm(&candidate.entry.id, who.vm, who.zone_vms),
@@ -231,7 +231,7 @@
     cost
 }
 
-fn call_cost(candidate: &PlacementCandidate, who: &PlacementFor, other_zone: bool) -> f64 {
+fn call_cost(candidate: &PlacementCandidate, who: &PlacementContext, other_zone: bool) -> f64 {
     let load = candidate.load;
     let beyond_slots = load.calls(who.now).saturating_sub(candidate.entry.slots);
     let mut cost =
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -61,7 +61,7 @@
 
 /// Names a run of a request on an upstream.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct PoisonRun {
+pub struct TrackedRunId {
     digest: RequestDigest,
     id: u64,
 }
@@ -92,7 +92,7 @@
 
 #[derive(Clone, Debug)]
 struct Run {
-    key: PoisonRun,
+    key: TrackedRunId,
     upstream: UpstreamId,
     incarnation: Incarnation,
     watched: bool,
@@ -163,9 +163,9 @@
         upstream: UpstreamId,
         incarnation: Incarnation,
         now: Instant,
-    ) -> PoisonRun {
+    ) -> TrackedRunId {
         self.last += 1;
-        let key = PoisonRun {
+        let key = TrackedRunId {
             digest,
             id: self.last,
         };
@@ -183,7 +183,7 @@
     }
 
     /// Notes some progress of a run: a few tokens.
-    pub fn progressed(&mut self, run: PoisonRun) {
+    pub fn progressed(&mut self, run: TrackedRunId) {
         let Some(run) = self.run_mut(run) else { return };
         if !run.watched {
             return;
@@ -196,19 +196,19 @@
     }
 
     /// Notes the end of a run that the upstream brought to its end.
-    pub fn finished(&mut self, run: PoisonRun) {
+    pub fn finished(&mut self, run: TrackedRunId) {
         if self.remove(run).is_some_and(|run| run.watched) {
             self.clear(run.digest);
         }
     }
 
     /// Notes that a run was given up here; that says nothing of the request.
-    pub fn left(&mut self, run: PoisonRun) {
+    pub fn left(&mut self, run: TrackedRunId) {
         self.remove(run);
     }
 
     /// Notes that the upstream of a run has begun to answer: the run is there.
-    pub fn arrived(&mut self, run: PoisonRun) {
+    pub fn arrived(&mut self, run: TrackedRunId) {
         if let Some(run) = self.run_mut(run) {
             run.was_there = true;
         }
@@ -217,7 +217,7 @@
     /// Whether the upstream of a run has to prove alive before the order is sent: the request is a
     /// suspect.
     #[must_use]
-    pub fn needs_proof(&self, run: PoisonRun) -> bool {
+    pub fn needs_proof(&self, run: TrackedRunId) -> bool {
         self.runs
             .binary_search_by_key(&run, |run| run.key)
             .is_ok_and(|i| self.runs[i].watched)
@@ -225,13 +225,13 @@
 
     /// Notes that the upstream of a run has just proved alive, and that the order goes out now. If it
     /// dies from here on, the run is taken for the cause, answered or not.
-    pub fn proven(&mut self, run: PoisonRun) {
+    pub fn proven(&mut self, run: TrackedRunId) {
         self.arrived(run);
     }
 
     /// The run as it is announced to other VMs, if the request is a suspect.
     #[must_use]
-    pub fn suspect_run(&self, run: PoisonRun) -> Option<SuspectRun> {
+    pub fn suspect_run(&self, run: TrackedRunId) -> Option<SuspectRun> {
         let i = self.runs.binary_search_by_key(&run, |run| run.key).ok()?;
         let run = &self.runs[i];
         run.watched.then(|| run.as_suspect())
@@ -243,7 +243,7 @@
     /// # Errors
     ///
     /// Why the order must not be sent.
-    pub fn commit(&mut self, run: PoisonRun, now: Instant) -> Result<(), PoisonBlock> {
+    pub fn commit(&mut self, run: TrackedRunId, now: Instant) -> Result<(), PoisonBlock> {
         if self.refuses(run.digest, now) {
             return Err(PoisonBlock::Refused);
         }
@@ -522,12 +522,12 @@
         start..end
     }
 
-    fn run_mut(&mut self, run: PoisonRun) -> Option<&mut Run> {
+    fn run_mut(&mut self, run: TrackedRunId) -> Option<&mut Run> {
         let i = self.runs.binary_search_by_key(&run, |run| run.key).ok()?;
         self.runs.get_mut(i)
     }
 
-    fn remove(&mut self, run: PoisonRun) -> Option<Run> {
+    fn remove(&mut self, run: TrackedRunId) -> Option<Run> {
         let i = self.runs.binary_search_by_key(&run, |run| run.key).ok()?;
         Some(self.runs.remove(i))
     }
--- a/crates/decisions/src/stream_pace.rs
+++ b/crates/decisions/src/stream_duration_estimator.rs
@@ -13,12 +13,12 @@
 
 /// Lengths and paces of the latest whole streams.
 #[derive(Clone, Debug, Default)]
-pub struct StreamPace {
+pub struct StreamDurationEstimator {
     /// Events, and the time of each of them; the oldest first.
     streams: Vec<(u64, Duration)>,
 }
 
-impl StreamPace {
+impl StreamDurationEstimator {
     /// Notes a stream that was made as a whole: its events, and the time from the first to the last.
     pub fn whole(&mut self, events: u64, took: Duration) {
         let Ok(pauses @ 1..) = u32::try_from(events.saturating_sub(1)) else {
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -90,7 +90,7 @@
     tombstones: Vec<(UpstreamId, Instant)>,
     addresses: AddressIndex,
     outage: Outage,
-    comparisons: Comparisons,
+    comparisons: ComparisonCounter,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/decisions/src/upstream_load.rs
+++ b/crates/decisions/src/upstream_load.rs
@@ -2,12 +2,12 @@
 
 /// Prompt tokens that an engine reads in a millisecond, until it is known better: the figure of the
 /// engines served today.
-pub const TOKENS_PER_MS: f64 = 8.0;
+pub const PREFILL_TOKENS_PER_MS: f64 = 8.0;
 
 /// How long an engine takes to read so many tokens with nothing else to do.
 #[must_use]
-pub fn reading_time(prompt_tokens: u32) -> Duration {
-    Duration::from_secs_f64(f64::from(prompt_tokens) / TOKENS_PER_MS / 1000.0)
+pub fn prefill_time(prompt_tokens: u32) -> Duration {
+    Duration::from_secs_f64(f64::from(prompt_tokens) / PREFILL_TOKENS_PER_MS / 1000.0)
 }
 
 /// How long a reading of an upstream's load counts. Calls of other VMs last about as long.
@@ -18,7 +18,7 @@
 
 /// An upstream's word on its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReading {
+pub struct LoadSample {
     /// Calls that run there.
     pub running: u32,
     /// Calls that wait there.
@@ -45,7 +45,7 @@
     /// Notes a call that begins there, with the prompt tokens that are to be read for it.
     pub fn begin(&mut self, prompt_tokens: u32, now: Instant) {
         self.own += 1;
-        self.read_until = self.read_until.max(now).after(reading_time(prompt_tokens));
+        self.read_until = self.read_until.max(now).after(prefill_time(prompt_tokens));
     }
 
     /// Notes the end of a call there.
@@ -64,7 +64,7 @@
     }
 
     /// Takes in the upstream's word.
-    pub fn reading(&mut self, reading: LoadReading, now: Instant) {
+    pub fn reading(&mut self, reading: LoadSample, now: Instant) {
         let all = reading.running + reading.waiting;
         self.others = Some((all.saturating_sub(self.own), now));
     }
--- a/crates/decisions/src/upstream_restart.rs
+++ b/crates/decisions/src/upstream_restart.rs
@@ -21,12 +21,12 @@
     /// The upstream's own answer to this VM.
     OwnProbe,
     /// The report of another VM, beside what this one knows of the table.
-    PeerReport(TableView),
+    PeerReport(TableFreshness),
 }
 
 /// How far a VM knows the table of upstreams.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TableView {
+pub struct TableFreshness {
     /// Version of the store up to which it is known.
     pub version: u64,
     /// Whether it is being kept up to date.
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -1,7 +1,7 @@
 //! Leases and orders together: VMs that crash, pause and come back, and engines of both kinds.
 
 use catkin_decisions::{
-    EngineGoal, EngineReport, EngineState, Incarnation, Instant, Lease, LeaseWriteResult, LeaseHolder,
+    EngineTarget, EngineReport, EngineState, Incarnation, Instant, Lease, LeaseWriteResult, LeaseHolder,
     LeaseRow, LeaseSettings, LeaseStep, LeaseWrite, Model, OrderPlanner, OrderSettings, Term,
     UpstreamId,
 };
@@ -316,8 +316,8 @@
     }
 }
 
-fn goals(version: usize) -> Vec<EngineGoal> {
-    let goal = |i| EngineGoal {
+fn goals(version: usize) -> Vec<EngineTarget> {
+    let goal = |i| EngineTarget {
         upstream: engine_id(i),
         zone: format!("zone-{}", i % 2).parse().expect("a valid name"),
         models: vec![model(version)],
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to engines: a rollout keeps serving, keeps what runs resumable, and spares the weight store.
 
 use catkin_decisions::{
-    AvailabilityZone, EngineGoal, EngineReport, EngineState, Instant, Model, OrderPlanner,
+    AvailabilityZone, EngineTarget, EngineReport, EngineState, Instant, Model, OrderPlanner,
     OrderSettings, Term, UpstreamId, serving_model,
 };
 use googletest::prelude::*;
@@ -29,7 +29,7 @@
 /// Engines that carry out orders: loading takes 20 s, and giving a model up is at once.
 struct World {
     now: u64,
-    goals: Vec<EngineGoal>,
+    goals: Vec<EngineTarget>,
     engines: Vec<Engine>,
     planner: OrderPlanner,
     most_loading: usize,
@@ -60,7 +60,7 @@
     }
 
     fn want(&mut self, version: &str) {
-        let goal = |i| EngineGoal {
+        let goal = |i| EngineTarget {
             upstream: engine_id(i),
             zone: zone(i),
             models: vec![model(version)],
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Where prompts go when many VMs decide at once.
 
 use catkin_decisions::{
-    AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerHeartbeat, PlacementCandidate, PlacementFor,
+    AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerHeartbeat, PlacementCandidate, PlacementContext,
     Policy, SHARERS_PER_UPSTREAM, UpstreamEntry, UpstreamLoad, place, place_copy, rank_of_vm, rendezvous_score,
 };
 use googletest::prelude::*;
@@ -80,7 +80,7 @@
                 ..candidate(entry, load)
             })
             .collect::<Vec<_>>();
-        let who = PlacementFor {
+        let who = PlacementContext {
             policy: &Policy::default(),
             zone: &self.zone,
             vm: &self.vm,
@@ -208,7 +208,7 @@
     let candidates = [candidate(&entries[0], &busy), candidate(&entries[1], &idle)];
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let who = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -219,7 +219,7 @@
     };
 
     let at_once = place(&candidates, &who).unwrap();
-    let later = PlacementFor {
+    let later = PlacementContext {
         policy: &Policy::default(),
         now: at(1000).after(PROMPT_READING),
         ..who
@@ -255,7 +255,7 @@
     running.begin(0, at(1000));
     let idle = UpstreamLoad::default();
     let vm = owner(&entries[0]);
-    let who = PlacementFor {
+    let who = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: &vm,
@@ -290,7 +290,7 @@
     let load = UpstreamLoad::default();
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let who = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -321,7 +321,7 @@
     let (mut busy, unknown) = (UpstreamLoad::default(), UpstreamLoad::default());
     busy.begin(0, at(1000));
     busy.begin(0, at(1000));
-    let who = PlacementFor {
+    let who = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-3",
@@ -359,7 +359,7 @@
     let healthy = candidate(&entries[1], &loads[1]);
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let who = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -390,7 +390,7 @@
             .zip(&loads)
             .map(|(entry, load)| candidate(entry, load))
             .collect::<Vec<_>>();
-        let who = PlacementFor {
+        let who = PlacementContext {
             policy: &Policy::default(),
             zone: &own_zone,
             vm: "vm-1",
@@ -428,7 +428,7 @@
         .map(|(entry, load)| candidate(entry, load))
         .collect::<Vec<_>>();
     let own_zone = zone("a");
-    let who = PlacementFor {
+    let who = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -457,7 +457,7 @@
         .collect::<Vec<_>>();
     for vm in &vms {
         for step in 0..50 {
-            let who = PlacementFor {
+            let who = PlacementContext {
                 policy: &Policy::default(),
                 zone: &own_zone,
                 vm,
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -3,7 +3,7 @@
 mod poison_support;
 
 use catkin_decisions::{
-    Incarnation, PoisonBlock, PoisonRun, PoisonTracker, RequestDigest, PROBATION_STEPS,
+    Incarnation, PoisonBlock, TrackedRunId, PoisonTracker, RequestDigest, PROBATION_STEPS,
 };
 use googletest::prelude::*;
 use poison_support::*;
@@ -202,7 +202,7 @@
 struct Request {
     digest: RequestDigest,
     steps_left: u32,
-    run: Option<(PoisonRun, usize)>,
+    run: Option<(TrackedRunId, usize)>,
     steps_of_run: u32,
     over: bool,
 }
--- a/crates/decisions/tests/poison_support/mod.rs
+++ b/crates/decisions/tests/poison_support/mod.rs
@@ -3,7 +3,7 @@
 // Each test file uses its own part of this.
 #![allow(dead_code)]
 
-use catkin_decisions::{Incarnation, Instant, PoisonRun, PoisonTracker, RequestDigest, UpstreamId};
+use catkin_decisions::{Incarnation, Instant, TrackedRunId, PoisonTracker, RequestDigest, UpstreamId};
 use std::time::Duration;
 
 pub const FIRST: Incarnation = Incarnation(1);
@@ -28,7 +28,7 @@
     format!("engine-{n}").parse().expect("a valid name")
 }
 
-pub fn start(tracker: &mut PoisonTracker, digest: RequestDigest, n: usize) -> PoisonRun {
+pub fn start(tracker: &mut PoisonTracker, digest: RequestDigest, n: usize) -> TrackedRunId {
     start_at(tracker, digest, n, at(0))
 }
 
@@ -37,7 +37,7 @@
     digest: RequestDigest,
     n: usize,
     now: Instant,
-) -> PoisonRun {
+) -> TrackedRunId {
     let engine = engine(n);
     tracker
         .may_start(digest, &engine, true, now)
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -1,7 +1,7 @@
 //! Restart reports that arrive late, beside a table of upstreams that some VMs cannot read.
 
 use catkin_decisions::{
-    ProcessStart, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableView, UpstreamChange,
+    ProcessStart, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableFreshness, UpstreamChange,
     UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, UpstreamRestart, UpstreamTable,
 };
 use googletest::prelude::*;
@@ -42,7 +42,7 @@
 }
 
 fn report(version: u64, current: bool) -> RestartEvidence {
-    RestartEvidence::PeerReport(TableView { version, current })
+    RestartEvidence::PeerReport(TableFreshness { version, current })
 }
 
 fn usable(directory: &UpstreamDirectory, now: Instant) -> Vec<String> {
@@ -255,7 +255,7 @@
     }
 
     fn deliver(&mut self, restart: &UpstreamRestart) {
-        let table = TableView {
+        let table = TableFreshness {
             version: self.table.version(),
             current: !self.rejected,
         };
--- a/crates/decisions/tests/stream_pace.rs
+++ b/crates/decisions/tests/stream_duration_estimator.rs
@@ -1,12 +1,12 @@
 //! How long a stream still takes, from those before it.
 
-use catkin_decisions::StreamPace;
+use catkin_decisions::StreamDurationEstimator;
 use googletest::prelude::*;
 use std::time::Duration;
 
 /// Streams of 100 to 131 events, 30 to 61 ms apart.
-fn pace(streams: u32) -> StreamPace {
-    let mut pace = StreamPace::default();
+fn pace(streams: u32) -> StreamDurationEstimator {
+    let mut pace = StreamDurationEstimator::default();
     for n in 0..streams {
         let events = u64::from(100 + n);
         let pause = Duration::from_millis(u64::from(30 + n));
@@ -37,7 +37,7 @@
 /// Streams of one event have no pace.
 #[gtest]
 fn streams_without_a_pause_are_left_out() {
-    let mut pace = StreamPace::default();
+    let mut pace = StreamDurationEstimator::default();
     for _ in 0..32 {
         pace.whole(1, Duration::ZERO);
         pace.whole(0, Duration::ZERO);
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -2,7 +2,7 @@
 
 mod poison_support;
 
-use catkin_decisions::{PoisonBlock, PoisonRun, PoisonTracker, SuspectRun};
+use catkin_decisions::{PoisonBlock, TrackedRunId, PoisonTracker, SuspectRun};
 use googletest::prelude::*;
 use poison_support::*;
 
@@ -26,7 +26,7 @@
 }
 
 /// A VM whose culprit has lost engine 0 and is about to be sent to engine `n`.
-fn suspect_on(n: usize) -> (PoisonTracker, PoisonRun) {
+fn suspect_on(n: usize) -> (PoisonTracker, TrackedRunId) {
     let mut tracker = PoisonTracker::default();
     start(&mut tracker, culprit(), 0);
     die(&mut tracker, 0);
--- a/crates/standins/src/engine_models.rs
+++ b/crates/standins/src/engine_models.rs
@@ -22,7 +22,7 @@
     model: engine::LoadedModel,
     ready: Instant,
     /// Its place at the weight store, given up once it is ready.
-    place: Option<WeightStorePlace>,
+    place: Option<WeightStoreLocation>,
 }
 
 impl EngineModels {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -4,7 +4,7 @@
 //! answers that a checker at the caller can verify.
 
 pub(crate) use {
-    crate::weight_store::WeightStorePlace,
+    crate::weight_store::WeightStoreLocation,
     bytes::Bytes,
     catkin_border::{caller, engine},
     catkin_decisions::to_hex,
@@ -51,7 +51,7 @@
     prefix_cache::prompt_tokens,
     proxy_fault::ProxyFault,
     run_counts::{RunCount, RunCounts, request_digest},
-    scripted_platform::{ScriptedPlatform, TransactOutcome},
+    mock_platform::{MockPlatform, TransactOutcome},
     token_chain::TokenChain,
     upstream_probe::{first_busy, upstream_load},
     weight_store::WeightStore,
@@ -81,7 +81,7 @@
 mod query;
 mod rate_limit;
 mod run_counts;
-mod scripted_platform;
+mod mock_platform;
 mod sequence;
 mod token_chain;
 mod upstream_probe;
--- a/crates/standins/src/scripted_platform.rs
+++ b/crates/standins/src/mock_platform.rs
@@ -2,7 +2,7 @@
 use catkinward::{Platform, PlatformError};
 use std::collections::VecDeque;
 
-/// Fate of one transaction of a [`ScriptedPlatform`].
+/// Fate of one transaction of a [`MockPlatform`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TransactOutcome {
     /// It runs and is answered.
@@ -21,7 +21,7 @@
 
 /// A platform in memory whose transactions meet scripted fates.
 #[derive(Clone, Default)]
-pub struct ScriptedPlatform {
+pub struct MockPlatform {
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -33,7 +33,7 @@
     out: bool,
 }
 
-impl ScriptedPlatform {
+impl MockPlatform {
     /// Gives the next transactions these fates; those after them are answered.
     pub fn script(&self, fates: impl IntoIterator<Item = TransactOutcome>) {
         self.inner.lock().fates.extend(fates);
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -16,7 +16,7 @@
 
 /// One load, until it is dropped.
 #[derive(Debug)]
-pub(crate) struct WeightStorePlace {
+pub(crate) struct WeightStoreLocation {
     counts: Arc<Counts>,
 }
 
@@ -27,16 +27,16 @@
         self.counts.most.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn enter(&self) -> WeightStorePlace {
+    pub(crate) fn enter(&self) -> WeightStoreLocation {
         let loading = self.counts.loading.fetch_add(1, Ordering::Relaxed) + 1;
         self.counts.most.fetch_max(loading, Ordering::Relaxed);
-        WeightStorePlace {
+        WeightStoreLocation {
             counts: self.counts.clone(),
         }
     }
 }
 
-impl Drop for WeightStorePlace {
+impl Drop for WeightStoreLocation {
     fn drop(&mut self) {
         self.counts.loading.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -5,7 +5,7 @@
     ClaimKind, ClaimOutcome, ClaimVerdict, HeldClaim, Incarnation, RecordedResponse, RequestDigest,
     TeamId, WallTime,
 };
-use catkin_standins::{ScriptedPlatform, TransactOutcome};
+use catkin_standins::{MockPlatform, TransactOutcome};
 use catkinward::{ResponseToRecord, ClaimRequest, ClaimSettings, Claims, Timeline, Timer};
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
@@ -13,11 +13,11 @@
 /// Long enough for every test, whatever else the machine does.
 const LONG: Duration = Duration::from_secs(30);
 
-fn vm(platform: &ScriptedPlatform, name: &str) -> Arc<Claims> {
+fn vm(platform: &MockPlatform, name: &str) -> Arc<Claims> {
     start(platform, name, quick())
 }
 
-fn start(platform: &ScriptedPlatform, name: &str, cfg: ClaimSettings) -> Arc<Claims> {
+fn start(platform: &MockPlatform, name: &str, cfg: ClaimSettings) -> Arc<Claims> {
     let vm = name.parse().expect("a valid id");
     let zone = "zone-1".parse().expect("a valid name");
     let timeline = Timeline::new(vm, zone, Arc::default(), 1000);
@@ -82,7 +82,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_resend_to_another_vm_gets_the_recorded_answer() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     first.record(held, answer("ticket 7"));
@@ -110,7 +110,7 @@
         TransactOutcome::Throttled,
     ];
     for fate in fates {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
         platform.script([fate, fate]);
         let held = dispatched(first.claim(order("k")).await);
@@ -128,7 +128,7 @@
 #[gtest]
 #[tokio::test]
 async fn of_many_at_once_one_is_dispatched() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let tries = (0..20).map(|i| if i % 2 == 0 { &first } else { &second });
 
@@ -145,7 +145,7 @@
 #[gtest]
 #[tokio::test]
 async fn another_request_under_the_key_is_a_conflict() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let held = dispatched(vm.claim(order("k")).await);
     vm.record(held, answer("ticket 7"));
@@ -170,7 +170,7 @@
         TransactOutcome::LostAfterEffect,
         TransactOutcome::Late,
     ] {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         platform.script([fate]);
         platform.script(std::iter::repeat_n(TransactOutcome::LostBeforeEffect, 100_000));
@@ -197,7 +197,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_released_claim_frees_the_key() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     first.release(held);
@@ -213,7 +213,7 @@
 #[gtest]
 #[tokio::test]
 async fn an_unknown_end_stays_unknown() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let held = dispatched(vm.claim(order("k")).await);
     vm.record_unknown(held);
@@ -228,7 +228,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_claim_of_a_dead_holder_becomes_unknown() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let first = vm(&platform, "vm-1");
     let cfg = ClaimSettings {
         clocks_differ: Duration::ZERO,
@@ -253,7 +253,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_resend_waits_for_the_answer_of_the_first() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
@@ -273,7 +273,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_generation_is_taken_over_by_one_vm() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vms = ["vm-1", "vm-2", "vm-3"].map(|name| vm(&platform, name));
     let generation = ClaimRequest {
         kind: ClaimKind::Generation,
@@ -297,7 +297,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_call_is_not_taken_over() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     drop(dispatched(first.claim(order("k")).await));
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
@@ -327,7 +327,7 @@
         (&"x".repeat(65), None),
     ];
     for (body, kept) in cases {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         let held = dispatched(vm.claim(order("k")).await);
         vm.record(held, answer(body));
@@ -346,7 +346,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_sweep_takes_what_is_expired_and_no_more() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let ended = dispatched(vm.claim(order("ended")).await);
     vm.record(ended, answer("ticket 7"));
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -6,10 +6,10 @@
     VmId,
 };
 use catkin_standins::{
-    EngineServer, EngineSettings, ScriptedPlatform, TransactOutcome, WeightStore, demo_bundle,
+    EngineServer, EngineSettings, MockPlatform, TransactOutcome, WeightStore, demo_bundle,
 };
 use catkinward::{
-    BundleInForce, EventKind, Leases, PermitError, OrderRight, Orders, Platform, PlatformError,
+    BundleInForce, EventKind, Leases, PermitError, OrderPermission, Orders, Platform, PlatformError,
     ReadBundle, Timeline, TimelineQuery, Timer, http_client::Connections, read_bundle,
 };
 use googletest::prelude::*;
@@ -54,7 +54,7 @@
 }
 
 /// The platform as a VM sees it that may be cut off from it.
-fn cut_off(platform: &ScriptedPlatform, cut: &Arc<AtomicBool>) -> Platform {
+fn cut_off(platform: &MockPlatform, cut: &Arc<AtomicBool>) -> Platform {
     let inner = Arc::new(platform.platform());
     macro_rules! unless_cut {
         ($call:ident) => {{
@@ -78,7 +78,7 @@
     }
 }
 
-fn vm(platform: &ScriptedPlatform, name: &str) -> Vm {
+fn vm(platform: &MockPlatform, name: &str) -> Vm {
     let cut = Arc::new(AtomicBool::new(false));
     let id: VmId = name.parse().expect("a valid id");
     let zone: AvailabilityZone = "zone-0".parse().expect("a valid name");
@@ -97,7 +97,7 @@
         timeline.clone(),
         Arc::new(Connections::new().expect("a client")),
         bundle.clone(),
-        OrderRight::All,
+        OrderPermission::All,
         order_settings(),
     );
     Vm {
@@ -194,7 +194,7 @@
         },
     )
     .await;
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     vm.bundle.advance(bundle(1, &engines, "1"));
 
@@ -213,7 +213,7 @@
 #[tokio::test]
 async fn two_vms_race_and_one_orders() {
     let engines = engines(2, engine_settings()).await;
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vms = [vm(&platform, "vm-1"), vm(&platform, "vm-2")];
     for vm in &vms {
         vm.bundle.advance(bundle(1, &engines, "2"));
@@ -234,7 +234,7 @@
 #[tokio::test]
 async fn a_holder_that_is_cut_off_is_replaced() {
     let engines = engines(2, engine_settings()).await;
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let first = vm(&platform, "vm-1");
     first.bundle.advance(bundle(1, &engines, "2"));
     until("the first VM holds the lease", || first.holds()).await;
@@ -274,7 +274,7 @@
         )
         .await;
         let engine = &engines[0];
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         vm.bundle.advance(bundle(1, &engines, "2"));
         until("the engine holds version 2", || holds_only(engine, "2")).await;
@@ -299,7 +299,7 @@
     engines[0]
         .take_order(stale_order(41, "1"))
         .expect("the first order is taken");
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
 
     vm.bundle.advance(bundle(1, &engines, "2"));
@@ -325,7 +325,7 @@
     )
     .await;
     engines.extend(self::engines(2, engine_settings()).await);
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
 
     vm.bundle.advance(bundle(1, &engines, "2"));
@@ -354,7 +354,7 @@
         TransactOutcome::Throttled,
     ];
     for fate in fates {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         platform.script([fate]);
         let vm = vm(&platform, "vm-1");
         let lease = vm.leases.compete(SCOPE);
@@ -371,7 +371,7 @@
 #[gtest]
 #[tokio::test]
 async fn no_order_is_given_while_the_lease_cannot_be_confirmed() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let lease = vm.leases.compete(SCOPE);
     until("the lease is held", || lease.held().is_some()).await;
@@ -393,7 +393,7 @@
 #[tokio::test]
 async fn a_rollout_goes_on_after_an_outage() {
     let engines = engines(3, engine_settings()).await;
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     vm.bundle.advance(bundle(1, &engines, "2"));
     until("the first order is taken", || {
