--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::{
-    slot_guard::SlotGuard, read_leader::CoalescedRead, upstream_handle::UpstreamHandle, queued_request::QueuedRequest,
+    queued_request::QueuedRequest, read_leader::CoalescedRead, slot_guard::SlotGuard,
+    upstream_handle::UpstreamHandle,
 };
 use strum::IntoEnumIterator;
 use tokio::sync::oneshot;
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -2,7 +2,7 @@
 use crate::{bundle_rows, bundle_watch::object_name};
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDraft, BundleKey, BundleRefusal, BundleRelease, BundleRow,
-    CurrentBundle, DraftId, ChangeResult, Stored,
+    ChangeResult, CurrentBundle, DraftId, Stored,
 };
 use std::num::NonZeroU32;
 
--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -3,11 +3,11 @@
     event_stream::event_stream,
     generation::GenerationOutcome,
     generation_driver,
+    generation_lookup::find_or_begin,
     generation_request::GenerationRequest,
     http_client::json_bytes,
     metrics_endpoint::metrics_response,
     problem::{Problem, ProblemKind},
-    generation_lookup::find_or_begin,
     queued_request::QueuedRequest,
 };
 
--- a/crates/catkinward/src/claim_row.rs
+++ b/crates/catkinward/src/claim_row.rs
@@ -47,11 +47,7 @@
 }
 
 /// The row by which claims that expire together are found; `salt` keeps such rows apart.
-pub(crate) fn expiry_write(
-    expires: WallTime,
-    salt: u64,
-    keys: Vec<String>,
-) -> platform_api::Write {
+pub(crate) fn expiry_write(expires: WallTime, salt: u64, keys: Vec<String>) -> platform_api::Write {
     platform_api::Write {
         key: format!("{:015}/{salt:016x}", expires.0),
         table: EXPIRIES.to_owned(),
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -372,9 +372,13 @@
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
     ) -> Option<Arc<UpstreamEntry>> {
-        self.choose(accepted, avoid, cached, CandidateFilter::Open, |candidates, who| {
-            place(candidates, who).cloned()
-        })
+        self.choose(
+            accepted,
+            avoid,
+            cached,
+            CandidateFilter::Open,
+            |candidates, who| place(candidates, who).cloned(),
+        )
     }
 
     /// Number of availability zones with upstreams of a service.
@@ -401,9 +405,13 @@
             // Another version does not go on from its memory.
             return None;
         }
-        self.choose(accepted, &[], &[], CandidateFilter::Open, |candidates, who| {
-            place_copy(candidates, run, who).cloned()
-        })
+        self.choose(
+            accepted,
+            &[],
+            &[],
+            CandidateFilter::Open,
+            |candidates, who| place_copy(candidates, run, who).cloned(),
+        )
     }
 
     /// Whether the upstreams of a service keep copies of each other's memory.
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -19,20 +19,22 @@
         UpstreamId, watch,
     },
     catkin_decisions::{
-        VersionAdmission, ResponseOutcome, ProcessStart, MAX_GOSSIPED_CHANGES, COMPLETION_WAIT, CONFIG_POLL_TIMEOUT, CachedPrompts,
-        ConfigVersion, Crash, CrashTracker, EventDecision, EventRelay, EventRun, EventSplitter,
-        GOSSIP_MAX_AGE, GossipState, GossipView, JudgedReport, LinkRate, LoadSample, Loan, LoanAsk,
-        LoanRequests, MAX_CRASHES_PER_BODY, MAX_LENDERS, MemberStatus, HEARTBEAT_INTERVAL, NewestConfig, OWNER_TIMEOUT,
-        OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerHeartbeat, PeerView,
-        PlacementCandidate, PlacementContext, Policy, Presence, PresenceChange, PromptPart,
-        RouteRetryBudget, RouteRetryBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutOrderError,
-        RolloutGrant, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
+        COMPLETION_WAIT, CONFIG_POLL_TIMEOUT, CachedPrompts, CompleteEvent, ConfigVersion, Crash,
+        CrashTracker, EventDecision, EventRelay, EventRun, EventSplitter, GOSSIP_MAX_AGE,
+        GossipState, GossipView, HEARTBEAT_INTERVAL, JudgedReport, LinkRate, LoadSample, Loan,
+        LoanAsk, LoanRequests, MAX_CRASHES_PER_BODY, MAX_GOSSIPED_CHANGES, MAX_LENDERS,
+        MemberStatus, NewestConfig, OWNER_TIMEOUT, OwnerStep, PROBE_TIMEOUT, PROMPT_SEARCH_TIMEOUT,
+        PeerDatagram, PeerHeartbeat, PeerLoad, PeerLoads, PeerView, PlacementCandidate,
+        PlacementContext, Policy, Presence, PresenceChange, ProcessStart, PromptPart,
+        ResponseOutcome, RestartEvidence, RollbackReason, Rollout, RolloutGrant, RolloutNotice,
+        RolloutOrder, RolloutOrderError, RolloutOwner, RolloutPhase, RolloutProgress,
         RolloutRecord, RolloutReport, RolloutSettings, RolloutVerdict, Rollouts, Route,
-        RoutingConfig, PROMPT_SEARCH_TIMEOUT, STANDBY_MAX_AGE, StaleRestart, StoredRecord, StreamDurationEstimator, TableRow,
-        TableFreshness, UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamHealth,
-        UpstreamIncarnation, UpstreamLoad, UpstreamRestart, UpstreamTable, VersionSlots, VmIncarnation,
-        SuspendDetector, CompleteEvent, ZoneOutageDetector, ZoneGossip, ZoneRole, is_large_zone,
-        link_carries_config, place, place_copy, rank_among, rank_of_vm, prefill_time,
+        RouteRetryBudget, RouteRetryBudgetConfig, RoutingConfig, STANDBY_MAX_AGE, StaleRestart,
+        StoredRecord, StreamDurationEstimator, SuspendDetector, TableFreshness, TableRow,
+        UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamHealth, UpstreamIncarnation,
+        UpstreamLoad, UpstreamRestart, UpstreamTable, VersionAdmission, VersionSlots,
+        VmIncarnation, ZoneGossip, ZoneOutageDetector, ZoneRole, is_large_zone,
+        link_carries_config, place, place_copy, prefill_time, rank_among, rank_of_vm,
         store_backoff,
     },
     futures::{StreamExt, future::BoxFuture, stream::BoxStream},
@@ -50,8 +52,8 @@
     rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWriteResult, WriteRecord},
     rollout_task::follow_rollouts,
     upstream_transport::{
-        ResponseBody, BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport,
-        SendError, UpstreamResponse, UpstreamCall, UpstreamTransport,
+        BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport, ResponseBody,
+        SendError, UpstreamCall, UpstreamResponse, UpstreamTransport,
     },
 };
 
@@ -74,23 +76,23 @@
 pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod accepted_call;
-mod gauges;
 mod call;
 mod call_log;
-mod kv_copy_manager;
 mod core;
 mod dispatches;
 mod feed;
+mod gauges;
 mod health_check;
 mod kv_copy;
+mod kv_copy_manager;
 mod outbox;
 mod peer_heartbeats;
 mod prompt_search;
 mod read_progress;
 mod readiness;
-mod retries;
 mod reply;
 mod reply_log;
+mod retries;
 mod rollout_store;
 mod rollout_task;
 mod rollouts;
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -76,9 +76,7 @@
         let budget = state.budget(service);
         let paid = budget.pay(&cfg, now);
         if budget.left(&cfg, now) <= FEW_LEFT {
-            let lenders = state
-                .peers
-                .some_addresses(MAX_LENDERS, rand::random(), now);
+            let lenders = state.peers.some_addresses(MAX_LENDERS, rand::random(), now);
             drop(state);
             self.ask_for_loans(service, waiting + WANTED_BEYOND, lenders, now);
         }
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -205,13 +205,20 @@
     }
 
     /// Upstreams of a service to choose from.
-    fn eligible(&self, service: &ServiceId, among: CandidateFilter, now: Instant) -> Vec<Arc<UpstreamEntry>> {
+    fn eligible(
+        &self,
+        service: &ServiceId,
+        among: CandidateFilter,
+        now: Instant,
+    ) -> Vec<Arc<UpstreamEntry>> {
         let usable = self.directory.usable(service, now).cloned();
         let only = match among {
             CandidateFilter::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
-            CandidateFilter::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
+            CandidateFilter::Open if self.rollouts.is_idle(service, now) => {
+                return usable.collect();
+            }
             CandidateFilter::Open => [VersionAdmission::Open, VersionAdmission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -2,8 +2,8 @@
 
 use super::{
     accepted_call::AcceptedCall,
-    kv_copy_manager::KvCopyManager,
     kv_copy::KvCopy,
+    kv_copy_manager::KvCopyManager,
     reply::StreamCut,
     reply_log::{log_caller_left, millis},
     run_guard::RunGuard,
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -1,12 +1,12 @@
 //! How a stream's runs begin: which upstream, from which copy, and what its answer means.
 
 use super::{
-    kv_copy_manager::KvCopyManager,
     health_check::probe,
     kv_copy::KvCopy,
-    retries::{CALL_PATIENCE, STREAM_PATIENCE},
+    kv_copy_manager::KvCopyManager,
     reply::StreamCut,
     reply_log::millis,
+    retries::{CALL_PATIENCE, STREAM_PATIENCE},
     run_guard::RunGuard,
     state::cached_tokens,
     stream_call::StreamStop,
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -1,5 +1,5 @@
 use super::{
-    accepted_call::AcceptedCall, retries::CALL_PATIENCE, reply_log::millis, run_guard::RunGuard,
+    accepted_call::AcceptedCall, reply_log::millis, retries::CALL_PATIENCE, run_guard::RunGuard,
     upstream_transport::CONNECT_BOUND, *,
 };
 use std::pin::pin;
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -100,7 +100,9 @@
         let now = self.timer.now();
         let readers = self.zone_vms().len().saturating_sub(1);
         let state = self.state.lock();
-        let read = state.table_read.filter(|at| now.since(*at) < GOSSIP_MAX_AGE);
+        let read = state
+            .table_read
+            .filter(|at| now.since(*at) < GOSSIP_MAX_AGE);
         let Some(read) = read else {
             return;
         };
@@ -123,7 +125,10 @@
         let parts = if changes.is_empty() {
             vec![Vec::new()]
         } else {
-            changes.chunks(MAX_GOSSIPED_CHANGES).map(<[_]>::to_vec).collect()
+            changes
+                .chunks(MAX_GOSSIPED_CHANGES)
+                .map(<[_]>::to_vec)
+                .collect()
         };
         for changes in parts {
             let gossip = ZoneGossip {
@@ -156,7 +161,10 @@
         let table = std::mem::take(&mut state.table);
         state.gossip.take(gossip, &table, now);
         state.table = table;
-        if matches!(state.gossip.state(GOSSIP_MAX_AGE, now), GossipState::Fresh(_)) {
+        if matches!(
+            state.gossip.state(GOSSIP_MAX_AGE, now),
+            GossipState::Fresh(_)
+        ) {
             state.directory.platform_answers(now);
         }
         drop(state);
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -5,11 +5,11 @@
     generation::GenerationOutcome,
     generation_admission::SUSPECT_PATIENCE,
     peer_exchange::ExchangeResult,
-    slot_guard::SlotGuard,
     problem::{Problem, ProblemKind},
     progress_replicator::ProgressReplicator,
-    running_attempt::{AttemptGuard, RunningAttempt},
     queued_request::QueuedRequest,
+    running_attempt::{AttemptGuard, RunningAttempt},
+    slot_guard::SlotGuard,
 };
 
 /// Bound until an engine answers an order with the headers of its stream.
@@ -134,7 +134,10 @@
 
     /// The place that a new generation waits for in the queue, or that one which was taken over
     /// takes by itself.
-    async fn first_place(&mut self, waiting: Option<QueuedRequest>) -> Result<SlotGuard, ProblemKind> {
+    async fn first_place(
+        &mut self,
+        waiting: Option<QueuedRequest>,
+    ) -> Result<SlotGuard, ProblemKind> {
         let Some(waiting) = waiting else {
             return self.wait_for_upstream().await;
         };
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::lease_row::{LEASES, lease_row, lease_value};
 use catkin_decisions::{
-    Lease, LeaseWriteResult, LeaseHolder, LeaseSettings, LeaseStep, LeaseWrite, OrderPermit,
+    Lease, LeaseHolder, LeaseSettings, LeaseStep, LeaseWrite, LeaseWriteResult, OrderPermit,
     rendezvous_rank,
 };
 
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -7,26 +7,24 @@
     crate::http_client::{Connections, HttpCall},
     arc_swap::ArcSwap,
     bytes::Bytes,
-    catkin_border::{
-        bundle as bundle_api, caller, engine, operator, platform as platform_api,
-    },
+    catkin_border::{bundle as bundle_api, caller, engine, operator, platform as platform_api},
     catkin_decisions::{
         AdmissionConfig, AdmissionQueue, Arrival, AskedReport, Attempt, AvailabilityZone, Bundle,
         BundleDigest, BundleVersion, CallKey, Candidate, CapacityReport, CapacityShare, ChainId,
-        ChoiceInput, ClaimChange, ClaimResult, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord,
+        ChoiceInput, ClaimChange, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimResult,
         ClaimRowKey, ClaimStage, ClaimToken, ClaimVerdict, Claimed, Delivery, Dispatched,
         DropReason, DroppedCounts, Eligible, EnginePriority, FailedCall, Finish, FoundClaim,
         GroupResult, Hedge, HeldClaim, HotKeys, HybridClock, IdempotencyKey, Incarnation, Instant,
-        ProgressStoreResult, KeyHash, Lane, LeavingSource, LimitKind, Model, NotRun, NotRunEvidence,
-        PathRule, PeerEntry, PeerTable, PoisonBlock, PoisonRecord, TrackedRunId, PoisonTracker,
-        ProgressHead, ProgressLimits, ProgressRecord, ProgressStore, ProgressUpdate, QueuePosition,
-        QueueTeam, Queued, ReadCoalescer, ReceivedEnd, ReceivedToken, RecordedResponse, RecordedBody,
-        RecoveryPolicy, RefusalReason, Relay, RequestDigest, RequestId, ReservedAttempt,
-        ServiceRetryBudget, ResumePoint, SLICE_RENEWAL_INTERVAL, Service, ServiceId, ServiceKind, SliceGrant,
-        SliceAllocator, SliceRequest, StallDetector, SuspectConflicts, SuspectRun, Team, TeamId,
-        TeamSlice, Term, Token, TokenIndex, TokenLog, Upstream, UpstreamId, UpstreamRecord,
-        UpstreamReport, Utf8Joiner, VmId, WallTime, choose, parse_hex, rendezvous_score,
-        serving_model, subset,
+        KeyHash, Lane, LeavingSource, LimitKind, Model, NotRun, NotRunEvidence, PathRule,
+        PeerEntry, PeerTable, PoisonBlock, PoisonRecord, PoisonTracker, ProgressHead,
+        ProgressLimits, ProgressRecord, ProgressStore, ProgressStoreResult, ProgressUpdate,
+        QueuePosition, QueueTeam, Queued, ReadCoalescer, ReceivedEnd, ReceivedToken, RecordedBody,
+        RecordedResponse, RecoveryPolicy, RefusalReason, Relay, RequestDigest, RequestId,
+        ReservedAttempt, ResumePoint, SLICE_RENEWAL_INTERVAL, Service, ServiceId, ServiceKind,
+        ServiceRetryBudget, SliceAllocator, SliceGrant, SliceRequest, StallDetector,
+        SuspectConflicts, SuspectRun, Team, TeamId, TeamSlice, Term, Token, TokenIndex, TokenLog,
+        TrackedRunId, Upstream, UpstreamId, UpstreamRecord, UpstreamReport, Utf8Joiner, VmId,
+        WallTime, choose, parse_hex, rendezvous_score, serving_model, subset,
     },
     derive_more::{Display, Error as StdError, From},
     http::{HeaderMap, Method, StatusCode, header},
@@ -66,7 +64,7 @@
     bundle_store::{Applied, BundleStore, BundleStoreSettings},
     bundle_watch::{BundleWatch, FetchBundle},
     claim_settings::ClaimSettings,
-    claims::{ResponseToRecord, ClaimRequest, Claims},
+    claims::{ClaimRequest, Claims, ResponseToRecord},
     ctl::run_ctl,
     daemon::run_daemon,
     drain::{Drain, InFlight},
@@ -75,8 +73,6 @@
     generation::Generation,
     generations::Generations,
     gossip::{Gossip, GossipSources},
-    service_registry::ServiceRegistry,
-    resumable_state::ResumableState,
     leases::{LeaseHandle, Leases, PermitError},
     logging::{start_decision_log, start_logging},
     metrics_endpoint::metrics_text,
@@ -90,9 +86,11 @@
     platform_client::PlatformSettings,
     process_clock::{CLOCK_HEADER, ProcessClock},
     read_bundle::{ReadBundle, read_bundle, read_canonical},
+    resumable_state::ResumableState,
     service_name::ServiceName,
+    service_registry::ServiceRegistry,
     settings::{Command, HELP, Settings},
-    team_limits::{TeamSliceRequest, TeamLimits},
+    team_limits::{TeamLimits, TeamSliceRequest},
     timeline::{Timeline, TimelineExtract, TimelineQuery, TimelineRecord},
     timer::Timer,
     upstream_handle::UpstreamHandle,
@@ -105,7 +103,6 @@
 
 mod admission;
 mod admission_pool;
-mod coordination;
 mod attempt_stream;
 mod bundle_canonical;
 mod bundle_diff;
@@ -120,6 +117,7 @@
 mod claim_settings;
 mod claim_sweep;
 mod claims;
+mod coordination;
 mod ctl;
 mod ctl_bundle;
 mod ctl_explain;
@@ -141,6 +139,7 @@
 mod generation;
 mod generation_admission;
 mod generation_driver;
+mod generation_lookup;
 mod generation_request;
 mod generations;
 mod gossip;
@@ -148,21 +147,16 @@
 pub mod http_client;
 /// The HTTP server and its connection limits.
 pub mod http_server;
-mod service_registry;
-mod resumable_state;
-mod upstream_observer;
 mod lease_row;
 mod leases;
 mod logging;
 mod metrics_endpoint;
-mod peer_updates;
 mod node;
 mod operator_api;
 mod operator_problem;
 mod orders;
-mod progress_replicas;
-mod peer_exchange;
 mod peer_error;
+mod peer_exchange;
 mod peer_handshake;
 mod peer_key;
 mod peer_link;
@@ -170,35 +164,39 @@
 mod peer_message;
 mod peer_server;
 mod peer_socket;
+mod peer_updates;
 mod peers;
-mod slot_guard;
-mod plain_response;
 mod plain_api;
 mod plain_call;
 mod plain_calls;
 mod plain_claim;
 mod plain_dispatch;
 mod plain_headers;
+mod plain_response;
 mod plain_send;
 mod platform;
 mod platform_client;
 mod problem;
 mod process_clock;
+mod progress_replicas;
 mod progress_replicator;
+mod queued_request;
 mod read_bundle;
 mod read_leader;
 mod recovery;
-mod generation_lookup;
+mod resumable_state;
 mod running_attempt;
 mod service_name;
+mod service_registry;
 mod settings;
 mod slice_exchange;
+mod slot_guard;
 mod team_limits;
 mod timeline;
 mod timer;
 mod upstream_gossip;
 mod upstream_handle;
-mod upstream_state;
+mod upstream_observer;
 mod upstream_query;
+mod upstream_state;
 mod upstreams;
-mod queued_request;
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::{
-    coordination::{CoordinationParts, start_coordination},
     caller_api::CallerApi,
+    coordination::{CoordinationParts, start_coordination},
     http_server::Listener,
     metrics_endpoint::start_metrics,
-    peer_updates::{read_list, start_peer_updates},
     operator_api::OperatorApi,
+    peer_updates::{read_list, start_peer_updates},
     slice_exchange::exchange_slices,
     upstream_gossip::gossip_upstreams,
 };
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::engine_orders::{EngineOrders, OrderError};
 use catkin_decisions::{
-    EngineTarget, EngineReport, EngineState, OrderPlanner, OrderScope, OrderSettings, order_scopes,
+    EngineReport, EngineState, EngineTarget, OrderPlanner, OrderScope, OrderSettings, order_scopes,
 };
 
 /// Which upstreams this VM may give orders to.
@@ -110,7 +110,8 @@
             upstream.is_some_and(|upstream| upstream.checks_orderer)
         };
         let mut scopes = order_scopes(&bundle);
-        scopes.retain(|scope| self.right == OrderPermission::All || scope.goals.iter().all(checked));
+        scopes
+            .retain(|scope| self.right == OrderPermission::All || scope.goals.iter().all(checked));
         scopes
     }
 
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::{
     admission_pool::{AdmissionPool, Refusal},
-    plain_response::PlainResponse,
     plain_call::PlainCall,
     plain_dispatch::PlainDispatch,
+    plain_response::PlainResponse,
     problem::{Problem, ProblemKind},
     read_leader::{CoalescedRead, ReadLeader},
 };
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::{
     admission_pool::Refusal,
-    claims::{ResponseToRecord, ClaimRequest, Claims},
-    slot_guard::SlotGuard,
-    plain_response::PlainResponse,
+    claims::{ClaimRequest, Claims, ResponseToRecord},
     plain_call::PlainCall,
     plain_dispatch::{PlainDispatch, refused},
+    plain_response::PlainResponse,
     plain_send::{SendError, send},
     problem::{Problem, ProblemKind},
+    slot_guard::SlotGuard,
 };
 
 impl PlainDispatch {
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::{
     admission_pool::{AdmissionPool, ChooseUpstream, Refusal},
-    slot_guard::SlotGuard,
-    plain_response::PlainResponse,
     plain_call::PlainCall,
+    plain_response::PlainResponse,
     plain_send::{SendError, SendOptions, send},
     problem::{Problem, ProblemKind},
+    slot_guard::SlotGuard,
     upstream_handle::UpstreamHandle,
 };
 use std::pin::pin;
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::{
     http_client::HttpError,
-    slot_guard::SlotGuard,
-    plain_response::PlainResponse,
     plain_call::{DEADLINE_HEADER, PlainCall},
     plain_headers::passed_on,
+    plain_response::PlainResponse,
+    slot_guard::SlotGuard,
 };
 
 /// Why a dispatch brought no answer.
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -150,11 +150,7 @@
         })
     }
 
-    async fn rows(
-        &self,
-        path: &str,
-        body: Bytes,
-    ) -> Result<Vec<platform_api::Row>, PlatformError> {
+    async fn rows(&self, path: &str, body: Bytes) -> Result<Vec<platform_api::Row>, PlatformError> {
         let reply: platform_api::RowsReply = self.post(Budget::Reads, path, body).await?;
         Ok(reply.rows)
     }
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -6,8 +6,8 @@
     engine_client::{self, Reattach},
     engine_event::AttemptError,
     generation_driver::Driver,
-    slot_guard::SlotGuard,
     running_attempt::{AttemptGuard, RunningAttempt},
+    slot_guard::SlotGuard,
 };
 
 /// Bound until a probe of a running attempt is answered.
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -64,7 +64,12 @@
 }
 
 /// Asks one home. Without an answer the slices run out, and the floors remain.
-async fn ask_home(peers: &Arc<Peers>, limits: &TeamLimits, sharers: &Sharers, asks: &[TeamSliceRequest]) {
+async fn ask_home(
+    peers: &Arc<Peers>,
+    limits: &TeamLimits,
+    sharers: &Sharers,
+    asks: &[TeamSliceRequest],
+) {
     let Some(TeamSliceRequest { home, asked, .. }) = asks.first() else {
         return;
     };
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -1,5 +1,8 @@
 use super::*;
-use crate::{upstream_observer::UpstreamObserver, upstream_handle::UpstreamHandle, upstream_state::UpstreamState};
+use crate::{
+    upstream_handle::UpstreamHandle, upstream_observer::UpstreamObserver,
+    upstream_state::UpstreamState,
+};
 
 /// How often each upstream of the subset is asked for its load.
 const POLL_PERIOD: Duration = Duration::from_millis(500);
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -7,15 +7,16 @@
 
 use bytes::Bytes;
 use catkin_decisions::{
-    ProcessStart, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
-    PeerHeartbeat, Policy, PromptPart, RouteRetryBudgetConfig, RolloutSettings, Route, RouteTable,
-    RouteTarget, RoutingConfig, ServiceSpec, TableRow, UpstreamEntry, ZoneGossip,
+    CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
+    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route,
+    RouteRetryBudgetConfig, RouteTable, RouteTarget, RoutingConfig, ServiceSpec, TableRow,
+    UpstreamEntry, ZoneGossip,
 };
 use catkinward::{
     Timer,
     gateway::{
-        ResponseBody, BodyError, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt,
-        Reply, SendError, UpstreamResponse, UpstreamCall, UpstreamTransport,
+        BodyError, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt, Reply,
+        ResponseBody, SendError, UpstreamCall, UpstreamResponse, UpstreamTransport,
     },
 };
 use futures::{StreamExt, stream};
@@ -108,7 +109,13 @@
         self
     }
 
-    pub fn born_upstream(mut self, id: &str, service: &str, zone: &str, born: ProcessStart) -> Self {
+    pub fn born_upstream(
+        mut self,
+        id: &str,
+        service: &str,
+        zone: &str,
+        born: ProcessStart,
+    ) -> Self {
         self.upstreams.push(born_upstream(id, service, zone, born));
         self
     }
@@ -151,7 +158,10 @@
     }
 
     /// When the processes of upstreams started, as they answer.
-    pub fn born(mut self, born: impl Fn(&str) -> Option<ProcessStart> + Send + Sync + 'static) -> Self {
+    pub fn born(
+        mut self,
+        born: impl Fn(&str) -> Option<ProcessStart> + Send + Sync + 'static,
+    ) -> Self {
         self.born = Arc::new(born);
         self
     }
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -3,8 +3,8 @@
 mod gateway_support;
 
 use catkin_decisions::{
-    ProcessStart, MAX_GOSSIPED_CHANGES, ConfigVersion, GOSSIP_MAX_AGE, LinkRate, PeerDatagram, RoutingConfig,
-    UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
+    ConfigVersion, GOSSIP_MAX_AGE, LinkRate, MAX_GOSSIPED_CHANGES, PeerDatagram, ProcessStart,
+    RoutingConfig, UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
     Feed, FeedError, FeedPage, exchange_notes, follow_config, follow_upstreams,
--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -210,7 +210,11 @@
         }
     }
 
-    fn by_author(&self, author: &BundleAuthor, lost: impl FnOnce() -> BundleRefusal) -> ChangeResult {
+    fn by_author(
+        &self,
+        author: &BundleAuthor,
+        lost: impl FnOnce() -> BundleRefusal,
+    ) -> ChangeResult {
         if author.change == self.change {
             ChangeResult::Done
         } else {
--- a/crates/decisions/src/lease.rs
+++ b/crates/decisions/src/lease.rs
@@ -147,7 +147,13 @@
     }
 
     /// Takes the answer to a write that was sent at `sent`.
-    pub fn written(&mut self, sent: Instant, now: Instant, write: LeaseWrite, answer: LeaseWriteResult) {
+    pub fn written(
+        &mut self,
+        sent: Instant,
+        now: Instant,
+        write: LeaseWrite,
+        answer: LeaseWriteResult,
+    ) {
         match answer {
             LeaseWriteResult::Written => {
                 self.doubt = None;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -29,7 +29,6 @@
     admission_queue::{AdmissionConfig, AdmissionQueue, Arrival, QueuePosition},
     attempt::Attempt,
     availability_zone::AvailabilityZone,
-    process_start::ProcessStart,
     bundle::Bundle,
     bundle_author::BundleAuthor,
     bundle_change::{BundleChange, ChangeResult},
@@ -40,19 +39,19 @@
     bundle_row::{BundleKey, BundleRow, Stored},
     bundle_version::BundleVersion,
     bundle_view::{BundleView, PEER_FALLBACK_DELAY},
-    cached_prompts::{CACHE_REPORT_TTL, CachedPrompts, PromptPart, PROMPT_SEARCH_TIMEOUT},
-    call_limiter::{CallLimiter, CallLimiterSettings},
+    cached_prompts::{CACHE_REPORT_TTL, CachedPrompts, PROMPT_SEARCH_TIMEOUT, PromptPart},
     call_key::CallKey,
     call_kind::CallKind,
+    call_limiter::{CallLimiter, CallLimiterSettings},
     candidate::Candidate,
     capacity_share::CapacityShare,
     chain_id::ChainId,
     change_token::ChangeToken,
     choice::{ChoiceInput, choose},
     claim_change::{ClaimChange, ClaimRowKey, FoundClaim},
-    claim_queue::{ClaimResult, ClaimQueue, GroupResult},
+    claim_queue::{ClaimQueue, ClaimResult, GroupResult},
     claim_record::{
-        ClaimKind, ClaimOutcome, ClaimRecord, ClaimStage, RecordedResponse, RecordedBody,
+        ClaimKind, ClaimOutcome, ClaimRecord, ClaimStage, RecordedBody, RecordedResponse,
     },
     claim_token::ClaimToken,
     claim_verdict::ClaimVerdict,
@@ -71,9 +70,13 @@
     engine_state::EngineState,
     error::Error,
     event_relay::{EventDecision, EventRelay, EventRun},
-    event_splitter::{EventSplitter, MAX_EVENT_BYTES, CompleteEvent},
-    exposure::{ExposurePermit, ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, VmIncarnation},
+    event_splitter::{CompleteEvent, EventSplitter, MAX_EVENT_BYTES},
+    exposure::{
+        ExposureGrants, ExposureLedger, ExposureLimit, ExposurePermit, GRANT_LIFETIME,
+        VmIncarnation,
+    },
     failed_call::FailedCall,
+    failure_ejection::FailureEjection,
     fair_queue::{FairQueue, PopOptions, QueueTeam},
     finish::Finish,
     hedge::{Hedge, HedgeConfig},
@@ -85,13 +88,12 @@
     incarnation::Incarnation,
     ineligible::Ineligible,
     instant::Instant,
-    table_replica::{TableReplica, TableSnapshot},
     key_hash::KeyHash,
     lane::Lane,
     lease::Lease,
     lease_row::{LeaseHolder, LeaseRecord, LeaseRow},
     lease_settings::LeaseSettings,
-    lease_step::{LeaseWriteResult, LeaseStep, LeaseWrite},
+    lease_step::{LeaseStep, LeaseWrite, LeaseWriteResult},
     leaving_source::LeavingSource,
     limit_kind::LimitKind,
     link_rate::LinkRate,
@@ -105,21 +107,22 @@
     path_rule::PathRule,
     peer_datagram::{Loan, LoanAsk, PeerDatagram},
     peer_entry::PeerEntry,
+    peer_heartbeat::{MemberStatus, PeerHeartbeat, PeerLoad},
     peer_loads::{HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerLoads, SHARERS_PER_UPSTREAM},
-    peer_heartbeat::{MemberStatus, PeerLoad, PeerHeartbeat},
     peer_table::PeerTable,
     peer_view::PeerView,
     placement::{
-        UNSHARED_COST, OTHER_PARTITION_COST, OTHER_ZONE_STREAM_COST, PlacementCandidate, PlacementContext, STREAM_COST,
-        place, place_copy, rank_of_vm,
+        OTHER_PARTITION_COST, OTHER_ZONE_STREAM_COST, PlacementCandidate, PlacementContext,
+        STREAM_COST, UNSHARED_COST, place, place_copy, rank_of_vm,
     },
     poison_block::PoisonBlock,
     poison_record::PoisonRecord,
-    poison_tracker::{MAX_CRASHES_PER_DIGEST, TrackedRunId, PoisonTracker, PROBATION_STEPS},
+    poison_tracker::{MAX_CRASHES_PER_DIGEST, PROBATION_STEPS, PoisonTracker, TrackedRunId},
     policy::Policy,
+    process_start::ProcessStart,
     progress_head::ProgressHead,
     progress_record::ProgressRecord,
-    progress_store::{ProgressStoreResult, ProgressLimits, ProgressStore},
+    progress_store::{ProgressLimits, ProgressStore, ProgressStoreResult},
     progress_update::ProgressUpdate,
     read_coalescer::ReadCoalescer,
     received_end::ReceivedEnd,
@@ -128,36 +131,36 @@
     refusal_reason::RefusalReason,
     relay::Relay,
     rendezvous::{rank_among, rendezvous_rank, rendezvous_score},
-    route_retry_budget::{RouteRetryBudget, RouteRetryBudgetConfig},
     request_digest::RequestDigest,
     request_id::RequestId,
     request_state::{Dispatched, Done, NotRun, NotRunEvidence, Queued, Unknown},
     reserved_attempt::ReservedAttempt,
-    service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
-    retry_refusal::RetryRefusal,
     resume_point::ResumePoint,
+    retry_refusal::RetryRefusal,
     rollout::{OWNER_TIMEOUT, Rollout},
     rollout_datagram::{RolloutGrant, RolloutReport},
     rollout_evidence::{ResponseCounts, ResponseOutcome, RouteEvidence, latency_bucket},
     rollout_judge::{JudgedReport, MIN_ROUTE_SAMPLES, RolloutJudge, RolloutVerdict},
     rollout_notice::{RolloutNotice, RolloutProgress},
-    rollout_order::{RolloutOrderError, RolloutOrder},
+    rollout_order::{RolloutOrder, RolloutOrderError},
     rollout_owner::{
         COMPLETION_LEAD, COMPLETION_WAIT, OwnerStep, RollbackReason, RolloutOwner, VersionSlots,
     },
     rollout_phase::RolloutPhase,
     rollout_record::{RolloutRecord, StoredRecord},
-    rollouts::{VersionAdmission, ORDER_TIMEOUT, RolloutSettings, Rollouts},
+    rollouts::{ORDER_TIMEOUT, RolloutSettings, Rollouts, VersionAdmission},
     route::{Route, RouteTarget},
+    route_retry_budget::{RouteRetryBudget, RouteRetryBudgetConfig},
     route_table::RouteTable,
     routing_config::{CallerKey, CallerLimits, NewestConfig, RoutingConfig, ServiceSpec},
     service::Service,
     service_id::ServiceId,
     service_kind::ServiceKind,
+    service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
     service_time::ServiceTime,
     serving_model::serving_model,
-    slice_grant::SliceGrant,
     slice_allocator::{SLICE_LEASE, SLICE_RENEWAL_INTERVAL, SliceAllocator},
+    slice_grant::SliceGrant,
     slice_request::SliceRequest,
     software_version::SoftwareVersion,
     stall_detector::StallDetector,
@@ -166,7 +169,8 @@
     subset::{OTHER_ZONES_SUBSET, OWN_ZONE_SUBSET, subset},
     suspect_run::SuspectRun,
     suspect_runs::{SuspectConflicts, SuspectRuns},
-    failure_ejection::FailureEjection,
+    suspend_detector::SuspendDetector,
+    table_replica::{TableReplica, TableSnapshot},
     table_row::TableRow,
     team::Team,
     team_id::TeamId,
@@ -184,20 +188,19 @@
     upstream_id::UpstreamId,
     upstream_incarnation::UpstreamIncarnation,
     upstream_load::{LoadSample, UpstreamLoad, prefill_time},
-    upstream_slots::{CapacityReport, UpstreamSlots},
     upstream_record::{AskedReport, UpstreamRecord},
     upstream_report::UpstreamReport,
     upstream_restart::{RestartEvidence, StaleRestart, TableFreshness, UpstreamRestart},
+    upstream_slots::{CapacityReport, UpstreamSlots},
     upstream_table::{TableRead, UpstreamChange, UpstreamTable},
     utf8_joiner::Utf8Joiner,
     vm_id::VmId,
-    suspend_detector::SuspendDetector,
     wall_time::WallTime,
-    zone_outage_detector::ZoneOutageDetector,
     zone_gossip::{
-        MAX_GOSSIPED_CHANGES, CONFIG_GOSSIP_MAX_AGE, CONFIG_POLL_TIMEOUT, GOSSIP_MAX_AGE, GossipState, GossipView,
-        DELTA_WAIT, STANDBY_MAX_AGE, ZoneGossip,
+        CONFIG_GOSSIP_MAX_AGE, CONFIG_POLL_TIMEOUT, DELTA_WAIT, GOSSIP_MAX_AGE, GossipState,
+        GossipView, MAX_GOSSIPED_CHANGES, STANDBY_MAX_AGE, ZoneGossip,
     },
+    zone_outage_detector::ZoneOutageDetector,
     zone_role::{ZoneRole, is_large_zone},
 };
 
@@ -205,7 +208,6 @@
 mod admission_queue;
 mod attempt;
 mod availability_zone;
-mod process_start;
 mod bundle;
 mod bundle_author;
 mod bundle_change;
@@ -217,9 +219,9 @@
 mod bundle_version;
 mod bundle_view;
 mod cached_prompts;
-mod call_limiter;
 mod call_key;
 mod call_kind;
+mod call_limiter;
 mod call_table;
 mod candidate;
 mod capacity_share;
@@ -251,6 +253,7 @@
 mod event_splitter;
 mod exposure;
 mod failed_call;
+mod failure_ejection;
 mod fair_queue;
 mod finish;
 mod hedge;
@@ -262,7 +265,6 @@
 mod incarnation;
 mod ineligible;
 mod instant;
-mod table_replica;
 mod key_hash;
 mod lane;
 mod lane_queue;
@@ -283,8 +285,8 @@
 mod path_rule;
 mod peer_datagram;
 mod peer_entry;
-mod peer_loads;
 mod peer_heartbeat;
+mod peer_loads;
 mod peer_table;
 mod peer_view;
 mod placement;
@@ -292,6 +294,7 @@
 mod poison_record;
 mod poison_tracker;
 mod policy;
+mod process_start;
 mod progress_head;
 mod progress_record;
 mod progress_store;
@@ -303,14 +306,12 @@
 mod refusal_reason;
 mod relay;
 mod rendezvous;
-mod route_retry_budget;
 mod request_digest;
 mod request_id;
 mod request_state;
 mod reserved_attempt;
-mod service_retry_budget;
-mod retry_refusal;
 mod resume_point;
+mod retry_refusal;
 mod rollout;
 mod rollout_datagram;
 mod rollout_evidence;
@@ -322,15 +323,17 @@
 mod rollout_record;
 mod rollouts;
 mod route;
+mod route_retry_budget;
 mod route_table;
 mod routing_config;
 mod service;
 mod service_id;
 mod service_kind;
+mod service_retry_budget;
 mod service_time;
 mod serving_model;
-mod slice_grant;
 mod slice_allocator;
+mod slice_grant;
 mod slice_request;
 mod software_version;
 mod stall_detector;
@@ -339,7 +342,8 @@
 mod subset;
 mod suspect_run;
 mod suspect_runs;
-mod failure_ejection;
+mod suspend_detector;
+mod table_replica;
 mod table_row;
 mod team;
 mod team_id;
@@ -357,15 +361,14 @@
 mod upstream_id;
 mod upstream_incarnation;
 mod upstream_load;
-mod upstream_slots;
 mod upstream_record;
 mod upstream_report;
 mod upstream_restart;
+mod upstream_slots;
 mod upstream_table;
 mod utf8_joiner;
 mod vm_id;
-mod suspend_detector;
 mod wall_time;
-mod zone_outage_detector;
 mod zone_gossip;
+mod zone_outage_detector;
 mod zone_role;
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -110,7 +110,12 @@
     }
 
     /// Takes in words on VMs; those without a zone are of `zone`.
-    pub fn take_members(&mut self, members: &[MemberStatus], zone: &AvailabilityZone, now: Instant) {
+    pub fn take_members(
+        &mut self,
+        members: &[MemberStatus],
+        zone: &AvailabilityZone,
+        now: Instant,
+    ) {
         for member in members {
             if member.vm == self.own {
                 continue;
@@ -253,7 +258,12 @@
 
     /// Members to tell a VM that wants some; none where all tell each other anyway.
     #[must_use]
-    pub fn wanted_members(&self, note: &PeerHeartbeat, random: u64, now: Instant) -> Vec<MemberStatus> {
+    pub fn wanted_members(
+        &self,
+        note: &PeerHeartbeat,
+        random: u64,
+        now: Instant,
+    ) -> Vec<MemberStatus> {
         if !note.wants_members || self.tells_all(now) {
             return Vec::new();
         }
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -445,7 +445,10 @@
     fn convicted_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
         let open = self.fresh(digest, now).filter(|mark| !mark.cleared);
         let open = Instant::nth_smallest(open.map(|mark| mark.at), MOST_OPEN_DEATHS);
-        let all = Instant::nth_smallest(self.fresh(digest, now).map(|mark| mark.at), MAX_CRASHES_PER_DIGEST);
+        let all = Instant::nth_smallest(
+            self.fresh(digest, now).map(|mark| mark.at),
+            MAX_CRASHES_PER_DIGEST,
+        );
         open.into_iter().chain(all).min()
     }
 
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -171,7 +171,12 @@
 
     /// Notes that an upstream has started at `born`, by its own report or that of another VM. Its entry is
     /// the one before until it is read anew. A report of an upstream that was removed is stale.
-    pub fn started(&mut self, id: &UpstreamId, born: ProcessStart, now: Instant) -> Vec<PresenceChange> {
+    pub fn started(
+        &mut self,
+        id: &UpstreamId,
+        born: ProcessStart,
+        now: Instant,
+    ) -> Vec<PresenceChange> {
         let Some(newest) = self.newest(id) else {
             return Vec::new();
         };
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -1,9 +1,9 @@
 //! Leases and orders together: VMs that crash, pause and come back, and engines of both kinds.
 
 use catkin_decisions::{
-    EngineTarget, EngineReport, EngineState, Incarnation, Instant, Lease, LeaseWriteResult, LeaseHolder,
-    LeaseRow, LeaseSettings, LeaseStep, LeaseWrite, Model, OrderPlanner, OrderSettings, Term,
-    UpstreamId,
+    EngineReport, EngineState, EngineTarget, Incarnation, Instant, Lease, LeaseHolder, LeaseRow,
+    LeaseSettings, LeaseStep, LeaseWrite, LeaseWriteResult, Model, OrderPlanner, OrderSettings,
+    Term, UpstreamId,
 };
 use proptest::prelude::*;
 use std::time::Duration;
--- a/crates/decisions/tests/bundle_change.rs
+++ b/crates/decisions/tests/bundle_change.rs
@@ -2,7 +2,8 @@
 
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDigest, BundleDraft, BundleKey, BundleRefusal, BundleRelease,
-    BundleRow, BundleVersion, CurrentBundle, DraftId, OperatorName, ReleaseSource, ChangeResult, Stored,
+    BundleRow, BundleVersion, ChangeResult, CurrentBundle, DraftId, OperatorName, ReleaseSource,
+    Stored,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -1,8 +1,8 @@
 //! Choice of the upstream for a request.
 
 use catkin_decisions::{
-    Candidate, ChoiceInput, Incarnation, Ineligible, Instant, Model, FailureEjection, UpstreamRecord,
-    UpstreamReport, choose, rendezvous_score,
+    Candidate, ChoiceInput, FailureEjection, Incarnation, Ineligible, Instant, Model,
+    UpstreamRecord, UpstreamReport, choose, rendezvous_score,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -1,7 +1,7 @@
 //! Claims: one dispatch for each key, whatever becomes of the calls of the table service.
 
 use catkin_decisions::{
-    ClaimChange, ClaimResult, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimRowKey,
+    ClaimChange, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimResult, ClaimRowKey,
     ClaimStage, ClaimToken, ClaimVerdict, Claimed, FoundClaim, GroupResult, HeldClaim, Incarnation,
     Instant, RequestDigest, TeamId, WallTime,
 };
--- a/crates/decisions/tests/lease.rs
+++ b/crates/decisions/tests/lease.rs
@@ -1,8 +1,8 @@
 //! Leases: one holder at a time by its own clock, and a term that tells old orders from new ones.
 
 use catkin_decisions::{
-    Incarnation, Instant, Lease, LeaseWriteResult, LeaseHolder, LeaseRecord, LeaseRow, LeaseSettings,
-    LeaseStep, LeaseWrite, Term,
+    Incarnation, Instant, Lease, LeaseHolder, LeaseRecord, LeaseRow, LeaseSettings, LeaseStep,
+    LeaseWrite, LeaseWriteResult, Term,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to engines: a rollout keeps serving, keeps what runs resumable, and spares the weight store.
 
 use catkin_decisions::{
-    AvailabilityZone, EngineTarget, EngineReport, EngineState, Instant, Model, OrderPlanner,
+    AvailabilityZone, EngineReport, EngineState, EngineTarget, Instant, Model, OrderPlanner,
     OrderSettings, Term, UpstreamId, serving_model,
 };
 use googletest::prelude::*;
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -1,8 +1,8 @@
 //! How VMs know of each other, a few and many.
 
 use catkin_decisions::{
-    Instant, MemberStatus, HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerLoad, PeerLoads, PeerHeartbeat, SHARERS_PER_UPSTREAM,
-    UpstreamEntry,
+    HEARTBEAT_INTERVAL, Instant, MemberStatus, PEER_TIMEOUT, PeerHeartbeat, PeerLoad, PeerLoads,
+    SHARERS_PER_UPSTREAM, UpstreamEntry,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,8 +1,9 @@
 //! Where prompts go when many VMs decide at once.
 
 use catkin_decisions::{
-    AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerHeartbeat, PlacementCandidate, PlacementContext,
-    Policy, SHARERS_PER_UPSTREAM, UpstreamEntry, UpstreamLoad, place, place_copy, rank_of_vm, rendezvous_score,
+    AvailabilityZone, Instant, PeerHeartbeat, PeerLoad, PeerLoads, PlacementCandidate,
+    PlacementContext, Policy, SHARERS_PER_UPSTREAM, UpstreamEntry, UpstreamLoad, place, place_copy,
+    rank_of_vm, rendezvous_score,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -3,7 +3,7 @@
 mod poison_support;
 
 use catkin_decisions::{
-    Incarnation, PoisonBlock, TrackedRunId, PoisonTracker, RequestDigest, PROBATION_STEPS,
+    Incarnation, PROBATION_STEPS, PoisonBlock, PoisonTracker, RequestDigest, TrackedRunId,
 };
 use googletest::prelude::*;
 use poison_support::*;
--- a/crates/decisions/tests/poison_support/mod.rs
+++ b/crates/decisions/tests/poison_support/mod.rs
@@ -3,7 +3,9 @@
 // Each test file uses its own part of this.
 #![allow(dead_code)]
 
-use catkin_decisions::{Incarnation, Instant, TrackedRunId, PoisonTracker, RequestDigest, UpstreamId};
+use catkin_decisions::{
+    Incarnation, Instant, PoisonTracker, RequestDigest, TrackedRunId, UpstreamId,
+};
 use std::time::Duration;
 
 pub const FIRST: Incarnation = Incarnation(1);
--- a/crates/decisions/tests/progress.rs
+++ b/crates/decisions/tests/progress.rs
@@ -1,9 +1,9 @@
 //! Copies of a generation's progress on other VMs.
 
 use catkin_decisions::{
-    Attempt, BundleVersion, ChainId, Finish, Instant, ProgressStoreResult, Model, ProgressHead,
-    ProgressLimits, ProgressStore, ProgressUpdate, RequestDigest, RequestId, ResumePoint, Token,
-    TokenIndex, TokenLog,
+    Attempt, BundleVersion, ChainId, Finish, Instant, Model, ProgressHead, ProgressLimits,
+    ProgressStore, ProgressStoreResult, ProgressUpdate, RequestDigest, RequestId, ResumePoint,
+    Token, TokenIndex, TokenLog,
 };
 use googletest::prelude::*;
 use std::time::Duration;
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -1,8 +1,9 @@
 //! Restart reports that arrive late, beside a table of upstreams that some VMs cannot read.
 
 use catkin_decisions::{
-    ProcessStart, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableFreshness, UpstreamChange,
-    UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, UpstreamRestart, UpstreamTable,
+    Instant, LAPSE_GRACE, ProcessStart, RestartEvidence, StaleRestart, TableFreshness,
+    UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, UpstreamRestart,
+    UpstreamTable,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -1,9 +1,9 @@
 //! Which versions of a service get requests, as one VM knows its rollout.
 
 use catkin_decisions::{
-    VersionAdmission, ExposureLimit, Instant, ORDER_TIMEOUT, OWNER_TIMEOUT, OwnerStep, RollbackReason, Rollout,
-    RolloutOrderError, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
-    RolloutSettings, Rollouts, SoftwareVersion, UpstreamEntry, VersionSlots,
+    ExposureLimit, Instant, ORDER_TIMEOUT, OWNER_TIMEOUT, OwnerStep, RollbackReason, Rollout,
+    RolloutNotice, RolloutOrder, RolloutOrderError, RolloutOwner, RolloutPhase, RolloutProgress,
+    RolloutSettings, Rollouts, SoftwareVersion, UpstreamEntry, VersionAdmission, VersionSlots,
 };
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
@@ -121,7 +121,11 @@
 
     expect_that!(
         [after_the_same, after_another, after_its_own],
-        eq([VersionAdmission::Barred, VersionAdmission::Barred, VersionAdmission::Trial])
+        eq([
+            VersionAdmission::Barred,
+            VersionAdmission::Barred,
+            VersionAdmission::Trial
+        ])
     );
 }
 
@@ -139,7 +143,10 @@
             rollouts.take(&notice(order("v3", 8), 1, RolloutPhase::Running), at(2000));
         }
 
-        expect_that!(admissions(&rollouts, at(60_000))[1], eq(VersionAdmission::Barred));
+        expect_that!(
+            admissions(&rollouts, at(60_000))[1],
+            eq(VersionAdmission::Barred)
+        );
     }
 }
 
@@ -169,7 +176,10 @@
 
     rollouts.withdraw(&"shop".parse().unwrap(), 8);
 
-    expect_that!(admissions(&rollouts, at(60_000))[1], eq(VersionAdmission::Barred));
+    expect_that!(
+        admissions(&rollouts, at(60_000))[1],
+        eq(VersionAdmission::Barred)
+    );
 }
 
 /// Notices overtake each other.
@@ -214,7 +224,10 @@
     );
 
     expect_that!(taken, eq(false));
-    expect_that!(admissions(&rollouts, at(1000)), eq([VersionAdmission::Open; 2]));
+    expect_that!(
+        admissions(&rollouts, at(1000)),
+        eq([VersionAdmission::Open; 2])
+    );
 }
 
 /// Each VM tries the same few upstreams, so that these are loaded.
@@ -280,7 +293,12 @@
             vec![v1.clone()],
             Err(RolloutOrderError::UnknownService),
         ),
-        (no_time, true, vec![v1.clone()], Err(RolloutOrderError::NoTime)),
+        (
+            no_time,
+            true,
+            vec![v1.clone()],
+            Err(RolloutOrderError::NoTime),
+        ),
         (
             order("v1", 7),
             true,
--- a/crates/decisions/tests/service_retry_budget.rs
+++ b/crates/decisions/tests/service_retry_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget.
 
-use catkin_decisions::{FailedCall, ServiceRetryBudget, ServiceRetryBudgetConfig, RetryRefusal};
+use catkin_decisions::{FailedCall, RetryRefusal, ServiceRetryBudget, ServiceRetryBudgetConfig};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -1,6 +1,8 @@
 //! Slices of a team's limit.
 
-use catkin_decisions::{Instant, LimitKind, SliceGrant, SliceAllocator, SliceRequest, TeamSlice, VmId};
+use catkin_decisions::{
+    Instant, LimitKind, SliceAllocator, SliceGrant, SliceRequest, TeamSlice, VmId,
+};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -2,7 +2,7 @@
 
 mod poison_support;
 
-use catkin_decisions::{PoisonBlock, TrackedRunId, PoisonTracker, SuspectRun};
+use catkin_decisions::{PoisonBlock, PoisonTracker, SuspectRun, TrackedRunId};
 use googletest::prelude::*;
 use poison_support::*;
 
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -1,7 +1,8 @@
 //! Which upstreams there are, from entries that come late, lapse and return.
 
 use catkin_decisions::{
-    ProcessStart, Instant, LAPSE_GRACE, Presence, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation,
+    Instant, LAPSE_GRACE, Presence, ProcessStart, UpstreamDirectory, UpstreamEntry,
+    UpstreamIncarnation,
 };
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop, prop_assert_eq, prop_oneof, proptest};
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -1,8 +1,8 @@
 //! When upstreams are asked whether they live, and what their losses are taken for.
 
 use catkin_decisions::{
-    AvailabilityZone, Crash, CrashTracker, Instant, SILENCE_TIMEOUT, UpstreamHealth, UpstreamIncarnation,
-    ZoneOutageDetector,
+    AvailabilityZone, Crash, CrashTracker, Instant, SILENCE_TIMEOUT, UpstreamHealth,
+    UpstreamIncarnation, ZoneOutageDetector,
 };
 use googletest::prelude::*;
 use std::time::Duration;
--- a/crates/decisions/tests/whole_read.rs
+++ b/crates/decisions/tests/whole_read.rs
@@ -1,7 +1,7 @@
 //! What it costs a VM to read the whole table of a large deployment.
 
 use catkin_decisions::{
-    ProcessStart, Instant, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
+    Instant, ProcessStart, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
 };
 use googletest::prelude::*;
 use std::{net::SocketAddr, time::Duration};
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -1,7 +1,7 @@
 //! One VM of a zone reads the platform's table of upstreams, and the others rely on its word.
 
 use catkin_decisions::{
-    ConfigVersion, GOSSIP_MAX_AGE, GossipState, GossipView, Instant, DELTA_WAIT, UpstreamChange,
+    ConfigVersion, DELTA_WAIT, GOSSIP_MAX_AGE, GossipState, GossipView, Instant, UpstreamChange,
     UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use googletest::prelude::*;
@@ -97,7 +97,10 @@
 fn an_upstream_that_leaves_is_known_by_another_vms_word() {
     let (table, state) = after(&[(1000, news(&[entry(2, true)], 11))], at(1010));
 
-    expect_that!(state, eq(GossipState::Fresh(at(1000).after(GOSSIP_MAX_AGE))));
+    expect_that!(
+        state,
+        eq(GossipState::Fresh(at(1000).after(GOSSIP_MAX_AGE)))
+    );
     expect_that!(table.version(), eq(11));
 }
 
@@ -133,7 +136,10 @@
     let (_, whole) = after(&[(1000, second), (1005, first)], at(1006));
 
     expect_that!(half, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
-    expect_that!(whole, eq(GossipState::Fresh(at(1005).after(GOSSIP_MAX_AGE))));
+    expect_that!(
+        whole,
+        eq(GossipState::Fresh(at(1005).after(GOSSIP_MAX_AGE)))
+    );
 }
 
 /// The VM that reads loses its power, or the store turns it away and its words grow old. The others read
--- a/crates/standins/examples/claim_rate.rs
+++ b/crates/standins/examples/claim_rate.rs
@@ -8,7 +8,7 @@
 use catkin_decisions::{ClaimKind, ClaimVerdict, Incarnation, RequestDigest, TeamId};
 use catkin_standins::PlatformServer;
 use catkinward::{
-    ResponseToRecord, ClaimRequest, ClaimSettings, Claims, Platform, PlatformSettings, Timeline,
+    ClaimRequest, ClaimSettings, Claims, Platform, PlatformSettings, ResponseToRecord, Timeline,
     Timer, http_client::Connections,
 };
 use std::{
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -43,6 +43,7 @@
     engine_server::EngineServer,
     engine_settings::EngineSettings,
     fault_proxy::FaultProxy,
+    mock_platform::{MockPlatform, TransactOutcome},
     plain_fault::PlainFault,
     plain_server::{PlainResponse, PlainServer},
     plain_settings::PlainSettings,
@@ -51,7 +52,6 @@
     prefix_cache::prompt_tokens,
     proxy_fault::ProxyFault,
     run_counts::{RunCount, RunCounts, request_digest},
-    mock_platform::{MockPlatform, TransactOutcome},
     token_chain::TokenChain,
     upstream_probe::{first_busy, upstream_load},
     weight_store::WeightStore,
@@ -70,6 +70,7 @@
 mod engine_settings;
 mod fault_proxy;
 mod killable_listener;
+mod mock_platform;
 mod plain_fault;
 mod plain_server;
 mod plain_settings;
@@ -81,7 +82,6 @@
 mod query;
 mod rate_limit;
 mod run_counts;
-mod mock_platform;
 mod sequence;
 mod token_chain;
 mod upstream_probe;
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -6,7 +6,7 @@
     TeamId, WallTime,
 };
 use catkin_standins::{MockPlatform, TransactOutcome};
-use catkinward::{ResponseToRecord, ClaimRequest, ClaimSettings, Claims, Timeline, Timer};
+use catkinward::{ClaimRequest, ClaimSettings, Claims, ResponseToRecord, Timeline, Timer};
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
 
@@ -173,7 +173,10 @@
         let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         platform.script([fate]);
-        platform.script(std::iter::repeat_n(TransactOutcome::LostBeforeEffect, 100_000));
+        platform.script(std::iter::repeat_n(
+            TransactOutcome::LostBeforeEffect,
+            100_000,
+        ));
         let hurried = ClaimRequest {
             time_left: Duration::from_millis(50),
             ..order("k")
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -9,8 +9,9 @@
     EngineServer, EngineSettings, MockPlatform, TransactOutcome, WeightStore, demo_bundle,
 };
 use catkinward::{
-    BundleInForce, EventKind, Leases, PermitError, OrderPermission, Orders, Platform, PlatformError,
-    ReadBundle, Timeline, TimelineQuery, Timer, http_client::Connections, read_bundle,
+    BundleInForce, EventKind, Leases, OrderPermission, Orders, PermitError, Platform,
+    PlatformError, ReadBundle, Timeline, TimelineQuery, Timer, http_client::Connections,
+    read_bundle,
 };
 use googletest::prelude::*;
 use std::{
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -1,7 +1,7 @@
 //! The stand-in plain service: it counts runs, and fails on demand.
 
 use bytes::Bytes;
-use catkin_standins::{PlainResponse, PlainFault, PlainServer, PlainSettings, request_digest};
+use catkin_standins::{PlainFault, PlainResponse, PlainServer, PlainSettings, request_digest};
 use catkinward::http_client::{Connections, HttpCall, HttpError};
 use googletest::prelude::*;
 use http::Method;
