--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -376,7 +376,7 @@
             accepted,
             avoid,
             cached,
-            CandidateFilter::Open,
+            Candidates::Open,
             |candidates, who| place(candidates, who).cloned(),
         )
     }
@@ -405,13 +405,9 @@
             // Another version does not go on from its memory.
             return None;
         }
-        self.choose(
-            accepted,
-            &[],
-            &[],
-            CandidateFilter::Open,
-            |candidates, who| place_copy(candidates, run, who).cloned(),
-        )
+        self.choose(accepted, &[], &[], Candidates::Open, |candidates, who| {
+            place_copy(candidates, run, who).cloned()
+        })
     }
 
     /// Whether the upstreams of a service keep copies of each other's memory.
@@ -425,7 +421,7 @@
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: CandidateFilter,
+        among: Candidates,
         choose: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
     ) -> T {
         let now = self.timer.now();
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -9,7 +9,7 @@
         outbox::Outbox,
         readiness::{Readiness, ServicesSeen},
         rollouts::OwnedRollout,
-        state::{CandidateFilter, DirectoryRead, GatewayState},
+        state::{Candidates, DirectoryRead, GatewayState},
         zone_config::AdvertisedConfig,
     },
     super::{
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -190,7 +190,7 @@
             accepted,
             &[],
             &[],
-            CandidateFilter::Only(&focus),
+            Candidates::Only(&focus),
             |candidates, who| {
                 let live = candidates.iter().filter(|c| !c.suspect).cloned();
                 place(&live.collect::<Vec<_>>(), who).cloned()
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -44,7 +44,7 @@
 
 /// Which upstreams of a service are chosen from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum CandidateFilter<'a> {
+pub(crate) enum Candidates<'a> {
     /// Those that may get any request; if there are none, those that stop with the end of a rollout.
     Open,
     /// These.
@@ -208,18 +208,18 @@
     fn eligible(
         &self,
         service: &ServiceId,
-        among: CandidateFilter,
+        among: Candidates,
         now: Instant,
     ) -> Vec<Arc<UpstreamEntry>> {
         let usable = self.directory.usable(service, now).cloned();
         let only = match among {
-            CandidateFilter::Only(only) => {
+            Candidates::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
-            CandidateFilter::Open if self.rollouts.is_idle(service, now) => {
+            Candidates::Open if self.rollouts.is_idle(service, now) => {
                 return usable.collect();
             }
-            CandidateFilter::Open => [VersionAdmission::Open, VersionAdmission::Retired],
+            Candidates::Open => [VersionAdmission::Open, VersionAdmission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
             self.rollouts.admission(entry, now)
@@ -238,7 +238,7 @@
         service: &ServiceId,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: CandidateFilter,
+        among: Candidates,
         who: &PlacementContext,
         choose: impl FnOnce(&[PlacementCandidate]) -> T,
     ) -> T {
