--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -216,9 +216,7 @@
             Candidates::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
-            Candidates::Open if self.rollouts.is_idle(service, now) => {
-                return usable.collect();
-            }
+            Candidates::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
             Candidates::Open => [VersionAdmission::Open, VersionAdmission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
