--- a/crates/catkinward/src/bundle_format.rs
+++ b/crates/catkinward/src/bundle_format.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::error::BundleFault;
+use crate::error::BundleError;
 
 /// Deadline of a call where neither the call nor the bundle names one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
@@ -15,7 +15,7 @@
 pub(crate) fn check_bundle(
     version: BundleVersion,
     digest: BundleDigest,
-    bundle: &border_bundle::Bundle,
+    bundle: &bundle_api::Bundle,
 ) -> Result<Bundle> {
     let teams = each("teams", &bundle.teams, check_team)?;
     let teams = sorted("teams", teams, |team: &Team| team.id.to_string())?;
@@ -39,7 +39,7 @@
     Ok(bundle)
 }
 
-fn check_team(place: &str, entry: &border_bundle::TeamEntry) -> Result<Team> {
+fn check_team(place: &str, entry: &bundle_api::TeamEntry) -> Result<Team> {
     Ok(Team {
         id: field(place, "name", entry.name.parse())?,
         key: field(place, "key_sha256", entry.key_sha256.parse())?,
@@ -49,17 +49,17 @@
     })
 }
 
-fn check_service(place: &str, entry: &border_bundle::ServiceEntry) -> Result<Service> {
+fn check_service(place: &str, entry: &bundle_api::ServiceEntry) -> Result<Service> {
     check_kind(place, entry)?;
     let kind = match entry.kind {
-        border_bundle::ServiceKind::Generation => ServiceKind::Generation {
+        bundle_api::ServiceKind::Generation => ServiceKind::Generation {
             model: check_model(place, entry.model.as_ref())?,
             recovery: match entry.recovery {
-                Some(border_bundle::RecoveryPolicy::LeastWork) => RecoveryPolicy::LeastWork,
-                Some(border_bundle::RecoveryPolicy::LeastWait) | None => RecoveryPolicy::LeastWait,
+                Some(bundle_api::RecoveryPolicy::LeastWork) => RecoveryPolicy::LeastWork,
+                Some(bundle_api::RecoveryPolicy::LeastWait) | None => RecoveryPolicy::LeastWait,
             },
         },
-        border_bundle::ServiceKind::Plain => ServiceKind::Plain {
+        bundle_api::ServiceKind::Plain => ServiceKind::Plain {
             paths: check_paths(place, &entry.paths)?,
         },
     };
@@ -84,10 +84,10 @@
     })
 }
 
-fn check_model(place: &str, entry: Option<&border_bundle::ModelEntry>) -> Result<Model> {
-    let model = entry.ok_or_else(|| fault(place, "model", BundleFault::ModelAbsent))?;
+fn check_model(place: &str, entry: Option<&bundle_api::ModelEntry>) -> Result<Model> {
+    let model = entry.ok_or_else(|| fault(place, "model", BundleError::ModelAbsent))?;
     let text = |name: &str, value: &str| match value {
-        "" => Err(fault(place, &format!("model.{name}"), BundleFault::Empty)),
+        "" => Err(fault(place, &format!("model.{name}"), BundleError::Empty)),
         value => Ok(value.into()),
     };
     Ok(Model {
@@ -102,29 +102,29 @@
 
 /// A field that only the other kind of service has would be ignored, and its author would believe
 /// that it is in force.
-fn check_kind(place: &str, entry: &border_bundle::ServiceEntry) -> Result<()> {
+fn check_kind(place: &str, entry: &bundle_api::ServiceEntry) -> Result<()> {
     let foreign = match entry.kind {
-        border_bundle::ServiceKind::Generation => [("paths", !entry.paths.is_empty())].to_vec(),
-        border_bundle::ServiceKind::Plain => [
+        bundle_api::ServiceKind::Generation => [("paths", !entry.paths.is_empty())].to_vec(),
+        bundle_api::ServiceKind::Plain => [
             ("model", entry.model.is_some()),
             ("recovery", entry.recovery.is_some()),
         ]
         .to_vec(),
     };
     match foreign.iter().find(|(_, present)| *present) {
-        Some((name, _)) => Err(fault(place, name, BundleFault::OtherKind(entry.kind))),
+        Some((name, _)) => Err(fault(place, name, BundleError::OtherKind(entry.kind))),
         None => Ok(()),
     }
 }
 
-fn check_paths(place: &str, entries: &[border_bundle::PathRule]) -> Result<Vec<PathRule>> {
+fn check_paths(place: &str, entries: &[bundle_api::PathRule]) -> Result<Vec<PathRule>> {
     let rules = entries.iter().enumerate().map(|(i, entry)| {
         let place = format!("{place}.paths[{i}]");
         if entry.method.is_empty() || !entry.method.bytes().all(|b| b.is_ascii_uppercase()) {
-            return Err(fault(&place, "method", BundleFault::Method));
+            return Err(fault(&place, "method", BundleError::Method));
         }
         if !entry.prefix.starts_with('/') {
-            return Err(fault(&place, "prefix", BundleFault::Prefix));
+            return Err(fault(&place, "prefix", BundleError::Prefix));
         }
         Ok(PathRule {
             method: entry.method.as_str().into(),
@@ -152,13 +152,13 @@
         Some(pair) => Err(fault(
             place,
             name,
-            BundleFault::Duplicate(pair[0].to_string()),
+            BundleError::Duplicate(pair[0].to_string()),
         )),
         None => Ok(()),
     }
 }
 
-fn check_upstream(place: &str, entry: &border_bundle::UpstreamEntry) -> Result<Upstream> {
+fn check_upstream(place: &str, entry: &bundle_api::UpstreamEntry) -> Result<Upstream> {
     let mut services = entry
         .services
         .iter()
@@ -170,7 +170,7 @@
         fault(
             place,
             "address",
-            BundleFault::Address(entry.address.clone()),
+            BundleError::Address(entry.address.clone()),
         )
     })?;
     Ok(Upstream {
@@ -191,7 +191,7 @@
         Some(pair) => Err(fault(
             &format!("team `{}`", pair[1].id),
             "key_sha256",
-            BundleFault::SharedKey(pair[0].id.clone()),
+            BundleError::SharedKey(pair[0].id.clone()),
         )),
         None => Ok(()),
     }
@@ -205,7 +205,7 @@
                 return Err(fault(
                     &place,
                     "services",
-                    BundleFault::Unknown(service.to_string()),
+                    BundleError::Unknown(service.to_string()),
                 ));
             }
         }
@@ -217,7 +217,7 @@
                 return Err(fault(
                     &place,
                     "teams",
-                    BundleFault::Unknown(team.to_string()),
+                    BundleError::Unknown(team.to_string()),
                 ));
             }
         }
@@ -241,7 +241,7 @@
     {
         Some(pair) => Err(Error::BundleField {
             field: list.to_owned(),
-            source: BundleFault::Duplicate(name(&pair[0])),
+            source: BundleError::Duplicate(name(&pair[0])),
         }),
         None => Ok(items),
     }
@@ -251,7 +251,7 @@
     value.map_err(|source| fault(place, name, source.into()))
 }
 
-fn fault(place: &str, name: &str, source: BundleFault) -> Error {
+fn fault(place: &str, name: &str, source: BundleError) -> Error {
     Error::BundleField {
         field: format!("{place}.{name}"),
         source,
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -2,7 +2,7 @@
 use crate::{bundle_rows, bundle_watch::object_name};
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDraft, BundleKey, BundleRefusal, BundleRelease, BundleRow,
-    CurrentBundle, DraftId, Settled, Stored,
+    ChangeResult, CurrentBundle, DraftId, Stored,
 };
 use std::num::NonZeroU32;
 
@@ -217,7 +217,7 @@
     /// take effect once at most, so an earlier call that comes late does no harm.
     async fn apply(&self, change: &BundleChange) -> Result<bool> {
         let mut in_doubt = false;
-        let mut last = PlatformFault::NotRun;
+        let mut last = PlatformError::NotRun;
         for attempt in 0..self.cfg.tries {
             if attempt > 0 {
                 tokio::time::sleep(self.cfg.pause).await;
@@ -226,17 +226,17 @@
                 Ok(reply) if reply.committed => return Ok(false),
                 Ok(_) => {}
                 Err(fault) => {
-                    in_doubt |= fault == PlatformFault::Unknown;
+                    in_doubt |= fault == PlatformError::Unknown;
                     last = fault;
-                    if last != PlatformFault::Unknown {
+                    if last != PlatformError::Unknown {
                         continue;
                     }
                 }
             }
             match self.settle(change).await {
-                Ok(Settled::Done) => return Ok(true),
-                Ok(Settled::Lost(refusal)) => return Err(refusal.into()),
-                Ok(Settled::Open) => {}
+                Ok(ChangeResult::Done) => return Ok(true),
+                Ok(ChangeResult::Lost(refusal)) => return Err(refusal.into()),
+                Ok(ChangeResult::Open) => {}
                 Err(Error::Platform(fault)) => last = fault,
                 Err(error) => return Err(error),
             }
@@ -247,7 +247,7 @@
         Err(Error::NothingChanged { fault: last })
     }
 
-    async fn settle(&self, change: &BundleChange) -> Result<Settled> {
+    async fn settle(&self, change: &BundleChange) -> Result<ChangeResult> {
         let rows = bundle_rows::read_rows(&self.platform, &[change.witness()]).await?;
         Ok(change.settled(rows.first().map(|(_, row)| row)))
     }
--- a/crates/catkinward/src/caller_border.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -3,12 +3,12 @@
     event_stream::event_stream,
     generation::GenerationOutcome,
     generation_driver,
+    generation_lookup::find_or_begin,
     generation_request::GenerationRequest,
     http_client::json_bytes,
-    metrics_page::metrics_page,
+    metrics_endpoint::metrics_response,
     problem::{Problem, ProblemKind},
-    returning_caller::find_or_begin,
-    waiting_place::WaitingPlace,
+    queued_request::QueuedRequest,
 };
 
 /// Header with the caller's deadline in milliseconds from now.
@@ -25,7 +25,7 @@
 
 /// The HTTP service that callers see.
 #[derive(Clone)]
-pub(crate) struct CallerBorder {
+pub(crate) struct CallerApi {
     pub(crate) node: Arc<Node>,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-impl volo::Service<ServerContext, Request> for CallerBorder {
+impl volo::Service<ServerContext, Request> for CallerApi {
     type Response = Response;
     type Error = Infallible;
 
@@ -67,7 +67,7 @@
     }
 }
 
-impl CallerBorder {
+impl CallerApi {
     pub(crate) fn new(node: Arc<Node>) -> Self {
         Self { node }
     }
@@ -94,7 +94,7 @@
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/healthz") => Ok(Response::new("ok\n".into())),
             (&Method::GET, "/readyz") => self.ready(),
-            (&Method::GET, "/metrics") => Ok(metrics_page()),
+            (&Method::GET, "/metrics") => Ok(metrics_response()),
             (&Method::POST, "/v1/completions") => self.complete(req).await,
             (_, path) if path.starts_with("/v1/services/") => self.plain(req).await,
             _ => Err(ProblemKind::NoSuchPath.into()),
@@ -141,7 +141,7 @@
         let request = self.accept(&caller, &parts.headers, &order)?;
         let point = match header_text(&parts.headers, LAST_EVENT_ID) {
             Some(last) => last.parse().map_err(|_| ProblemKind::Malformed)?,
-            None => ReturnPoint::default(),
+            None => ResumePoint::default(),
         };
         let generation = match header_text(&parts.headers, IDEMPOTENCY_KEY) {
             Some(key) => {
@@ -164,7 +164,7 @@
     async fn keyed(
         &self,
         request: GenerationRequest,
-        point: &ReturnPoint,
+        point: &ResumePoint,
         team: QueueTeam,
     ) -> Result<Arc<Generation>, Problem> {
         let running = self.node.generations.of(&request.id);
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    fn start(&self, generation: &Arc<Generation>, waiting: Option<WaitingPlace>) {
+    fn start(&self, generation: &Arc<Generation>, waiting: Option<QueuedRequest>) {
         self.node.timeline.record(Event {
             request: Some(generation.request.id.clone()),
             bundle: Some(generation.request.bundle),
--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -15,7 +15,7 @@
 }
 
 /// Who is told what became of a claim.
-pub(crate) struct Waiter(pub(crate) oneshot::Sender<ClaimFate>);
+pub(crate) struct Waiter(pub(crate) oneshot::Sender<ClaimResult>);
 
 /// Claims that expire within so many milliseconds of each other share a row by which they are swept.
 const EXPIRY_STEP: u64 = 60_000;
@@ -85,15 +85,15 @@
             let answer = self.transact(&group).await;
             let settled = self.queue.lock().answer(&answer);
             self.tell(settled);
-            if matches!(answer, GroupAnswer::NotRun | GroupAnswer::Unknown) {
+            if matches!(answer, GroupResult::NotRun | GroupResult::Unknown) {
                 tokio::time::sleep(self.cfg.retry_pause).await;
             }
         }
     }
 
-    fn tell(&self, fates: Vec<(Waiter, ClaimFate)>) {
+    fn tell(&self, fates: Vec<(Waiter, ClaimResult)>) {
         for (waiter, fate) in fates {
-            if let Err(ClaimFate::Claimed(claimed)) = waiter.0.send(fate) {
+            if let Err(ClaimResult::Claimed(claimed)) = waiter.0.send(fate) {
                 self.give_back(claimed);
             }
         }
@@ -108,18 +108,18 @@
             .end(held.end(ClaimStage::Released, expires));
     }
 
-    async fn transact(&self, group: &[ClaimChange]) -> GroupAnswer {
-        let req = platform_border::TransactRequest {
+    async fn transact(&self, group: &[ClaimChange]) -> GroupResult {
+        let req = platform_api::TransactRequest {
             conditions: group.iter().map(condition).collect(),
             writes: group.iter().map(write).chain(expiries(group)).collect(),
         };
         metrics::histogram!("catkin_claim_group_size").record(group_size(group));
         match (self.platform.transact)(req).await {
-            Ok(reply) if reply.committed => GroupAnswer::Committed,
-            Ok(reply) => GroupAnswer::Conflicts(reply.conflicts.iter().map(found_claim).collect()),
-            Err(PlatformFault::Unknown) => GroupAnswer::Unknown,
-            Err(PlatformFault::NotRun | PlatformFault::Throttled | PlatformFault::OutOfBudget) => {
-                GroupAnswer::NotRun
+            Ok(reply) if reply.committed => GroupResult::Committed,
+            Ok(reply) => GroupResult::Conflicts(reply.conflicts.iter().map(found_claim).collect()),
+            Err(PlatformError::Unknown) => GroupResult::Unknown,
+            Err(PlatformError::NotRun | PlatformError::Throttled | PlatformError::OutOfBudget) => {
+                GroupResult::NotRun
             }
         }
     }
@@ -129,16 +129,16 @@
     f64::from(u32::try_from(group.len()).unwrap_or(u32::MAX))
 }
 
-fn condition(change: &ClaimChange) -> platform_border::Condition {
-    platform_border::Condition {
+fn condition(change: &ClaimChange) -> platform_api::Condition {
+    platform_api::Condition {
         key: change.key.to_string(),
         table: CLAIMS.to_owned(),
         version: change.expected,
     }
 }
 
-fn write(change: &ClaimChange) -> platform_border::Write {
-    platform_border::Write {
+fn write(change: &ClaimChange) -> platform_api::Write {
+    platform_api::Write {
         key: change.key.to_string(),
         table: CLAIMS.to_owned(),
         value: Some(claim_value(&change.record)),
@@ -146,7 +146,7 @@
 }
 
 /// The rows by which the claims of a group are swept: one for each minute in which some expire.
-fn expiries(group: &[ClaimChange]) -> Vec<platform_border::Write> {
+fn expiries(group: &[ClaimChange]) -> Vec<platform_api::Write> {
     let mut steps = group
         .iter()
         .map(|change| change.record.expires.0.div_ceil(EXPIRY_STEP))
--- a/crates/catkinward/src/claim_row.rs
+++ b/crates/catkinward/src/claim_row.rs
@@ -11,7 +11,7 @@
 pub(crate) const EXPIRIES: &str = "claim_expiries";
 
 /// The claim in a row; `None` in it if the row is absent or cannot be read.
-pub(crate) fn found_claim(row: &platform_border::Row) -> FoundClaim {
+pub(crate) fn found_claim(row: &platform_api::Row) -> FoundClaim {
     FoundClaim {
         key: ClaimRowKey::from(row.key.as_str()),
         version: row.version,
@@ -47,12 +47,8 @@
 }
 
 /// The row by which claims that expire together are found; `salt` keeps such rows apart.
-pub(crate) fn expiry_write(
-    expires: WallTime,
-    salt: u64,
-    keys: Vec<String>,
-) -> platform_border::Write {
-    platform_border::Write {
+pub(crate) fn expiry_write(expires: WallTime, salt: u64, keys: Vec<String>) -> platform_api::Write {
+    platform_api::Write {
         key: format!("{:015}/{salt:016x}", expires.0),
         table: EXPIRIES.to_owned(),
         value: Some(json_text(&rows::ClaimExpiryRow { keys })),
@@ -60,7 +56,7 @@
 }
 
 /// When the claims of an expiry row expire, and their keys.
-pub(crate) fn read_expiry(row: &platform_border::Row) -> Option<(WallTime, Vec<String>)> {
+pub(crate) fn read_expiry(row: &platform_api::Row) -> Option<(WallTime, Vec<String>)> {
     let (expires, _) = row.key.split_once('/')?;
     let value = serde_json::from_str::<rows::ClaimExpiryRow>(&row.value).ok()?;
     Some((expires.parse().ok()?, value.keys))
@@ -92,7 +88,7 @@
     })
 }
 
-fn write_answer(answer: &RecordedAnswer) -> rows::ClaimAnswer {
+fn write_answer(answer: &RecordedResponse) -> rows::ClaimAnswer {
     let headers = answer
         .headers
         .iter()
@@ -118,7 +114,7 @@
     row
 }
 
-fn read_answer(row: rows::ClaimAnswer) -> Option<RecordedAnswer> {
+fn read_answer(row: rows::ClaimAnswer) -> Option<RecordedResponse> {
     let body = match (row.body_text, row.body_hex, row.body_object) {
         (Some(text), ..) => RecordedBody::Inline(text.into_bytes().into()),
         (_, Some(hex), _) => RecordedBody::Inline(parse_hex(&hex)?.into()),
@@ -126,7 +122,7 @@
         _ => RecordedBody::TooLarge,
     };
     let headers = row.headers.into_iter();
-    Some(RecordedAnswer {
+    Some(RecordedResponse {
         status: row.status,
         headers: headers
             .map(|header| (header.name.into(), header.value.into()))
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -34,7 +34,7 @@
 
 /// Answer of an upstream, as it is to be recorded.
 #[derive(Clone, Debug)]
-pub struct AnswerToRecord {
+pub struct ResponseToRecord {
     /// HTTP status.
     pub status: u16,
     /// Headers by name and value.
@@ -116,8 +116,8 @@
     }
 
     /// Records an upstream's answer, so that a caller who sends the request again gets it.
-    pub fn record(self: &Arc<Self>, held: HeldClaim, answer: AnswerToRecord) {
-        let record = |body| RecordedAnswer {
+    pub fn record(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
+        let record = |body| RecordedResponse {
             status: answer.status,
             headers: answer.headers.clone(),
             body,
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// If the object store gives none; `Ok(None)` if it was too large to keep, or is gone.
-    pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformFault> {
+    pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
         match body {
             RecordedBody::Inline(body) => Ok(Some(Bytes::copy_from_slice(body))),
             RecordedBody::Object(name) => (self.platform.get_object)(name.clone()).await,
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// If the table service does not answer. Another try does no harm.
-    pub async fn sweep_page(&self, now: WallTime) -> Result<bool, PlatformFault> {
+    pub async fn sweep_page(&self, now: WallTime) -> Result<bool, PlatformError> {
         claim_sweep::sweep_page(&self.platform, now).await
     }
 
@@ -202,9 +202,9 @@
         self.committer.claim(change, deadline, Waiter(tx));
         // A claim that is settled after this wait finds nobody and is given back.
         match tokio::time::timeout(req.time_left, rx).await {
-            Ok(Ok(ClaimFate::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
-            Ok(Ok(ClaimFate::Taken(found))) => self.verdict(&req.digest, found),
-            Ok(Ok(ClaimFate::GivenUp) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
+            Ok(Ok(ClaimResult::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
+            Ok(Ok(ClaimResult::Taken(found))) => self.verdict(&req.digest, found),
+            Ok(Ok(ClaimResult::GivenUp) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
         }
     }
 
@@ -254,7 +254,7 @@
     }
 
     async fn read(&self, key: &ClaimRowKey) -> Option<FoundClaim> {
-        let key = platform_border::RowKey {
+        let key = platform_api::RowKey {
             table: CLAIMS.to_owned(),
             key: key.as_str().to_owned(),
         };
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -2,10 +2,10 @@
 
 use super::{
     accepted_call::AcceptedCall,
-    beliefs::show_beliefs,
+    gauges::update_gauges,
     health_check::{adopt, watch_upstreams},
     reply_log::{CallerWatch, count_reply, log_own_reply, millis},
-    shutdown::Leaving,
+    shutdown::Shutdown,
     stream_call::call_stream,
     whole_call::call_whole,
     *,
@@ -35,7 +35,7 @@
     /// Its availability zone.
     pub zone: AvailabilityZone,
     /// Budget of repeats.
-    pub repeats: RepeatBudgetConfig,
+    pub repeats: RouteRetryBudgetConfig,
     /// Addresses of a few VMs for notes, to begin with; perhaps old ones.
     pub seeds: Vec<SocketAddr>,
     /// Which mechanisms decide.
@@ -55,7 +55,7 @@
     pub(crate) transport: UpstreamTransport,
     pub(crate) state: Mutex<GatewayState>,
     pub(crate) log: CallLog,
-    pub(crate) leaving: Mutex<Option<Leaving>>,
+    pub(crate) leaving: Mutex<Option<Shutdown>>,
     /// Whether a configuration and upstreams are known, and not from before a time in which this process
     /// did not run.
     known: watch::Sender<bool>,
@@ -64,7 +64,7 @@
     /// Held while engines are asked which prompts they hold.
     pub(crate) searching: tokio::sync::Mutex<()>,
     /// Loans of repeats that are awaited.
-    pub(crate) loans: Mutex<LoanDesk>,
+    pub(crate) loans: Mutex<LoanRequests>,
     /// When this process started.
     pub(crate) started: Instant,
     /// Calls that wait for a repeat.
@@ -80,11 +80,11 @@
     /// Tells that news of the zone came.
     pub(crate) gossip_came: Notify,
     /// Newest configuration that another VM of the zone has in force.
-    pub(crate) zone_config: watch::Sender<Option<ToldConfig>>,
+    pub(crate) zone_config: watch::Sender<Option<AdvertisedConfig>>,
     /// Counts how often a feed noticed that the store answers again.
     pub(crate) store_returns: watch::Sender<u64>,
     /// This life of this VM's process.
-    pub(crate) life: VmLife,
+    pub(crate) life: VmIncarnation,
     /// Rollouts that this VM owns, sorted by service.
     pub(crate) owned_rollouts: Mutex<Vec<(ServiceId, OwnedRollout)>>,
     /// Rollouts whose order was withdrawn, until their end is in the store.
@@ -107,10 +107,10 @@
         timer: Arc<Timer>,
         transport: UpstreamTransport,
     ) -> Arc<Self> {
-        crate::metrics_page::start_metrics();
+        crate::metrics_endpoint::start_metrics();
         let gateway = Arc::new(Self {
             state: Mutex::new(GatewayState::new(settings.vm.clone(), settings.rollouts)),
-            life: VmLife {
+            life: VmIncarnation {
                 vm: settings.vm.clone(),
                 incarnation: rand::random(),
             },
@@ -140,7 +140,7 @@
             timer,
         });
         tokio::spawn(watch_upstreams(Arc::downgrade(&gateway)));
-        tokio::spawn(show_beliefs(Arc::downgrade(&gateway)));
+        tokio::spawn(update_gauges(Arc::downgrade(&gateway)));
         gateway
     }
 
@@ -276,7 +276,7 @@
     }
 
     /// Takes in when the process of an upstream started, as it or another VM says.
-    pub(crate) fn upstream_started(&self, id: &UpstreamId, born: Born) {
+    pub(crate) fn upstream_started(&self, id: &UpstreamId, born: ProcessStart) {
         let now = self.timer.now();
         let changes = self.state.lock().directory.record_start(id, born, now);
         self.presence_changed(&changes);
@@ -374,9 +374,13 @@
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
     ) -> Option<Arc<UpstreamEntry>> {
-        self.choose(accepted, avoid, cached, Among::Open, |candidates, who| {
-            select_upstream(candidates, who).cloned()
-        })
+        self.choose(
+            accepted,
+            avoid,
+            cached,
+            Candidates::Open,
+            |candidates, who| select_upstream(candidates, who).cloned(),
+        )
     }
 
     /// Number of availability zones with upstreams of a service.
@@ -403,7 +407,7 @@
             // Another version does not go on from its memory.
             return None;
         }
-        self.choose(accepted, &[], &[], Among::Open, |candidates, who| {
+        self.choose(accepted, &[], &[], Candidates::Open, |candidates, who| {
             select_copy_holder(candidates, run, who).cloned()
         })
     }
@@ -419,15 +423,15 @@
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Among,
-        choose: impl FnOnce(&[PlacementCandidate], &PlacementFor) -> T,
+        among: Candidates,
+        choose: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
     ) -> T {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let zone = &self.settings.zone;
         let mut zone_vms = state.peers.live_in(zone, now).collect::<Vec<_>>();
         zone_vms.push(self.settings.vm.clone());
-        let who = PlacementFor {
+        let who = PlacementContext {
             zone: &self.settings.zone,
             vm: &self.settings.vm,
             zone_vms: &zone_vms,
@@ -449,7 +453,7 @@
     /// Whether an upstream may get any request of its service, whatever rollouts there are.
     pub(crate) fn is_open(&self, entry: &UpstreamEntry) -> bool {
         let now = self.timer.now();
-        self.state.lock().rollouts.admission(entry, now) == Admission::Open
+        self.state.lock().rollouts.admission(entry, now) == VersionAdmission::Open
     }
 
     /// Where this VM takes datagrams of others.
@@ -458,7 +462,7 @@
     }
 
     /// Notes that something came from an upstream.
-    pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadReading>) {
+    pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -9,8 +9,8 @@
         outbox::Outbox,
         readiness::{Readiness, ServicesSeen},
         rollouts::OwnedRollout,
-        state::{Among, DirectoryRead, GatewayState},
-        zone_config::ToldConfig,
+        state::{Candidates, DirectoryRead, GatewayState},
+        zone_config::AdvertisedConfig,
     },
     super::{
         Arc, AtomicU32, AtomicU64, AvailabilityZone, Bytes, Debug, Display, Drain, Duration,
@@ -19,19 +19,21 @@
         UpstreamId, watch,
     },
     catkin_decisions::{
-        Admission, AnswerOutcome, Born, CHANGES_TOLD, COMPLETING, CONFIG_WAIT, CachedPrompts,
-        ConfigVersion, Crash, CrashTally, EventFate, EventRelay, EventRun, EventSplitter,
-        GOSSIP_AGE, GossipState, GossipView, JudgedReport, LinkRate, LoadReading, Loan, LoanAsk,
-        LoanDesk, MOST_CRASHES, MOST_LENDERS, MemberWord, NOTE_PERIOD, NewestConfig, OWNER_LOST,
-        OwnerStep, PROBE_TIMEOUT, PeerDatagram, PeerLoad, PeerLoads, PeerNote, PeerView,
-        PlacementCandidate, PlacementFor, Policy, Presence, PresenceChange, PromptPart,
-        RepeatBudget, RepeatBudgetConfig, RestartEvidence, RollbackReason, Rollout, RolloutFault,
-        RolloutGrant, RolloutNotice, RolloutOrder, RolloutOwner, RolloutPhase, RolloutProgress,
+        COMPLETION_WAIT, CONFIG_POLL_TIMEOUT, CachedPrompts, CompleteEvent, ConfigVersion, Crash,
+        CrashTracker, EventDecision, EventRelay, EventRun, EventSplitter, GOSSIP_MAX_AGE,
+        GossipState, GossipView, HEARTBEAT_INTERVAL, JudgedReport, LinkRate, LoadSample, Loan,
+        LoanAsk, LoanRequests, MAX_CRASHES_PER_BODY, MAX_GOSSIPED_CHANGES, MAX_LENDERS,
+        MemberStatus, NewestConfig, OWNER_TIMEOUT, OwnerStep, PROBE_TIMEOUT, PROMPT_SEARCH_TIMEOUT,
+        PeerDatagram, PeerHeartbeat, PeerLoad, PeerLoads, PeerView, PlacementCandidate,
+        PlacementContext, Policy, Presence, PresenceChange, ProcessStart, PromptPart,
+        ResponseOutcome, RestartEvidence, RollbackReason, Rollout, RolloutGrant, RolloutNotice,
+        RolloutOrder, RolloutOrderError, RolloutOwner, RolloutPhase, RolloutProgress,
         RolloutRecord, RolloutReport, RolloutSettings, RolloutVerdict, Rollouts, Route,
-        RoutingConfig, SEARCH_BOUND, STANDBY_AGE, StaleRestart, StoredRecord, StreamPace, TableRow,
-        TableView, UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamHealth,
-        UpstreamIncarnation, UpstreamLoad, UpstreamRestart, UpstreamTable, VersionSlots, VmLife,
-        WakeDetector, WholeEvent, ZoneAlarm, ZoneGossip, ZoneRole, is_large_zone,
+        RouteRetryBudget, RouteRetryBudgetConfig, RoutingConfig, STANDBY_MAX_AGE, StaleRestart,
+        StoredRecord, StreamDurationEstimator, SuspendDetector, TableFreshness, TableRow,
+        UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamHealth, UpstreamIncarnation,
+        UpstreamLoad, UpstreamRestart, UpstreamTable, VersionAdmission, VersionSlots,
+        VmIncarnation, ZoneGossip, ZoneOutageDetector, ZoneRole, is_large_zone,
         link_carries_config, prefill_time, rank_among, rank_of_vm, select_copy_holder,
         select_upstream, store_backoff,
     },
@@ -43,54 +45,54 @@
     call::{Call, Prompt},
     call_log::{CallLog, LineKind},
     core::{Gateway, GatewaySettings, NOT_READY_RETRY},
-    feed::{AskChanges, Feed, FeedFault, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
-    peer_notes::exchange_notes,
+    feed::{AskChanges, Feed, FeedError, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
+    peer_heartbeats::exchange_notes,
     read_progress::{ReadPart, ReadProgress},
     reply::{EventBody, Reply, StreamCut},
-    rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWritten, WriteRecord},
+    rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWriteResult, WriteRecord},
     rollout_task::follow_rollouts,
     upstream_transport::{
-        AnswerBody, BodyFault, CopyFault, CopyOrder, CopySource, HealthProbe, HealthReport,
-        SendFault, UpstreamAnswer, UpstreamCall, UpstreamTransport,
+        BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport, ResponseBody,
+        SendError, UpstreamCall, UpstreamResponse, UpstreamTransport,
     },
 };
 
 /// Age up to which what one VM has read of the platform is of use to another: changes are read within
 /// two seconds, so an older one is itself turned away.
-pub const MIRROR_AGE: Duration = Duration::from_millis(2200);
+pub const MIRROR_MAX_AGE: Duration = Duration::from_millis(2200);
 
 /// Pause after a connection could not be accepted, mostly for want of descriptors: long enough for
 /// some to be closed, short against a caller's patience of a second.
-pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How often the settings file is looked at for a change that nobody told of: a small file, read twice in
 /// the time in which a configuration must be in force.
-pub const SETTINGS_LOOK: Duration = Duration::from_secs(1);
+pub const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often the limits on callers' connections are looked at; they are seconds.
-pub const LIMITS_LOOK: Duration = Duration::from_millis(250);
+pub const LIMITS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long idle connections to upstreams are kept: longer than any call may use one.
-pub const KEPT_IDLE: Duration = Duration::from_secs(5);
+pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod accepted_call;
-mod beliefs;
 mod call;
 mod call_log;
-mod copy_keeper;
 mod core;
 mod dispatches;
 mod feed;
+mod gauges;
 mod health_check;
-mod kept_copy;
+mod kv_copy;
+mod kv_copy_manager;
 mod outbox;
-mod peer_notes;
+mod peer_heartbeats;
 mod prompt_search;
 mod read_progress;
 mod readiness;
-mod repeats;
 mod reply;
 mod reply_log;
+mod retries;
 mod rollout_store;
 mod rollout_task;
 mod rollouts;
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -168,11 +168,11 @@
             deadline_ms: stored.now_ms.saturating_add(left_ms),
         };
         match self.write(rollout, &record, stored.version).await {
-            Some(RolloutWritten::Done(version)) => self.begin(rollout, &record, version, left),
-            Some(RolloutWritten::Conflict) if rollout.progress.phase.is_final() => {
+            Some(RolloutWriteResult::Done(version)) => self.begin(rollout, &record, version, left),
+            Some(RolloutWriteResult::Conflict) if rollout.progress.phase.is_final() => {
                 self.end_without_order(rollout).await;
             }
-            Some(RolloutWritten::Conflict) | None => self.wait_before_claim(service),
+            Some(RolloutWriteResult::Conflict) | None => self.wait_before_claim(service),
         }
     }
 
@@ -261,8 +261,8 @@
             Due::Nothing => {}
             Due::Confirm { term } => self.confirm(rollout, term).await,
             Due::End { record, version } => match self.write(rollout, &record, version).await {
-                Some(RolloutWritten::Done(_)) => self.ended(rollout, record.progress),
-                Some(RolloutWritten::Conflict) | None => {
+                Some(RolloutWriteResult::Done(_)) => self.ended(rollout, record.progress),
+                Some(RolloutWriteResult::Conflict) | None => {
                     self.read_back(rollout, &record, version).await;
                 }
             },
@@ -514,7 +514,7 @@
     }
 
     /// What is wrong with an order. Later owners do not look at the versions: the old one may be down.
-    fn fault(&self, rollout: &Rollout, term: u64) -> Option<RolloutFault> {
+    fn fault(&self, rollout: &Rollout, term: u64) -> Option<RolloutOrderError> {
         let config = self.gateway.config()?;
         let now = self.gateway.timer.now();
         let state = self.gateway.state.lock();
@@ -558,7 +558,7 @@
         if let Some(rollout) = state.rollouts.get_mut(service) {
             rollout.owner_heard = rollout
                 .owner_heard
-                .max(now.before(OWNER_LOST).after(STORE_RETRY));
+                .max(now.before(OWNER_TIMEOUT).after(STORE_RETRY));
             if rollout.progress.term == 0 {
                 rollout.owner_heard = now;
             }
@@ -567,7 +567,7 @@
 
     async fn read(&self, service: &ServiceId) -> Option<StoredRecord> {
         let read = tokio::time::timeout(STORE_BOUND, (self.store.read)(service.clone())).await;
-        match read.unwrap_or(Err(FeedFault::NoAnswer)) {
+        match read.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(stored) => Some(stored),
             Err(fault) => {
                 let fault: &str = fault.into();
@@ -582,7 +582,7 @@
         rollout: &Rollout,
         record: &RolloutRecord,
         expected: u64,
-    ) -> Option<RolloutWritten> {
+    ) -> Option<RolloutWriteResult> {
         let write = RolloutWrite {
             service: rollout.order.service.clone(),
             record: record.clone(),
@@ -590,7 +590,7 @@
             order: rollout.order.written,
         };
         let written = tokio::time::timeout(STORE_BOUND, (self.store.write)(write)).await;
-        match written.unwrap_or(Err(FeedFault::NoAnswer)) {
+        match written.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(written) => Some(written),
             Err(fault) => {
                 let fault: &str = fault.into();
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -26,7 +26,7 @@
     /// The end that was decided and is not in the store yet.
     pub(crate) ending: Option<RolloutPhase>,
     /// What is wrong with the order.
-    pub(crate) fault: Option<RolloutFault>,
+    pub(crate) fault: Option<RolloutOrderError>,
     /// Not before this time the store is called again.
     pub(crate) not_before: Instant,
     /// Not before this time the new version is to take over, after that could not be written.
@@ -42,7 +42,7 @@
         now: Instant,
     ) -> Option<RolloutPhase> {
         let step = match self.fault {
-            Some(RolloutFault::VersionInUse) => OwnerStep::Complete,
+            Some(RolloutOrderError::VersionInUse) => OwnerStep::Complete,
             Some(fault) => OwnerStep::RollBack(RollbackReason::Fault(fault)),
             None => self.owner.step(rollout.deadline.since(now), slots),
         };
@@ -78,7 +78,7 @@
         match (self.ending, self.completing) {
             (Some(phase), _) => Some(phase),
             (None, Some(since)) => {
-                (now.since(since) >= COMPLETING).then_some(RolloutPhase::Completed)
+                (now.since(since) >= COMPLETION_WAIT).then_some(RolloutPhase::Completed)
             }
             (None, None) => Some(RolloutPhase::Running),
         }
@@ -190,7 +190,7 @@
             accepted,
             &[],
             &[],
-            Among::Only(&focus),
+            Candidates::Only(&focus),
             |candidates, who| {
                 let live = candidates.iter().filter(|c| !c.suspect).cloned();
                 select_upstream(&live.collect::<Vec<_>>(), who).cloned()
@@ -209,7 +209,7 @@
         &self,
         accepted: &AcceptedCall,
         entry: &UpstreamEntry,
-        outcome: AnswerOutcome,
+        outcome: ResponseOutcome,
     ) {
         let mut state = self.state.lock();
         let Some(rollout) = state.rollouts.get_mut(&accepted.service) else {
@@ -223,8 +223,8 @@
         drop(state);
         let version: &str = if is_new { "new" } else { "old" };
         let result = match outcome {
-            AnswerOutcome::Success(_) => "success",
-            AnswerOutcome::Failure => "failure",
+            ResponseOutcome::Success(_) => "success",
+            ResponseOutcome::Failure => "failure",
         };
         metrics::counter!("catkin_rollout_answers_total", "service" => accepted.service.to_string(),
             "version" => version, "result" => result)
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -8,11 +8,11 @@
     pub(crate) directory_read: DirectoryRead,
     /// Sorted by id.
     upstreams: Vec<UpstreamState>,
-    pub(crate) zones: ZoneAlarm,
+    pub(crate) zones: ZoneOutageDetector,
     pub(crate) services_seen: ServicesSeen,
     /// Sorted by service.
-    budgets: Vec<(ServiceId, RepeatBudget)>,
-    pub(crate) crashes: CrashTally,
+    budgets: Vec<(ServiceId, RouteRetryBudget)>,
+    pub(crate) crashes: CrashTracker,
     /// Calls whose connection broke lately, until it shows whether their upstream died.
     broken: Vec<Crash>,
     pub(crate) peers: PeerLoads,
@@ -28,7 +28,7 @@
     /// When the store last answered the question for the configuration.
     pub(crate) config_read: Option<Instant>,
     pub(crate) rollouts: Rollouts,
-    pub(crate) pace: StreamPace,
+    pub(crate) pace: StreamDurationEstimator,
 }
 
 /// How far the directory has been read since this process started.
@@ -44,7 +44,7 @@
 
 /// Which upstreams of a service are chosen from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Among<'a> {
+pub(crate) enum Candidates<'a> {
     /// Those that may get any request; if there are none, those that stop with the end of a rollout.
     Open,
     /// These.
@@ -76,10 +76,10 @@
             directory: UpstreamDirectory::default(),
             directory_read: DirectoryRead::Nothing,
             upstreams: Vec::new(),
-            zones: ZoneAlarm::default(),
+            zones: ZoneOutageDetector::default(),
             services_seen: ServicesSeen::default(),
             budgets: Vec::new(),
-            crashes: CrashTally::default(),
+            crashes: CrashTracker::default(),
             broken: Vec::new(),
             peers: PeerLoads::new(vm),
             cached: CachedPrompts::default(),
@@ -88,7 +88,7 @@
             table_read: None,
             config_read: None,
             rollouts: Rollouts::new(rollouts),
-            pace: StreamPace::default(),
+            pace: StreamDurationEstimator::default(),
             old_config: false,
             old_directory: false,
         }
@@ -192,11 +192,11 @@
             .retain(|u| u.health.in_flight() > 0 || directory.get_usable(&u.id, now).is_some());
     }
 
-    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut RepeatBudget {
+    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut RouteRetryBudget {
         let index = match self.budgets.binary_search_by(|(s, _)| s.cmp(service)) {
             Ok(index) => index,
             Err(index) => {
-                let budget = (service.clone(), RepeatBudget::default());
+                let budget = (service.clone(), RouteRetryBudget::default());
                 self.budgets.insert(index, budget);
                 index
             }
@@ -205,14 +205,19 @@
     }
 
     /// Upstreams of a service to choose from.
-    fn eligible(&self, service: &ServiceId, among: Among, now: Instant) -> Vec<Arc<UpstreamEntry>> {
+    fn eligible(
+        &self,
+        service: &ServiceId,
+        among: Candidates,
+        now: Instant,
+    ) -> Vec<Arc<UpstreamEntry>> {
         let usable = self.directory.usable(service, now).cloned();
         let only = match among {
-            Among::Only(only) => {
+            Candidates::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
-            Among::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
-            Among::Open => [Admission::Open, Admission::Retired],
+            Candidates::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
+            Candidates::Open => [VersionAdmission::Open, VersionAdmission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
             self.rollouts.admission(entry, now)
@@ -231,8 +236,8 @@
         service: &ServiceId,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Among,
-        who: &PlacementFor,
+        among: Candidates,
+        who: &PlacementContext,
         choose: impl FnOnce(&[PlacementCandidate]) -> T,
     ) -> T {
         let now = who.now;
@@ -276,7 +281,7 @@
 }
 
 /// Whether all who have calls on an upstream tell the VM that chooses.
-fn knows_complete_load(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementFor) -> bool {
+fn knows_complete_load(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementContext) -> bool {
     let in_zone = entry.zone == *who.zone;
     let rank = in_zone.then(|| rank_of_vm(&entry.id, who.vm, who.zone_vms));
     peers.knows_complete_load(rank)
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -2,8 +2,8 @@
 
 use super::{
     accepted_call::AcceptedCall,
-    copy_keeper::CopyKeeper,
-    kept_copy::KeptCopy,
+    kv_copy::KvCopy,
+    kv_copy_manager::KvCopyManager,
     reply::StreamCut,
     reply_log::{log_caller_left, millis},
     run_guard::RunGuard,
@@ -28,7 +28,7 @@
     pub(super) relay: EventRelay,
     pub(super) active: Option<ActiveRun>,
     /// A copy of the memory of the run before.
-    pub(super) copy: Option<KeptCopy>,
+    pub(super) copy: Option<KvCopy>,
     /// Tokens of its prompt that engines hold, sorted by engine.
     pub(super) cached: Vec<(UpstreamIncarnation, u32)>,
     /// Upstreams that lost or refused it.
@@ -66,8 +66,8 @@
 pub(super) struct ActiveRun {
     pub(super) number: EventRun,
     pub(super) guard: RunGuard,
-    pub(super) copies: CopyKeeper,
-    pub(super) body: AnswerBody,
+    pub(super) copies: KvCopyManager,
+    pub(super) body: ResponseBody,
     pub(super) splitter: EventSplitter,
     pub(super) gave_events: bool,
     /// When something came last.
@@ -175,18 +175,18 @@
         let Some(active) = &mut self.active else {
             return Ok(buf);
         };
-        while let Some(WholeEvent { id, bytes }) = active.splitter.next_event() {
+        while let Some(CompleteEvent { id, bytes }) = active.splitter.next_event() {
             let fate = match id {
                 Some(id) => self.relay.decide(active.number, id),
                 // An event without a number cannot be told from one that was handed on before.
-                None if self.ran_on.len() > 1 => EventFate::Drop,
-                None => EventFate::Deliver,
+                None if self.ran_on.len() > 1 => EventDecision::Drop,
+                None => EventDecision::Deliver,
             };
             match fate {
-                EventFate::Deliver => buf.extend_from_slice(&bytes),
-                EventFate::Drop => {}
-                EventFate::Gap if buf.is_empty() => return Err(Loss::Gap),
-                EventFate::Gap => break,
+                EventDecision::Deliver => buf.extend_from_slice(&bytes),
+                EventDecision::Drop => {}
+                EventDecision::Gap if buf.is_empty() => return Err(Loss::Gap),
+                EventDecision::Gap => break,
             }
         }
         Ok(buf)
@@ -211,7 +211,7 @@
                     active.progress = tokio::time::Instant::now();
                     Received::Bytes(bytes)
                 }
-                Some(Err(BodyFault)) => Received::Broken(Loss::Broken),
+                Some(Err(BodyError)) => Received::Broken(Loss::Broken),
                 None => Received::End,
             },
             () = active.guard.lost() => Received::Broken(Loss::Silent),
@@ -251,7 +251,7 @@
     fn note_delivery(&mut self) {
         let now = self.gateway.timer.now();
         if let (Some(sent), Some(active)) = (self.judged_since.take(), &self.active) {
-            let outcome = AnswerOutcome::Success(now.since(sent));
+            let outcome = ResponseOutcome::Success(now.since(sent));
             let entry = &active.guard.entry;
             self.gateway.rollout_answer(&self.accepted, entry, outcome);
         }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -1,12 +1,12 @@
 //! How a stream's runs begin: which upstream, from which copy, and what its answer means.
 
 use super::{
-    copy_keeper::CopyKeeper,
     health_check::probe,
-    kept_copy::KeptCopy,
-    repeats::{CALL_PATIENCE, STREAM_PATIENCE},
+    kv_copy::KvCopy,
+    kv_copy_manager::KvCopyManager,
     reply::StreamCut,
     reply_log::millis,
+    retries::{CALL_PATIENCE, STREAM_PATIENCE},
     run_guard::RunGuard,
     state::cached_tokens,
     stream_call::StreamStop,
@@ -37,7 +37,7 @@
                 return Err(self.stop());
             }
             self.send_paid = false;
-            let mut from = self.copy.take().filter(KeptCopy::is_usable);
+            let mut from = self.copy.take().filter(KvCopy::is_usable);
             if let Some(copy) = &mut from {
                 copy.keep();
             }
@@ -62,7 +62,7 @@
     /// request. Connections also break while their upstreams live, so these are asked first: it costs a
     /// round trip, and only those whose third run ends before its first event.
     async fn kills_upstreams(&mut self) -> bool {
-        if self.broke_beginning.len() < MOST_CRASHES {
+        if self.broke_beginning.len() < MAX_CRASHES_PER_BODY {
             return false;
         }
         let probes = self.broke_beginning.iter();
@@ -71,7 +71,7 @@
         let mut live = live.into_iter();
         self.broke_beginning
             .retain(|_| !live.next().unwrap_or(true));
-        self.broke_beginning.len() >= MOST_CRASHES
+        self.broke_beginning.len() >= MAX_CRASHES_PER_BODY
     }
 
     async fn may_send_again(&mut self) -> bool {
@@ -162,7 +162,7 @@
     async fn send(
         &mut self,
         entry: Arc<UpstreamEntry>,
-        from: Option<KeptCopy>,
+        from: Option<KvCopy>,
     ) -> Result<bool, StreamStop> {
         self.sends += 1;
         let gateway = self.gateway.clone();
@@ -190,7 +190,7 @@
         } else {
             self.tokens_to_read(&entry)
         };
-        let copy = copy.map(|holder| KeptCopy::growing(&gateway, holder, &self.accepted.call.id));
+        let copy = copy.map(|holder| KvCopy::growing(&gateway, holder, &self.accepted.call.id));
         let mut guard = RunGuard::begin(&gateway, entry.clone(), tokens);
         let repeat = self.accepted.route.kind.may_retry();
         let answer = tokio::select! {
@@ -222,8 +222,8 @@
     fn begun(
         &mut self,
         guard: RunGuard,
-        copy: Option<KeptCopy>,
-        answer: UpstreamAnswer,
+        copy: Option<KvCopy>,
+        answer: UpstreamResponse,
     ) -> Result<bool, StreamStop> {
         let entry = guard.entry.clone();
         self.gateway.heard(&entry, answer.load);
@@ -237,7 +237,7 @@
         self.ran_on.push(entry.id.clone());
         if !answer.status.is_success() || !answer.signed {
             if answer.status.is_server_error() && self.judged_since.take().is_some() {
-                let failure = AnswerOutcome::Failure;
+                let failure = ResponseOutcome::Failure;
                 self.gateway.rollout_answer(&self.accepted, &entry, failure);
             }
             drop(guard);
@@ -251,7 +251,7 @@
         self.active = Some(ActiveRun {
             number: self.relay.begin_run(),
             guard,
-            copies: CopyKeeper::new(&self.gateway, copy),
+            copies: KvCopyManager::new(&self.gateway, copy),
             body: answer.body,
             splitter: EventSplitter::default(),
             gave_events: false,
@@ -269,9 +269,9 @@
     fn send_failed(
         &mut self,
         entry: &Arc<UpstreamEntry>,
-        fault: SendFault,
+        fault: SendError,
     ) -> Result<bool, StreamStop> {
-        if fault == SendFault::NoConnection {
+        if fault == SendError::NoConnection {
             self.avoid.push(entry.id.clone());
             // Nothing arrived there, so the next send is the same one still.
             self.send_paid = true;
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::{
     engine_client,
-    engine_event::{AttemptFault, EngineEvent},
+    engine_event::{AttemptError, EngineEvent},
     generation::GenerationOutcome,
     generation_admission::SUSPECT_PATIENCE,
-    peer_exchange::ExchangeTally,
-    place::Place,
+    peer_exchange::ExchangeResult,
     problem::{Problem, ProblemKind},
-    progress_keeper::ProgressKeeper,
+    progress_replicator::ProgressReplicator,
+    queued_request::QueuedRequest,
     running_attempt::{AttemptGuard, RunningAttempt},
-    waiting_place::WaitingPlace,
+    slot_guard::SlotGuard,
 };
 
 /// Bound until an engine answers an order with the headers of its stream.
@@ -25,7 +25,7 @@
 pub(crate) async fn drive(
     node: Arc<Node>,
     generation: Arc<Generation>,
-    waiting: Option<WaitingPlace>,
+    waiting: Option<QueuedRequest>,
 ) {
     let admitted_here = waiting.is_some();
     let mut driver = Driver::new(node.clone(), generation.clone());
@@ -90,20 +90,20 @@
     pub(crate) generation: Arc<Generation>,
     /// Upstreams that this generation has been on since one was last found wanting.
     pub(crate) avoid: Vec<UpstreamId>,
-    keeper: ProgressKeeper,
+    keeper: ProgressReplicator,
 }
 
 impl Driver {
     pub(crate) fn new(node: Arc<Node>, generation: Arc<Generation>) -> Self {
         Self {
             avoid: Vec::new(),
-            keeper: ProgressKeeper::new(node.clone(), generation.clone()),
+            keeper: ProgressReplicator::new(node.clone(), generation.clone()),
             node,
             generation,
         }
     }
 
-    async fn run(&mut self, waiting: Option<WaitingPlace>) -> GenerationOutcome {
+    async fn run(&mut self, waiting: Option<QueuedRequest>) -> GenerationOutcome {
         if let Some(attempt) = Box::pin(self.go_on_with_left_running()).await {
             match self.follow(attempt).await {
                 Ok(finish) => return GenerationOutcome::Whole(finish),
@@ -134,7 +134,10 @@
 
     /// The place that a new generation waits for in the queue, or that one which was taken over
     /// takes by itself.
-    async fn first_place(&mut self, waiting: Option<WaitingPlace>) -> Result<Place, ProblemKind> {
+    async fn first_place(
+        &mut self,
+        waiting: Option<QueuedRequest>,
+    ) -> Result<SlotGuard, ProblemKind> {
         let Some(waiting) = waiting else {
             return self.wait_for_upstream().await;
         };
@@ -171,7 +174,7 @@
     /// # Errors
     ///
     /// Once its deadline is over, or upstreams died under it.
-    async fn wait_for_upstream(&mut self) -> Result<Place, ProblemKind> {
+    async fn wait_for_upstream(&mut self) -> Result<SlotGuard, ProblemKind> {
         let start = self.node.timer.now();
         loop {
             let now = self.node.timer.now();
@@ -210,7 +213,7 @@
         };
         let (marks, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
         let deaths = marks.len();
-        let ExchangeTally {
+        let ExchangeResult {
             asked, answered, ..
         } = peers.confer(marks).await;
         let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
@@ -220,14 +223,14 @@
     }
 
     /// Announces the run of a suspect to the other VMs.
-    async fn announce(&self, upstream: &Place) {
+    async fn announce(&self, upstream: &SlotGuard) {
         let (Some(peers), Some(run)) = (&self.node.peers, upstream.suspect_run()) else {
             return;
         };
         let (body, start) = (run.digest, self.node.timer.now());
         let marks = self.node.upstreams.poison_marks_of(body);
         let tally = peers.announce(run, marks).await;
-        let ExchangeTally {
+        let ExchangeResult {
             asked,
             awaited,
             answered,
@@ -245,14 +248,14 @@
         }
     }
 
-    pub(crate) fn choose(&self, urgent: bool) -> Option<Place> {
+    pub(crate) fn choose(&self, urgent: bool) -> Option<SlotGuard> {
         let request = &self.generation.request;
         // A caller who has had part of the answer waits in the middle of it: an upstream without
         // room will do.
         let must = self.generation.next_index() > TokenIndex(0);
         let pool = self.node.admission.pool(&request.service);
         pool.take(request.lane(), must, |taken| {
-            let want = UpstreamWant {
+            let want = UpstreamQuery {
                 avoid: &[&self.avoid, taken].concat(),
                 urgent,
                 ..request.want()
@@ -262,7 +265,7 @@
     }
 
     /// Starts an attempt and makes it the live one.
-    async fn start(&mut self, upstream: Place) -> Result<RunningAttempt, AttemptFault> {
+    async fn start(&mut self, upstream: SlotGuard) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         self.generation.adopt(reserved);
         self.open(upstream, &order).await
@@ -270,9 +273,9 @@
 
     pub(crate) async fn open(
         &mut self,
-        upstream: Place,
+        upstream: SlotGuard,
         order: &engine::EngineGenerate,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         self.avoid.push(upstream.id().clone());
         let attempt = Attempt(order.attempt);
         let kind = match attempt {
@@ -313,7 +316,7 @@
     }
 
     /// Hands on tokens until the end, recovering what can be recovered.
-    async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptFault> {
+    async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptError> {
         loop {
             let fault = match self.relay_events(&mut attempt).await {
                 Ok(finish) => return Ok(finish),
@@ -332,7 +335,7 @@
                 %fault,
                 "stream lost"
             );
-            if !matches!(fault, AttemptFault::Silent { .. } | AttemptFault::Broken) {
+            if !matches!(fault, AttemptError::Silent { .. } | AttemptError::Broken) {
                 return Err(fault);
             }
             // Boxed, as what is rare must not take memory in each stream's task.
@@ -340,7 +343,7 @@
         }
     }
 
-    async fn relay_events(&mut self, attempt: &mut RunningAttempt) -> Result<Finish, AttemptFault> {
+    async fn relay_events(&mut self, attempt: &mut RunningAttempt) -> Result<Finish, AttemptError> {
         self.generation.runs_on(attempt.upstream.id());
         let mut went_on = false;
         let mut stalls = StallDetector::default();
@@ -373,7 +376,7 @@
         &self,
         attempt: &mut RunningAttempt,
         event: EngineEvent,
-    ) -> Result<Option<Finish>, AttemptFault> {
+    ) -> Result<Option<Finish>, AttemptError> {
         match event {
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::lease_row::{LEASES, lease_row, lease_value};
 use catkin_decisions::{
-    Lease, LeaseAnswer, LeaseHolder, LeaseSettings, LeaseStep, LeaseWrite, OrderPermit,
+    Lease, LeaseHolder, LeaseSettings, LeaseStep, LeaseWrite, LeaseWriteResult, OrderPermit,
     rendezvous_rank,
 };
 
@@ -41,10 +41,10 @@
 
 /// Why no order may be given.
 #[derive(Clone, Debug, Display, PartialEq, StdError)]
-pub enum NoPermit {
+pub enum PermitError {
     /// The lease's row cannot be read, so another VM may have taken it.
     #[display("the lease cannot be confirmed: {_0}")]
-    Unconfirmed(PlatformFault),
+    Unconfirmed(PlatformError),
     /// This VM does not hold the lease, or not for long enough.
     #[display("the lease is not held")]
     NotHeld,
@@ -125,8 +125,8 @@
         };
         let routers = vms
             .iter()
-            .filter(|vm| vm.kind == platform_border::VmKind::Router)
-            .filter(|vm| vm.state == platform_border::VmState::Live)
+            .filter(|vm| vm.kind == platform_api::VmKind::Router)
+            .filter(|vm| vm.state == platform_api::VmState::Live)
             .filter_map(|vm| vm.id.parse().ok());
         *self.routers.lock() = routers.collect();
         for handle in self.handles.lock().clone() {
@@ -159,14 +159,14 @@
     /// # Errors
     ///
     /// If the row cannot be read, or another VM has the lease.
-    pub async fn permit(&self) -> Result<OrderPermit, NoPermit> {
+    pub async fn permit(&self) -> Result<OrderPermit, PermitError> {
         if self.held().is_none() {
-            return Err(NoPermit::NotHeld);
+            return Err(PermitError::NotHeld);
         }
         let _calling = self.calling.lock().await;
-        self.read().await.map_err(NoPermit::Unconfirmed)?;
+        self.read().await.map_err(PermitError::Unconfirmed)?;
         let permit = self.lease.lock().permit(self.timer.now());
-        permit.ok_or(NoPermit::NotHeld)
+        permit.ok_or(PermitError::NotHeld)
     }
 
     fn want(&self, wanted: bool) {
@@ -216,8 +216,8 @@
         }
     }
 
-    async fn read(&self) -> Result<(), PlatformFault> {
-        let key = platform_border::RowKey {
+    async fn read(&self) -> Result<(), PlatformError> {
+        let key = platform_api::RowKey {
             key: self.scope.to_string(),
             table: LEASES.to_owned(),
         };
@@ -227,17 +227,17 @@
         Ok(())
     }
 
-    async fn write(&self, write: LeaseWrite) -> Result<(), PlatformFault> {
+    async fn write(&self, write: LeaseWrite) -> Result<(), PlatformError> {
         let sent = self.timer.now();
         let reply = (self.platform.transact)(self.transaction(&write)).await;
         let (answer, fault) = match reply {
-            Ok(reply) if reply.committed => (LeaseAnswer::Written, None),
+            Ok(reply) if reply.committed => (LeaseWriteResult::Written, None),
             Ok(reply) => {
                 let row = reply.conflicts.first().map(lease_row);
-                (LeaseAnswer::Conflict(row.unwrap_or_default()), None)
+                (LeaseWriteResult::Conflict(row.unwrap_or_default()), None)
             }
-            Err(fault @ PlatformFault::Unknown) => (LeaseAnswer::Unknown, Some(fault)),
-            Err(fault) => (LeaseAnswer::NotRun, Some(fault)),
+            Err(fault @ PlatformError::Unknown) => (LeaseWriteResult::Unknown, Some(fault)),
+            Err(fault) => (LeaseWriteResult::NotRun, Some(fault)),
         };
         self.lease
             .lock()
@@ -245,14 +245,14 @@
         fault.map_or(Ok(()), Err)
     }
 
-    fn transaction(&self, write: &LeaseWrite) -> platform_border::TransactRequest {
-        platform_border::TransactRequest {
-            conditions: vec![platform_border::Condition {
+    fn transaction(&self, write: &LeaseWrite) -> platform_api::TransactRequest {
+        platform_api::TransactRequest {
+            conditions: vec![platform_api::Condition {
                 key: self.scope.to_string(),
                 table: LEASES.to_owned(),
                 version: write.expected,
             }],
-            writes: vec![platform_border::Write {
+            writes: vec![platform_api::Write {
                 key: self.scope.to_string(),
                 table: LEASES.to_owned(),
                 value: Some(lease_value(&write.record)),
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::{
-    agreement::{AgreementParts, start_agreement},
-    caller_border::CallerBorder,
+    caller_api::CallerApi,
+    coordination::{CoordinationParts, start_coordination},
     http_server::Listener,
-    metrics_page::start_metrics,
-    news::{read_list, start_news},
-    operator_border::OperatorBorder,
+    metrics_endpoint::start_metrics,
+    operator_api::OperatorApi,
+    peer_updates::{read_list, start_peer_updates},
     slice_exchange::exchange_slices,
     upstream_gossip::gossip_upstreams,
 };
@@ -16,7 +16,7 @@
     /// Settings it was started with.
     pub settings: Settings,
     /// All services by name.
-    pub kernel: Kernel,
+    pub kernel: ServiceRegistry,
     /// Tells the time.
     pub timer: Arc<Timer>,
     /// Events of this process.
@@ -52,7 +52,7 @@
     ///
     /// If one cannot be started.
     pub fn start(settings: Settings) -> Result<Arc<Self>> {
-        let kernel = Kernel::default();
+        let kernel = ServiceRegistry::default();
         let timer = kernel.register(ServiceName::Timer, Timer::start())?;
         let timeline = kernel.register(ServiceName::Timeline, new_timeline(&settings))?;
         timeline.record(Event::new(EventKind::Started));
@@ -79,14 +79,14 @@
         let bundle_watch = kernel.register(ServiceName::BundleWatch, bundle_watch)?;
         let claims = match &platform {
             Some(platform) => {
-                let parts = AgreementParts {
+                let parts = CoordinationParts {
                     platform: platform.clone(),
                     timer: timer.clone(),
                     timeline: timeline.clone(),
                     connections: connections.clone(),
                     bundle: bundle.clone(),
                 };
-                Some(start_agreement(&kernel, &settings, parts)?)
+                Some(start_coordination(&kernel, &settings, parts)?)
             }
             None => None,
         };
@@ -111,7 +111,7 @@
         if let Some(peers) = &peers {
             kernel.register(ServiceName::Peers, peers.clone())?;
             gossip_upstreams(peers, &upstreams);
-            start_news(peers, &bundle_watch, &upstreams, &bundle);
+            start_peer_updates(peers, &bundle_watch, &upstreams, &bundle);
             exchange_slices(peers, &limits, &timer);
         }
         if let Some(platform) = platform.clone() {
@@ -161,7 +161,7 @@
         let address = listener.address()?;
         tracing::info!(%address, vm = %self.settings.vm, "serving callers");
         let node = self.clone();
-        Server::new(CallerBorder::new(self.clone()))
+        Server::new(CallerApi::new(self.clone()))
             .register_shutdown_hook(move || Box::pin(async move { node.drained().await }))
             .run(listener)
             .await
@@ -182,7 +182,7 @@
         let address = listener.address()?;
         let key = self.settings.operator_key()?;
         let node = self.clone();
-        Server::new(OperatorBorder::new(self.clone(), key))
+        Server::new(OperatorApi::new(self.clone(), key))
             .register_shutdown_hook(move || Box::pin(async move { node.drain.ended().await }))
             .run(listener)
             .await
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -15,7 +15,7 @@
 
 /// How an exchange with several VMs went.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ExchangeTally {
+pub(crate) struct ExchangeResult {
     /// VMs that got the message.
     pub(crate) asked: usize,
     /// Those of them whose answers were awaited.
@@ -67,11 +67,11 @@
         self.gossip.spread(gossip, sender);
     }
 
-    pub(crate) async fn exchange_with(self: &Arc<Self>, peer: &PeerEntry) -> Result<(), PeerFault> {
+    pub(crate) async fn exchange_with(self: &Arc<Self>, peer: &PeerEntry) -> Result<(), PeerError> {
         self.exchange(peer, self.news()).await
     }
 
-    async fn exchange(self: &Arc<Self>, peer: &PeerEntry, news: Gossip) -> Result<(), PeerFault> {
+    async fn exchange(self: &Arc<Self>, peer: &PeerEntry, news: Gossip) -> Result<(), PeerError> {
         let start = self.timer.now();
         let link = self.link(peer).await?;
         let (deaths, asked) = (news.poison.len(), self.timer.now());
@@ -89,7 +89,7 @@
                 self.hear(&gossip, &peer.vm);
                 Ok(())
             }
-            Ok(_) => Err(PeerFault::Form),
+            Ok(_) => Err(PeerError::Form),
             Err(fault) => {
                 // A connection that went silent is not noticed by TCP for minutes.
                 self.drop_link(&peer.vm, link.serial);
@@ -101,7 +101,7 @@
 
     /// Sends VMs the deaths under a request, and takes what they know of these deaths: all VMs of a small
     /// system, [`MOST_CONFERRED`] of a larger one. Waits for their answers up to [`PROBE_TIMEOUT`].
-    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonMark>) -> ExchangeTally {
+    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonRecord>) -> ExchangeResult {
         let now = self.timer.now();
         let peers = self
             .table
@@ -119,8 +119,8 @@
     pub(crate) async fn announce(
         self: &Arc<Self>,
         run: SuspectRun,
-        poison: Vec<PoisonMark>,
-    ) -> ExchangeTally {
+        poison: Vec<PoisonRecord>,
+    ) -> ExchangeResult {
         let now = self.timer.now();
         let (peers, awaited) = {
             let table = self.table.lock();
@@ -157,7 +157,7 @@
         peers: &[PeerEntry],
         awaited: &[PeerEntry],
         gossip: &Gossip,
-    ) -> ExchangeTally {
+    ) -> ExchangeResult {
         let exchanges = peers.iter().filter_map(|peer| {
             let is_awaited = awaited.contains(peer);
             let (peers, peer, gossip) = (self.clone(), peer.clone(), gossip.clone());
@@ -168,7 +168,7 @@
         let answered = results
             .iter()
             .filter(|result| matches!(result, Ok(Ok(Ok(())))));
-        ExchangeTally {
+        ExchangeResult {
             asked: peers.len(),
             awaited: awaited.len(),
             answered: answered.count(),
--- a/crates/catkinward/src/news.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -13,7 +13,7 @@
 const LIST_PERIOD: Duration = Duration::from_secs(2);
 
 /// Joins the exchange between VMs with the parts that have news.
-pub(crate) fn start_news(
+pub(crate) fn start_peer_updates(
     peers: &Arc<Peers>,
     watch: &Arc<BundleWatch>,
     upstreams: &Arc<Upstreams>,
@@ -80,11 +80,11 @@
     }
 }
 
-fn take_entry(peers: Option<&Peers>, upstreams: &Upstreams, entry: &platform_border::VmEntry) {
-    let leaving = entry.state == platform_border::VmState::Leaving;
+fn take_entry(peers: Option<&Peers>, upstreams: &Upstreams, entry: &platform_api::VmEntry) {
+    let leaving = entry.state == platform_api::VmState::Leaving;
     match entry.kind {
-        platform_border::VmKind::Router if leaving => {}
-        platform_border::VmKind::Router => {
+        platform_api::VmKind::Router if leaving => {}
+        platform_api::VmKind::Router => {
             let parsed = (
                 entry.id.parse(),
                 entry.address.parse(),
@@ -98,7 +98,7 @@
                 tracing::warn!(id = entry.id, "an entry of the list of VMs cannot be read");
             }
         }
-        platform_border::VmKind::Upstream => {
+        platform_api::VmKind::Upstream => {
             if let Ok(id) = entry.id.parse() {
                 upstreams.listed(&id, leaving);
             }
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::{
     admission_pool::{AdmissionPool, ChooseUpstream, Refusal},
-    place::Place,
-    plain_answer::PlainAnswer,
     plain_call::PlainCall,
-    plain_send::{SendFault, SendOptions, send},
+    plain_response::PlainResponse,
+    plain_send::{SendError, SendOptions, send},
     problem::{Problem, ProblemKind},
+    slot_guard::SlotGuard,
     upstream_handle::UpstreamHandle,
 };
 use std::pin::pin;
@@ -23,7 +23,7 @@
     /// Dispatches a call that may not be repeated: once, over a connection of its own, and never
     /// again. A kept connection may have been closed by the other end just now, and an error on it
     /// would leave it open whether the call has run.
-    pub(crate) async fn call_once(&self, call: PlainCall) -> Result<PlainAnswer, Problem> {
+    pub(crate) async fn call_once(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
         let (queued, mut place) = self.admitted(call).await?;
         let options = self.options(queued.request(), true);
         let dispatched = queued.dispatch();
@@ -36,7 +36,7 @@
     }
 
     /// Dispatches an idempotent call, again while the retry budget pays for it.
-    pub(crate) async fn call_repeatedly(&self, call: PlainCall) -> Result<PlainAnswer, Problem> {
+    pub(crate) async fn call_repeatedly(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
         let (queued, mut place) = self.admitted(call).await?;
         let mut dispatched = queued.dispatch();
         let mut avoid = Vec::new();
@@ -61,7 +61,7 @@
             place = next;
             self.pool.count("catkin_retries_total");
             dispatched = match fault {
-                SendFault::NotRun(evidence) => match dispatched.not_run(evidence) {
+                SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                     Ok(queued) => queued.dispatch(),
                     Err(unknown) => unknown.dispatch_again(),
                 },
@@ -79,7 +79,7 @@
         });
     }
 
-    async fn admitted(&self, call: PlainCall) -> Result<(Queued<PlainCall>, Place), Problem> {
+    async fn admitted(&self, call: PlainCall) -> Result<(Queued<PlainCall>, SlotGuard), Problem> {
         let queued = Queued::new(call);
         let waiting = match self
             .pool
@@ -98,10 +98,10 @@
     /// The loser is cancelled by being dropped.
     async fn send_hedged(
         &self,
-        mut place: Place,
+        mut place: SlotGuard,
         call: &PlainCall,
         avoid: &mut Vec<UpstreamId>,
-    ) -> Result<PlainAnswer, SendFault> {
+    ) -> Result<PlainResponse, SendError> {
         let start = self.pool.timer.now();
         self.record(EventKind::Dispatched, call, place.id());
         let connections = &self.node.connections;
@@ -138,8 +138,8 @@
     fn observed(
         &self,
         start: Instant,
-        answer: Result<PlainAnswer, SendFault>,
-    ) -> Result<PlainAnswer, SendFault> {
+        answer: Result<PlainResponse, SendError>,
+    ) -> Result<PlainResponse, SendError> {
         if answer.is_ok() {
             let latency = self.pool.timer.now().since(start);
             self.pool.hedge.lock().record_latency(latency);
@@ -147,7 +147,7 @@
         answer
     }
 
-    fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<Place> {
+    fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let choose = self.chooser(avoid.to_vec());
         let place = self.pool.take(Lane::Quick, false, choose)?;
         if !self.pool.hedge.lock().try_spend(true) {
@@ -158,20 +158,20 @@
     }
 
     /// A place for a retry: on an upstream that has not failed this call, if there is one.
-    fn place_again(&self, avoid: &[UpstreamId]) -> Option<Place> {
+    fn place_again(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let elsewhere = self.chooser(avoid.to_vec());
         let anywhere = self.chooser(Vec::new());
         let choose = |taken: &[UpstreamId]| elsewhere(taken).or_else(|| anywhere(taken));
         self.pool.take(Lane::Quick, false, choose)
     }
 
-    async fn wait_for_retry(&self, call: &PlainCall, fault: SendFault, sent: u32) -> bool {
-        if fault == SendFault::TooLarge {
+    async fn wait_for_retry(&self, call: &PlainCall, fault: SendError, sent: u32) -> bool {
+        if fault == SendError::TooLarge {
             return false;
         }
         let failed = FailedCall {
             idempotent: call.idempotent,
-            not_run: matches!(fault, SendFault::NotRun(_)),
+            not_run: matches!(fault, SendError::NotRun(_)),
             sent,
             ..FailedCall::default()
         };
@@ -189,9 +189,9 @@
         }
     }
 
-    pub(crate) fn failed(&self, dispatched: Dispatched<PlainCall>, fault: SendFault) -> Problem {
+    pub(crate) fn failed(&self, dispatched: Dispatched<PlainCall>, fault: SendError) -> Problem {
         let kind = match fault {
-            SendFault::NotRun(evidence) => match dispatched.not_run(evidence) {
+            SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                 Ok(queued) => {
                     let reason = match evidence {
                         NotRunEvidence::NoConnection => RefusalReason::UpstreamUnreachable,
@@ -209,8 +209,8 @@
                 }
                 Err(_) => ProblemKind::AnswerLost,
             },
-            SendFault::Lost => ProblemKind::AnswerLost,
-            SendFault::TooLarge => ProblemKind::AnswerTooLarge,
+            SendError::Lost => ProblemKind::AnswerLost,
+            SendError::TooLarge => ProblemKind::AnswerTooLarge,
         };
         kind.into()
     }
@@ -243,9 +243,9 @@
     taken: &[UpstreamId],
 ) -> Option<UpstreamHandle> {
     let avoid = [avoid, taken].concat();
-    let want = UpstreamWant {
+    let want = UpstreamQuery {
         avoid: &avoid,
-        ..UpstreamWant::new(service)
+        ..UpstreamQuery::new(service)
     };
     upstreams.choose(&want).ok()
 }
@@ -253,16 +253,16 @@
 /// The answer of the first of two copies, or else of the other. If both fail, it is known not to
 /// have run only if neither did.
 async fn either(
-    first: Result<PlainAnswer, SendFault>,
-    other: impl Future<Output = Result<PlainAnswer, SendFault>>,
-) -> Result<PlainAnswer, SendFault> {
+    first: Result<PlainResponse, SendError>,
+    other: impl Future<Output = Result<PlainResponse, SendError>>,
+) -> Result<PlainResponse, SendError> {
     let fault = match first {
         Ok(answer) => return Ok(answer),
         Err(fault) => fault,
     };
     match (fault, other.await) {
         (_, Ok(answer)) => Ok(answer),
-        (SendFault::NotRun(_), Err(other)) => Err(other),
+        (SendError::NotRun(_), Err(other)) => Err(other),
         (fault, Err(_)) => Err(fault),
     }
 }
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::http_client::{HttpError, json_bytes};
-use catkin_decisions::{CallBudget, CallBudgetSettings};
+use catkin_decisions::{CallLimiter, CallLimiterSettings};
 use futures::future::BoxFuture;
 
 /// Settings of the platform's client.
@@ -9,9 +9,9 @@
     /// Longest wait for an answer.
     pub bound: Duration,
     /// Budget of reads, scans, VM lists and objects fetched.
-    pub reads: CallBudgetSettings,
+    pub reads: CallLimiterSettings,
     /// Budget of transactions and objects stored.
-    pub writes: CallBudgetSettings,
+    pub writes: CallLimiterSettings,
 }
 
 /// Transactions a second that all VMs take of the platform together, which does several hundred.
@@ -38,12 +38,12 @@
         let reads = (READS_PER_SECOND / vms).max(LEAST_READS_PER_SECOND);
         let second = Duration::from_secs(1);
         Self {
-            reads: CallBudgetSettings {
+            reads: CallLimiterSettings {
                 refill_interval: second / reads,
                 burst: reads,
                 ..default.reads
             },
-            writes: CallBudgetSettings {
+            writes: CallLimiterSettings {
                 refill_interval: second * vms / WRITES_PER_SECOND,
                 burst: (WRITES_PER_SECOND / vms).div_ceil(2).max(1),
                 ..default.writes
@@ -57,12 +57,12 @@
     fn default() -> Self {
         Self {
             bound: Duration::from_secs(1),
-            reads: CallBudgetSettings {
+            reads: CallLimiterSettings {
                 refill_interval: Duration::from_millis(10),
                 burst: 50,
-                ..CallBudgetSettings::default()
+                ..CallLimiterSettings::default()
             },
-            writes: CallBudgetSettings::default(),
+            writes: CallLimiterSettings::default(),
         }
     }
 }
@@ -78,8 +78,8 @@
     timer: Arc<Timer>,
     address: SocketAddr,
     bound: Duration,
-    reads: Mutex<CallBudget>,
-    writes: Mutex<CallBudget>,
+    reads: Mutex<CallLimiter>,
+    writes: Mutex<CallLimiter>,
 }
 
 /// Which budget a call is taken from.
@@ -104,8 +104,8 @@
                 timer,
                 address,
                 bound: cfg.bound,
-                reads: Mutex::new(CallBudget::new(cfg.reads)),
-                writes: Mutex::new(CallBudget::new(cfg.writes)),
+                reads: Mutex::new(CallLimiter::new(cfg.reads)),
+                writes: Mutex::new(CallLimiter::new(cfg.writes)),
             }),
         };
         Self {
@@ -116,7 +116,7 @@
                     .await
             }),
             read: client.call_of(|client, keys| async move {
-                let body = json_bytes(&platform_border::ReadRequest { keys });
+                let body = json_bytes(&platform_api::ReadRequest { keys });
                 client.rows("/v1/table/read", body).await
             }),
             scan: client.call_of(|client, req| async move {
@@ -130,7 +130,7 @@
             vms: client.call_of(|client, ()| async move {
                 let call = client.http_call(Method::GET, "/v1/vms", Bytes::new());
                 let body = client.call(Budget::Reads, call).await?;
-                let list = parsed::<platform_border::VmList>(&body.unwrap_or_default())?;
+                let list = parsed::<platform_api::VmList>(&body.unwrap_or_default())?;
                 Ok(list.vms)
             }),
         }
@@ -140,22 +140,18 @@
 impl PlatformClient {
     fn call_of<Q, A, F>(&self, run: fn(Self, Q) -> F) -> PlatformCall<Q, A>
     where
-        F: Future<Output = Result<A, PlatformFault>> + Send + 'static,
+        F: Future<Output = Result<A, PlatformError>> + Send + 'static,
         Q: 'static,
         A: 'static,
     {
         let client = self.clone();
-        Box::new(move |q| -> BoxFuture<'static, Result<A, PlatformFault>> {
+        Box::new(move |q| -> BoxFuture<'static, Result<A, PlatformError>> {
             Box::pin(run(client.clone(), q))
         })
     }
 
-    async fn rows(
-        &self,
-        path: &str,
-        body: Bytes,
-    ) -> Result<Vec<platform_border::Row>, PlatformFault> {
-        let reply: platform_border::RowsReply = self.post(Budget::Reads, path, body).await?;
+    async fn rows(&self, path: &str, body: Bytes) -> Result<Vec<platform_api::Row>, PlatformError> {
+        let reply: platform_api::RowsReply = self.post(Budget::Reads, path, body).await?;
         Ok(reply.rows)
     }
 
@@ -164,18 +160,18 @@
         budget: Budget,
         path: &str,
         body: Bytes,
-    ) -> Result<T, PlatformFault> {
+    ) -> Result<T, PlatformError> {
         let call = self.http_call(Method::POST, path, body);
         let body = self.call(budget, call).await?;
         parsed(&body.unwrap_or_default())
     }
 
-    async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformFault> {
+    async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
         let call = self.http_call(Method::PUT, &object_path(name), body);
         self.call(Budget::Writes, call).await.map(|_| ())
     }
 
-    async fn get_object(&self, name: &str) -> Result<Option<Bytes>, PlatformFault> {
+    async fn get_object(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
         let call = self.http_call(Method::GET, &object_path(name), Bytes::new());
         self.call(Budget::Reads, call).await
     }
@@ -192,15 +188,15 @@
     }
 
     /// Makes a call within its budget; `None` if the platform has no such thing.
-    async fn call(&self, budget: Budget, call: HttpCall) -> Result<Option<Bytes>, PlatformFault> {
+    async fn call(&self, budget: Budget, call: HttpCall) -> Result<Option<Bytes>, PlatformError> {
         let inner = &self.inner;
         let budget = match budget {
             Budget::Reads => &inner.reads,
             Budget::Writes => &inner.writes,
         };
         if !budget.lock().try_take(inner.timer.now()) {
-            count(Some(&PlatformFault::OutOfBudget));
-            return Err(PlatformFault::OutOfBudget);
+            count(Some(&PlatformError::OutOfBudget));
+            return Err(PlatformError::OutOfBudget);
         }
         let answer = match inner.connections.call_whole(call).await {
             Ok((status, body)) => of_status(status, body),
@@ -220,34 +216,34 @@
     }
 }
 
-fn count(fault: Option<&PlatformFault>) {
+fn count(fault: Option<&PlatformError>) {
     let result = fault.map_or("answered", Into::into);
     metrics::counter!("catkin_platform_calls_total", "result" => result).increment(1);
 }
 
 /// The platform answers 429 and 503 before a call has any effect; of every other failure the caller
 /// cannot tell.
-fn of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformFault> {
+fn of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformError> {
     match status {
         StatusCode::NOT_FOUND => Ok(None),
-        StatusCode::TOO_MANY_REQUESTS => Err(PlatformFault::Throttled),
-        StatusCode::SERVICE_UNAVAILABLE => Err(PlatformFault::NotRun),
+        StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::Throttled),
+        StatusCode::SERVICE_UNAVAILABLE => Err(PlatformError::NotRun),
         status if status.is_success() => Ok(Some(body)),
-        status if status.is_client_error() => Err(PlatformFault::NotRun),
-        _ => Err(PlatformFault::Unknown),
+        status if status.is_client_error() => Err(PlatformError::NotRun),
+        _ => Err(PlatformError::Unknown),
     }
 }
 
-fn of_error(error: &HttpError) -> PlatformFault {
+fn of_error(error: &HttpError) -> PlatformError {
     if error.never_connected() {
-        PlatformFault::NotRun
+        PlatformError::NotRun
     } else {
-        PlatformFault::Unknown
+        PlatformError::Unknown
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatformFault> {
-    serde_json::from_slice(body).map_err(|_| PlatformFault::Unknown)
+fn parsed<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatformError> {
+    serde_json::from_slice(body).map_err(|_| PlatformError::Unknown)
 }
 
 /// Object names are opaque: all but letters, digits, `-`, `_` and `.` is escaped.
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -4,10 +4,10 @@
 use crate::{
     attempt_stream::AttemptStream,
     engine_client::{self, Reattach},
-    engine_event::AttemptFault,
+    engine_event::AttemptError,
     generation_driver::Driver,
-    place::Place,
     running_attempt::{AttemptGuard, RunningAttempt},
+    slot_guard::SlotGuard,
 };
 
 /// Bound until a probe of a running attempt is answered.
@@ -68,12 +68,12 @@
     /// policy of least work the attempt is looked for and gone on with.
     pub(crate) async fn find_started(
         &self,
-        upstream: &Place,
+        upstream: &SlotGuard,
         order: &engine::EngineGenerate,
-        fault: &AttemptFault,
+        fault: &AttemptError,
     ) -> Option<AttemptStream> {
         let full = engine::EngineRefusalKind::Full;
-        if matches!(fault, AttemptFault::Refused { kind } if *kind == full) {
+        if matches!(fault, AttemptError::Refused { kind } if *kind == full) {
             upstream.overloaded();
         }
         upstream.lost(fault).await;
@@ -92,7 +92,7 @@
     pub(crate) async fn recover(
         &mut self,
         attempt: RunningAttempt,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         match self.generation.request.recovery {
             RecoveryPolicy::LeastWork => self.probe(attempt).await,
             RecoveryPolicy::LeastWait => match self.choose(false) {
@@ -102,12 +102,12 @@
         }
     }
 
-    async fn probe(&self, mut attempt: RunningAttempt) -> Result<RunningAttempt, AttemptFault> {
+    async fn probe(&self, mut attempt: RunningAttempt) -> Result<RunningAttempt, AttemptError> {
         attempt.stream = self.reattached(&attempt).await?;
         Ok(attempt)
     }
 
-    async fn reattached(&self, attempt: &RunningAttempt) -> Result<AttemptStream, AttemptFault> {
+    async fn reattached(&self, attempt: &RunningAttempt) -> Result<AttemptStream, AttemptError> {
         let upstream = &attempt.upstream;
         let number = attempt.stream.attempt();
         let found = async {
@@ -115,7 +115,7 @@
             stream.wait_for_progress(PROBE_BOUND).await?;
             Ok(stream)
         };
-        let found: Result<_, AttemptFault> = found.await;
+        let found: Result<_, AttemptError> = found.await;
         match &found {
             Ok(_) => self.record(EventKind::ReAttached, number, upstream.id(), None),
             Err(fault) => upstream.lost(fault).await,
@@ -126,9 +126,9 @@
     /// Asks an engine to go on with an attempt over a new connection.
     async fn reattach(
         &self,
-        upstream: &Place,
+        upstream: &SlotGuard,
         attempt: Attempt,
-    ) -> Result<AttemptStream, AttemptFault> {
+    ) -> Result<AttemptStream, AttemptError> {
         let reattach = Reattach {
             address: upstream.address(),
             id: &self.generation.request.engine_id,
@@ -143,8 +143,8 @@
     async fn race(
         &mut self,
         mut old: RunningAttempt,
-        other: Place,
-    ) -> Result<RunningAttempt, AttemptFault> {
+        other: SlotGuard,
+    ) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         let second = match self.first_to_go_on(&old, other, &order).await? {
             Raced::Old(stream) => {
@@ -157,15 +157,15 @@
         if self.generation.adopt(reserved) {
             return Ok(*second);
         }
-        Err(AttemptFault::Broken)
+        Err(AttemptError::Broken)
     }
 
     async fn first_to_go_on(
         &self,
         old: &RunningAttempt,
-        other: Place,
+        other: SlotGuard,
         order: &engine::EngineGenerate,
-    ) -> Result<Raced, AttemptFault> {
+    ) -> Result<Raced, AttemptError> {
         let mut probe = std::pin::pin!(self.reattached(old));
         let mut second = std::pin::pin!(self.second_attempt(other, order));
         tokio::select! {
@@ -189,9 +189,9 @@
 
     async fn second_attempt(
         &self,
-        upstream: Place,
+        upstream: SlotGuard,
         order: &engine::EngineGenerate,
-    ) -> Result<RunningAttempt, AttemptFault> {
+    ) -> Result<RunningAttempt, AttemptError> {
         let mut driver = Driver::new(self.node.clone(), self.generation.clone());
         let mut attempt = driver.open(upstream, order).await?;
         match attempt.stream.wait_for_progress(SECOND_BOUND).await {
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -16,7 +16,7 @@
         let sharers = Sharers::of(&*table.upgrade()?);
         granting.grant(request, &sharers.zone, sharers.part)
     });
-    let mut ticks = timer.subscribe(SLICE_PERIOD);
+    let mut ticks = timer.subscribe(SLICE_RENEWAL_INTERVAL);
     let (peers, limits) = (peers.clone(), limits.clone());
     tokio::spawn(async move {
         while ticks.recv().await.is_some() {
@@ -64,8 +64,13 @@
 }
 
 /// Asks one home. Without an answer the slices run out, and the floors remain.
-async fn ask_home(peers: &Arc<Peers>, limits: &TeamLimits, sharers: &Sharers, asks: &[SliceAsk]) {
-    let Some(SliceAsk { home, asked, .. }) = asks.first() else {
+async fn ask_home(
+    peers: &Arc<Peers>,
+    limits: &TeamLimits,
+    sharers: &Sharers,
+    asks: &[TeamSliceRequest],
+) {
+    let Some(TeamSliceRequest { home, asked, .. }) = asks.first() else {
         return;
     };
     let requests = asks.iter().map(|ask| ask.request.clone());
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -1,5 +1,8 @@
 use super::*;
-use crate::{known::Known, upstream_handle::UpstreamHandle, upstream_state::UpstreamState};
+use crate::{
+    upstream_handle::UpstreamHandle, upstream_observer::UpstreamObserver,
+    upstream_state::UpstreamState,
+};
 
 /// How often each upstream of the subset is asked for its load.
 const POLL_PERIOD: Duration = Duration::from_millis(500);
@@ -9,7 +12,7 @@
 
 /// The upstreams of the bundle in force and what is known of them.
 pub struct Upstreams {
-    known: Arc<Known>,
+    known: Arc<UpstreamObserver>,
     vm: VmId,
     zone: AvailabilityZone,
     /// Of the whole bundle, sorted by id.
@@ -30,7 +33,7 @@
         settings: &Settings,
     ) -> Arc<Self> {
         let upstreams = Arc::new(Self {
-            known: Arc::new(Known::new(timer, connections, timeline)),
+            known: Arc::new(UpstreamObserver::new(timer, connections, timeline)),
             vm: settings.vm.clone(),
             zone: settings.zone.clone(),
             states: RwLock::default(),
@@ -46,7 +49,7 @@
     /// # Errors
     ///
     /// If none may get it.
-    pub fn choose(&self, want: &UpstreamWant<'_>) -> Result<UpstreamHandle, NoUpstream> {
+    pub fn choose(&self, want: &UpstreamQuery<'_>) -> Result<UpstreamHandle, NoUpstream> {
         let now = self.known.timer.now();
         let mut poison = self.known.poison.lock();
         if want
@@ -186,34 +189,34 @@
 
     /// Marks of requests that upstreams died under, for a peer; each is told eight times.
     #[must_use]
-    pub fn poison_deltas(&self) -> Vec<PoisonMark> {
+    pub fn poison_deltas(&self) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().deltas(now)
     }
 
     /// Such marks of one request.
     #[must_use]
-    pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonMark> {
+    pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().marks_of(digest, now)
     }
 
     /// Marks of the requests that are refused here, for a peer that tells of deaths which they explain.
     #[must_use]
-    pub fn culprits(&self, marks: &[PoisonMark]) -> Vec<PoisonMark> {
+    pub fn culprits(&self, marks: &[PoisonRecord]) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().culprits(marks, now)
     }
 
     /// All such marks.
     #[must_use]
-    pub fn poison_marks(&self) -> Vec<PoisonMark> {
+    pub fn poison_marks(&self) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().marks(now)
     }
 
     /// Takes such marks from a peer.
-    pub fn merge_poison(&self, marks: &[PoisonMark], peer: &VmId) {
+    pub fn merge_poison(&self, marks: &[PoisonRecord], peer: &VmId) {
         let now = self.known.timer.now();
         let new = self.known.poison.lock().merge(marks, now);
         if !new.is_empty() {
@@ -293,7 +296,7 @@
     fn may_start(
         &self,
         poison: &PoisonTracker,
-        want: &UpstreamWant<'_>,
+        want: &UpstreamQuery<'_>,
         state: &UpstreamState,
         now: Instant,
     ) -> bool {
@@ -317,7 +320,7 @@
     fn candidate(
         &self,
         state: &UpstreamState,
-        want: &UpstreamWant<'_>,
+        want: &UpstreamQuery<'_>,
         prefix: Option<&str>,
         now: Instant,
     ) -> Option<Candidate> {
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -7,15 +7,16 @@
 
 use bytes::Bytes;
 use catkin_decisions::{
-    Born, CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadReading,
-    PeerNote, Policy, PromptPart, RepeatBudgetConfig, RolloutSettings, Route, RouteTable,
-    RouteTarget, RoutingConfig, ServiceSpec, TableRow, UpstreamEntry, ZoneGossip,
+    CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
+    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route,
+    RouteRetryBudgetConfig, RouteTable, RouteTarget, RoutingConfig, ServiceSpec, TableRow,
+    UpstreamEntry, ZoneGossip,
 };
 use catkinward::{
     Timer,
     gateway::{
-        AnswerBody, BodyFault, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt,
-        Reply, SendFault, UpstreamAnswer, UpstreamCall, UpstreamTransport,
+        BodyError, Call, CopySource, Gateway, GatewaySettings, HealthReport, Prompt, Reply,
+        ResponseBody, SendError, UpstreamCall, UpstreamResponse, UpstreamTransport,
     },
 };
 use futures::{StreamExt, stream};
@@ -50,7 +51,7 @@
     upstreams: Vec<UpstreamEntry>,
     routes: Vec<Route>,
     keys: Option<Vec<CallerKey>>,
-    repeats: RepeatBudgetConfig,
+    repeats: RouteRetryBudgetConfig,
     script: Scripted,
     alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     born: Starts,
@@ -81,9 +82,9 @@
                 route("/stream-once/", CallKind::Stream, ENGINES),
             ],
             keys: None,
-            repeats: RepeatBudgetConfig {
+            repeats: RouteRetryBudgetConfig {
                 slack: 100.0,
-                ..RepeatBudgetConfig::default()
+                ..RouteRetryBudgetConfig::default()
             },
             script: Box::new(script),
             alive: Arc::new(|_| true),
@@ -108,7 +109,13 @@
         self
     }
 
-    pub fn born_upstream(mut self, id: &str, service: &str, zone: &str, born: Born) -> Self {
+    pub fn born_upstream(
+        mut self,
+        id: &str,
+        service: &str,
+        zone: &str,
+        born: ProcessStart,
+    ) -> Self {
         self.upstreams.push(born_upstream(id, service, zone, born));
         self
     }
@@ -139,7 +146,7 @@
         self
     }
 
-    pub fn repeats(mut self, repeats: RepeatBudgetConfig) -> Self {
+    pub fn repeats(mut self, repeats: RouteRetryBudgetConfig) -> Self {
         self.repeats = repeats;
         self
     }
@@ -151,7 +158,10 @@
     }
 
     /// When the processes of upstreams started, as they answer.
-    pub fn born(mut self, born: impl Fn(&str) -> Option<Born> + Send + Sync + 'static) -> Self {
+    pub fn born(
+        mut self,
+        born: impl Fn(&str) -> Option<ProcessStart> + Send + Sync + 'static,
+    ) -> Self {
         self.born = Arc::new(born);
         self
     }
@@ -260,19 +270,19 @@
     /// Has the gateway hear of a crash from the VM of that number.
     pub fn hear_of_crash(&self, vm: usize, crash: Crash) {
         let note = self.peer_note(&format!("vm-{}", vm + 1), "b");
-        self.hear(PeerNote {
+        self.hear(PeerHeartbeat {
             crashes: vec![crash],
             ..note
         });
     }
 
-    pub fn hear(&self, note: PeerNote) {
+    pub fn hear(&self, note: PeerHeartbeat) {
         self.gateway.take_note(note, ([127, 0, 0, 2], 9).into());
     }
 
     /// A note without anything in it, newer than those before.
-    pub fn peer_note(&self, vm: &str, zone: &str) -> PeerNote {
-        PeerNote {
+    pub fn peer_note(&self, vm: &str, zone: &str) -> PeerHeartbeat {
+        PeerHeartbeat {
             vm: vm.into(),
             zone: zone.parse().unwrap(),
             incarnation: 1,
@@ -343,7 +353,7 @@
 }
 
 /// Entry of an upstream that says when it started.
-pub fn born_upstream(id: &str, service: &str, zone: &str, born: Born) -> UpstreamEntry {
+pub fn born_upstream(id: &str, service: &str, zone: &str, born: ProcessStart) -> UpstreamEntry {
     let mut entry = upstream(id, service, zone);
     entry.id.born = Some(born);
     entry
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -53,7 +53,7 @@
 }
 
 /// When the process of each upstream started, as it answers.
-pub(super) type Starts = Arc<dyn Fn(&str) -> Option<Born> + Send + Sync>;
+pub(super) type Starts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
 
 pub(super) type Scripted = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
 
@@ -125,7 +125,7 @@
             Box::pin(async move {
                 if alive {
                     return Ok(HealthReport {
-                        load: Some(LoadReading::default()),
+                        load: Some(LoadSample::default()),
                         born,
                     });
                 }
@@ -135,7 +135,7 @@
     }
 }
 
-async fn play(script: Script) -> Result<UpstreamAnswer, SendFault> {
+async fn play(script: Script) -> Result<UpstreamResponse, SendError> {
     // An upstream takes a while.
     tokio::time::sleep(Duration::from_millis(5)).await;
     match script {
@@ -143,30 +143,30 @@
             let chunk = Ok(Bytes::from_static(body.as_bytes()));
             Ok(answer(status, stream::iter([chunk]).boxed()))
         }
-        Script::Unsigned(status) => Ok(UpstreamAnswer {
+        Script::Unsigned(status) => Ok(UpstreamResponse {
             signed: false,
             ..answer(status, stream::empty().boxed())
         }),
-        Script::NotExecuted => Ok(UpstreamAnswer {
+        Script::NotExecuted => Ok(UpstreamResponse {
             not_executed: true,
             signed: false,
             ..answer(StatusCode::SERVICE_UNAVAILABLE, stream::empty().boxed())
         }),
-        Script::OtherIncarnation(by) => Ok(UpstreamAnswer {
+        Script::OtherIncarnation(by) => Ok(UpstreamResponse {
             other_incarnation: true,
             incarnation: by.map(|by| by.parse().unwrap()),
             signed: false,
             ..answer(StatusCode::MISDIRECTED_REQUEST, stream::empty().boxed())
         }),
-        Script::NoConnection => Err(SendFault::NoConnection),
-        Script::Lost => Err(SendFault::Lost),
+        Script::NoConnection => Err(SendError::NoConnection),
+        Script::Lost => Err(SendError::Lost),
         Script::Hang => std::future::pending().await,
         Script::Stream(parts, end) => Ok(answer(StatusCode::OK, scripted_body(parts, end))),
     }
 }
 
-fn answer(status: StatusCode, body: AnswerBody) -> UpstreamAnswer {
-    UpstreamAnswer {
+fn answer(status: StatusCode, body: ResponseBody) -> UpstreamResponse {
+    UpstreamResponse {
         status,
         headers: HeaderMap::new(),
         signed: true,
@@ -178,7 +178,7 @@
     }
 }
 
-fn scripted_body(parts: Vec<Part>, end: End) -> AnswerBody {
+fn scripted_body(parts: Vec<Part>, end: End) -> ResponseBody {
     let parts = stream::iter(parts).filter_map(|part| async move {
         match part {
             Part::Bytes(text) => Some(Ok(Bytes::from(text))),
@@ -190,7 +190,7 @@
     });
     match end {
         End::Whole => parts.boxed(),
-        End::Break => parts.chain(stream::iter([Err(BodyFault)])).boxed(),
+        End::Break => parts.chain(stream::iter([Err(BodyError)])).boxed(),
         End::Hang => parts.chain(stream::pending()).boxed(),
     }
 }
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -3,11 +3,11 @@
 mod gateway_support;
 
 use catkin_decisions::{
-    Born, CHANGES_TOLD, ConfigVersion, GOSSIP_AGE, LinkRate, PeerDatagram, RoutingConfig,
-    UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
+    ConfigVersion, GOSSIP_MAX_AGE, LinkRate, MAX_GOSSIPED_CHANGES, PeerDatagram, ProcessStart,
+    RoutingConfig, UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
-    Feed, FeedFault, FeedPage, exchange_notes, follow_config, follow_upstreams,
+    Feed, FeedError, FeedPage, exchange_notes, follow_config, follow_upstreams,
 };
 use gateway_support::*;
 use googletest::prelude::*;
@@ -62,8 +62,8 @@
         let peer = self.clone();
         Feed {
             name: "upstreams",
-            read: Box::new(|_| Box::pin(async { Err(FeedFault::Refused) })),
-            changes: Box::new(|_, _| Box::pin(async { Err(FeedFault::Refused) })),
+            read: Box::new(|_| Box::pin(async { Err(FeedError::Refused) })),
+            changes: Box::new(|_, _| Box::pin(async { Err(FeedError::Refused) })),
             read_from_peer: Box::new(move |_| {
                 let page = peer.page();
                 Box::pin(async move { Ok(page) })
@@ -182,7 +182,7 @@
     running.hear_gossip(&table.news(&[]));
 
     table.set_leaving(0);
-    tokio::time::sleep(GOSSIP_AGE + Duration::from_millis(20)).await;
+    tokio::time::sleep(GOSSIP_MAX_AGE + Duration::from_millis(20)).await;
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
     }
@@ -428,7 +428,7 @@
                 &format!("i-{:010x}", 0xff_ffff_ff00 + n),
                 "ticket-model-long",
                 "stirling-depot-long",
-                Born(1_790_000_000_000),
+                ProcessStart(1_790_000_000_000),
             )
         }),
     };
@@ -440,7 +440,7 @@
         version: u64::from(u32::MAX),
         digest: u64::MAX,
         age_ms: 1600,
-        changes: (0..).take(CHANGES_TOLD).map(change).collect(),
+        changes: (0..).take(MAX_GOSSIPED_CHANGES).map(change).collect(),
     };
 
     let mut buf = Vec::new();
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -57,7 +57,7 @@
 
 /// Position of an admitted request, used to withdraw it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct QueuePlace {
+pub struct QueuePosition {
     lane: Lane,
     ticket: Ticket,
 }
@@ -68,7 +68,7 @@
     cfg: AdmissionConfig,
     lanes: [LaneQueue<T>; Lane::COUNT],
     /// Sorted by upstream.
-    upstreams: Vec<(UpstreamId, UpstreamPlaces)>,
+    upstreams: Vec<(UpstreamId, UpstreamSlots)>,
 }
 
 impl<T> AdmissionQueue<T> {
@@ -94,7 +94,7 @@
             .map(
                 |id| match known.binary_search_by(|(other, _)| other.cmp(&id)) {
                     Ok(i) => (id, std::mem::take(&mut known[i].1)),
-                    Err(_) => (id, UpstreamPlaces::new(cfg)),
+                    Err(_) => (id, UpstreamSlots::new(cfg)),
                 },
             )
             .collect();
@@ -122,7 +122,7 @@
         now: Instant,
         arrival: &Arrival,
         request: Queued<T>,
-    ) -> Result<QueuePlace, NotRun<T>> {
+    ) -> Result<QueuePosition, NotRun<T>> {
         let lane = arrival.lane;
         for (_, slots) in &mut self.upstreams {
             slots.record_arrival(now, lane);
@@ -138,7 +138,7 @@
                 slots.record_below_share(now);
             }
         }
-        Ok(QueuePlace { lane, ticket })
+        Ok(QueuePosition { lane, ticket })
     }
 
     /// Returns the latest start of a request that would be admitted now.
@@ -208,7 +208,7 @@
         choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
     ) -> Option<(Dispatched<T>, P)> {
         let full = self.full_upstreams(now, lane);
-        let tries = PopTries {
+        let tries = PopOptions {
             teams: MAX_TEAMS_TRIED,
             below_share_only: false,
         };
@@ -219,7 +219,7 @@
             return None;
         }
         let without_extra_slots = self.without_extra_slots();
-        let tries = PopTries {
+        let tries = PopOptions {
             below_share_only: true,
             ..tries
         };
@@ -231,7 +231,7 @@
         now: Instant,
         lane: Lane,
         full: &[UpstreamId],
-        tries: PopTries,
+        tries: PopOptions,
         choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
     ) -> Option<(Dispatched<T>, P)> {
         if full.len() == self.upstreams.len() {
@@ -258,7 +258,7 @@
     pub fn take_slot(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
         let cfg = self.cfg.limit;
         let i = self.find(upstream).unwrap_or_else(|i| {
-            let slots = UpstreamPlaces::new(cfg);
+            let slots = UpstreamSlots::new(cfg);
             self.upstreams.insert(i, (upstream.clone(), slots));
             i
         });
@@ -290,7 +290,7 @@
     }
 
     /// Removes a queued request whose caller has disconnected.
-    pub fn withdraw(&mut self, place: QueuePlace) -> Option<NotRun<T>> {
+    pub fn withdraw(&mut self, place: QueuePosition) -> Option<NotRun<T>> {
         let queue = &mut self.lanes[place.lane.index()].queue;
         let request = queue.remove(place.ticket)?;
         Some(request.refuse(RefusalReason::CallerLeft, Duration::ZERO))
@@ -328,7 +328,7 @@
     }
 
     /// The slots of each upstream, for metrics.
-    pub fn slots(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamPlaces)> {
+    pub fn slots(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamSlots)> {
         self.upstreams.iter().map(|(id, slots)| (id, slots))
     }
 
--- a/crates/decisions/src/cached_prompts.rs
+++ b/crates/decisions/src/cached_prompts.rs
@@ -12,7 +12,7 @@
 
 /// How long an engine's answer is used. Callers of a lost VM reconnect within a few hundred milliseconds
 /// of each other, so one query per engine serves all of them.
-pub const CACHE_WORD_AGE: Duration = Duration::from_secs(2);
+pub const CACHE_REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Maximum number of engines queried: all engines of a present deployment, or those of the local
 /// availability zone at the target size.
@@ -20,7 +20,7 @@
 
 /// Time-out for the engines' answers. An answer takes 2 to 5 ms; a caller that reconnects has already
 /// lost far more than the time-out.
-pub const SEARCH_BOUND: Duration = Duration::from_millis(60);
+pub const PROMPT_SEARCH_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Share of the VM's link that the answers may use during the time-out; the rest is for streams.
 const LINK_SHARE: f64 = 0.5;
@@ -86,7 +86,7 @@
             clippy::cast_sign_loss,
             clippy::cast_precision_loss
         )]
-        let max_answers = (link.bytes_in(SEARCH_BOUND) as f64 * LINK_SHARE
+        let max_answers = (link.bytes_in(PROMPT_SEARCH_TIMEOUT) as f64 * LINK_SHARE
             / (self.mean_parts.max(1.0) * BYTES_PER_PART)) as usize;
         max_answers.min(MAX_ENGINES_QUERIED)
     }
@@ -106,7 +106,7 @@
         now: Instant,
     ) {
         self.engines.retain(|known| {
-            known.engine != *engine && now.since(known.received_at) < CACHE_WORD_AGE
+            known.engine != *engine && now.since(known.received_at) < CACHE_REPORT_TTL
         });
         #[expect(clippy::cast_precision_loss)]
         let size = report.len() as f64;
@@ -132,7 +132,7 @@
     pub fn holders(&self, prompt: &[PromptPart], now: Instant) -> Vec<(UpstreamIncarnation, u32)> {
         self.engines
             .iter()
-            .filter(|engine| now.since(engine.received_at) < CACHE_WORD_AGE)
+            .filter(|engine| now.since(engine.received_at) < CACHE_REPORT_TTL)
             .map(|engine| (engine.engine.clone(), engine.held_tokens(prompt)))
             .filter(|(_, tokens)| *tokens > 0)
             .collect()
@@ -143,7 +143,7 @@
             .engines
             .binary_search_by(|known| known.engine.cmp(engine));
         let known = &self.engines[index.ok()?];
-        (now.since(known.received_at) < CACHE_WORD_AGE).then_some(known)
+        (now.since(known.received_at) < CACHE_REPORT_TTL).then_some(known)
     }
 }
 
--- a/crates/decisions/src/call_budget.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -11,9 +11,9 @@
 
 use super::*;
 
-/// Settings of a [`CallBudget`].
+/// Settings of a [`CallLimiter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallBudgetSettings {
+pub struct CallLimiterSettings {
     /// Time after which another call is allowed. With 400 VMs, each is allowed less than one call a
     /// second.
     pub refill_interval: Duration,
@@ -28,7 +28,7 @@
     pub max_backoff: Duration,
 }
 
-impl Default for CallBudgetSettings {
+impl Default for CallLimiterSettings {
     fn default() -> Self {
         Self {
             refill_interval: Duration::from_millis(25),
@@ -42,18 +42,18 @@
 
 /// Token bucket of calls that also pauses for growing intervals while calls fail.
 #[derive(Clone, Debug)]
-pub struct CallBudget {
-    cfg: CallBudgetSettings,
+pub struct CallLimiter {
+    cfg: CallLimiterSettings,
     /// Time at which the bucket is full again.
     full_at: Duration,
     consecutive_failures: u32,
     backoff_until: Instant,
 }
 
-impl CallBudget {
+impl CallLimiter {
     /// Creates a limiter with a full token bucket.
     #[must_use]
-    pub fn new(cfg: CallBudgetSettings) -> Self {
+    pub fn new(cfg: CallLimiterSettings) -> Self {
         Self {
             cfg,
             full_at: Duration::ZERO,
--- a/crates/decisions/src/crash_tally.rs
+++ b/crates/decisions/src/crash_tracker.rs
@@ -10,7 +10,7 @@
 
 /// Number of crashed upstreams at which a call is rejected. Two may be a coincidence, because whole
 /// availability zones crash together.
-pub const MOST_CRASHES: usize = 3;
+pub const MAX_CRASHES_PER_BODY: usize = 3;
 
 /// How long a crash counts: far longer than callers keep retrying.
 const CRASH_TTL: Duration = Duration::from_secs(600);
@@ -24,7 +24,7 @@
 
 /// Crashes of upstreams by the digest of the call that ran there.
 #[derive(Clone, Debug, Default)]
-pub struct CrashTally {
+pub struct CrashTracker {
     /// Sorted by digest and upstream.
     crashes: Vec<TrackedCrash>,
 }
@@ -51,7 +51,7 @@
     pub cleared: bool,
 }
 
-impl CrashTally {
+impl CrashTracker {
     /// Records a crash, or that it is cleared; returns whether that is new.
     pub fn record_crash(&mut self, crash: Crash) -> bool {
         let key = (crash.digest, &crash.upstream);
@@ -135,7 +135,7 @@
     /// Whether a call is rejected because of its crashes.
     #[must_use]
     pub fn is_rejected(&self, digest: u64, now: Instant) -> bool {
-        self.crash_count(digest, now) >= MOST_CRASHES
+        self.crash_count(digest, now) >= MAX_CRASHES_PER_BODY
     }
 
     /// Whether a call that reached the limit earlier than this one ran on the same upstream.
@@ -156,7 +156,7 @@
     /// When the crashes under a call reached the limit, regardless of the calls that ran beside it.
     fn limit_reached_at(&self, digest: u64, now: Instant) -> Option<Instant> {
         let times = self.active_crashes(digest, now).map(|crash| crash.at);
-        Instant::nth_smallest(times, MOST_CRASHES)
+        Instant::nth_smallest(times, MAX_CRASHES_PER_BODY)
     }
 
     fn active_crashes(&self, digest: u64, now: Instant) -> impl Iterator<Item = &Crash> {
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -6,7 +6,7 @@
 
 /// An engine as the order planner sees it; `report` is `None` if there is no usable report.
 pub(crate) struct EngineView<'a> {
-    pub(crate) goal: &'a EngineGoal,
+    pub(crate) goal: &'a EngineTarget,
     pub(crate) report: Option<&'a EngineReport>,
     /// Models that the engine is loading.
     pub(crate) loading: Vec<Model>,
--- a/crates/decisions/src/event_splitter.rs
+++ b/crates/decisions/src/event_splitter.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 /// Largest event that is taken in.
-pub const LARGEST_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Cuts bytes into events. Each ends with an empty line, whose bytes belong to it.
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
 
 /// A whole event with its bytes as they came.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct WholeEvent {
+pub struct CompleteEvent {
     /// Its number, if it has one.
     pub id: Option<u64>,
     /// Its bytes, the empty line included.
@@ -30,9 +30,9 @@
     ///
     /// # Errors
     ///
-    /// If an event grows beyond [`LARGEST_EVENT`].
+    /// If an event grows beyond [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), Error> {
-        if self.buf.len() + bytes.len() > LARGEST_EVENT {
+        if self.buf.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(Error::EventTooLarge);
         }
         self.buf.extend_from_slice(bytes);
@@ -40,7 +40,7 @@
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<CompleteEvent> {
         let Some(end) = event_end(&self.buf, self.searched) else {
             self.searched = self.buf.len().saturating_sub(3);
             return None;
@@ -48,7 +48,7 @@
         self.searched = 0;
         let rest = self.buf.split_off(end);
         let bytes = std::mem::replace(&mut self.buf, rest);
-        Some(WholeEvent {
+        Some(CompleteEvent {
             id: event_id(&bytes),
             bytes,
         })
--- a/crates/decisions/src/suspicion.rs
+++ b/crates/decisions/src/failure_ejection.rs
@@ -23,12 +23,12 @@
 
 /// Recent failures of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Suspicion {
+pub struct FailureEjection {
     failures: u32,
     last_failure: Instant,
 }
 
-impl Suspicion {
+impl FailureEjection {
     /// Records a failure: no connection, a broken or silent stream, or a malformed response. Failures of
     /// calls that were in flight together count as one.
     pub fn record_failure(&mut self, now: Instant) {
--- a/crates/decisions/src/fair_queue.rs
+++ b/crates/decisions/src/fair_queue.rs
@@ -34,14 +34,14 @@
 
 /// Limits which requests [`FairQueue::pop_where`] tries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PopTries {
+pub struct PopOptions {
     /// Number of teams whose first request is tried.
     pub teams: usize,
     /// Tries only requests of teams that have received less than their fair share.
     pub below_share_only: bool,
 }
 
-impl Default for PopTries {
+impl Default for PopOptions {
     fn default() -> Self {
         Self {
             teams: 1,
@@ -139,7 +139,7 @@
 
     /// Removes and returns the next request.
     pub fn pop(&mut self, now: Instant) -> Option<T> {
-        let all = PopTries::default();
+        let all = PopOptions::default();
         self.pop_where(now, all, |_| Some(()))
             .map(|(item, ())| item)
     }
@@ -150,7 +150,7 @@
     pub fn pop_where<P>(
         &mut self,
         now: Instant,
-        tries: PopTries,
+        tries: PopOptions,
         mut place: impl FnMut(&T) -> Option<P>,
     ) -> Option<(T, P)> {
         let first = self.ready.len().saturating_sub(tries.teams);
--- a/crates/decisions/src/hot_keys.rs
+++ b/crates/decisions/src/hot_keys.rs
@@ -4,7 +4,7 @@
 //! Without a limit these calls take every slot of the service and its other callers queue behind
 //! one item. At most `limit` calls of one team for one key are queued or in flight at this VM; further
 //! ones are refused at once, without being run. Coalesced reads do not reach the limit, since they share
-//! one slot (see `ReadCoalescer`).
+//! one slot (see `read_coalescer`).
 //!
 //! With a limit of 16 calls of 20 ms each, and the 6 slots that one of 8 VMs has at three workers of 16
 //! slots, a key has a backlog of about 50 ms at most. In the row `hot key` of `docs/LOAD.md` the p99 of
--- a/crates/decisions/src/lane.rs
+++ b/crates/decisions/src/lane.rs
@@ -3,7 +3,7 @@
 //! With lookups of milliseconds and generations of minutes in a single queue, a dozen generations
 //! occupy every slot for minutes, and the lookups behind them miss their deadlines although they take
 //! almost no time to serve. With separate lanes a quick call waits only behind other quick calls, and
-//! a part of the slots of each upstream is reserved for them (see `UpstreamPlaces`).
+//! a part of the slots of each upstream is reserved for them (see `UpstreamSlots`).
 //!
 //! At the target of 26 ms per token, 64 tokens take 1.7 s, which a caller with a deadline of seconds
 //! still accepts. The rows `mixed lengths` of `docs/LOAD.md` compare lanes with a single queue.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -6,7 +6,7 @@
 pub(crate) use {
     crate::claim_change::Judged,
     crate::{
-        address_index::AddressIndex, call_table::CallTable, comparisons::Comparisons,
+        address_index::AddressIndex, call_table::CallTable, comparison_counter::ComparisonCounter,
         lane_queue::LaneQueue,
     },
     derive_more::{Display, Error},
@@ -26,33 +26,32 @@
 mod newtype;
 
 pub use crate::{
-    admission_queue::{AdmissionConfig, AdmissionQueue, Arrival, QueuePlace},
+    admission_queue::{AdmissionConfig, AdmissionQueue, Arrival, QueuePosition},
     attempt::Attempt,
     availability_zone::AvailabilityZone,
-    born::Born,
     bundle::Bundle,
     bundle_author::BundleAuthor,
-    bundle_change::{BundleChange, Settled},
+    bundle_change::{BundleChange, ChangeResult},
     bundle_digest::BundleDigest,
     bundle_draft::{BundleDraft, SignOff},
     bundle_refusal::BundleRefusal,
     bundle_release::{BundleRelease, CurrentBundle, ReleaseSource},
     bundle_row::{BundleKey, BundleRow, Stored},
     bundle_version::BundleVersion,
-    bundle_view::{BundleView, PEERS_WORD_AFTER},
-    cached_prompts::{CACHE_WORD_AGE, CachedPrompts, PromptPart, SEARCH_BOUND},
-    call_budget::{CallBudget, CallBudgetSettings},
+    bundle_view::{BundleView, PEER_FALLBACK_DELAY},
+    cached_prompts::{CACHE_REPORT_TTL, CachedPrompts, PROMPT_SEARCH_TIMEOUT, PromptPart},
     call_key::CallKey,
     call_kind::CallKind,
+    call_limiter::{CallLimiter, CallLimiterSettings},
     candidate::Candidate,
     capacity_share::CapacityShare,
     chain_id::ChainId,
     change_token::ChangeToken,
     choice::{ChoiceInput, choose},
     claim_change::{ClaimChange, ClaimRowKey, FoundClaim},
-    claim_queue::{ClaimFate, ClaimQueue, GroupAnswer},
+    claim_queue::{ClaimQueue, ClaimResult, GroupResult},
     claim_record::{
-        ClaimKind, ClaimOutcome, ClaimRecord, ClaimStage, RecordedAnswer, RecordedBody,
+        ClaimKind, ClaimOutcome, ClaimRecord, ClaimStage, RecordedBody, RecordedResponse,
     },
     claim_token::ClaimToken,
     claim_verdict::ClaimVerdict,
@@ -60,7 +59,7 @@
     concurrency_limit::{ConcurrencyLimit, ConcurrencyLimitConfig},
     config_sharing::link_carries_config,
     config_version::ConfigVersion,
-    crash_tally::{Crash, CrashTally, MOST_CRASHES},
+    crash_tracker::{Crash, CrashTracker, MAX_CRASHES_PER_BODY},
     delivery::Delivery,
     draft_id::DraftId,
     drop_reason::DropReason,
@@ -70,103 +69,108 @@
     engine_report::EngineReport,
     engine_state::EngineState,
     error::Error,
-    event_relay::{EventFate, EventRelay, EventRun},
-    event_splitter::{EventSplitter, LARGEST_EVENT, WholeEvent},
-    exposure::{Exposed, ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, VmLife},
+    event_relay::{EventDecision, EventRelay, EventRun},
+    event_splitter::{CompleteEvent, EventSplitter, MAX_EVENT_BYTES},
+    exposure::{
+        ExposureGrants, ExposureLedger, ExposureLimit, ExposurePermit, GRANT_LIFETIME,
+        VmIncarnation,
+    },
     failed_call::FailedCall,
-    fair_queue::{FairQueue, PopTries, QueueTeam},
+    failure_ejection::FailureEjection,
+    fair_queue::{FairQueue, PopOptions, QueueTeam},
     finish::Finish,
     hedge::{Hedge, HedgeConfig},
     hex::{parse_hex, to_hex},
     hot_keys::HotKeys,
-    hybrid_clock::{HybridClock, LARGEST_CLOCK_LEAD},
+    hybrid_clock::{HybridClock, MAX_CLOCK_LEAD},
     hybrid_time::HybridTime,
     idempotency_key::IdempotencyKey,
     incarnation::Incarnation,
     ineligible::Ineligible,
     instant::Instant,
-    kept_table::{KeptTable, WholeTable},
     key_hash::KeyHash,
     lane::Lane,
     lease::Lease,
     lease_row::{LeaseHolder, LeaseRecord, LeaseRow},
     lease_settings::LeaseSettings,
-    lease_step::{LeaseAnswer, LeaseStep, LeaseWrite},
+    lease_step::{LeaseStep, LeaseWrite, LeaseWriteResult},
     leaving_source::LeavingSource,
     limit_kind::LimitKind,
     link_rate::LinkRate,
-    loan_desk::{LoanDesk, MOST_LENDERS},
+    loan_requests::{LoanRequests, MAX_LENDERS},
     model::Model,
     operator_name::OperatorName,
     order_permit::OrderPermit,
     order_planner::OrderPlanner,
-    order_scope::{EngineGoal, OrderScope, order_scopes},
+    order_scope::{EngineTarget, OrderScope, order_scopes},
     order_settings::OrderSettings,
     path_rule::PathRule,
     peer_datagram::{Loan, LoanAsk, PeerDatagram},
     peer_entry::PeerEntry,
-    peer_loads::{NOTE_PERIOD, PEER_LIVES, PeerLoads, SHARERS},
-    peer_note::{MemberWord, PeerLoad, PeerNote},
+    peer_heartbeat::{MemberStatus, PeerHeartbeat, PeerLoad},
+    peer_loads::{HEARTBEAT_INTERVAL, PEER_TIMEOUT, PeerLoads, SHARERS_PER_UPSTREAM},
     peer_table::PeerTable,
     peer_view::PeerView,
     placement::{
-        NOT_SHARED, OTHER_PART, OTHER_ZONE_STREAM, PlacementCandidate, PlacementFor, STREAM_COST,
-        rank_of_vm, select_copy_holder, select_upstream,
+        OTHER_PARTITION_COST, OTHER_ZONE_STREAM_COST, PlacementCandidate, PlacementContext,
+        STREAM_COST, UNSHARED_COST, rank_of_vm, select_copy_holder, select_upstream,
     },
-    poison_hold::PoisonHold,
-    poison_mark::PoisonMark,
-    poison_tracker::{MOST_DEATHS, PoisonRun, PoisonTracker, WATCHED_STEPS},
+    poison_block::PoisonBlock,
+    poison_record::PoisonRecord,
+    poison_tracker::{MAX_CRASHES_PER_DIGEST, PROBATION_STEPS, PoisonTracker, TrackedRunId},
     policy::Policy,
+    process_start::ProcessStart,
     progress_head::ProgressHead,
     progress_record::ProgressRecord,
-    progress_store::{KeptProgress, ProgressLimits, ProgressStore},
+    progress_store::{ProgressLimits, ProgressStore, ProgressStoreResult},
     progress_update::ProgressUpdate,
-    read_merger::ReadMerger,
+    read_coalescer::ReadCoalescer,
     received_end::ReceivedEnd,
     received_token::ReceivedToken,
     recovery_policy::RecoveryPolicy,
     refusal_reason::RefusalReason,
     relay::Relay,
     rendezvous::{rank_among, rendezvous_rank, rendezvous_score},
-    repeat_budget::{RepeatBudget, RepeatBudgetConfig},
     request_digest::RequestDigest,
     request_id::RequestId,
     request_state::{Dispatched, Done, NotRun, NotRunEvidence, Queued, Unknown},
     reserved_attempt::ReservedAttempt,
-    retry_budget::{RetryBudget, RetryBudgetConfig},
+    resume_point::ResumePoint,
     retry_refusal::RetryRefusal,
-    return_point::ReturnPoint,
-    rollout::{OWNER_LOST, Rollout},
+    rollout::{OWNER_TIMEOUT, Rollout},
     rollout_datagram::{RolloutGrant, RolloutReport},
-    rollout_evidence::{AnswerCounts, AnswerOutcome, RouteEvidence, latency_bucket},
-    rollout_judge::{JudgedReport, ROUTE_TRIES, RolloutJudge, RolloutVerdict},
+    rollout_evidence::{ResponseCounts, ResponseOutcome, RouteEvidence, latency_bucket},
+    rollout_judge::{JudgedReport, MIN_ROUTE_SAMPLES, RolloutJudge, RolloutVerdict},
     rollout_notice::{RolloutNotice, RolloutProgress},
-    rollout_order::{RolloutFault, RolloutOrder},
+    rollout_order::{RolloutOrder, RolloutOrderError},
     rollout_owner::{
-        COMPLETE_AHEAD, COMPLETING, OwnerStep, RollbackReason, RolloutOwner, VersionSlots,
+        COMPLETION_LEAD, COMPLETION_WAIT, OwnerStep, RollbackReason, RolloutOwner, VersionSlots,
     },
     rollout_phase::RolloutPhase,
     rollout_record::{RolloutRecord, StoredRecord},
-    rollouts::{Admission, ORDER_WAIT, RolloutSettings, Rollouts},
+    rollouts::{ORDER_TIMEOUT, RolloutSettings, Rollouts, VersionAdmission},
     route::{Route, RouteTarget},
+    route_retry_budget::{RouteRetryBudget, RouteRetryBudgetConfig},
     route_table::RouteTable,
     routing_config::{CallerKey, CallerLimits, NewestConfig, RoutingConfig, ServiceSpec},
     service::Service,
     service_id::ServiceId,
     service_kind::ServiceKind,
+    service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
     service_time::ServiceTime,
     serving_model::serving_model,
+    slice_allocator::{SLICE_LEASE, SLICE_RENEWAL_INTERVAL, SliceAllocator},
     slice_grant::SliceGrant,
-    slice_home::{SLICE_LEASE, SLICE_PERIOD, SliceHome},
     slice_request::SliceRequest,
     software_version::SoftwareVersion,
     stall_detector::StallDetector,
     store_backoff::store_backoff,
-    stream_pace::StreamPace,
-    subset::{OTHER_ZONES, OWN_ZONE, subset},
+    stream_duration_estimator::StreamDurationEstimator,
+    subset::{OTHER_ZONES_SUBSET, OWN_ZONE_SUBSET, subset},
     suspect_run::SuspectRun,
     suspect_runs::{SuspectConflicts, SuspectRuns},
-    suspicion::Suspicion,
+    suspend_detector::SuspendDetector,
+    table_replica::{TableReplica, TableSnapshot},
     table_row::TableRow,
     team::Team,
     team_id::TeamId,
@@ -177,27 +181,26 @@
     token_index::TokenIndex,
     token_log::TokenLog,
     upstream::Upstream,
-    upstream_death::UpstreamDeath,
+    upstream_crash_id::UpstreamCrashId,
     upstream_directory::{LAPSE_GRACE, Presence, PresenceChange, UpstreamDirectory, UpstreamEntry},
-    upstream_evidence::{EVIDENCE_BOUND, UpstreamEvidence},
-    upstream_health::{PROBE_TIMEOUT, SILENCE, UpstreamHealth},
+    upstream_evidence::{EVIDENCE_MAX_AGE, UpstreamEvidence},
+    upstream_health::{PROBE_TIMEOUT, SILENCE_TIMEOUT, UpstreamHealth},
     upstream_id::UpstreamId,
     upstream_incarnation::UpstreamIncarnation,
-    upstream_load::{LoadReading, UpstreamLoad, prefill_time},
-    upstream_places::{CapacityReport, UpstreamPlaces},
+    upstream_load::{LoadSample, UpstreamLoad, prefill_time},
     upstream_record::{AskedReport, UpstreamRecord},
     upstream_report::UpstreamReport,
-    upstream_restart::{RestartEvidence, StaleRestart, TableView, UpstreamRestart},
+    upstream_restart::{RestartEvidence, StaleRestart, TableFreshness, UpstreamRestart},
+    upstream_slots::{CapacityReport, UpstreamSlots},
     upstream_table::{TableRead, UpstreamChange, UpstreamTable},
     utf8_joiner::Utf8Joiner,
     vm_id::VmId,
-    wake_detector::WakeDetector,
     wall_time::WallTime,
-    zone_alarm::ZoneAlarm,
     zone_gossip::{
-        CHANGES_TOLD, CONFIG_GOSSIP_AGE, CONFIG_WAIT, GOSSIP_AGE, GossipState, GossipView,
-        REST_WAIT, STANDBY_AGE, ZoneGossip,
+        CONFIG_GOSSIP_MAX_AGE, CONFIG_POLL_TIMEOUT, DELTA_WAIT, GOSSIP_MAX_AGE, GossipState,
+        GossipView, MAX_GOSSIPED_CHANGES, STANDBY_MAX_AGE, ZoneGossip,
     },
+    zone_outage_detector::ZoneOutageDetector,
     zone_role::{ZoneRole, is_large_zone},
 };
 
@@ -205,7 +208,6 @@
 mod admission_queue;
 mod attempt;
 mod availability_zone;
-mod born;
 mod bundle;
 mod bundle_author;
 mod bundle_change;
@@ -217,9 +219,9 @@
 mod bundle_version;
 mod bundle_view;
 mod cached_prompts;
-mod call_budget;
 mod call_key;
 mod call_kind;
+mod call_limiter;
 mod call_table;
 mod candidate;
 mod capacity_share;
@@ -232,11 +234,11 @@
 mod claim_token;
 mod claim_verdict;
 mod claimed;
-mod comparisons;
+mod comparison_counter;
 mod concurrency_limit;
 mod config_sharing;
 mod config_version;
-mod crash_tally;
+mod crash_tracker;
 mod delivery;
 mod draft_id;
 mod drop_reason;
@@ -251,6 +253,7 @@
 mod event_splitter;
 mod exposure;
 mod failed_call;
+mod failure_ejection;
 mod fair_queue;
 mod finish;
 mod hedge;
@@ -262,7 +265,6 @@
 mod incarnation;
 mod ineligible;
 mod instant;
-mod kept_table;
 mod key_hash;
 mod lane;
 mod lane_queue;
@@ -273,7 +275,7 @@
 mod leaving_source;
 mod limit_kind;
 mod link_rate;
-mod loan_desk;
+mod loan_requests;
 mod model;
 mod operator_name;
 mod order_permit;
@@ -283,34 +285,33 @@
 mod path_rule;
 mod peer_datagram;
 mod peer_entry;
+mod peer_heartbeat;
 mod peer_loads;
-mod peer_note;
 mod peer_table;
 mod peer_view;
 mod placement;
-mod poison_hold;
-mod poison_mark;
+mod poison_block;
+mod poison_record;
 mod poison_tracker;
 mod policy;
+mod process_start;
 mod progress_head;
 mod progress_record;
 mod progress_store;
 mod progress_update;
-mod read_merger;
+mod read_coalescer;
 mod received_end;
 mod received_token;
 mod recovery_policy;
 mod refusal_reason;
 mod relay;
 mod rendezvous;
-mod repeat_budget;
 mod request_digest;
 mod request_id;
 mod request_state;
 mod reserved_attempt;
-mod retry_budget;
+mod resume_point;
 mod retry_refusal;
-mod return_point;
 mod rollout;
 mod rollout_datagram;
 mod rollout_evidence;
@@ -322,24 +323,27 @@
 mod rollout_record;
 mod rollouts;
 mod route;
+mod route_retry_budget;
 mod route_table;
 mod routing_config;
 mod service;
 mod service_id;
 mod service_kind;
+mod service_retry_budget;
 mod service_time;
 mod serving_model;
+mod slice_allocator;
 mod slice_grant;
-mod slice_home;
 mod slice_request;
 mod software_version;
 mod stall_detector;
 mod store_backoff;
-mod stream_pace;
+mod stream_duration_estimator;
 mod subset;
 mod suspect_run;
 mod suspect_runs;
-mod suspicion;
+mod suspend_detector;
+mod table_replica;
 mod table_row;
 mod team;
 mod team_id;
@@ -350,22 +354,21 @@
 mod token_index;
 mod token_log;
 mod upstream;
-mod upstream_death;
+mod upstream_crash_id;
 mod upstream_directory;
 mod upstream_evidence;
 mod upstream_health;
 mod upstream_id;
 mod upstream_incarnation;
 mod upstream_load;
-mod upstream_places;
 mod upstream_record;
 mod upstream_report;
 mod upstream_restart;
+mod upstream_slots;
 mod upstream_table;
 mod utf8_joiner;
 mod vm_id;
-mod wake_detector;
 mod wall_time;
-mod zone_alarm;
 mod zone_gossip;
+mod zone_outage_detector;
 mod zone_role;
--- a/crates/decisions/src/loan_desk.rs
+++ b/crates/decisions/src/loan_requests.rs
@@ -14,7 +14,7 @@
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Maximum number of VMs that receive a loan request.
-pub const MOST_LENDERS: usize = 6;
+pub const MAX_LENDERS: usize = 6;
 
 /// How long a loan request stays open. This is far longer than an answer takes, and far shorter than
 /// the window in which the lender counts the loan as spent.
@@ -22,7 +22,7 @@
 
 /// The open loan requests of this VM.
 #[derive(Clone, Debug, Default)]
-pub struct LoanDesk {
+pub struct LoanRequests {
     /// Ordered by the time of sending.
     open: Vec<OpenRequest>,
     last_number: u64,
@@ -36,7 +36,7 @@
     lenders: Vec<SocketAddr>,
 }
 
-impl LoanDesk {
+impl LoanRequests {
     /// Opens a loan request to `lenders`; `None` if one for the service was sent within
     /// `MIN_REQUEST_INTERVAL`.
     pub fn request(
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -5,10 +5,10 @@
 pub enum PeerDatagram {
     /// The sender's heartbeat.
     #[serde(rename = "n")]
-    Note(PeerNote),
+    Note(PeerHeartbeat),
     /// Members for a VM that requested some in its heartbeat.
     #[serde(rename = "m")]
-    Members(Vec<MemberWord>),
+    Members(Vec<MemberStatus>),
     /// What the sender has read from the platform store.
     #[serde(rename = "z")]
     Gossip(ZoneGossip),
--- a/crates/decisions/src/peer_note.rs
+++ b/crates/decisions/src/peer_heartbeat.rs
@@ -2,7 +2,7 @@
 
 /// Periodic message in which a VM advertises its state to others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PeerNote {
+pub struct PeerHeartbeat {
     /// Name of the sending VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
@@ -26,7 +26,7 @@
     pub crashes: Vec<Crash>,
     /// A few of the other VMs that the VM has received heartbeats or updates of.
     #[serde(rename = "m")]
-    pub members: Vec<MemberWord>,
+    pub members: Vec<MemberStatus>,
     /// Whether the VM knows few VMs of its zone and requests more of them.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub wants_members: bool,
@@ -51,7 +51,7 @@
 
 /// What one VM advertises of another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberWord {
+pub struct MemberStatus {
     /// Name of the described VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -11,14 +11,14 @@
 //!
 //! In a small system each VM sends its heartbeats to all others. In a larger one each upstream is shared by
 //! a few VMs of its zone, and every VM with calls on the upstream sends its heartbeats to these. Membership
-//! spreads by gossip: each heartbeat lists a few members and goes to a few other VMs. So the traffic
+//! ([`SHARERS_PER_UPSTREAM`]), by gossip: each heartbeat lists a few members and goes to a few other VMs. So the traffic
 //! of a VM does not grow with the number of VMs, and the VMs that use an upstream most know its load.
 
 use super::*;
 
 /// How long a VM is considered alive after its last heartbeat, if each VM sends to all others. This is
 /// several heartbeat intervals, so that lost datagrams do not make a VM look dead.
-pub const PEER_LIVES: Duration = Duration::from_millis(1500);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a VM is considered alive after it was last seen, if membership spreads by gossip. With four
 /// heartbeats per interval in a zone of 30 VMs, each listing eight members, an update on a VM reaches the
@@ -26,7 +26,7 @@
 const GOSSIPED_PEER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Interval of heartbeats while the load does not change.
-pub const NOTE_PERIOD: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Maximum number of other VMs at which each VM sends its heartbeats to all others.
 const MAX_FULL_MESH_PEERS: usize = 24;
@@ -40,7 +40,7 @@
 
 /// Number of VMs of a zone that share an upstream: those with the highest rendezvous scores for it. The first
 /// of them has the upstream in its partition.
-pub const SHARERS: usize = 4;
+pub const SHARERS_PER_UPSTREAM: usize = 4;
 
 /// Number of members of the own zone, and of other zones, that a heartbeat lists.
 const MEMBERS_PER_HEARTBEAT: (usize, usize) = (8, 2);
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Debug)]
 struct Received {
-    heartbeat: PeerNote,
+    heartbeat: PeerHeartbeat,
     at: Instant,
 }
 
@@ -88,14 +88,14 @@
     /// same.
     pub fn apply_heartbeat(
         &mut self,
-        heartbeat: PeerNote,
+        heartbeat: PeerHeartbeat,
         address: SocketAddr,
         now: Instant,
     ) -> bool {
         self.peers
             .retain(|peer| now.since(peer.last_seen) < PEER_RETENTION);
         self.apply_members(&heartbeat.members, &heartbeat.zone, now);
-        let peer = |heartbeat: PeerNote| Peer {
+        let peer = |heartbeat: PeerHeartbeat| Peer {
             vm: heartbeat.vm.clone(),
             zone: heartbeat.zone.clone(),
             address,
@@ -124,7 +124,12 @@
     }
 
     /// Applies what a peer advertises of other VMs; those without a zone are in `zone`.
-    pub fn apply_members(&mut self, members: &[MemberWord], zone: &AvailabilityZone, now: Instant) {
+    pub fn apply_members(
+        &mut self,
+        members: &[MemberStatus],
+        zone: &AvailabilityZone,
+        now: Instant,
+    ) {
         for member in members {
             if member.vm == self.own {
                 continue;
@@ -234,7 +239,7 @@
         let peers = self.live(now).filter(|peer| peer.zone == *zone).collect();
         rendezvous_rank(upstream.id.as_str(), peers, |peer| peer.vm.clone())
             .into_iter()
-            .take(SHARERS)
+            .take(SHARERS_PER_UPSTREAM)
             .map(|peer| peer.address)
             .collect()
     }
@@ -250,8 +255,8 @@
 
     /// A few live VMs to list in a heartbeat that a VM in `zone` sends.
     #[must_use]
-    pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberWord> {
-        let status = |peer: &Peer| MemberWord {
+    pub fn members(&self, zone: &AvailabilityZone, random: u64, now: Instant) -> Vec<MemberStatus> {
+        let status = |peer: &Peer| MemberStatus {
             vm: peer.vm.clone(),
             zone: (peer.zone != *zone).then(|| peer.zone.clone()),
             address: peer.address,
@@ -276,10 +281,10 @@
     #[must_use]
     pub fn requested_members(
         &self,
-        heartbeat: &PeerNote,
+        heartbeat: &PeerHeartbeat,
         random: u64,
         now: Instant,
-    ) -> Vec<MemberWord> {
+    ) -> Vec<MemberStatus> {
         if !heartbeat.wants_members || self.is_full_mesh(now) {
             return Vec::new();
         }
@@ -304,7 +309,7 @@
     }
 
     /// Applies what a peer advertises of one VM, if it was seen more recently than recorded here.
-    fn apply_member(&mut self, member: &MemberWord, zone: &AvailabilityZone, now: Instant) {
+    fn apply_member(&mut self, member: &MemberStatus, zone: &AvailabilityZone, now: Instant) {
         let age = Duration::from_millis(member.age_ms.into());
         let last_seen = Instant(now.0.saturating_sub(age));
         if age >= PEER_RETENTION {
@@ -341,12 +346,12 @@
         self.peers
             .iter()
             .filter_map(|peer| peer.heartbeat.as_ref())
-            .filter(move |received| now.since(received.at) < PEER_LIVES)
+            .filter(move |received| now.since(received.at) < PEER_TIMEOUT)
     }
 
     fn live(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let timeout = if self.is_full_mesh(now) {
-            PEER_LIVES
+            PEER_TIMEOUT
         } else {
             GOSSIPED_PEER_TIMEOUT
         };
--- a/crates/decisions/src/peer_view.rs
+++ b/crates/decisions/src/peer_view.rs
@@ -26,7 +26,7 @@
     /// Adds up the loads of heartbeats, each with its age. `has_peers` is whether any other VM is alive,
     /// `is_full_mesh` whether each VM sends its heartbeats to all others.
     pub(crate) fn new(
-        heartbeats: impl Iterator<Item = (&'a PeerNote, Duration)>,
+        heartbeats: impl Iterator<Item = (&'a PeerHeartbeat, Duration)>,
         has_peers: bool,
         is_full_mesh: bool,
     ) -> Self {
@@ -82,7 +82,7 @@
     /// upstream within its zone, or `None` for an upstream of another zone.
     #[must_use]
     pub fn knows_complete_load(&self, rank: Option<usize>) -> bool {
-        let shares = rank.is_some_and(|rank| rank < SHARERS);
+        let shares = rank.is_some_and(|rank| rank < SHARERS_PER_UPSTREAM);
         self.has_peers && (self.is_full_mesh || shares)
     }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -29,19 +29,19 @@
 /// is used before a prompt is read beside a running stream in the own zone. Zones crash in turn and
 /// callers are unevenly distributed over them; with a larger cost, the streams of a zone pile up on the
 /// engines that are left in it.
-pub const OTHER_ZONE_STREAM: f64 = 100.0;
+pub const OTHER_ZONE_STREAM_COST: f64 = 100.0;
 
 /// Cost of another zone for plain calls: that of two more calls waiting in the own zone.
 const OTHER_ZONE_CALL_COST: f64 = 60.0;
 
 /// Cost of an upstream in another VM's partition of the zone. Smaller than the reading time of a long
 /// prompt, so that such an upstream is preferred to one with a prompt still to be read.
-pub const OTHER_PART: f64 = 180.0;
+pub const OTHER_PARTITION_COST: f64 = 180.0;
 
 /// Cost of an upstream of the own zone that this VM does not share, so that it is not notified of the
 /// dispatches there. It equals half the reading time of a prompt of 8,000 tokens, since another VM may be
 /// about to send a prompt there.
-pub const NOT_SHARED: f64 = 500.0;
+pub const UNSHARED_COST: f64 = 500.0;
 
 /// Additional cost of an upstream of another zone that is not in this VM's partition. The VMs of a zone
 /// that lost its upstreams fail over to those of other zones and are not notified of each other's
@@ -98,7 +98,7 @@
 
 /// The VM and the call for which an upstream is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementFor<'a> {
+pub struct PlacementContext<'a> {
     /// Availability zone of this VM.
     pub zone: &'a AvailabilityZone,
     /// Name of this VM.
@@ -119,7 +119,7 @@
 #[must_use]
 pub fn select_upstream<'a>(
     candidates: &[PlacementCandidate<'a>],
-    context: &PlacementFor,
+    context: &PlacementContext,
 ) -> Option<&'a Arc<UpstreamEntry>> {
     let start = random_start(candidates.len(), context.random);
     let (before, after) = candidates.split_at(start);
@@ -139,7 +139,7 @@
 pub fn select_copy_holder<'a>(
     candidates: &[PlacementCandidate<'a>],
     run: &UpstreamEntry,
-    context: &PlacementFor,
+    context: &PlacementContext,
 ) -> Option<&'a Arc<UpstreamEntry>> {
     let eligible = candidates
         .iter()
@@ -168,7 +168,7 @@
     start.min(len)
 }
 
-fn cost(candidate: &PlacementCandidate, baseline: f64, context: &PlacementFor) -> f64 {
+fn cost(candidate: &PlacementCandidate, baseline: f64, context: &PlacementContext) -> f64 {
     let other_zone = context.policy.own_zone && candidate.entry.zone != *context.zone;
     let mut cost = if context.stream {
         stream_cost(candidate, baseline, context, other_zone)
@@ -185,7 +185,7 @@
 }
 
 /// Cost of the streams, the KV copies and the unread prompts on an engine for the next prompt.
-fn load_cost(candidate: &PlacementCandidate, context: &PlacementFor) -> f64 {
+fn load_cost(candidate: &PlacementCandidate, context: &PlacementContext) -> f64 {
     let (load, now) = (candidate.load, context.now);
     let stream_cost = context.policy.stream_cost;
     let prefill = load.prefill_left(now) + candidate.peer_prefill;
@@ -201,7 +201,7 @@
 /// the others. Where many VMs share the engines, a VM that took unknown engines for idle would add its
 /// prompts to those of the VMs that use them. Prompts that wait on the known engines are not counted: after
 /// the loss of a zone they are this VM's own, on the few engines left to it, and the others are better.
-fn baseline_load(candidates: &[PlacementCandidate], context: &PlacementFor) -> f64 {
+fn baseline_load(candidates: &[PlacementCandidate], context: &PlacementContext) -> f64 {
     let known = candidates
         .iter()
         .filter(|c| c.load_is_complete && !c.suspect);
@@ -215,7 +215,7 @@
 fn stream_cost(
     candidate: &PlacementCandidate,
     baseline: f64,
-    context: &PlacementFor,
+    context: &PlacementContext,
     other_zone: bool,
 ) -> f64 {
     let policy = context.policy;
@@ -232,13 +232,13 @@
         (true, _) => policy.other_zone_stream + OTHER_ZONE_PARTITION_COST,
         (false, 0) => 0.0,
         (false, _) if !policy.parts => 0.0,
-        (false, rank) if rank < SHARERS => policy.other_part,
+        (false, rank) if rank < SHARERS_PER_UPSTREAM => policy.other_part,
         (false, _) => policy.not_shared,
     };
     cost
 }
 
-fn call_cost(candidate: &PlacementCandidate, context: &PlacementFor, other_zone: bool) -> f64 {
+fn call_cost(candidate: &PlacementCandidate, context: &PlacementContext, other_zone: bool) -> f64 {
     let load = candidate.load;
     let excess_calls = load
         .calls(context.now)
--- a/crates/decisions/src/born.rs
+++ b/crates/decisions/src/process_start.rs
@@ -2,6 +2,6 @@
 
 number_newtype!(
     /// Start time of an upstream's process, in Unix milliseconds by the upstream's own clock.
-    Born,
+    ProcessStart,
     "start of an upstream"
 );
--- a/crates/decisions/src/read_merger.rs
+++ b/crates/decisions/src/read_coalescer.rs
@@ -15,11 +15,11 @@
 
 /// The reads in flight and the followers that wait for their answers.
 #[derive(Debug)]
-pub struct ReadMerger<F> {
+pub struct ReadCoalescer<F> {
     followers: CallTable<VecDeque<F>>,
 }
 
-impl<F> Default for ReadMerger<F> {
+impl<F> Default for ReadCoalescer<F> {
     fn default() -> Self {
         Self {
             followers: CallTable::default(),
@@ -27,7 +27,7 @@
     }
 }
 
-impl<F> ReadMerger<F> {
+impl<F> ReadCoalescer<F> {
     /// Adds a read. Returns it if no read of this key is in flight, so that it is the leader.
     pub fn join(&mut self, key: &CallKey, follower: F) -> Option<F> {
         if let Some(followers) = self.followers.get_mut(key) {
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Time without a word of the owner after which another VM takes over.
-pub const OWNER_LOST: Duration = Duration::from_secs(2);
+pub const OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Wait of each rank before it takes over, so that one VM after the other tries.
 const RANK_WAIT: Duration = Duration::from_millis(400);
@@ -95,13 +95,13 @@
         let silence = if self.progress.term == 0 {
             Duration::ZERO
         } else {
-            OWNER_LOST
+            OWNER_TIMEOUT
         };
         !self.progress.is_settled() && now.since(self.owner_heard) >= silence + RANK_WAIT * rank
     }
 
     /// Counts a request; leave for it to go to the new version, if it is one that should.
-    pub fn request(&mut self, route: &str, now: Instant) -> Option<Exposed> {
+    pub fn request(&mut self, route: &str, now: Instant) -> Option<ExposurePermit> {
         self.grants.count_request();
         let wanted = self.wanted.is_empty() || self.wanted.iter().any(|w| w.as_ref() == route);
         if self.progress.phase != RolloutPhase::Running || !wanted {
@@ -111,7 +111,7 @@
     }
 
     /// Counts an answer of an upstream; whether it is a failure of the new version.
-    pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: AnswerOutcome) -> bool {
+    pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: ResponseOutcome) -> bool {
         let place = self
             .evidence
             .binary_search_by(|seen| seen.counts.route.cmp(route));
@@ -130,7 +130,7 @@
         } else {
             seen.counts.old.count(outcome);
         }
-        is_new && outcome == AnswerOutcome::Failure
+        is_new && outcome == ResponseOutcome::Failure
     }
 
     /// At most so many routes with counts that were not reported yet.
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -26,7 +26,7 @@
 const BASELINE: u32 = 20;
 
 /// Answers of the new version on each route before it can be good.
-pub const ROUTE_TRIES: u32 = 20;
+pub const MIN_ROUTE_SAMPLES: u32 = 20;
 
 /// Sum of log-likelihood ratios at which a version is bad.
 const ALARM: f64 = 7.0;
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RolloutJudge {
     /// Latest report of each VM on each route, sorted.
-    reports: Vec<((VmLife, Arc<str>), RouteEvidence)>,
+    reports: Vec<((VmIncarnation, Arc<str>), RouteEvidence)>,
     /// Sorted by route.
     routes: Vec<JudgedRoute>,
     all: Suspected,
@@ -91,7 +91,7 @@
 struct JudgedRoute {
     sum: RouteEvidence,
     /// The answers of the new version that were judged.
-    judged: AnswerCounts,
+    judged: ResponseCounts,
     suspected: Suspected,
 }
 
@@ -105,7 +105,7 @@
 
 impl RolloutJudge {
     /// Takes in a VM's counts of a route; returns what was judged, once the old versions have given enough answers.
-    pub fn take(&mut self, vm: &VmLife, evidence: &RouteEvidence) -> Option<JudgedReport> {
+    pub fn take(&mut self, vm: &VmIncarnation, evidence: &RouteEvidence) -> Option<JudgedReport> {
         let key = (vm.clone(), evidence.route.clone());
         let place = self.reports.binary_search_by(|(other, _)| other.cmp(&key));
         let index = place.unwrap_or_else(|index| {
@@ -140,7 +140,7 @@
         }
         let sums = self.routes.iter().map(|route| &route.suspected);
         let clear = sums.chain([&self.all]).all(|s| s.sum <= ACCEPTED);
-        if clear && self.all.answers >= ROUTE_TRIES && self.wanted().is_empty() {
+        if clear && self.all.answers >= MIN_ROUTE_SAMPLES && self.wanted().is_empty() {
             return RolloutVerdict::Good;
         }
         RolloutVerdict::Undecided
@@ -164,7 +164,7 @@
         place.unwrap_or_else(|index| {
             let route = JudgedRoute {
                 sum: RouteEvidence::new(name.clone()),
-                judged: AnswerCounts::default(),
+                judged: ResponseCounts::default(),
                 suspected: Suspected::default(),
             };
             self.routes.insert(index, route);
@@ -176,7 +176,7 @@
 impl JudgedRoute {
     /// Judges the answers that were not judged yet, once the old versions have given enough; `at_once` has those of the
     /// old versions in the same report.
-    fn judge(&mut self, at_once: &AnswerCounts, all: &mut Suspected) -> Option<JudgedReport> {
+    fn judge(&mut self, at_once: &ResponseCounts, all: &mut Suspected) -> Option<JudgedReport> {
         let old = &self.sum.old;
         let median = old.median().filter(|_| old.total() >= BASELINE)?;
         let slowest = (median + SLOW_BUCKETS).max(latency_bucket(NEVER_SLOW));
@@ -202,7 +202,7 @@
     }
 
     fn is_short(&self) -> bool {
-        self.sum.old.total() >= BASELINE && self.suspected.answers < ROUTE_TRIES
+        self.sum.old.total() >= BASELINE && self.suspected.answers < MIN_ROUTE_SAMPLES
     }
 }
 
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -2,12 +2,12 @@
 //!
 //! A version under trial gets requests by grants of the rollout's owner alone, one that was rolled back none
 //! until a new order names it. A version that nobody ordered is one of the service's own, as after a release; but the
-//! order may still be on its way, so it is held back for [`ORDER_WAIT`].
+//! order may still be on its way, so it is held back for [`ORDER_TIMEOUT`].
 
 use super::*;
 
 /// How long a version that appears is held back, in which the order that brings it becomes known.
-pub const ORDER_WAIT: Duration = Duration::from_secs(2);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One upstream of so many of a new version is tried, so that each gets its usual load.
 const FOCUS: usize = 10;
@@ -21,7 +21,7 @@
 
 /// What an upstream may get.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admission {
+pub enum VersionAdmission {
     /// Any request.
     Open,
     /// Requests with leave to be exposed.
@@ -74,7 +74,7 @@
             let from = if at_start || first {
                 now
             } else {
-                now.after(ORDER_WAIT)
+                now.after(ORDER_TIMEOUT)
             };
             let seen = (entry.service.clone(), version.clone(), from);
             self.versions.insert(index, seen);
@@ -163,9 +163,9 @@
 
     /// What an upstream may get.
     #[must_use]
-    pub fn admission(&self, entry: &UpstreamEntry, now: Instant) -> Admission {
+    pub fn admission(&self, entry: &UpstreamEntry, now: Instant) -> VersionAdmission {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
-            return Admission::Open;
+            return VersionAdmission::Open;
         };
         let rollout = self.position(&entry.service).ok();
         if let Some(Rollout {
@@ -174,17 +174,17 @@
         {
             let is_new = order.to == *version;
             match progress.phase {
-                RolloutPhase::Completed if is_new => return Admission::Open,
-                RolloutPhase::Completed => return Admission::Retired,
-                RolloutPhase::RolledBack if is_new => return Admission::Barred,
-                _ if is_new => return Admission::Trial,
+                RolloutPhase::Completed if is_new => return VersionAdmission::Open,
+                RolloutPhase::Completed => return VersionAdmission::Retired,
+                RolloutPhase::RolledBack if is_new => return VersionAdmission::Barred,
+                _ if is_new => return VersionAdmission::Trial,
                 _ => {}
             }
         }
         if self.is_rolled_back(&entry.service, version) || self.is_held(entry, version, now) {
-            return Admission::Barred;
+            return VersionAdmission::Barred;
         }
-        Admission::Open
+        VersionAdmission::Open
     }
 
     /// The few upstreams of a new version that are tried, of all those that take calls: the same on all VMs.
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/service_retry_budget.rs
@@ -12,9 +12,9 @@
 
 use super::*;
 
-/// Settings of a [`RetryBudget`].
+/// Settings of a [`ServiceRetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBudgetConfig {
+pub struct ServiceRetryBudgetConfig {
     /// Number of successes that earn one retry.
     pub successes_per_retry: u32,
     /// Maximum number of accumulated retries, which a new budget starts with.
@@ -27,7 +27,7 @@
     pub max_delay_bound: Duration,
 }
 
-impl Default for RetryBudgetConfig {
+impl Default for ServiceRetryBudgetConfig {
     fn default() -> Self {
         Self {
             successes_per_retry: 10,
@@ -42,16 +42,16 @@
 /// Retry budget of one kind of call. Each service and each kind of platform call has its own, so that
 /// an outage of one does not exhaust the budget of another.
 #[derive(Clone, Debug)]
-pub struct RetryBudget {
-    cfg: RetryBudgetConfig,
+pub struct ServiceRetryBudget {
+    cfg: ServiceRetryBudgetConfig,
     /// Balance, counted in successes to avoid fractions of a retry.
     balance: u32,
 }
 
-impl RetryBudget {
+impl ServiceRetryBudget {
     /// Creates a full budget.
     #[must_use]
-    pub fn new(cfg: RetryBudgetConfig) -> Self {
+    pub fn new(cfg: ServiceRetryBudgetConfig) -> Self {
         Self {
             cfg,
             balance: cfg.burst * cfg.successes_per_retry,
@@ -101,8 +101,8 @@
     }
 }
 
-impl Default for RetryBudget {
+impl Default for ServiceRetryBudget {
     fn default() -> Self {
-        Self::new(RetryBudgetConfig::default())
+        Self::new(ServiceRetryBudgetConfig::default())
     }
 }
--- a/crates/decisions/src/slice_home.rs
+++ b/crates/decisions/src/slice_allocator.rs
@@ -21,14 +21,14 @@
 pub const SLICE_LEASE: Duration = Duration::from_secs(3);
 
 /// Interval at which a holder renews its slice.
-pub const SLICE_PERIOD: Duration = Duration::from_secs(1);
+pub const SLICE_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Minimum quota of a holder, as a fraction of an equal share of the limit.
 const FLOOR_SHARE: f64 = 0.25;
 
 /// Allocator of one limit.
 #[derive(Clone, Debug)]
-pub struct SliceHome {
+pub struct SliceAllocator {
     limit: f64,
     granting_from: Instant,
     /// Sorted by VM.
@@ -43,7 +43,7 @@
     slices: Vec<(f64, Instant)>,
 }
 
-impl SliceHome {
+impl SliceAllocator {
     /// Creates the allocator of a limit, in units per second, that these VMs share.
     #[must_use]
     pub fn new(limit: f64, mut vms: Vec<VmId>, now: Instant) -> Self {
--- a/crates/decisions/src/stream_pace.rs
+++ b/crates/decisions/src/stream_duration_estimator.rs
@@ -14,12 +14,12 @@
 
 /// Lengths and paces of the latest complete streams.
 #[derive(Clone, Debug, Default)]
-pub struct StreamPace {
+pub struct StreamDurationEstimator {
     /// Number of events of each stream and the mean interval between them; the oldest stream first.
     streams: Vec<(u64, Duration)>,
 }
 
-impl StreamPace {
+impl StreamDurationEstimator {
     /// Records a complete stream: its number of events, and the time from the first to the last. A stream
     /// of fewer than two events has no interval and is ignored.
     pub fn record_complete(&mut self, events: u64, duration: Duration) {
--- a/crates/decisions/src/wake_detector.rs
+++ b/crates/decisions/src/suspend_detector.rs
@@ -14,11 +14,11 @@
 
 /// Compares successive readings of the steady clock and of the clock that counts from boot.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WakeDetector {
+pub struct SuspendDetector {
     last: Option<(Instant, Duration)>,
 }
 
-impl WakeDetector {
+impl SuspendDetector {
     /// Takes a reading of the steady clock and of the time since boot, which includes suspensions; returns
     /// how long the process did not run, if that is at least the minimum gap.
     pub fn check(&mut self, steady: Instant, since_boot: Duration) -> Option<Duration> {
--- a/crates/decisions/src/kept_table.rs
+++ b/crates/decisions/src/table_replica.rs
@@ -10,7 +10,7 @@
 
 /// Rows of a platform table as this VM has read them, for peers whose reads the platform rejects.
 #[derive(Clone, Debug)]
-pub struct KeptTable<R> {
+pub struct TableReplica<R> {
     /// Sorted by key, without removed rows.
     rows: Vec<(Arc<str>, R)>,
     /// Version at which the rows are the complete table; `None` if they are incomplete.
@@ -19,14 +19,14 @@
 
 /// The complete table at one version.
 #[derive(Clone, Copy, Debug)]
-pub struct WholeTable<'a, R> {
+pub struct TableSnapshot<'a, R> {
     /// Rows, sorted by key.
     pub rows: &'a [(Arc<str>, R)],
     /// Version of the store at which the rows were current.
     pub version: u64,
 }
 
-impl<R> Default for KeptTable<R> {
+impl<R> Default for TableReplica<R> {
     fn default() -> Self {
         Self {
             rows: Vec::new(),
@@ -35,7 +35,7 @@
     }
 }
 
-impl<R> KeptTable<R> {
+impl<R> TableReplica<R> {
     /// Replaces all rows by those of a complete read at `version`.
     pub fn replace_all(
         &mut self,
@@ -65,8 +65,8 @@
 
     /// The complete table, if it is known here.
     #[must_use]
-    pub fn snapshot(&self) -> Option<WholeTable<'_, R>> {
-        self.version.map(|version| WholeTable {
+    pub fn snapshot(&self) -> Option<TableSnapshot<'_, R>> {
+        self.version.map(|version| TableSnapshot {
             rows: &self.rows,
             version,
         })
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -89,7 +89,7 @@
     tombstones: Vec<(UpstreamId, Instant)>,
     addresses: AddressIndex,
     outage: Outage,
-    comparisons: Comparisons,
+    comparisons: ComparisonCounter,
 }
 
 #[derive(Clone, Debug)]
@@ -175,7 +175,7 @@
     pub fn record_start(
         &mut self,
         id: &UpstreamId,
-        born: Born,
+        born: ProcessStart,
         now: Instant,
     ) -> Vec<PresenceChange> {
         let Some(latest) = self.latest(id) else {
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -9,7 +9,7 @@
 //! old "not leaving" must not undo a newer "leaving". An upstream that returns has another incarnation.
 //!
 //! Callers are promised that a leaving upstream gets no new work after a few seconds, here 3. The last
-//! dispatch happens at most [`EVIDENCE_BOUND`] (2 s) after the last evidence from the upstream and takes at
+//! dispatch happens at most [`EVIDENCE_MAX_AGE`] (2 s) after the last evidence from the upstream and takes at
 //! most 1 s to reach it; any other source alone has 3 s minus its own lag. Reports are requested twice a
 //! second, so four must be lost before a healthy upstream counts as gone. `tests/eligibility.rs` checks
 //! these bounds.
@@ -17,7 +17,7 @@
 use super::*;
 
 /// Maximum age of the last evidence from an upstream that gets new work.
-pub const EVIDENCE_BOUND: Duration = Duration::from_secs(2);
+pub const EVIDENCE_MAX_AGE: Duration = Duration::from_secs(2);
 
 /// Number of former and of leaving incarnations that are remembered.
 const MAX_REMEMBERED: usize = 16;
@@ -129,7 +129,7 @@
     /// Returns why it may not.
     pub fn eligible(&self, now: Instant) -> Result<Eligible, Ineligible> {
         let incarnation = self.current.ok_or(Ineligible::NoReport)?;
-        if now.since(self.last_seen) > EVIDENCE_BOUND {
+        if now.since(self.last_seen) > EVIDENCE_MAX_AGE {
             return Err(Ineligible::Stale);
         }
         if let Some(reported_by) = self.leaving_source(incarnation) {
@@ -137,7 +137,7 @@
         }
         Ok(Eligible {
             incarnation,
-            valid_until: self.last_seen.after(EVIDENCE_BOUND),
+            valid_until: self.last_seen.after(EVIDENCE_MAX_AGE),
         })
     }
 
--- a/crates/decisions/src/upstream_health.rs
+++ b/crates/decisions/src/upstream_health.rs
@@ -10,7 +10,7 @@
 /// Silence of an upstream with calls in flight after which it is probed. Events of a stream arrive every 30
 /// to 200 ms; a longer timeout would leave too little time for the resume within the pause that a caller
 /// tolerates.
-pub const SILENCE: Duration = Duration::from_millis(200);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Timeout of a probe; a response takes 2 to 10 ms.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(180);
@@ -86,7 +86,7 @@
         let due = match (self.probing, self.suspect) {
             (Some(_), _) => false,
             (None, Some(suspect)) => now >= suspect.probe_at,
-            (None, None) => self.in_flight > 0 && now.since(self.last_seen) >= SILENCE,
+            (None, None) => self.in_flight > 0 && now.since(self.last_seen) >= SILENCE_TIMEOUT,
         };
         if due {
             self.probing = Some(now);
--- a/crates/decisions/src/upstream_incarnation.rs
+++ b/crates/decisions/src/upstream_incarnation.rs
@@ -18,7 +18,7 @@
     pub id: UpstreamId,
     /// Start time, if the upstream reports it.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub born: Option<Born>,
+    pub born: Option<ProcessStart>,
 }
 
 impl UpstreamIncarnation {
@@ -31,7 +31,7 @@
     /// Whether this is certainly an earlier incarnation of the same upstream than one that started at
     /// `born`.
     #[must_use]
-    pub fn is_before(&self, born: Option<Born>) -> bool {
+    pub fn is_before(&self, born: Option<ProcessStart>) -> bool {
         matches!((self.born, born), (Some(own), Some(other)) if own < other)
     }
 }
--- a/crates/decisions/src/upstream_load.rs
+++ b/crates/decisions/src/upstream_load.rs
@@ -2,12 +2,12 @@
 
 /// Prompt tokens that an engine processes in a millisecond, until its rate is known better; the rate of the
 /// engines in service.
-pub const TOKENS_PER_MS: f64 = 8.0;
+pub const PREFILL_TOKENS_PER_MS: f64 = 8.0;
 
 /// Time that an otherwise idle engine takes to process a prompt of this length.
 #[must_use]
 pub fn prefill_time(prompt_tokens: u32) -> Duration {
-    Duration::from_secs_f64(f64::from(prompt_tokens) / TOKENS_PER_MS / 1000.0)
+    Duration::from_secs_f64(f64::from(prompt_tokens) / PREFILL_TOKENS_PER_MS / 1000.0)
 }
 
 /// How long a load report of an upstream counts. Calls of other VMs last about as long.
@@ -18,7 +18,7 @@
 
 /// Load that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReading {
+pub struct LoadSample {
     /// Number of calls that run there.
     pub running: u32,
     /// Number of calls that are queued there.
@@ -67,7 +67,7 @@
     }
 
     /// Records a load report of the upstream.
-    pub fn record_report(&mut self, reading: LoadReading, now: Instant) {
+    pub fn record_report(&mut self, reading: LoadSample, now: Instant) {
         let all = reading.running + reading.waiting;
         self.others = Some((all.saturating_sub(self.own_calls), now));
     }
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -9,7 +9,7 @@
 //! tried again by then.
 
 use super::*;
-use crate::suspicion::slow_start_weight;
+use crate::failure_ejection::slow_start_weight;
 
 /// Time in which a new process climbs to its full weight.
 const SLOW_START: Duration = Duration::from_secs(10);
@@ -28,7 +28,7 @@
 pub struct UpstreamRecord {
     /// Evidence on whether the upstream may get new work.
     pub evidence: UpstreamEvidence,
-    suspicion: Suspicion,
+    suspicion: FailureEjection,
     report: UpstreamReport,
     own_requests: u32,
     own_requests_in_report: u32,
--- a/crates/decisions/src/upstream_restart.rs
+++ b/crates/decisions/src/upstream_restart.rs
@@ -21,12 +21,12 @@
     /// The upstream's own response to this VM.
     OwnProbe,
     /// The report of another VM, with this VM's view of the table.
-    PeerReport(TableView),
+    PeerReport(TableFreshness),
 }
 
 /// How recent a VM's view of the table of upstreams is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TableView {
+pub struct TableFreshness {
     /// Version of the store up to which the table has been read.
     pub version: u64,
     /// Whether the view is kept up to date.
--- a/crates/decisions/src/zone_alarm.rs
+++ b/crates/decisions/src/zone_outage_detector.rs
@@ -19,14 +19,14 @@
 
 /// Recent losses of upstreams in each availability zone.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneAlarm {
+pub struct ZoneOutageDetector {
     /// Latest losses, one for each upstream.
     losses: Vec<(AvailabilityZone, UpstreamIncarnation, Instant)>,
     /// Zones that are used only as a last resort, with the time at which that ends.
     suspect_zones: Vec<(AvailabilityZone, Instant)>,
 }
 
-impl ZoneAlarm {
+impl ZoneOutageDetector {
     /// Records the loss of an upstream; returns whether its zone became suspect by it.
     pub fn record_loss(
         &mut self,
--- a/crates/decisions/tests/cached_prompts.rs
+++ b/crates/decisions/tests/cached_prompts.rs
@@ -1,7 +1,7 @@
 //! Tracking of the prompts that engines hold in their prefix caches.
 
 use catkin_decisions::{
-    CACHE_WORD_AGE, CachedPrompts, Instant, LinkRate, PromptPart, UpstreamIncarnation,
+    CACHE_REPORT_TTL, CachedPrompts, Instant, LinkRate, PromptPart, UpstreamIncarnation,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -69,7 +69,7 @@
 #[gtest]
 fn reports_expire() {
     let cached = reported(&[(1, &[("own", 8000)])]);
-    let later = at(0).after(CACHE_WORD_AGE);
+    let later = at(0).after(CACHE_REPORT_TTL);
 
     expect_that!(cached.needs_query(&engine(1), at(10)), eq(false));
     expect_that!(cached.needs_query(&engine(1), later), eq(true));
--- a/crates/decisions/tests/capacity_share.rs
+++ b/crates/decisions/tests/capacity_share.rs
@@ -1,7 +1,7 @@
 //! Tests of the parts into which VMs divide the capacity of an upstream.
 
 use catkin_decisions::{
-    CapacityReport, CapacityShare, Instant, Lane, UpstreamId, UpstreamPlaces, VmId,
+    CapacityReport, CapacityShare, Instant, Lane, UpstreamId, UpstreamSlots, VmId,
 };
 use googletest::prelude::*;
 
@@ -46,8 +46,8 @@
     expect_that!(share.slots(8, Lane::Long), eq(1));
 }
 
-fn slots() -> UpstreamPlaces {
-    let mut slots = UpstreamPlaces::default();
+fn slots() -> UpstreamSlots {
+    let mut slots = UpstreamSlots::default();
     let report = CapacityReport {
         capacity: 10,
         waiting: 0,
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -1,8 +1,8 @@
 //! Choice of the upstream for a request.
 
 use catkin_decisions::{
-    Candidate, ChoiceInput, Incarnation, Ineligible, Instant, Model, Suspicion, UpstreamRecord,
-    UpstreamReport, choose, rendezvous_score,
+    Candidate, ChoiceInput, FailureEjection, Incarnation, Ineligible, Instant, Model,
+    UpstreamRecord, UpstreamReport, choose, rendezvous_score,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -206,7 +206,7 @@
         .iter()
         .map(|record| record.candidate(None, NOW).expect("eligible"))
         .collect::<Vec<_>>();
-    let mut suspicion = Suspicion::default();
+    let mut suspicion = FailureEjection::default();
     suspicion.record_failure(NOW);
 
     let counts = choice_counts(&candidates, false);
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Tests of the adaptive limit on requests in flight at one upstream.
 
 use catkin_decisions::{
-    CapacityReport, CapacityShare, ConcurrencyLimit, Instant, Lane, UpstreamPlaces,
+    CapacityReport, CapacityShare, ConcurrencyLimit, Instant, Lane, UpstreamSlots,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -82,8 +82,8 @@
     expect_that!(limit.limit(), eq(1));
 }
 
-fn slots(capacity: u32, sharers: u32) -> UpstreamPlaces {
-    let mut slots = UpstreamPlaces::default();
+fn slots(capacity: u32, sharers: u32) -> UpstreamSlots {
+    let mut slots = UpstreamSlots::default();
     let report = CapacityReport {
         capacity,
         waiting: 0,
--- a/crates/decisions/tests/crash_tally.rs
+++ b/crates/decisions/tests/crash_tracker.rs
@@ -1,6 +1,6 @@
 //! Counting of upstreams that crash while running the same call.
 
-use catkin_decisions::{Crash, CrashTally, Instant, UpstreamIncarnation};
+use catkin_decisions::{Crash, CrashTracker, Instant, UpstreamIncarnation};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     }
 }
 
-fn tracker(crashes: impl IntoIterator<Item = Crash>) -> CrashTally {
-    let mut tracker = CrashTally::default();
+fn tracker(crashes: impl IntoIterator<Item = Crash>) -> CrashTracker {
+    let mut tracker = CrashTracker::default();
     for crash in crashes {
         tracker.record_crash(crash);
     }
@@ -33,7 +33,7 @@
 }
 
 /// Sends crashes from one VM to another, as a heartbeat does.
-fn send_crashes(from: &mut CrashTally, to: &mut CrashTally, seconds: u64) {
+fn send_crashes(from: &mut CrashTracker, to: &mut CrashTracker, seconds: u64) {
     for crash in from.next_to_send(12, at(seconds)) {
         to.record_crash(Crash {
             at: at(seconds),
@@ -58,7 +58,7 @@
 #[gtest]
 fn every_crash_is_sent_eventually() {
     let mut local = tracker((0..40).map(|n| crash(n, n % 5, 0)));
-    let mut peer = CrashTally::default();
+    let mut peer = CrashTracker::default();
 
     for _ in 0..4 {
         send_crashes(&mut local, &mut peer, 1);
@@ -73,7 +73,7 @@
 #[gtest]
 fn completed_call_is_not_rejected_for_crashes_sent_back() {
     let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
-    let mut peer = CrashTally::default();
+    let mut peer = CrashTracker::default();
     send_crashes(&mut local, &mut peer, 0);
     local.record_complete_response(HARMLESS);
 
@@ -86,7 +86,7 @@
 #[gtest]
 fn peers_learn_that_a_call_completed() {
     let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
-    let mut peer = CrashTally::default();
+    let mut peer = CrashTracker::default();
     send_crashes(&mut local, &mut peer, 0);
     let before = peer.is_rejected(HARMLESS, at(1));
 
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -1,6 +1,6 @@
 //! Tests of the weighted fair queue.
 
-use catkin_decisions::{FairQueue, Instant, PopTries, QueueTeam};
+use catkin_decisions::{FairQueue, Instant, PopOptions, QueueTeam};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -113,9 +113,9 @@
     queue.push(&team("a", 1), 1, "behind it");
     queue.push(&team("b", 1), 1, "other team");
 
-    let tries = PopTries {
+    let tries = PopOptions {
         teams: 4,
-        ..PopTries::default()
+        ..PopOptions::default()
     };
 
     let placed = queue.pop_where(at(0), tries, |item| (*item != "nowhere").then_some(7));
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -1,8 +1,8 @@
 //! Membership and load exchange among few and among many VMs.
 
 use catkin_decisions::{
-    Instant, MemberWord, NOTE_PERIOD, PEER_LIVES, PeerLoad, PeerLoads, PeerNote, SHARERS,
-    UpstreamEntry,
+    HEARTBEAT_INTERVAL, Instant, MemberStatus, PEER_TIMEOUT, PeerHeartbeat, PeerLoad, PeerLoads,
+    SHARERS_PER_UPSTREAM, UpstreamEntry,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -46,8 +46,8 @@
     format!("zone-{}", n % zones)
 }
 
-fn heartbeat(n: usize, zones: usize, number: u64, members: Vec<MemberWord>) -> PeerNote {
-    PeerNote {
+fn heartbeat(n: usize, zones: usize, number: u64, members: Vec<MemberStatus>) -> PeerHeartbeat {
+    PeerHeartbeat {
         vm: name(n),
         zone: zone_of(n, zones).parse().unwrap(),
         incarnation: 1,
@@ -83,7 +83,7 @@
     }
 
     fn now(&self) -> Instant {
-        Instant(NOTE_PERIOD * u32::try_from(self.period).unwrap())
+        Instant(HEARTBEAT_INTERVAL * u32::try_from(self.period).unwrap())
     }
 
     /// Runs a number of intervals in which the VMs in `silent` send nothing. All VMs know the first one from
@@ -96,7 +96,7 @@
                 let zone = zone_of(n, self.zones).parse().unwrap();
                 let random = self.rng.random::<u64>();
                 let members = self.vms[n].members(&zone, self.rng.random(), now);
-                let heartbeat = PeerNote {
+                let heartbeat = PeerHeartbeat {
                     wants_members: self.vms[n].wants_members(&zone, now),
                     rollouts: Vec::new(),
                     ..heartbeat(n, self.zones, self.period, members)
@@ -204,11 +204,11 @@
     let (receivers, by_another, from_elsewhere) =
         (receivers_for(0), receivers_for(4), receivers_for(1));
 
-    expect_that!(receivers.len(), eq(SHARERS));
+    expect_that!(receivers.len(), eq(SHARERS_PER_UPSTREAM));
     let common = |other: &[SocketAddr]| receivers.iter().filter(|a| other.contains(a)).count();
-    expect_that!(common(&by_another), ge(SHARERS - 1));
-    expect_that!(common(&from_elsewhere), ge(SHARERS - 1));
-    expect_that!(from_elsewhere.len(), eq(2 * SHARERS));
+    expect_that!(common(&by_another), ge(SHARERS_PER_UPSTREAM - 1));
+    expect_that!(common(&from_elsewhere), ge(SHARERS_PER_UPSTREAM - 1));
+    expect_that!(from_elsewhere.len(), eq(2 * SHARERS_PER_UPSTREAM));
 }
 
 /// A peer's old advertisement of a VM arrives after a heartbeat of the VM itself. It must not make the VM look
@@ -216,7 +216,7 @@
 #[gtest]
 fn an_old_advertisement_of_a_vm_is_ignored() {
     let mut peers = PeerLoads::new(name(0));
-    let old = MemberWord {
+    let old = MemberStatus {
         vm: name(1),
         zone: None,
         address: address(99),
@@ -229,7 +229,7 @@
     let mut receivers = peers.sample_addresses(9, 0, at(5100));
     receivers.sort_unstable();
     expect_that!(receivers, eq(&vec![address(1), address(2)]));
-    expect_that!(peers.live_count(at(5050).after(PEER_LIVES)), eq(1));
+    expect_that!(peers.live_count(at(5050).after(PEER_TIMEOUT)), eq(1));
 }
 
 /// Two VMs have streams and unread prompts on one engine, and a third one places its own prompt. Prompts are
@@ -250,7 +250,7 @@
         (1, vec![load(&shared, 2), load(&other, 1)]),
         (2, vec![load(&shared, 3)]),
     ] {
-        let heartbeat = PeerNote {
+        let heartbeat = PeerHeartbeat {
             loads,
             suspects: vec![other.id.clone()],
             ..heartbeat(n, 1, 1, Vec::new())
@@ -268,6 +268,6 @@
     );
     expect_that!(view.is_suspect(&other.id), eq(true));
     expect_that!(view.is_suspect(&shared.id), eq(false));
-    let old = peers.view(at(1000).after(PEER_LIVES));
+    let old = peers.view(at(1000).after(PEER_TIMEOUT));
     expect_that!(old.calls(&shared.id), eq(0));
 }
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,9 +1,9 @@
 //! Placement of prompts when many VMs decide at once.
 
 use catkin_decisions::{
-    AvailabilityZone, Instant, PeerLoad, PeerLoads, PeerNote, PlacementCandidate, PlacementFor,
-    Policy, SHARERS, UpstreamEntry, UpstreamLoad, rank_of_vm, rendezvous_score, select_copy_holder,
-    select_upstream,
+    AvailabilityZone, Instant, PeerHeartbeat, PeerLoad, PeerLoads, PlacementCandidate,
+    PlacementContext, Policy, SHARERS_PER_UPSTREAM, UpstreamEntry, UpstreamLoad, rank_of_vm,
+    rendezvous_score, select_copy_holder, select_upstream,
 };
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -81,7 +81,7 @@
                 ..candidate(entry, load)
             })
             .collect::<Vec<_>>();
-        let context = PlacementFor {
+        let context = PlacementContext {
             policy: &Policy::default(),
             zone: &self.zone,
             vm: &self.vm,
@@ -96,10 +96,10 @@
         index
     }
 
-    fn heartbeat(&mut self, entries: &[Arc<UpstreamEntry>], now: Instant) -> PeerNote {
+    fn heartbeat(&mut self, entries: &[Arc<UpstreamEntry>], now: Instant) -> PeerHeartbeat {
         self.heartbeats += 1;
         let loads = entries.iter().zip(&self.loads);
-        PeerNote {
+        PeerHeartbeat {
             vm: self.vm.clone(),
             zone: self.zone.clone(),
             incarnation: 1,
@@ -141,7 +141,7 @@
         })
         .collect::<Vec<_>>();
     let mut prompts = vec![0_u32; entries.len()];
-    let mut heartbeats: Vec<(u64, usize, PeerNote)> = Vec::new();
+    let mut heartbeats: Vec<(u64, usize, PeerHeartbeat)> = Vec::new();
     for step in 0..2 * vms {
         let ms = 1000 + 3 * step as u64;
         let sender = step % vms;
@@ -212,7 +212,7 @@
     let candidates = [candidate(&entries[0], &busy), candidate(&entries[1], &idle)];
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let context = PlacementFor {
+    let context = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -223,7 +223,7 @@
     };
 
     let at_once = select_upstream(&candidates, &context).unwrap();
-    let later = PlacementFor {
+    let later = PlacementContext {
         policy: &Policy::default(),
         now: at(1000).after(PROMPT_PREFILL),
         ..context
@@ -259,7 +259,7 @@
     running.call_started(0, at(1000));
     let idle = UpstreamLoad::default();
     let vm = owner(&entries[0]);
-    let context = PlacementFor {
+    let context = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: &vm,
@@ -294,7 +294,7 @@
     let load = UpstreamLoad::default();
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let context = PlacementFor {
+    let context = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -325,7 +325,7 @@
     let (mut busy, unknown) = (UpstreamLoad::default(), UpstreamLoad::default());
     busy.call_started(0, at(1000));
     busy.call_started(0, at(1000));
-    let context = PlacementFor {
+    let context = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-3",
@@ -335,7 +335,7 @@
         now: at(1000),
     };
     let shared = |entry: &UpstreamEntry| {
-        entry.zone == own_zone && rank_of_vm(&entry.id, "vm-3", &vms) < SHARERS
+        entry.zone == own_zone && rank_of_vm(&entry.id, "vm-3", &vms) < SHARERS_PER_UPSTREAM
     };
     let candidates = entries
         .iter()
@@ -363,7 +363,7 @@
     let healthy = candidate(&entries[1], &loads[1]);
     let vms = ["vm-1".into()];
     let own_zone = zone("a");
-    let context = PlacementFor {
+    let context = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -394,7 +394,7 @@
             .zip(&loads)
             .map(|(entry, load)| candidate(entry, load))
             .collect::<Vec<_>>();
-        let context = PlacementFor {
+        let context = PlacementContext {
             policy: &Policy::default(),
             zone: &own_zone,
             vm: "vm-1",
@@ -432,7 +432,7 @@
         .map(|(entry, load)| candidate(entry, load))
         .collect::<Vec<_>>();
     let own_zone = zone("a");
-    let context = PlacementFor {
+    let context = PlacementContext {
         policy: &Policy::default(),
         zone: &own_zone,
         vm: "vm-1",
@@ -461,7 +461,7 @@
         .collect::<Vec<_>>();
     for vm in &vms {
         for step in 0..50 {
-            let context = PlacementFor {
+            let context = PlacementContext {
                 policy: &Policy::default(),
                 zone: &own_zone,
                 vm,
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -1,8 +1,9 @@
 //! Late restart reports, combined with a table of upstreams that some VMs cannot read.
 
 use catkin_decisions::{
-    Born, Instant, LAPSE_GRACE, RestartEvidence, StaleRestart, TableView, UpstreamChange,
-    UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, UpstreamRestart, UpstreamTable,
+    Instant, LAPSE_GRACE, ProcessStart, RestartEvidence, StaleRestart, TableFreshness,
+    UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, UpstreamRestart,
+    UpstreamTable,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -42,7 +43,7 @@
 }
 
 fn report(version: u64, current: bool) -> RestartEvidence {
-    RestartEvidence::PeerReport(TableView { version, current })
+    RestartEvidence::PeerReport(TableFreshness { version, current })
 }
 
 fn usable(directory: &UpstreamDirectory, now: Instant) -> Vec<String> {
@@ -128,13 +129,13 @@
 fn later_process_of_a_removed_upstream_is_ignored() {
     let mut directory = UpstreamDirectory::default();
     let id = UpstreamIncarnation {
-        born: Some(Born(1000)),
+        born: Some(ProcessStart(1000)),
         ..entry(0).id
     };
     directory.apply_entry(UpstreamEntry { id, ..entry(0) });
     directory.remove_entry(&entry(0).id.id, at(1000));
 
-    directory.record_start(&entry(0).id.id, Born(2000), at(1000));
+    directory.record_start(&entry(0).id.id, ProcessStart(2000), at(1000));
 
     expect_that!(usable(&directory, at(1000)), is_empty());
 }
@@ -255,7 +256,7 @@
     }
 
     fn deliver(&mut self, restart: &UpstreamRestart) {
-        let table = TableView {
+        let table = TableFreshness {
             version: self.table.version(),
             current: !self.rejected,
         };
--- a/crates/decisions/tests/repeat_budget.rs
+++ b/crates/decisions/tests/route_retry_budget.rs
@@ -1,6 +1,6 @@
 //! Tests of the retry budget that all VMs share within a sliding window, and of its loans.
 
-use catkin_decisions::{Instant, RepeatBudget, RepeatBudgetConfig};
+use catkin_decisions::{Instant, RouteRetryBudget, RouteRetryBudgetConfig};
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop, prop_assert, prop_oneof, proptest};
 use rand::{RngExt, SeedableRng};
@@ -9,8 +9,8 @@
 
 const VMS: u32 = 8;
 
-fn cfg() -> RepeatBudgetConfig {
-    RepeatBudgetConfig {
+fn cfg() -> RouteRetryBudgetConfig {
+    RouteRetryBudgetConfig {
         ratio: 0.8,
         slack: 150.0,
         window: Duration::from_secs(10),
@@ -27,7 +27,7 @@
 #[gtest]
 fn all_vms_together_stay_within_the_budget() {
     let cfg = cfg();
-    let mut vms = vec![RepeatBudget::default(); VMS as usize];
+    let mut vms = vec![RouteRetryBudget::default(); VMS as usize];
     let (mut calls, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(5) {
         for (index, vm) in vms.iter_mut().enumerate() {
@@ -64,7 +64,7 @@
 #[gtest]
 fn vm_without_calls_may_use_its_part_of_the_slack() {
     let cfg = cfg();
-    let mut vm = RepeatBudget::default();
+    let mut vm = RouteRetryBudget::default();
 
     let allowed = (0..1000).filter(|_| vm.try_take(&cfg, at(1000))).count();
 
@@ -77,7 +77,7 @@
 #[gtest]
 fn exhausted_vm_borrows_retries_within_the_budget() {
     let cfg = cfg();
-    let mut vms = vec![RepeatBudget::default(); VMS as usize];
+    let mut vms = vec![RouteRetryBudget::default(); VMS as usize];
     let mut sent = 0;
     for step in 0..40 {
         let now = at(1000 + step);
@@ -105,9 +105,9 @@
 /// demand is uneven: when lenders kept the last retry back, one stream in six was cut.
 #[gtest]
 fn a_mass_crash_leaves_no_vm_without_retries_while_others_have_some() {
-    let cfg = RepeatBudgetConfig { vms: 90, ..cfg() };
+    let cfg = RouteRetryBudgetConfig { vms: 90, ..cfg() };
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let mut vms = vec![RepeatBudget::default(); 90];
+    let mut vms = vec![RouteRetryBudget::default(); 90];
     let (mut needed, mut sent) = (0, 0);
     for ms in (0..20_000).step_by(10) {
         // 85 streams per second over all VMs.
@@ -128,9 +128,9 @@
 
 /// Takes a retry, or borrows two retries from each of six random VMs in up to five rounds.
 fn take_with_loans(
-    vms: &mut [RepeatBudget],
+    vms: &mut [RouteRetryBudget],
     borrower: usize,
-    cfg: &RepeatBudgetConfig,
+    cfg: &RouteRetryBudgetConfig,
     rng: &mut impl rand::RngExt,
     now: Instant,
 ) -> bool {
@@ -178,7 +178,7 @@
     #[test]
     fn total_stays_within_the_budget_with_loans_and_losses(steps in prop::collection::vec(step(), 1..1500)) {
         let cfg = cfg();
-        let mut vms = vec![Some(RepeatBudget::default()); VMS as usize];
+        let mut vms = vec![Some(RouteRetryBudget::default()); VMS as usize];
         let (mut ms, mut calls, mut retries) = (0, Vec::new(), Vec::new());
         for step in steps {
             match step {
@@ -209,7 +209,7 @@
 #[gtest]
 fn a_loan_ends_with_its_window() {
     let cfg = cfg();
-    let mut vm = RepeatBudget::default();
+    let mut vm = RouteRetryBudget::default();
     vm.borrow(&cfg, 10, at(1000));
 
     let (at_once, later) = (vm.remaining(&cfg, at(1000)), vm.remaining(&cfg, at(11_600)));
@@ -219,14 +219,14 @@
 
 mod loans {
     use super::*;
-    use catkin_decisions::{Loan, LoanDesk};
+    use catkin_decisions::{Loan, LoanRequests};
     use std::net::SocketAddr;
 
     fn vm(n: u8) -> SocketAddr {
         ([127, 0, 0, n], 7201).into()
     }
 
-    fn requested(requests: &mut LoanDesk, lenders: &[u8], now: Instant) -> Option<Loan> {
+    fn requested(requests: &mut LoanRequests, lenders: &[u8], now: Instant) -> Option<Loan> {
         let lenders = lenders.iter().map(|n| vm(*n)).collect();
         let request = requests.request(&"engines".parse().unwrap(), 6, lenders, now)?;
         Some(Loan {
@@ -240,7 +240,7 @@
     /// budget.
     #[gtest]
     fn a_loan_counts_once() {
-        let mut requests = LoanDesk::default();
+        let mut requests = LoanRequests::default();
         let loan = requested(&mut requests, &[1, 2], at(0)).unwrap();
 
         let given = [1, 1, 2, 3].map(|n| requests.receive(&loan, vm(n), at(5)));
@@ -252,7 +252,7 @@
     /// they are already deducted from their lenders' budgets.
     #[gtest]
     fn loan_for_an_earlier_open_request_counts() {
-        let mut requests = LoanDesk::default();
+        let mut requests = LoanRequests::default();
         let first = requested(&mut requests, &[1], at(0)).unwrap();
         let second = requested(&mut requests, &[2], at(20)).unwrap();
 
@@ -265,7 +265,7 @@
     /// Guards against counting a loan that was delayed by seconds, when the lender's budget is full again.
     #[gtest]
     fn delayed_loan_does_not_count_after_a_later_request() {
-        let mut requests = LoanDesk::default();
+        let mut requests = LoanRequests::default();
         let late = requested(&mut requests, &[1], at(0)).unwrap();
         requested(&mut requests, &[1], at(5000)).unwrap();
 
@@ -275,7 +275,7 @@
     /// The same failure without a later request.
     #[gtest]
     fn loan_after_the_request_expired_does_not_count() {
-        let mut requests = LoanDesk::default();
+        let mut requests = LoanRequests::default();
         let late = requested(&mut requests, &[1], at(0)).unwrap();
 
         expect_that!(requests.receive(&late, vm(1), at(501)), eq(0));
@@ -283,7 +283,7 @@
 
     #[gtest]
     fn requests_keep_a_minimum_interval() {
-        let mut requests = LoanDesk::default();
+        let mut requests = LoanRequests::default();
         let sent = [0, 5, 20].map(|ms| requested(&mut requests, &[1], at(ms)).is_some());
 
         expect_that!(sent, eq([true, false, true]));
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -1,6 +1,8 @@
 //! Tests of the slices of a team's rate limit and of their allocator.
 
-use catkin_decisions::{Instant, LimitKind, SliceGrant, SliceHome, SliceRequest, TeamSlice, VmId};
+use catkin_decisions::{
+    Instant, LimitKind, SliceAllocator, SliceGrant, SliceRequest, TeamSlice, VmId,
+};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -15,11 +17,11 @@
     format!("vm-{n}").parse().expect("a name")
 }
 
-fn allocator(vms: usize) -> SliceHome {
-    SliceHome::new(LIMIT, (0..vms).map(vm).collect(), ms(0))
+fn allocator(vms: usize) -> SliceAllocator {
+    SliceAllocator::new(LIMIT, (0..vms).map(vm).collect(), ms(0))
 }
 
-fn ask(allocator: &mut SliceHome, n: usize, demand: f64, at: Instant) -> SliceGrant {
+fn ask(allocator: &mut SliceAllocator, n: usize, demand: f64, at: Instant) -> SliceGrant {
     let request = SliceRequest {
         team: "counter".parse().expect("a name"),
         kind: LimitKind::Requests,
--- a/crates/decisions/tests/stream_pace.rs
+++ b/crates/decisions/tests/stream_duration_estimator.rs
@@ -1,12 +1,12 @@
 //! Estimates of the remaining time of a stream from earlier streams.
 
-use catkin_decisions::StreamPace;
+use catkin_decisions::StreamDurationEstimator;
 use googletest::prelude::*;
 use std::time::Duration;
 
 /// Estimator with `streams` recorded streams; stream `n` has 100 + `n` events, 30 + `n` ms apart.
-fn pace(streams: u32) -> StreamPace {
-    let mut pace = StreamPace::default();
+fn pace(streams: u32) -> StreamDurationEstimator {
+    let mut pace = StreamDurationEstimator::default();
     for n in 0..streams {
         let events = u64::from(100 + n);
         let interval = Duration::from_millis(u64::from(30 + n));
@@ -41,7 +41,7 @@
 /// Streams of fewer than two events have no interval between events.
 #[gtest]
 fn streams_without_an_interval_are_ignored() {
-    let mut pace = StreamPace::default();
+    let mut pace = StreamDurationEstimator::default();
     for _ in 0..32 {
         pace.record_complete(1, Duration::ZERO);
         pace.record_complete(0, Duration::ZERO);
--- a/crates/decisions/tests/wake_detector.rs
+++ b/crates/decisions/tests/suspend_detector.rs
@@ -1,6 +1,6 @@
 //! Detection that the process did not run for a while.
 
-use catkin_decisions::{Instant, WakeDetector};
+use catkin_decisions::{Instant, SuspendDetector};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 /// Gaps reported for readings of the steady clock and of the clock that counts from boot, in milliseconds.
 fn gaps(readings: &[(u64, u64)]) -> Vec<Option<Duration>> {
-    let mut detector = WakeDetector::default();
+    let mut detector = SuspendDetector::default();
     let reading = |(steady, boot): &(u64, u64)| detector.check(Instant(ms(*steady)), ms(*boot));
     readings.iter().map(reading).collect()
 }
--- a/crates/decisions/tests/kept_table.rs
+++ b/crates/decisions/tests/table_replica.rs
@@ -1,6 +1,6 @@
 //! Replicas of platform tables that a VM serves to its peers.
 
-use catkin_decisions::KeptTable;
+use catkin_decisions::TableReplica;
 use googletest::prelude::*;
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 }
 
 /// Keys of the table, if it is complete.
-fn keys(table: &KeptTable<u32>) -> Option<Vec<&str>> {
+fn keys(table: &TableReplica<u32>) -> Option<Vec<&str>> {
     let snapshot = table.snapshot()?;
     Some(snapshot.rows.iter().map(|(key, _)| key.as_ref()).collect())
 }
 
 #[gtest]
 fn changes_extend_a_complete_read() {
-    let mut table = KeptTable::default();
+    let mut table = TableReplica::default();
     table.replace_all([row("b", 1), row("a", 1)], 10);
 
     table.apply_changes(10, [row("c", 1), removed("a"), row("b", 2)], 13);
@@ -36,7 +36,7 @@
 /// table, a VM that asks for it would drop all its upstreams and refuse every call from then on.
 #[gtest]
 fn changes_alone_are_not_a_complete_table() {
-    let mut table = KeptTable::default();
+    let mut table = TableReplica::default();
 
     table.apply_changes(10, [], 12);
 
@@ -47,7 +47,7 @@
 /// never reached this table.
 #[gtest]
 fn table_with_a_gap_is_incomplete_until_it_is_read_again() {
-    let mut table = KeptTable::default();
+    let mut table = TableReplica::default();
     table.replace_all([row("a", 1)], 10);
 
     table.apply_changes(20, [row("c", 1)], 21);
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -1,7 +1,8 @@
 //! Directory of upstreams, with entries that arrive late, lapse and return.
 
 use catkin_decisions::{
-    Born, Instant, LAPSE_GRACE, Presence, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation,
+    Instant, LAPSE_GRACE, Presence, ProcessStart, UpstreamDirectory, UpstreamEntry,
+    UpstreamIncarnation,
 };
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop, prop_assert_eq, prop_oneof, proptest};
@@ -118,7 +119,7 @@
 fn incarnation(id: &str, born: u64) -> UpstreamIncarnation {
     UpstreamIncarnation {
         id: id.parse().unwrap(),
-        born: Some(Born(born)),
+        born: Some(ProcessStart(born)),
     }
 }
 
@@ -175,9 +176,9 @@
     let mut directory = UpstreamDirectory::default();
     directory.apply_entry(entry_started_at("u1", 1, 1000, false));
 
-    let changes = directory.record_start(&"u1".parse().unwrap(), Born(5000), at(0));
-    let again = directory.record_start(&"u1".parse().unwrap(), Born(5000), at(0));
-    let earlier = directory.record_start(&"u1".parse().unwrap(), Born(1000), at(0));
+    let changes = directory.record_start(&"u1".parse().unwrap(), ProcessStart(5000), at(0));
+    let again = directory.record_start(&"u1".parse().unwrap(), ProcessStart(5000), at(0));
+    let earlier = directory.record_start(&"u1".parse().unwrap(), ProcessStart(1000), at(0));
 
     let superseded = (incarnation("u1", 1000), Presence::Superseded);
     expect_that!(changes, contains(eq(&superseded)));
@@ -296,7 +297,7 @@
                     expected = observe(n, says_leaving);
                 }
                 Observation::Report(n) => {
-                    directory.record_start(&"u1".parse().unwrap(), Born(n), at(0));
+                    directory.record_start(&"u1".parse().unwrap(), ProcessStart(n), at(0));
                     if expected.0.is_some() {
                         expected = observe(n, false);
                     }
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -1,8 +1,8 @@
 //! When upstreams are probed, and how their losses affect their zone and the calls that ran there.
 
 use catkin_decisions::{
-    AvailabilityZone, Crash, CrashTally, Instant, SILENCE, UpstreamHealth, UpstreamIncarnation,
-    ZoneAlarm,
+    AvailabilityZone, Crash, CrashTracker, Instant, SILENCE_TIMEOUT, UpstreamHealth,
+    UpstreamIncarnation, ZoneOutageDetector,
 };
 use googletest::prelude::*;
 use std::time::Duration;
@@ -22,12 +22,12 @@
     for _ in 0..50 {
         health.call_started(at(1000));
     }
-    let silent = at(1000).after(SILENCE);
+    let silent = at(1000).after(SILENCE_TIMEOUT);
 
     let probed = [
         health.start_probe_if_due(at(1100)),
         health.start_probe_if_due(silent),
-        health.start_probe_if_due(silent.after(SILENCE)),
+        health.start_probe_if_due(silent.after(SILENCE_TIMEOUT)),
     ];
 
     expect_that!(probed, eq([false, true, false]));
@@ -72,7 +72,7 @@
 #[gtest]
 fn zone_is_suspect_after_several_upstreams_are_lost_together() {
     let zone: AvailabilityZone = "a".parse().unwrap();
-    let mut alarm = ZoneAlarm::default();
+    let mut alarm = ZoneOutageDetector::default();
 
     let one = (0..5).any(|n| alarm.record_loss(&zone, &id("u1"), at(100 * n)));
     let apart = alarm.record_loss(&zone, &id("u2"), at(1500))
@@ -90,7 +90,7 @@
 /// have crashed it is rejected, whichever VM observed the crashes.
 #[gtest]
 fn call_is_rejected_after_three_crashes() {
-    let mut tracker = CrashTally::default();
+    let mut tracker = CrashTracker::default();
     let crash = |upstream: &str| Crash {
         digest: 7,
         upstream: id(upstream),
@@ -114,7 +114,7 @@
 /// It is cleared and may be sent again.
 #[gtest]
 fn completed_call_is_cleared() {
-    let mut tracker = CrashTally::default();
+    let mut tracker = CrashTracker::default();
     for upstream in ["u1", "u2", "u3"] {
         tracker.record_crash(Crash {
             digest: 7,
--- a/crates/decisions/tests/whole_read.rs
+++ b/crates/decisions/tests/whole_read.rs
@@ -1,7 +1,7 @@
 //! Cost of reading the complete table of upstreams in a large deployment.
 
 use catkin_decisions::{
-    Born, Instant, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
+    Instant, ProcessStart, UpstreamDirectory, UpstreamEntry, UpstreamIncarnation, rendezvous_score,
 };
 use googletest::prelude::*;
 use std::{net::SocketAddr, time::Duration};
@@ -14,7 +14,7 @@
             id: format!("u-{:016x}", rendezvous_score("upstream", &n.to_string()))
                 .parse()
                 .unwrap(),
-            born: Some(Born(born)),
+            born: Some(ProcessStart(born)),
         },
         service: "engines".parse().unwrap(),
         address: SocketAddr::from(([10, 0, 0, 1], u16::try_from(8000 + n).unwrap())),
