--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -4,7 +4,7 @@
 //! answers that a checker at the caller can verify.
 
 pub(crate) use {
-    crate::weight_store::WeightStorePlace,
+    crate::weight_store::WeightStoreLocation,
     bytes::Bytes,
     catkin_border::{caller, engine},
     catkin_decisions::to_hex,
@@ -33,9 +33,9 @@
 
 pub use crate::{
     answer::Answer,
-    answer_check::{AnswerFault, check_answer},
+    answer_check::{AnswerError, check_answer},
     answer_verdict::AnswerVerdict,
-    caller_client::{CallFault, CallerClient},
+    caller_client::{CallError, CallerClient},
     daemon::{StandinError, run_standin},
     demo_bundle::{DEMO_KEY, demo_bundle},
     engine_batch::{POISON, UNANSWERED_POISON},
@@ -43,15 +43,15 @@
     engine_server::EngineServer,
     engine_settings::EngineSettings,
     fault_proxy::FaultProxy,
+    mock_platform::{MockPlatform, TransactOutcome},
     plain_fault::PlainFault,
-    plain_server::{PlainAnswer, PlainServer},
+    plain_server::{PlainResponse, PlainServer},
     plain_settings::PlainSettings,
     platform_server::PlatformServer,
     platform_store::PlatformStore,
     prefix_cache::prompt_tokens,
     proxy_fault::ProxyFault,
     run_counts::{RunCount, RunCounts, request_digest},
-    scripted_platform::{ScriptedPlatform, TransactFate},
     token_chain::TokenChain,
     upstream_probe::{first_busy, upstream_load},
     weight_store::WeightStore,
@@ -70,6 +70,7 @@
 mod engine_settings;
 mod fault_proxy;
 mod killable_listener;
+mod mock_platform;
 mod plain_fault;
 mod plain_server;
 mod plain_settings;
@@ -81,7 +82,6 @@
 mod query;
 mod rate_limit;
 mod run_counts;
-mod scripted_platform;
 mod sequence;
 mod token_chain;
 mod upstream_probe;
--- a/crates/standins/src/scripted_platform.rs
+++ b/crates/standins/src/mock_platform.rs
@@ -1,10 +1,10 @@
 use super::*;
-use catkinward::{Platform, PlatformFault};
+use catkinward::{Platform, PlatformError};
 use std::collections::VecDeque;
 
-/// Fate of one transaction of a [`ScriptedPlatform`].
+/// Fate of one transaction of a [`MockPlatform`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TransactFate {
+pub enum TransactOutcome {
     /// It runs and is answered.
     Answered,
     /// It runs, but its answer is lost.
@@ -21,21 +21,21 @@
 
 /// A platform in memory whose transactions meet scripted fates.
 #[derive(Clone, Default)]
-pub struct ScriptedPlatform {
+pub struct MockPlatform {
     inner: Arc<Mutex<Inner>>,
 }
 
 #[derive(Default)]
 struct Inner {
     store: PlatformStore,
-    fates: VecDeque<TransactFate>,
+    fates: VecDeque<TransactOutcome>,
     late: Vec<catkin_border::platform::TransactRequest>,
     out: bool,
 }
 
-impl ScriptedPlatform {
+impl MockPlatform {
     /// Gives the next transactions these fates; those after them are answered.
-    pub fn script(&self, fates: impl IntoIterator<Item = TransactFate>) {
+    pub fn script(&self, fates: impl IntoIterator<Item = TransactOutcome>) {
         self.inner.lock().fates.extend(fates);
     }
 
@@ -78,35 +78,35 @@
     fn transact(
         &self,
         req: catkin_border::platform::TransactRequest,
-    ) -> Result<catkin_border::platform::TransactReply, PlatformFault> {
+    ) -> Result<catkin_border::platform::TransactReply, PlatformError> {
         let mut guard = self.inner.lock();
         let inner = &mut *guard;
         for late in std::mem::take(&mut inner.late) {
             inner.store.transact(late);
         }
         if inner.out {
-            return Err(PlatformFault::NotRun);
+            return Err(PlatformError::NotRun);
         }
-        match inner.fates.pop_front().unwrap_or(TransactFate::Answered) {
-            TransactFate::Answered => Ok(inner.store.transact(req)),
-            TransactFate::LostAfterEffect => {
+        match inner.fates.pop_front().unwrap_or(TransactOutcome::Answered) {
+            TransactOutcome::Answered => Ok(inner.store.transact(req)),
+            TransactOutcome::LostAfterEffect => {
                 inner.store.transact(req);
-                Err(PlatformFault::Unknown)
+                Err(PlatformError::Unknown)
             }
-            TransactFate::LostBeforeEffect => Err(PlatformFault::Unknown),
-            TransactFate::Late => {
+            TransactOutcome::LostBeforeEffect => Err(PlatformError::Unknown),
+            TransactOutcome::Late => {
                 inner.late.push(req);
-                Err(PlatformFault::Unknown)
+                Err(PlatformError::Unknown)
             }
-            TransactFate::NotRun => Err(PlatformFault::NotRun),
-            TransactFate::Throttled => Err(PlatformFault::Throttled),
+            TransactOutcome::NotRun => Err(PlatformError::NotRun),
+            TransactOutcome::Throttled => Err(PlatformError::Throttled),
         }
     }
 
-    fn up<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> Result<T, PlatformFault> {
+    fn up<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> Result<T, PlatformError> {
         let mut inner = self.inner.lock();
         if inner.out {
-            return Err(PlatformFault::NotRun);
+            return Err(PlatformError::NotRun);
         }
         Ok(f(&mut inner.store))
     }
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -2,22 +2,22 @@
 
 use bytes::Bytes;
 use catkin_decisions::{
-    ClaimKind, ClaimOutcome, ClaimVerdict, HeldClaim, Incarnation, RecordedAnswer, RequestDigest,
+    ClaimKind, ClaimOutcome, ClaimVerdict, HeldClaim, Incarnation, RecordedResponse, RequestDigest,
     TeamId, WallTime,
 };
-use catkin_standins::{ScriptedPlatform, TransactFate};
-use catkinward::{AnswerToRecord, ClaimRequest, ClaimSettings, Claims, Timeline, Timer};
+use catkin_standins::{MockPlatform, TransactOutcome};
+use catkinward::{ClaimRequest, ClaimSettings, Claims, ResponseToRecord, Timeline, Timer};
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
 
 /// Long enough for every test, whatever else the machine does.
 const LONG: Duration = Duration::from_secs(30);
 
-fn vm(platform: &ScriptedPlatform, name: &str) -> Arc<Claims> {
+fn vm(platform: &MockPlatform, name: &str) -> Arc<Claims> {
     start(platform, name, quick())
 }
 
-fn start(platform: &ScriptedPlatform, name: &str, cfg: ClaimSettings) -> Arc<Claims> {
+fn start(platform: &MockPlatform, name: &str, cfg: ClaimSettings) -> Arc<Claims> {
     let vm = name.parse().expect("a valid id");
     let zone = "zone-1".parse().expect("a valid name");
     let timeline = Timeline::new(vm, zone, Arc::default(), 1000);
@@ -55,8 +55,8 @@
     }
 }
 
-fn answer(body: &str) -> AnswerToRecord {
-    AnswerToRecord {
+fn answer(body: &str) -> ResponseToRecord {
+    ResponseToRecord {
         status: 201,
         headers: vec![("content-type".into(), "text/plain".into())],
         body: Bytes::copy_from_slice(body.as_bytes()),
@@ -70,7 +70,7 @@
     claimed.dispatch().1
 }
 
-fn recorded(verdict: ClaimVerdict) -> RecordedAnswer {
+fn recorded(verdict: ClaimVerdict) -> RecordedResponse {
     let ClaimVerdict::Done(ClaimOutcome::Answered(answer)) = verdict else {
         panic!("no answer recorded: {verdict:?}");
     };
@@ -82,7 +82,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_resend_to_another_vm_gets_the_recorded_answer() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     first.record(held, answer("ticket 7"));
@@ -102,15 +102,15 @@
 #[tokio::test]
 async fn every_fate_of_a_transaction_is_settled() {
     let fates = [
-        TransactFate::Answered,
-        TransactFate::LostAfterEffect,
-        TransactFate::LostBeforeEffect,
-        TransactFate::Late,
-        TransactFate::NotRun,
-        TransactFate::Throttled,
+        TransactOutcome::Answered,
+        TransactOutcome::LostAfterEffect,
+        TransactOutcome::LostBeforeEffect,
+        TransactOutcome::Late,
+        TransactOutcome::NotRun,
+        TransactOutcome::Throttled,
     ];
     for fate in fates {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
         platform.script([fate, fate]);
         let held = dispatched(first.claim(order("k")).await);
@@ -128,7 +128,7 @@
 #[gtest]
 #[tokio::test]
 async fn of_many_at_once_one_is_dispatched() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let tries = (0..20).map(|i| if i % 2 == 0 { &first } else { &second });
 
@@ -145,7 +145,7 @@
 #[gtest]
 #[tokio::test]
 async fn another_request_under_the_key_is_a_conflict() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let held = dispatched(vm.claim(order("k")).await);
     vm.record(held, answer("ticket 7"));
@@ -166,14 +166,17 @@
 #[tokio::test]
 async fn an_outage_is_not_run_and_leaves_the_key_free() {
     for fate in [
-        TransactFate::NotRun,
-        TransactFate::LostAfterEffect,
-        TransactFate::Late,
+        TransactOutcome::NotRun,
+        TransactOutcome::LostAfterEffect,
+        TransactOutcome::Late,
     ] {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         platform.script([fate]);
-        platform.script(std::iter::repeat_n(TransactFate::LostBeforeEffect, 100_000));
+        platform.script(std::iter::repeat_n(
+            TransactOutcome::LostBeforeEffect,
+            100_000,
+        ));
         let hurried = ClaimRequest {
             time_left: Duration::from_millis(50),
             ..order("k")
@@ -197,7 +200,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_released_claim_frees_the_key() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     first.release(held);
@@ -213,7 +216,7 @@
 #[gtest]
 #[tokio::test]
 async fn an_unknown_end_stays_unknown() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let held = dispatched(vm.claim(order("k")).await);
     vm.record_unknown(held);
@@ -228,7 +231,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_claim_of_a_dead_holder_becomes_unknown() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let first = vm(&platform, "vm-1");
     let cfg = ClaimSettings {
         clocks_differ: Duration::ZERO,
@@ -253,7 +256,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_resend_waits_for_the_answer_of_the_first() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
@@ -273,7 +276,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_generation_is_taken_over_by_one_vm() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vms = ["vm-1", "vm-2", "vm-3"].map(|name| vm(&platform, name));
     let generation = ClaimRequest {
         kind: ClaimKind::Generation,
@@ -297,7 +300,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_call_is_not_taken_over() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     drop(dispatched(first.claim(order("k")).await));
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
@@ -327,7 +330,7 @@
         (&"x".repeat(65), None),
     ];
     for (body, kept) in cases {
-        let platform = ScriptedPlatform::default();
+        let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         let held = dispatched(vm.claim(order("k")).await);
         vm.record(held, answer(body));
@@ -346,7 +349,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_sweep_takes_what_is_expired_and_no_more() {
-    let platform = ScriptedPlatform::default();
+    let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let ended = dispatched(vm.claim(order("ended")).await);
     vm.record(ended, answer("ticket 7"));
