--- a/crates/decisions/src/attempt.rs
+++ b/crates/decisions/src/attempt.rs
@@ -1,21 +1,22 @@
 use super::*;
 
 number_newtype!(
-    /// Fencing number of an attempt, rising within a request; 0 means that none was made.
+    /// Fencing token of an attempt. It increases within a request; 0 means that no attempt was made.
     Attempt,
     "attempt"
 );
 
-/// Attempts that one VM may make of a request before another VM's numbers begin.
+/// Size of the range of attempt numbers that one VM uses for a request. A VM that takes the request
+/// over uses a higher range.
 const ATTEMPTS_PER_VM: u64 = 1 << 16;
 
-/// Number of different jumps.
+/// Number of ranges among which a VM that takes over chooses at random.
 const JUMPS: u64 = 256;
 
 impl Attempt {
-    /// A number far above this one, for a VM that takes over: the VM before it may have made more
-    /// attempts than are known of, and two VMs may take over at once. `random` sets them apart; an
-    /// engine refuses the smaller of two.
+    /// Returns the first attempt number of a VM that takes over the request. It is far above this
+    /// one, because the previous VM may have made attempts that have not been reported. `random`
+    /// separates two VMs that take over at the same time; an engine refuses the smaller number.
     #[must_use]
     pub fn take_over(self, random: u64) -> Self {
         Self((self.0 / ATTEMPTS_PER_VM + 1 + random % JUMPS) * ATTEMPTS_PER_VM)
--- a/crates/decisions/src/chain_id.rs
+++ b/crates/decisions/src/chain_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Names one sequence of delivered tokens. A generation that begins draws one, and so does a VM
-/// that takes a generation over: from there on its tokens may differ from those of any other VM.
+/// Identifies one sequence of delivered tokens. A new generation is assigned a random id, and so is
+/// each takeover by another VM, because from that point on the tokens of two VMs may differ.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
--- a/crates/decisions/src/drop_reason.rs
+++ b/crates/decisions/src/drop_reason.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// Why a token or end event was not delivered although nothing is wrong with it.
+/// Why a valid token or end event was not delivered to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum DropReason {
-    /// It came after the answer had ended.
+    /// The event arrived after the end of the answer.
     AfterEnd,
-    /// It was made in an attempt that is no longer live.
+    /// The event belongs to a superseded attempt.
     OldAttempt,
-    /// It has been delivered already.
+    /// The event is a duplicate of one that was delivered.
     Repeated,
 }
--- a/crates/decisions/src/dropped_counts.rs
+++ b/crates/decisions/src/dropped_counts.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// How many events a relay dropped, by reason.
+/// Number of events that a relay has dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DroppedCounts {
-    /// Events after the end.
+    /// Events that arrived after the end of the answer.
     pub after_end: u64,
-    /// Events of attempts no longer live.
+    /// Events of superseded attempts.
     pub old_attempt: u64,
-    /// Events delivered before.
+    /// Duplicates of delivered events.
     pub repeated: u64,
 }
 
--- a/crates/decisions/src/event_relay.rs
+++ b/crates/decisions/src/event_relay.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// Decides which events of which run a caller gets.
+/// Decides which events of a resumable stream are forwarded to the caller.
 ///
-/// A stream that loses its upstream goes on with another run. Were an event of the older run handed
-/// on after that, or one that was already handed on, the caller would see text twice or of two runs
-/// joined. The relay takes only the next number, of the newest run.
+/// A stream that loses its upstream is resumed by another run. If events of the older run or
+/// duplicates were forwarded after that, the caller would receive text twice or a mixture of two
+/// runs. Only the event with the next number of the latest run is forwarded.
 #[derive(Clone, Debug)]
 pub struct EventRelay {
     run: EventRun,
     last: Option<u64>,
 }
 
-/// Number of a run of a stream.
+/// Number of a run of a stream, increased each time that the stream is sent to an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct EventRun(u32);
 
-/// What becomes of an event.
+/// Decision about an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum EventFate {
-    /// It goes to the caller.
+    /// Forward the event to the caller.
     Deliver,
-    /// It is dropped: the caller has it, or its run is over.
+    /// Drop the event: it is a duplicate, or its run has been superseded.
     Drop,
-    /// Events before it are missing, so its run must not go on.
+    /// Preceding events are missing, so the run must be abandoned.
     Gap,
 }
 
 impl EventRelay {
-    /// A relay whose caller already has the events up to `last`.
+    /// Creates a relay for a caller that has received the events up to `last`.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Begins another run, which ends all older ones.
+    /// Starts a new run, which supersedes all earlier runs.
     pub fn begin_run(&mut self) -> EventRun {
         self.run = EventRun(self.run.0 + 1);
         self.run
     }
 
-    /// Decides about an event with the number `id`.
+    /// Decides whether the event number `id` of a run is forwarded, and records it if so.
     pub fn decide(&mut self, run: EventRun, id: u64) -> EventFate {
         if run != self.run {
             return EventFate::Drop;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Number of the last event that the caller has.
+    /// Number of the last event forwarded to the caller.
     #[must_use]
     pub fn last(&self) -> Option<u64> {
         self.last
--- a/crates/decisions/src/event_splitter.rs
+++ b/crates/decisions/src/event_splitter.rs
@@ -1,36 +1,36 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! An upstream may die in the middle of an event. Only whole events may reach a caller, since what
-//! goes on from another upstream begins with a whole one.
+//! An upstream may crash in the middle of an event. Only complete events are forwarded to the
+//! caller, because the upstream that resumes the stream starts with a complete event.
 
 use super::*;
 
-/// Largest event that is taken in.
+/// Maximum size of an event, in bytes.
 pub const LARGEST_EVENT: usize = 1 << 20;
 
-/// Cuts bytes into events. Each ends with an empty line, whose bytes belong to it.
+/// Splits received bytes into events. An event includes the empty line that terminates it.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     buf: Vec<u8>,
-    /// Bytes of `buf` in which no end was found.
+    /// Length of the prefix of `buf` that holds no end of an event, so it is not searched again.
     searched: usize,
 }
 
-/// A whole event with its bytes as they came.
+/// A complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WholeEvent {
-    /// Its number, if it has one.
+    /// Value of the `id` field; `None` if it is absent or not a number.
     pub id: Option<u64>,
-    /// Its bytes, the empty line included.
+    /// The bytes as received, including the terminating empty line.
     pub bytes: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     ///
     /// # Errors
     ///
-    /// If an event grows beyond [`LARGEST_EVENT`].
+    /// Fails if the buffered bytes exceed [`LARGEST_EVENT`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), Error> {
         if self.buf.len() + bytes.len() > LARGEST_EVENT {
             return Err(Error::EventTooLarge);
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<WholeEvent> {
         let Some(end) = event_end(&self.buf, self.searched) else {
             self.searched = self.buf.len().saturating_sub(3);
@@ -54,14 +54,14 @@
         })
     }
 
-    /// Whether part of an event is left over.
+    /// Whether an incomplete event is buffered.
     #[must_use]
     pub fn has_part(&self) -> bool {
         !self.buf.is_empty()
     }
 }
 
-/// Where the first event ends: after an empty line, with either kind of line end.
+/// Returns the end of the first event, after its empty line. Lines end with LF or CRLF.
 fn event_end(buf: &[u8], from: usize) -> Option<usize> {
     (from..buf.len())
         .filter(|i| buf[*i] == b'\n')
--- a/crates/decisions/src/finish.rs
+++ b/crates/decisions/src/finish.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Why a whole answer ended.
+/// Why a completed answer ended.
 #[derive(
     Clone,
     Copy,
@@ -16,8 +16,8 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Finish {
-    /// It reached the length asked for.
+    /// The answer reached the requested maximum length.
     Length,
-    /// The model or a stop sequence ended it.
+    /// The model emitted an end token or a stop sequence.
     Stop,
 }
--- a/crates/decisions/src/poison_hold.rs
+++ b/crates/decisions/src/poison_hold.rs
@@ -3,10 +3,11 @@
 /// Why a request may not start on an upstream.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum PoisonHold {
-    /// Upstreams died under it; it runs nowhere until its marks expire.
+    /// Upstreams crashed while they ran the request; all VMs refuse it until its marks expire.
     #[display("upstreams died under this request")]
     Refused,
-    /// Not on this upstream now: another suspect is watched there, or it runs elsewhere.
+    /// The request cannot run on this upstream now: another suspect is isolated there, or the
+    /// request already runs on another upstream.
     #[display("the request must wait for another upstream")]
     Elsewhere,
 }
--- a/crates/decisions/src/poison_mark.rs
+++ b/crates/decisions/src/poison_mark.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// One death of an upstream under one request, as VMs tell each other.
+/// Records that an upstream process crashed while it ran a request. VMs exchange marks by gossip.
 ///
-/// Marks merge by union, and a cleared one stays cleared, so that it does not matter in which order
-/// or how often they come.
+/// Marks merge by set union, and a cleared mark stays cleared. The merge is therefore commutative
+/// and idempotent: the order and number of deliveries do not matter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PoisonMark {
-    /// The request.
+    /// Digest of the request that was in flight.
     pub digest: RequestDigest,
-    /// The death.
+    /// The crashed process.
     pub death: UpstreamDeath,
-    /// True once the request got past the point at which the upstream died.
+    /// Whether the request has since got past the point at which the upstream crashed.
     pub cleared: bool,
-    /// Milliseconds since the death was noticed.
+    /// Milliseconds since the crash was first detected.
     pub age_ms: u32,
 }
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -1,80 +1,82 @@
-//! Requests that kill the upstreams that run them.
+//! Detects poison requests, which crash every upstream that runs them.
 //!
-//! Load pattern: one request crashes each engine that runs it, its VM resumes it elsewhere, and its
-//! caller sends it again. Without the tracker it takes down engine after engine, and the innocent
-//! requests beside it lose their work each time.
+//! When an engine crashes, its requests are resumed on other engines, and callers retry. Without
+//! the tracker, a poison request would crash one engine after another, and the unrelated requests
+//! on these engines would lose their work each time.
 //!
-//! Each death of an upstream marks the digests in flight on it. A marked digest is watched on its
-//! next run: on one upstream at a time, with no other watched digest beside it. So a second death
-//! marks exactly one digest twice, the culprit's, which is refused from then on. A resume starts
-//! where the upstream died, so the culprit kills again at once, while an innocent request gets past
-//! that point: after [`WATCHED_STEPS`] steps its marks are cleared and the next one is watched.
-//! An innocent request may thus share two upstreams with the culprit and still finish: by the
-//! second time it has been cleared.
+//! A crash marks the digests of all requests in flight on the upstream. A marked digest is a
+//! suspect: its next run is isolated, on one upstream at a time and without another isolated
+//! digest on that upstream. A second crash therefore marks only one digest for the second time,
+//! that of the poison request, which is refused from then on. A resumed run starts at the point of
+//! the crash, so a poison request crashes the next upstream at once, while an unrelated request
+//! gets past that point: after [`WATCHED_STEPS`] steps its marks are cleared, and the next suspect
+//! is isolated. An unrelated request can therefore share two upstreams with the poison request and
+//! still finish, because it has been cleared before the second crash.
 //!
-//! Bounds: two upstreams are lost to one digest if it kills within its watched steps; one that
-//! kills later is refused after [`MOST_DEATHS`]. VMs watch apart from each other only as far as
-//! marks have spread and upstreams are divided among them (`watches` of [`PoisonTracker::may_start`]).
-//! An innocent request that meets two unrelated deaths within its watched steps is refused too,
-//! until its marks expire.
+//! Bounds: a request that crashes its upstreams within the isolated steps costs two upstreams; one
+//! that does so later is refused after [`MOST_DEATHS`] crashes. Several VMs isolate suspects from
+//! each other only as far as marks have spread and upstreams are partitioned among the VMs
+//! (parameter `watches` of [`PoisonTracker::may_start`]). An unrelated request that is affected by
+//! two independent crashes within its isolated steps is also refused until its marks expire.
 //!
-//! A death that a refused request explains is not laid to the others that ran there, on this VM or
-//! another: whoever was refused first, by the times of the deaths, is the cause. Without this a request
-//! that runs beside the culprit twice is refused with it, and its caller loses an answer for nothing.
+//! A crash that a refused request explains is not attributed to the other requests on that
+//! upstream, on this VM or another. The cause is the request that reached the limit first, by the
+//! times of the crashes. Otherwise a request that ran next to the poison request twice would also
+//! be refused, and its caller would lose an answer without cause.
 //!
-//! A run counts as a cause of its upstream's death if the upstream had begun to answer it, or had proved
-//! alive right before the order was sent ([`PoisonTracker::proven`]). Without either, the upstream may
-//! have been dead when the order came, as at the loss of a rack, so such a death only makes the request
-//! a suspect. Suspects are sent to upstreams that have just proved alive, so a request that kills before
-//! it is answered is refused after its second upstream too.
+//! A run counts as a possible cause of a crash if the upstream had begun to answer it, or was
+//! confirmed alive right before the request was sent ([`PoisonTracker::proven`]). Otherwise the
+//! upstream may have been dead already, as after the loss of a rack, so the crash only makes the
+//! request a suspect. Suspects are sent only to upstreams that were just confirmed alive, so a
+//! request that crashes upstreams before they answer is also refused after its second upstream.
 //!
-//! A VM may be lost together with the second upstream, and its caller returns to another VM. So the run of
-//! a suspect is announced to the other VMs before its order is sent ([`SuspectRun`]), and whoever notices
-//! that the upstream died marks the request.
+//! A VM may fail together with the second upstream, and its caller reconnects to another VM. The
+//! run of a suspect is therefore announced to the other VMs before the request is sent
+//! ([`SuspectRun`]), and every VM that detects the crash of the upstream marks the request.
 
 use super::*;
 
-/// Calls of [`PoisonTracker::progressed`] until a watched run is cleared.
+/// Number of [`PoisonTracker::progressed`] calls after which an isolated run is cleared.
 pub const WATCHED_STEPS: u32 = 2;
 
-/// Deaths under a digest, none of them cleared, after which it is refused.
+/// Number of uncleared crashes after which a digest is refused.
 const MOST_OPEN_DEATHS: usize = 2;
 
-/// Deaths under a digest, cleared ones counted in, after which it is refused.
+/// Number of crashes, including cleared ones, after which a digest is refused.
 pub const MOST_DEATHS: usize = 3;
 
-/// Upstreams that one unmarked digest runs on at once.
+/// Maximum number of upstreams on which an unmarked digest runs at the same time.
 const MOST_UPSTREAMS: usize = 2;
 
-/// How long a mark counts.
+/// Time after which a mark expires.
 const EXPIRY: Duration = Duration::from_secs(600);
 
-/// Marks kept; the oldest go first. About 64 bytes each.
+/// Maximum number of stored marks, about 64 bytes each. The oldest are evicted first.
 const MOST_MARKS: usize = 4096;
 
-/// Marks told to a peer at a time: about half a kilobyte.
+/// Maximum number of marks in a message to a peer, about half a kilobyte.
 const MOST_TOLD: usize = 12;
 
-/// How often a mark is told. Each telling goes to one peer, who tells it as often in turn; by the
-/// theory of rumours about one VM in 3,000 (e to the -8) then misses it.
+/// Number of times that a mark is sent. Each time it goes to one peer, which sends it equally often
+/// in turn. In the epidemic model of gossip, about one VM in 3,000 (e^-8) does not receive it.
 const TELLINGS: u32 = 8;
 
-/// Names a run of a request on an upstream.
+/// Identifies a run of a request on an upstream.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PoisonRun {
     digest: RequestDigest,
     id: u64,
 }
 
-/// What runs where on this VM, and which digests upstreams died under.
+/// Tracks the runs of this VM by upstream, and the digests that were in flight at crashes.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTracker {
-    /// Sorted by digest and death.
+    /// Sorted by digest and crash.
     marks: Vec<Mark>,
     /// Sorted by digest and id.
     runs: Vec<Run>,
     last: u64,
-    /// Runs of suspects on other VMs.
+    /// Runs of suspects that other VMs have announced.
     others: SuspectRuns,
 }
 
@@ -82,11 +84,11 @@
 struct Mark {
     digest: RequestDigest,
     death: UpstreamDeath,
-    /// When the death was first noticed, as far as is known here; the same for all marks of a death.
+    /// Earliest known detection of the crash, the same for all marks of one crash.
     at: Instant,
     told: u32,
     cleared: bool,
-    /// Whether it stems from the announcement of another VM alone.
+    /// Whether the only evidence of the run is the announcement of another VM.
     presumed: bool,
 }
 
@@ -96,33 +98,33 @@
     upstream: UpstreamId,
     incarnation: Incarnation,
     watched: bool,
-    /// Whether its order is sent, or is about to be.
+    /// Whether the request has been sent, or is sent next.
     sent: bool,
-    /// Whether the upstream has begun to answer it, or proved alive right before it was sent.
+    /// Whether the upstream has begun to answer, or was confirmed alive right before the request
+    /// was sent.
     was_there: bool,
     steps: u32,
 }
 
 impl PoisonTracker {
-    /// Whether a digest is refused everywhere.
+    /// Whether a digest is refused on all upstreams.
     #[must_use]
     pub fn refuses(&self, digest: RequestDigest, now: Instant) -> bool {
         let (open, all) = self.deaths(digest, now);
         open >= MOST_OPEN_DEATHS || all >= MOST_DEATHS
     }
 
-    /// Whether a digest is a suspect, to be watched on its next run.
+    /// Whether a digest is a suspect, whose next run has to be isolated.
     #[must_use]
     pub fn is_marked(&self, digest: RequestDigest, now: Instant) -> bool {
         self.deaths(digest, now).0 > 0
     }
 
-    /// Whether a request may start on an upstream. `watches` tells whether this VM may watch
-    /// suspects there.
+    /// Checks whether a request may start. `watches` permits this VM isolated runs on the upstream.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns the reason why the request may not start.
     pub fn may_start(
         &self,
         digest: RequestDigest,
@@ -156,7 +158,7 @@
         free.then_some(()).ok_or(PoisonHold::Elsewhere)
     }
 
-    /// Notes that a request starts on an upstream, after [`Self::may_start`].
+    /// Records that a request starts on an upstream, after [`Self::may_start`] has permitted it.
     pub fn started(
         &mut self,
         digest: RequestDigest,
@@ -182,7 +184,7 @@
         key
     }
 
-    /// Notes some progress of a run: a few tokens.
+    /// Records progress of a run, by a few tokens.
     pub fn progressed(&mut self, run: PoisonRun) {
         let Some(run) = self.run_mut(run) else { return };
         if !run.watched {
@@ -195,27 +197,28 @@
         }
     }
 
-    /// Notes the end of a run that the upstream brought to its end.
+    /// Records that the upstream has completed a run.
     pub fn finished(&mut self, run: PoisonRun) {
         if self.remove(run).is_some_and(|run| run.watched) {
             self.clear(run.digest);
         }
     }
 
-    /// Notes that a run was given up here; that says nothing of the request.
+    /// Records that this VM abandoned a run, which is no evidence for or against the request.
     pub fn left(&mut self, run: PoisonRun) {
         self.remove(run);
     }
 
-    /// Notes that the upstream of a run has begun to answer: the run is there.
+    /// Records that the upstream has begun to answer, so the run counts as a possible cause if the
+    /// upstream crashes.
     pub fn arrived(&mut self, run: PoisonRun) {
         if let Some(run) = self.run_mut(run) {
             run.was_there = true;
         }
     }
 
-    /// Whether the upstream of a run has to prove alive before the order is sent: the request is a
-    /// suspect.
+    /// Whether the upstream of a run has to be confirmed alive before the request is sent, which
+    /// holds for suspects.
     #[must_use]
     pub fn needs_proof(&self, run: PoisonRun) -> bool {
         self.runs
@@ -223,13 +226,13 @@
             .is_ok_and(|i| self.runs[i].watched)
     }
 
-    /// Notes that the upstream of a run has just proved alive, and that the order goes out now. If it
-    /// dies from here on, the run is taken for the cause, answered or not.
+    /// Records that the upstream of a run was confirmed alive and that the request is sent now. If
+    /// the upstream crashes afterwards, the run counts as a possible cause, answered or not.
     pub fn proven(&mut self, run: PoisonRun) {
         self.arrived(run);
     }
 
-    /// The run as it is announced to other VMs, if the request is a suspect.
+    /// Returns the announcement of a run to other VMs, if the request is a suspect.
     #[must_use]
     pub fn suspect_run(&self, run: PoisonRun) -> Option<SuspectRun> {
         let i = self.runs.binary_search_by_key(&run, |run| run.key).ok()?;
@@ -237,12 +240,11 @@
         run.watched.then(|| run.as_suspect())
     }
 
-    /// Commits a run whose order is sent next, unless another VM has told of deaths under the request or of a run that goes
-    /// first since this one was started.
+    /// Commits a run whose request is sent next.
     ///
     /// # Errors
     ///
-    /// Why the order must not be sent.
+    /// Fails if another VM has since reported crashes of the request or a run with precedence.
     pub fn commit(&mut self, run: PoisonRun, now: Instant) -> Result<(), PoisonHold> {
         if self.refuses(run.digest, now) {
             return Err(PoisonHold::Refused);
@@ -257,7 +259,7 @@
         Ok(())
     }
 
-    /// Runs of suspects on this VM that conflict with runs that another VM announces.
+    /// Returns the runs of suspects on this VM that conflict with runs announced by another VM.
     #[must_use]
     pub fn conflicts(&self, announced: &[SuspectRun]) -> SuspectConflicts {
         let mut conflicts = SuspectConflicts::default();
@@ -275,17 +277,17 @@
         conflicts
     }
 
-    /// Takes the announcement of another VM that it sends a suspect to an upstream.
+    /// Records the announcement of another VM that it sends a suspect to an upstream.
     pub fn announced(&mut self, run: SuspectRun, now: Instant) {
         self.others.announced(run, false, now);
     }
 
-    /// Takes the answer of another VM that a suspect runs there.
+    /// Records the answer of another VM that a suspect already runs there.
     pub fn runs_elsewhere(&mut self, run: SuspectRun, now: Instant) {
         self.others.announced(run, true, now);
     }
 
-    /// Takes the withdrawal of a run by the VM that has announced it: its order was not sent.
+    /// Records that the VM that announced a run has withdrawn it without sending the request.
     pub fn withdrawn(&mut self, run: &SuspectRun) {
         self.others.withdrawn(run);
         let death = run.death();
@@ -299,19 +301,20 @@
         }
     }
 
-    /// Announced runs of a request whose upstreams have to be asked whether they live before it is sent elsewhere.
+    /// Returns the announced runs of a request whose upstreams need a liveness check before the
+    /// request is sent to another upstream.
     #[must_use]
     pub fn unchecked(&self, digest: RequestDigest, now: Instant) -> Vec<SuspectRun> {
         self.others.unchecked(digest, now)
     }
 
-    /// Notes that the upstream of an announced run was asked.
+    /// Records that the liveness of the upstream of an announced run was checked.
     pub fn checked(&mut self, run: &SuspectRun) {
         self.others.checked(run);
     }
 
-    /// Notes the death of a process of an upstream and marks all digests in flight on it, by what is
-    /// known here; returns the marks that are new.
+    /// Records the crash of an upstream process, marks all digests that were in flight on it as far
+    /// as this VM knows, and returns the new marks.
     pub fn died(
         &mut self,
         upstream: &UpstreamId,
@@ -349,7 +352,8 @@
         new
     }
 
-    /// Marks for a peer: those told least often so far, each eight times in all, 12 at a time.
+    /// Returns marks for a gossip message to a peer, those sent least often first. Each mark is sent
+    /// eight times in total, and a message has at most 12 marks.
     pub fn deltas(&mut self, now: Instant) -> Vec<PoisonMark> {
         self.expire(now);
         let mut fresh = self
@@ -368,15 +372,15 @@
             .collect()
     }
 
-    /// Marks of one digest.
+    /// Returns the unexpired marks of a digest.
     #[must_use]
     pub fn marks_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonMark> {
         let marks = self.fresh(digest, now);
         marks.map(|mark| mark.tell(now)).collect()
     }
 
-    /// Marks of the digests that are refused here and share a death with one of `marks`: what a peer
-    /// has to know before it lays these deaths to another request. At most 12.
+    /// Returns at most 12 marks of digests that are refused here and were in flight at one of the
+    /// crashes of `marks`. A peer needs them before it attributes these crashes to another request.
     #[must_use]
     pub fn culprits(&self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
         let shared = |mark: &&Mark| marks.iter().any(|other| other.death == mark.death);
@@ -390,13 +394,13 @@
         marks.take(MOST_TOLD).collect()
     }
 
-    /// All marks, as for a peer that has just started.
+    /// Returns all marks, for a peer that has just started.
     #[must_use]
     pub fn marks(&self, now: Instant) -> Vec<PoisonMark> {
         self.marks.iter().map(|mark| mark.tell(now)).collect()
     }
 
-    /// Takes marks from a peer; returns those that were new. What is new here is told on.
+    /// Merges marks from a peer and returns those that were new, which are then sent to other peers.
     pub fn merge(&mut self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
         let mut new = Vec::new();
         for mark in marks {
@@ -422,7 +426,7 @@
         new
     }
 
-    /// Deaths under a digest that no other digest explains: those not cleared, and all.
+    /// Counts the crashes of a digest that no other digest explains: uncleared ones, and all.
     fn deaths(&self, digest: RequestDigest, now: Instant) -> (usize, usize) {
         let convicted = self.convicted_at(digest, now);
         self.fresh(digest, now)
@@ -432,7 +436,7 @@
             })
     }
 
-    /// Whether another digest that was to be refused earlier than this one was on the same upstream.
+    /// Whether a digest that reached the limit earlier than this one was in flight at the crash.
     fn is_explained(&self, mark: &Mark, convicted: Option<Instant>, now: Instant) -> bool {
         self.marks
             .iter()
@@ -441,7 +445,8 @@
             .any(|other| convicted.is_none_or(|own| other < own))
     }
 
-    /// When so many upstreams had died under a digest that it is refused, whoever ran beside it.
+    /// When a digest reached the number of crashes at which it is refused, regardless of the other
+    /// requests on the upstreams.
     fn convicted_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
         let open = self.fresh(digest, now).filter(|mark| !mark.cleared);
         let open = Instant::nth_smallest(open.map(|mark| mark.at), MOST_OPEN_DEATHS);
@@ -449,7 +454,7 @@
         open.into_iter().chain(all).min()
     }
 
-    /// Marks of a digest that still count.
+    /// Returns the unexpired marks of a digest.
     fn fresh(&self, digest: RequestDigest, now: Instant) -> impl Iterator<Item = &Mark> {
         let start = self.marks.partition_point(|mark| mark.digest < digest);
         self.marks[start..]
@@ -458,7 +463,7 @@
             .filter(move |mark| now.since(mark.at) <= EXPIRY)
     }
 
-    /// Takes in a mark; returns whether it was new.
+    /// Merges a mark and returns whether it was new.
     fn mark(&mut self, mut mark: Mark) -> bool {
         let of_death = self.marks.iter_mut().filter(|m| m.death == mark.death);
         for other in of_death {
@@ -482,9 +487,9 @@
         }
     }
 
-    /// Watches the runs of a digest that has just become a suspect. Without this a second copy
-    /// that was under way already could kill its upstream beside a watched innocent request, and
-    /// both would be taken for the culprit.
+    /// Isolates the running copies of a digest that has just become a suspect. Otherwise a second
+    /// copy that is already running could crash the upstream of an isolated unrelated request, and
+    /// both requests would be taken for the cause.
     fn watch(&mut self, digest: RequestDigest) {
         let range = self.range(digest);
         for run in self.runs[range].iter_mut().filter(|run| !run.watched) {
@@ -515,7 +520,7 @@
         }
     }
 
-    /// Places of a digest's runs.
+    /// Returns the index range of a digest's runs.
     fn range(&self, digest: RequestDigest) -> std::ops::Range<usize> {
         let start = self.runs.partition_point(|run| run.key.digest < digest);
         let end = self.runs.partition_point(|run| run.key.digest <= digest);
--- a/crates/decisions/src/progress_head.rs
+++ b/crates/decisions/src/progress_head.rs
@@ -1,24 +1,25 @@
 use super::*;
 
-/// What a generation keeps for its whole life, whichever VM and engine go on with it: an answer
-/// that went on with another model version or seed would be two answers mixed into one.
+/// Properties of a generation that stay the same on every VM and engine that continues it. An answer
+/// continued with another model version or seed would be a mixture of two answers.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ProgressHead {
-    /// Digest of the request, so that another request under the same key is told apart.
+    /// Digest of the request, to detect another request under the same idempotency key.
     pub digest: RequestDigest,
-    /// Bundle version it was accepted under.
+    /// Version of the bundle in force when the request was accepted.
     pub bundle: BundleVersion,
-    /// The model that answers.
+    /// Model, with version and adapter, that generates the answer.
     pub model: Model,
-    /// Sampling seed.
+    /// Sampling seed passed to every engine that continues the generation.
     pub seed: u64,
-    /// Chains that it goes on from, the oldest first, each with the tokens taken over from it.
+    /// Chains that this generation continues, oldest first, each with the number of tokens that were
+    /// taken over from it.
     pub lineage: Vec<(ChainId, TokenIndex)>,
 }
 
 impl ProgressHead {
-    /// Tokens of `chain` that are also those of a generation of this head; `None` if it does not
-    /// go on from that chain.
+    /// Returns the number of tokens that the generation has in common with `chain`, or `None` if it
+    /// does not continue that chain.
     #[must_use]
     pub fn shared_with(&self, chain: ChainId) -> Option<TokenIndex> {
         let found = self.lineage.iter().find(|(ancestor, _)| *ancestor == chain);
--- a/crates/decisions/src/progress_record.rs
+++ b/crates/decisions/src/progress_record.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// A copy of a generation's progress, kept by a VM that does not run it.
+/// A replica of a generation's progress on a VM that does not run it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProgressRecord {
-    /// The generation.
+    /// Request that started the generation.
     pub id: RequestId,
-    /// The chain of its tokens.
+    /// Chain to which the tokens belong.
     pub chain: ChainId,
-    /// What it keeps for its whole life.
+    /// Properties that stay the same when another VM or engine continues the generation.
     pub head: ProgressHead,
-    /// Largest attempt known of.
+    /// Highest known attempt.
     pub attempt: Attempt,
-    /// Upstream that runs it.
+    /// Upstream that runs the latest attempt, if known.
     pub upstream: Option<UpstreamId>,
-    /// Tokens delivered, from the first one.
+    /// All tokens delivered so far.
     pub tokens: TokenLog,
-    /// Why the answer ended, once it is whole.
+    /// Why the answer ended, once it is complete.
     pub finish: Option<Finish>,
 }
 
 impl ProgressRecord {
-    /// A copy that begins with `update`; `None` if that is not the first one, since a copy without
-    /// its beginning could never be gone on from.
+    /// Creates a replica from the first update of a generation. Returns `None` for a later update,
+    /// because a generation cannot be resumed from a replica without its first tokens.
     #[must_use]
     pub fn begin(update: &ProgressUpdate) -> Option<Self> {
         if update.from > TokenIndex(0) {
@@ -38,8 +38,8 @@
         })
     }
 
-    /// Takes in an update of the same chain; returns false, and changes nothing, if it is of an
-    /// older attempt or would leave a gap.
+    /// Merges an update of the same chain. Returns false, without a change, if the update belongs to
+    /// an older attempt or would leave a gap.
     pub(crate) fn merge(&mut self, update: &ProgressUpdate) -> bool {
         if update.attempt < self.attempt || update.from > self.tokens.len() {
             return false;
@@ -52,10 +52,10 @@
         true
     }
 
-    /// Whether a caller at `point` can go on from this copy: it must hold all tokens that the
-    /// caller has, and they must be those of the caller's chain. Two VMs may have gone on with one
-    /// generation, and their tokens differ from there on: to give a caller of the one what the
-    /// other delivered would mix two answers.
+    /// Whether a caller at `point` can be resumed from this replica, which must hold all tokens that
+    /// the caller has, on the caller's chain. Two VMs may have continued the same generation with
+    /// different tokens, and a caller of one must not receive tokens of the other, because that
+    /// would mix two answers.
     #[must_use]
     pub fn reaches(&self, point: &ReturnPoint) -> bool {
         let shared = match point.from {
@@ -65,7 +65,7 @@
         shared.is_some_and(|shared| point.next <= shared)
     }
 
-    /// Whether another copy of the same generation is the better one to go on from.
+    /// Whether another replica of the same generation is the better one to resume from.
     #[must_use]
     pub fn is_behind(&self, other: &Self) -> bool {
         (self.finish.is_some(), self.attempt, self.tokens.len())
--- a/crates/decisions/src/progress_store.rs
+++ b/crates/decisions/src/progress_store.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Copies of other VMs' generations, sorted by id and chain, bounded in bytes and in age.
+/// Replicas of the progress of other VMs' generations, sorted by id and chain.
 ///
-/// Nobody looks after these copies: each expires by itself, and when the bound in bytes is reached
-/// the one that was longest without news goes first.
+/// Size and age are bounded. No VM deletes replicas explicitly: each expires, and at the size limit
+/// the least recently updated one is evicted.
 #[derive(Debug)]
 pub struct ProgressStore {
     limits: ProgressLimits,
@@ -11,23 +11,24 @@
     size: usize,
 }
 
-/// Bounds of a store of copies.
+/// Limits of a [`ProgressStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressLimits {
-    /// Bytes of all copies together.
+    /// Maximum total size of the replicas, in bytes.
     pub size: usize,
-    /// How long a copy is kept without news: longer than a caller takes to come back.
+    /// Time after its last update at which a replica expires. It exceeds the time that a caller
+    /// takes to reconnect.
     pub age: Duration,
 }
 
-/// What a store made of an update.
+/// Result of storing an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeptProgress {
-    /// The copy is up to it.
+    /// The replica includes the update.
     Kept,
-    /// It leaves a gap, or is older than the copy.
+    /// The update would leave a gap, or belongs to an older attempt than the replica.
     Refused,
-    /// Another VM goes on with the generation, under this attempt.
+    /// Another VM has taken over the generation, with this attempt.
     Superseded(Attempt),
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl ProgressStore {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(limits: ProgressLimits) -> Self {
         Self {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Takes in an update.
+    /// Stores an update.
     pub fn keep(&mut self, now: Instant, update: &ProgressUpdate) -> KeptProgress {
         if let Some(attempt) = self.superseded_by(update) {
             return KeptProgress::Superseded(attempt);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The best copy of a generation for a caller at `point`.
+    /// Returns the best replica of a generation from which a caller at `point` can be resumed.
     #[must_use]
     pub fn find(&self, id: &RequestId, point: &ReturnPoint) -> Option<&ProgressRecord> {
         self.of(id)
@@ -87,20 +88,20 @@
             .reduce(|best, other| if best.is_behind(other) { other } else { best })
     }
 
-    /// Any copy of a generation, to see what its key was used for.
+    /// Returns any replica of a generation, to check for which request its key was used.
     #[must_use]
     pub fn any(&self, id: &RequestId) -> Option<&ProgressRecord> {
         self.of(id).next()
     }
 
-    /// Drops the copies that have expired.
+    /// Removes expired replicas.
     pub fn expire(&mut self, now: Instant) {
         let age = self.limits.age;
         self.records.retain(|(at, _)| now.since(*at) <= age);
         self.size = self.records.iter().map(|(_, r)| r.tokens.size()).sum();
     }
 
-    /// Number of copies, and their bytes.
+    /// Returns the number of replicas and their total size in bytes.
     #[must_use]
     pub fn usage(&self) -> (usize, usize) {
         (self.records.len(), self.size)
@@ -112,8 +113,9 @@
         records.take_while(move |record| record.id == *id)
     }
 
-    /// A VM that was paused wakes up and sends on what another has taken over. The copy of the
-    /// other names the chain that it goes on from.
+    /// Returns the attempt with which another VM has taken over the chain of an update. A paused VM
+    /// may wake up and send updates after a takeover; the replica of the new VM lists the chain in
+    /// its lineage.
     fn superseded_by(&self, update: &ProgressUpdate) -> Option<Attempt> {
         self.of(&update.id)
             .filter(|record| record.head.shared_with(update.chain).is_some())
--- a/crates/decisions/src/progress_update.rs
+++ b/crates/decisions/src/progress_update.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// News of a generation for those VMs that keep a copy of its progress. There is one for nearly
-/// each token, so its names on the wire are short and what does not change is left out.
+/// An incremental update of a generation for the VMs that replicate its progress. Nearly every token
+/// causes one, so field names on the wire are short and unchanged values are omitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProgressUpdate {
-    /// The generation.
+    /// Request that started the generation.
     #[serde(rename = "i")]
     pub id: RequestId,
-    /// The chain that it goes on with.
+    /// Chain to which the tokens belong.
     #[serde(rename = "c")]
     pub chain: ChainId,
-    /// What it keeps for its whole life; sent with the first token, and not again.
+    /// Properties that stay the same for the whole generation; sent with the first token only.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub head: Option<ProgressHead>,
-    /// Attempt that is live.
+    /// Live attempt, the only one that may deliver tokens.
     #[serde(rename = "a")]
     pub attempt: Attempt,
-    /// Upstream that runs it, where that is news.
+    /// Upstream that runs the attempt, if it has changed.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub upstream: Option<UpstreamId>,
     /// Index of the first token of `tokens`.
@@ -25,7 +25,7 @@
     /// Tokens delivered since the last update.
     #[serde(rename = "t")]
     pub tokens: TokenLog,
-    /// Why the answer ended, once it is whole.
+    /// Why the answer ended, once it is complete.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<Finish>,
 }
--- a/crates/decisions/src/received_end.rs
+++ b/crates/decisions/src/received_end.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// An end event as an engine sent it.
+/// An end event as received from an engine, not yet validated.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReceivedEnd {
-    /// Request that the engine says it ends.
+    /// Request that the event names.
     pub request_id: RequestId,
-    /// Attempt that ends.
+    /// Attempt that the event names.
     pub attempt: Attempt,
-    /// Tokens of the whole answer, the forced prefix counted in.
+    /// Number of tokens of the complete answer, including the forced prefix.
     pub tokens: TokenIndex,
-    /// Why it ended.
+    /// Why the answer ended.
     pub finish: Finish,
 }
--- a/crates/decisions/src/received_token.rs
+++ b/crates/decisions/src/received_token.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A token as an engine sent it, with all that tells where it belongs.
+/// A token as received from an engine, not yet validated, with its request, attempt and index.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReceivedToken {
-    /// Request that the engine says it answers.
+    /// Request that the event names.
     pub request_id: RequestId,
-    /// Attempt that the engine made it in.
+    /// Attempt that generated the token.
     pub attempt: Attempt,
-    /// Place in the whole answer.
+    /// Index in the complete answer, including the forced prefix.
     pub index: TokenIndex,
-    /// The token.
+    /// Id and bytes of the token.
     pub token: Token,
 }
--- a/crates/decisions/src/recovery_policy.rs
+++ b/crates/decisions/src/recovery_policy.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Where a service stands on the curve of resume latency against extra engine time.
+/// Trade-off between resume latency and additional engine time for a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum RecoveryPolicy {
-    /// A second attempt starts while the first is still being probed.
+    /// Start a second attempt while the first one is still being probed.
     #[default]
     LeastWait,
-    /// The first attempt is probed before a second one costs anything.
+    /// Finish probing the first attempt before a second one uses engine time.
     LeastWork,
 }
--- a/crates/decisions/src/relay.rs
+++ b/crates/decisions/src/relay.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// The one gate through which tokens of a generation reach its caller.
+/// Validates the events of a generation; all tokens pass through it before they reach the caller.
 ///
-/// Only the live attempt may deliver, and only the very next index, so no token can be missing,
-/// repeated or of another generation, however late or crossed the events come in. A new attempt
-/// takes what was delivered as its forced prefix.
+/// Only the live attempt may deliver, and only the token with the next index. No token can therefore
+/// be missing, repeated or from another generation, even if events arrive late or out of order. A
+/// new attempt starts with the delivered tokens as its forced prefix.
 #[derive(Clone, Debug)]
 pub struct Relay {
     request_id: RequestId,
@@ -16,14 +16,14 @@
 }
 
 impl Relay {
-    /// A relay that has delivered nothing.
+    /// Creates a relay that has delivered no token.
     #[must_use]
     pub fn new(request_id: RequestId) -> Self {
         Self::resumed(request_id, Attempt::default(), TokenLog::default())
     }
 
-    /// A relay that goes on where another VM's relay had come to: `last` is the largest attempt
-    /// known of, and `delivered` what the caller has.
+    /// Creates a relay that continues a generation of another VM. `last` is the highest known
+    /// attempt, and `delivered` holds the tokens that the caller has.
     #[must_use]
     pub fn resumed(request_id: RequestId, last: Attempt, delivered: TokenLog) -> Self {
         Self {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Reserves a new attempt with all that was delivered as its forced prefix. It does not deliver
-    /// yet: the live attempt goes on until [`Relay::adopt`] decides between them.
+    /// Reserves a new attempt with the delivered tokens as its forced prefix. The live attempt keeps
+    /// delivering until [`Relay::adopt`] replaces it.
     pub fn reserve(&mut self) -> ReservedAttempt {
         self.reserved = self.reserved.next();
         ReservedAttempt {
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Makes a reserved attempt the live one; all else of older attempts is dropped from now on.
+    /// Makes a reserved attempt the live one; later events of older attempts are dropped.
     ///
-    /// Returns false, and changes nothing, if a newer attempt is live, or if the older one has
-    /// delivered more since: the two would then have gone on from different prefixes, and a caller
-    /// would see two generations mixed into one answer.
+    /// Returns false, without a change, if a newer attempt is live, or if the live attempt has
+    /// delivered tokens since the reservation. In the second case the attempts would continue
+    /// different prefixes, and the caller would receive a mixture of two generations.
     pub fn adopt(&mut self, reserved: ReservedAttempt) -> bool {
         if reserved.attempt <= self.live || reserved.prefix != self.next() {
             return false;
@@ -59,48 +59,47 @@
         true
     }
 
-    /// The attempt that may deliver.
+    /// The only attempt whose tokens are delivered.
     #[must_use]
     pub fn live(&self) -> Attempt {
         self.live
     }
 
-    /// Index of the token that is due.
+    /// Index of the next token to deliver.
     #[must_use]
     pub fn next(&self) -> TokenIndex {
         self.delivered.len()
     }
 
-    /// All tokens delivered, in order.
+    /// All delivered tokens, in order.
     #[must_use]
     pub fn delivered(&self) -> &TokenLog {
         &self.delivered
     }
 
-    /// Why the answer ended, once it is whole.
+    /// Why the answer ended, once it is complete.
     #[must_use]
     pub fn finish(&self) -> Option<Finish> {
         self.finish
     }
 
-    /// Events dropped so far.
+    /// Number of events dropped so far, by reason.
     #[must_use]
     pub fn dropped(&self) -> DroppedCounts {
         self.dropped
     }
 
-    /// The request this relay answers.
+    /// Request whose events this relay accepts.
     #[must_use]
     pub fn request_id(&self) -> &RequestId {
         &self.request_id
     }
 
-    /// Takes a token from an engine.
+    /// Processes a token received from an engine. Nothing is delivered if it fails.
     ///
     /// # Errors
     ///
-    /// A token of another request, or one beyond the next index of the live attempt: that attempt
-    /// cannot be trusted and must be given up. Nothing was delivered.
+    /// Fails for another request or a gap in the live attempt, which must then be abandoned.
     pub fn token(&mut self, received: ReceivedToken) -> Result<Delivery, Error> {
         self.check_request(&received.request_id)?;
         if let Some(reason) = self.reason_to_drop(received.attempt) {
@@ -120,11 +119,11 @@
         Ok(Delivery::Token(received.index, received.token))
     }
 
-    /// Takes an end event from an engine.
+    /// Processes an end event received from an engine.
     ///
     /// # Errors
     ///
-    /// An end of another request, or of the live attempt at another length than was delivered.
+    /// Fails for another request, or if the live attempt ends at another length than delivered.
     pub fn end(&mut self, received: &ReceivedEnd) -> Result<Delivery, Error> {
         self.check_request(&received.request_id)?;
         if let Some(reason) = self.reason_to_drop(received.attempt) {
--- a/crates/decisions/src/request_digest.rs
+++ b/crates/decisions/src/request_digest.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// First 16 bytes of the SHA-256 over a team and a request body; its text is hexadecimal. The same
-/// request sent again has the same digest.
+/// First 16 bytes of the SHA-256 hash of a team and a request body, written in hexadecimal. A retry
+/// of the same request has the same digest.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RequestDigest(u64, u64);
 
 impl RequestDigest {
-    /// Digest of a team's request.
+    /// Computes the digest of a request body sent by a team.
     #[must_use]
     pub fn of(team: &TeamId, body: &[u8]) -> Self {
         let bytes = digest_bytes(&[team.as_str().as_bytes(), body]);
@@ -40,12 +40,11 @@
 }
 
 impl RequestId {
-    /// The id of the request that a team sends under an idempotency key: the same on every VM, so
-    /// that a caller who comes back to another one is recognised.
+    /// Derives the id from team and idempotency key, so every VM recognises a reconnecting caller.
     ///
     /// # Panics
     ///
-    /// Never: hexadecimal digits make a valid id.
+    /// Never panics, because hexadecimal digits form a valid id.
     #[must_use]
     pub fn of_key(team: &TeamId, key: &str) -> Self {
         to_hex(&digest_bytes(&[team.as_str().as_bytes(), key.as_bytes()]))
@@ -54,7 +53,8 @@
     }
 }
 
-/// Digest over parts; each one's length goes in too, so that no two lists of parts look alike.
+/// Hashes the parts, each preceded by its length, so that different lists of parts never form the
+/// same input.
 fn digest_bytes(parts: &[&[u8]]) -> [u8; 16] {
     use sha2::Digest;
     let mut sha = sha2::Sha256::new();
--- a/crates/decisions/src/request_id.rs
+++ b/crates/decisions/src/request_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Id of a request, the same over all its attempts.
+    /// Id of a request, shared by all its attempts.
     RequestId,
     "request id"
 );
--- a/crates/decisions/src/request_state.rs
+++ b/crates/decisions/src/request_state.rs
@@ -1,13 +1,13 @@
-//! The states of a request, as types that consume each other.
+//! The states of a request, as a type state machine in which each transition consumes the old state.
 //!
-//! A caller who is told "not run" sends the request again. If it had run after all, a ticket would
-//! be printed twice. [`NotRun`] has no public constructor: it is made from a [`Queued`] request
-//! only, and that is consumed by its dispatch. A [`Dispatched`] request becomes queued again only
-//! by evidence that nothing of it ran ([`NotRunEvidence`]); else it ends as [`Done`] or
-//! [`Unknown`].
+//! A caller that receives "not run" sends the request again. If the request had run after all, its
+//! effect would happen twice, for example a ticket would be printed twice. [`NotRun`] therefore has
+//! no public constructor: it can only be created from a [`Queued`] request, which a dispatch
+//! consumes. A [`Dispatched`] request becomes queued again only with evidence that it did not run
+//! ([`NotRunEvidence`]); otherwise it ends as [`Done`] or [`Unknown`].
 //!
-//! The types stand in one module because their fields are private to it: no other module, of this
-//! crate or another, can make one of them out of nothing.
+//! The types share one module because their fields are private to it, so no other module of this or
+//! another crate can construct a state directly.
 
 use super::*;
 
@@ -17,12 +17,12 @@
     request: T,
 }
 
-/// A request that may have been sent, in whole or in part.
+/// A request that may have been sent, completely or partially.
 #[derive(Debug)]
 #[must_use = "a dispatched request ends as done, unknown, or not run by evidence"]
 pub struct Dispatched<T> {
     request: T,
-    /// An earlier dispatch of it may have run.
+    /// Whether an earlier dispatch may have run.
     may_have_run: bool,
 }
 
@@ -32,13 +32,13 @@
     request: T,
 }
 
-/// A request that may have run, or not.
+/// A request without an answer, which may or may not have run.
 #[derive(Debug)]
 pub struct Unknown<T> {
     request: T,
 }
 
-/// A request that has not run and will not.
+/// A request that was refused, has not run and will not run.
 #[derive(Debug)]
 pub struct NotRun<T> {
     request: T,
@@ -46,27 +46,27 @@
     retry_after: Duration,
 }
 
-/// What proves that a dispatched request did not run.
+/// Evidence that a dispatched request did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NotRunEvidence {
-    /// No connection was opened, so no byte of it can have left.
+    /// No connection was established, so no byte of the request was sent.
     NoConnection,
-    /// The upstream refused this very attempt and said that nothing ran.
+    /// The upstream refused this attempt and stated that nothing ran.
     UpstreamRefused,
 }
 
 impl<T> Queued<T> {
-    /// A request that has just come in.
+    /// Wraps a request that has just been received.
     pub fn new(request: T) -> Self {
         Self { request }
     }
 
-    /// The request.
+    /// Returns the request, of which nothing has been sent.
     pub fn request(&self) -> &T {
         &self.request
     }
 
-    /// Begins to send it. From here on it counts as sent.
+    /// Marks the request as sent. Call this before the first byte is sent.
     pub fn dispatch(self) -> Dispatched<T> {
         Dispatched {
             request: self.request,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Refuses it.
+    /// Refuses the request without dispatching it.
     pub fn refuse(self, reason: RefusalReason, retry_after: Duration) -> NotRun<T> {
         NotRun {
             request: self.request,
@@ -85,35 +85,35 @@
 }
 
 impl<T> Dispatched<T> {
-    /// The request.
+    /// Returns the request being sent.
     pub fn request(&self) -> &T {
         &self.request
     }
 
-    /// The request, to be changed.
+    /// Returns the request for modification.
     pub fn request_mut(&mut self) -> &mut T {
         &mut self.request
     }
 
-    /// Notes that it was answered.
+    /// Records that the request was answered.
     pub fn done(self) -> Done<T> {
         Done {
             request: self.request,
         }
     }
 
-    /// Gives it up without an answer.
+    /// Abandons the request without an answer; whether it ran is unknown.
     pub fn unknown(self) -> Unknown<T> {
         Unknown {
             request: self.request,
         }
     }
 
-    /// Takes it back, since this dispatch has not run.
+    /// Returns the request to the queued state, because this dispatch did not run.
     ///
     /// # Errors
     ///
-    /// If an earlier dispatch may have run: what became of it stays unknown.
+    /// Returns [`Unknown`] if an earlier dispatch may have run, because its result stays unknown.
     pub fn not_run(self, _: NotRunEvidence) -> Result<Queued<T>, Unknown<T>> {
         if self.may_have_run {
             return Err(self.unknown());
@@ -125,15 +125,15 @@
 }
 
 impl<T> Done<T> {
-    /// The request.
+    /// Returns the answered request.
     pub fn into_request(self) -> T {
         self.request
     }
 }
 
 impl<T> Unknown<T> {
-    /// Begins to send it once more, which is right for an idempotent request only. It can never
-    /// become "not run" again.
+    /// Dispatches the request again, which is only safe for idempotent requests. The request can no
+    /// longer become [`NotRun`].
     pub fn dispatch_again(self) -> Dispatched<T> {
         Dispatched {
             request: self.request,
@@ -141,29 +141,29 @@
         }
     }
 
-    /// The request.
+    /// Returns the request without an answer.
     pub fn into_request(self) -> T {
         self.request
     }
 }
 
 impl<T> NotRun<T> {
-    /// The request.
+    /// Returns the refused request.
     pub fn request(&self) -> &T {
         &self.request
     }
 
-    /// The request.
+    /// Returns the refused request by value.
     pub fn into_request(self) -> T {
         self.request
     }
 
-    /// Why it was refused.
+    /// Why the request was refused.
     pub fn reason(&self) -> RefusalReason {
         self.reason
     }
 
-    /// When its caller may come back with some hope.
+    /// Time after which a retry by the caller has a chance of success.
     pub fn retry_after(&self) -> Duration {
         self.retry_after
     }
--- a/crates/decisions/src/return_point.rs
+++ b/crates/decisions/src/return_point.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// How far a returning caller has come: the index of the token that it lacks, and the chain of
-/// those that it has with the VM that delivered them.
+/// Position in a generation at which a reconnecting caller resumes: the index of its next token, and
+/// the chain and VM that delivered the tokens before it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ReturnPoint {
-    /// The token that is due.
+    /// Index of the next token for the caller.
     pub next: TokenIndex,
-    /// Where the ones before came from; `None` for a caller who has none.
+    /// VM and chain that delivered the earlier tokens; `None` if the caller has no tokens.
     pub from: Option<(VmId, ChainId)>,
 }
 
 impl ReturnPoint {
-    /// The id of an event, which its caller sends back as `Last-Event-ID`: the index, and behind
-    /// `@` the chain and the VM.
+    /// Formats the id of an event as `index@chain.vm`. A reconnecting caller sends it back as
+    /// `Last-Event-ID`.
     #[must_use]
     pub fn event_id(index: TokenIndex, chain: ChainId, vm: &VmId) -> String {
         format!("{index}@{chain}.{vm}")
--- a/crates/decisions/src/suspect_run.rs
+++ b/crates/decisions/src/suspect_run.rs
@@ -1,29 +1,29 @@
 use super::*;
 
-/// A run of a suspect, announced to other VMs before its order is sent: if the VM is lost together with the upstream,
-/// they know under which request it died.
+/// A run of a suspect, announced to the other VMs before the request is sent. If the VM fails
+/// together with the upstream, the other VMs know which request was in flight.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct SuspectRun {
-    /// The request.
+    /// Digest of the suspect.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
-    /// The upstream that it is sent to.
+    /// Upstream to which the request is sent.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
-    /// The process of the upstream.
+    /// Incarnation of the upstream process.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
 }
 
 impl SuspectRun {
-    /// Whether the runs must not go on together: one request would crash two upstreams, or the death of one upstream could
-    /// not tell two requests apart.
+    /// Whether two runs must not take place at the same time: the same request could crash two
+    /// upstreams, or the crash of one upstream could not be attributed to one of two requests.
     #[must_use]
     pub fn conflicts(&self, other: &Self) -> bool {
         (self.digest == other.digest) != (self.upstream == other.upstream)
     }
 
-    /// The death of the process that it is sent to.
+    /// Identifies the possible crash of the upstream process, as in the marks of the request.
     #[must_use]
     pub fn death(&self) -> UpstreamDeath {
         UpstreamDeath::of(&self.upstream, self.incarnation)
--- a/crates/decisions/src/suspect_runs.rs
+++ b/crates/decisions/src/suspect_runs.rs
@@ -1,30 +1,31 @@
 use super::*;
 
-/// How long a suspect is not sent elsewhere for an announced run: one that kills does so within its first tokens.
+/// Time for which an announced run blocks other runs of the same suspect. A poison request crashes
+/// its upstream within its first tokens.
 const HOLD: Duration = Duration::from_secs(1);
 
-/// How long the death of an upstream counts against a suspect that was announced there.
+/// Time for which a crash of the upstream is attributed to a suspect that was announced there.
 const EXPIRY: Duration = Duration::from_secs(10);
 
-/// Announced runs kept; the oldest go first.
+/// Maximum number of stored announcements. The oldest are evicted first.
 const MOST_RUNS: usize = 1024;
 
-/// Runs of a VM that conflict with runs that another VM announces.
+/// Runs of this VM that conflict with runs announced by another VM.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SuspectConflicts {
-    /// Those whose order is not sent yet.
+    /// Runs whose request has not been sent.
     pub waiting: Vec<SuspectRun>,
-    /// Those whose order is sent.
+    /// Runs whose request has been sent.
     pub running: Vec<SuspectRun>,
 }
 
 /// Runs of suspects that other VMs have announced.
 ///
-/// A suspect waits until the upstream of its announced run was checked and has survived for [`HOLD`], and other
-/// suspects keep away from that upstream meanwhile.
+/// A suspect waits until the upstream of its announced run has been checked and has survived for
+/// [`HOLD`]. Other suspects are not sent to that upstream during this time.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectRuns {
-    /// Sorted by run.
+    /// Sorted by run, at most one entry for each run.
     runs: Vec<Announced>,
 }
 
@@ -32,14 +33,15 @@
 struct Announced {
     run: SuspectRun,
     at: Instant,
-    /// Whether its order is known to be sent.
+    /// Whether the request is known to have been sent.
     sent: bool,
-    /// Whether this VM has asked the upstream since.
+    /// Whether this VM has checked the liveness of the upstream since the announcement.
     checked: bool,
 }
 
 impl SuspectRuns {
-    /// Takes an announcement, or what another VM answers to one: then the run may be `sent`.
+    /// Records an announcement, or a run that another VM reports in answer to an announcement.
+    /// `sent` states whether the request is known to have been sent.
     pub fn announced(&mut self, run: SuspectRun, sent: bool, now: Instant) {
         self.runs
             .retain(|announced| now.since(announced.at) <= EXPIRY);
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Runs of a request whose upstreams this VM has not asked yet.
+    /// Returns the runs of a request whose upstreams this VM has not checked yet.
     #[must_use]
     pub fn unchecked(&self, digest: RequestDigest, now: Instant) -> Vec<SuspectRun> {
         self.of(digest, now)
@@ -68,22 +70,23 @@
             .collect()
     }
 
-    /// Notes that the upstream of a run was asked whether it lives.
+    /// Records that the liveness of the upstream of a run was checked.
     pub fn checked(&mut self, run: &SuspectRun) {
         if let Ok(i) = self.position(run) {
             self.runs[i].checked = true;
         }
     }
 
-    /// Whether a request has to wait for its announced runs.
+    /// Whether a request has to wait for its announced runs on other VMs.
     #[must_use]
     pub fn hold(&self, digest: RequestDigest, now: Instant) -> bool {
         self.of(digest, now)
             .any(|announced| !announced.checked || announced.holds(now))
     }
 
-    /// Whether an announced run goes before one of this VM that conflicts with it: a run that was sent goes before one that
-    /// was not, and of two that were announced together one goes first on all VMs.
+    /// Whether an announced run takes precedence over a conflicting run of this VM. A run that has
+    /// been sent precedes one that has not. Of two concurrent announcements, the smaller run takes
+    /// precedence, which all VMs decide in the same way.
     #[must_use]
     pub fn precedes(&self, own: &SuspectRun, now: Instant) -> bool {
         self.runs
@@ -92,7 +95,7 @@
             .any(|announced| announced.sent || announced.run < *own)
     }
 
-    /// Whether another request was just announced on an upstream.
+    /// Whether another suspect was announced on an upstream within [`HOLD`].
     #[must_use]
     pub fn occupy(&self, upstream: &UpstreamId, digest: RequestDigest, now: Instant) -> bool {
         self.runs.iter().any(|announced| {
@@ -102,19 +105,19 @@
         })
     }
 
-    /// Forgets the runs of a request that has got past the point at which an upstream died.
+    /// Removes the runs of a request that has got past the point at which an upstream crashed.
     pub fn cleared(&mut self, digest: RequestDigest) {
         self.runs.retain(|announced| announced.run.digest != digest);
     }
 
-    /// Forgets a run whose order was not sent.
+    /// Removes a run whose request was not sent.
     pub fn withdrawn(&mut self, run: &SuspectRun) {
         if let Ok(i) = self.position(run) {
             self.runs.remove(i);
         }
     }
 
-    /// Forgets the runs on a process that has died; the requests that it died under.
+    /// Removes the runs on a crashed process; returns the digests to which the crash is attributed.
     pub fn died(&mut self, death: UpstreamDeath, now: Instant) -> Vec<RequestDigest> {
         let on_it = |announced: &&Announced| announced.run.death() == death;
         let under = self.runs.iter().filter(on_it);
--- a/crates/decisions/src/token.rs
+++ b/crates/decisions/src/token.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A token: its id, and its bytes, which may be part of a character only.
+/// A generated token. Its bytes may end in the middle of a character.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Token {
-    /// Token id in the model's vocabulary.
+    /// Id in the vocabulary of the model.
     pub id: u32,
     /// UTF-8 bytes; a character may span two tokens.
     pub bytes: Vec<u8>,
--- a/crates/decisions/src/token_log.rs
+++ b/crates/decisions/src/token_log.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The tokens of an answer in order, packed: about 14 bytes a token instead of 56 as a vector of
-/// [`Token`], which decides how many answers a VM can hold copies of.
+/// The tokens of an answer in a compact form: about 14 bytes per token instead of 56 for a vector of
+/// [`Token`]. The size determines how many generations a VM can replicate.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "TokenLogParts")]
 pub struct TokenLog {
@@ -11,7 +11,7 @@
     bytes: Vec<u8>,
 }
 
-/// A log as it comes over the network, not yet known to be one.
+/// A deserialized log whose parts have not been validated yet.
 #[derive(Deserialize)]
 struct TokenLogParts {
     ids: Vec<u32>,
@@ -40,12 +40,12 @@
 }
 
 impl TokenLog {
-    /// Adds a token.
+    /// Appends a token.
     pub fn push(&mut self, token: &Token) {
         self.push_parts(token.id, &token.bytes);
     }
 
-    /// Adds a token by its id and bytes.
+    /// Appends a token given by its id and bytes.
     pub fn push_parts(&mut self, id: u32, bytes: &[u8]) {
         self.ids.push(id);
         self.bytes.extend_from_slice(bytes);
@@ -59,19 +59,19 @@
         TokenIndex(u32::try_from(self.ids.len()).unwrap_or(u32::MAX))
     }
 
-    /// Whether there is no token.
+    /// Whether the log has no tokens.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 
-    /// All token ids.
+    /// Ids of all tokens, in order.
     #[must_use]
     pub fn ids(&self) -> &[u32] {
         &self.ids
     }
 
-    /// Ids and bytes of the tokens from `from` on.
+    /// Iterates over the ids and bytes of the tokens from index `from` on.
     pub fn iter_from(&self, from: TokenIndex) -> impl Iterator<Item = (u32, &[u8])> {
         let from = from.as_usize();
         self.ids
@@ -81,7 +81,7 @@
             .map(|(i, id)| (*id, self.bytes_of(i)))
     }
 
-    /// A log of the tokens from `from` on.
+    /// Returns a copy of the tokens from index `from` on.
     #[must_use]
     pub fn tail(&self, from: TokenIndex) -> Self {
         let mut tail = Self::default();
@@ -91,20 +91,20 @@
         tail
     }
 
-    /// Adds all tokens of another log.
+    /// Appends all tokens of another log.
     pub fn append(&mut self, other: &Self) {
         for (id, bytes) in other.iter_from(TokenIndex(0)) {
             self.push_parts(id, bytes);
         }
     }
 
-    /// Bytes of memory that it takes up, about.
+    /// Approximate memory use, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.ids.len() * 8 + self.bytes.len()
     }
 
-    /// Drops the tokens from `from` on.
+    /// Removes the tokens from index `from` on.
     pub fn truncate(&mut self, from: TokenIndex) {
         let from = from.as_usize();
         if from >= self.ids.len() {
--- a/crates/decisions/src/utf8_joiner.rs
+++ b/crates/decisions/src/utf8_joiner.rs
@@ -1,12 +1,13 @@
-/// Joins the bytes of tokens into text, holding back the start of a character until its rest comes.
+/// Decodes the bytes of successive tokens as UTF-8. An incomplete character is buffered until its
+/// remaining bytes arrive.
 #[derive(Clone, Debug, Default)]
 pub struct Utf8Joiner {
     pending: Vec<u8>,
 }
 
 impl Utf8Joiner {
-    /// Adds a token's bytes and returns the text that is complete now. Bytes that can start no
-    /// character become U+FFFD.
+    /// Appends the bytes of a token and returns the text that is complete. Invalid bytes are
+    /// replaced by U+FFFD.
     pub fn push(&mut self, bytes: &[u8]) -> String {
         self.pending.extend_from_slice(bytes);
         let mut text = String::new();
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Text of what is still held back, for the end of an answer.
+    /// Returns the buffered bytes as text at the end of an answer; an incomplete character becomes
+    /// U+FFFD.
     pub fn finish(&mut self) -> String {
         String::from_utf8_lossy(&std::mem::take(&mut self.pending)).into_owned()
     }
--- a/crates/decisions/tests/events.rs
+++ b/crates/decisions/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events, and which of them a caller gets.
+//! Splitting of server-sent events, and the choice of events forwarded to the caller.
 
 use catkin_decisions::{Error, EventFate, EventRelay, EventSplitter, LARGEST_EVENT};
 use googletest::prelude::*;
@@ -9,8 +9,8 @@
 }
 
 proptest! {
-    /// The network cuts a stream anywhere. Its events come out whole and in order, with every byte,
-    /// and what is left over is known to be part of one.
+    /// The network may split a stream at any byte. Events must come out complete, in order and with
+    /// every byte, and a trailing incomplete event must be reported.
     #[test]
     fn events_come_out_whole_wherever_the_bytes_are_cut(
         count in 0_u64..12,
@@ -42,7 +42,7 @@
         prop_assert_eq!(splitter.has_part(), !torn.is_empty());
     }
 
-    /// Any bytes at all: nothing panics, and no byte comes out that did not go in.
+    /// Arbitrary bytes cause no panic, and the output is a prefix of the input.
     #[test]
     fn no_bytes_upset_the_splitter(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut splitter = EventSplitter::default();
@@ -54,8 +54,8 @@
         prop_assert!(bytes.starts_with(&out));
     }
 
-    /// Runs begin one after the other at any event, and events of any run come at any moment. What
-    /// the caller gets is numbered without a gap and of the newest run at that time.
+    /// A new run may start at any event, and events of all runs arrive interleaved. The caller must
+    /// receive consecutive numbers, and only events of the latest run at that time.
     #[test]
     fn caller_gets_each_event_once_and_in_order(
         steps in prop::collection::vec((0_usize..4, 0_u64..3, any::<bool>()), 1..80),
@@ -81,7 +81,8 @@
     }
 }
 
-/// An upstream sends bytes without end and no empty line. They are not kept for ever.
+/// An upstream sends an unlimited event without an empty line. Unless it is rejected, the buffer
+/// would grow without bound.
 #[gtest]
 fn event_without_an_end_is_an_error() {
     let mut splitter = EventSplitter::default();
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that kill the upstreams that run them.
+//! Poison requests, which crash every upstream that runs them.
 
 mod poison_support;
 
@@ -11,7 +11,7 @@
 use rand::{SeedableRng as _, seq::SliceRandom as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Engine 0 died under a culprit and an innocent request.
+/// Engine 0 has crashed while it ran the poison request and an unrelated request.
 fn after_one_death() -> PoisonTracker {
     let mut tracker = PoisonTracker::default();
     start(&mut tracker, culprit(), 0);
@@ -20,8 +20,8 @@
     tracker
 }
 
-/// A request crashes the engine that runs it, is resumed on another and crashes that one. Without
-/// the refusal it would go on until no engine is left.
+/// A request crashes its engine, is resumed on another one and crashes that as well. Unless it is
+/// refused, it would crash all engines.
 #[gtest]
 fn a_second_death_refuses_the_culprit() {
     let mut tracker = after_one_death();
@@ -33,8 +33,8 @@
     expect_that!(verdict, err(eq(PoisonHold::Refused)));
 }
 
-/// A rack loses its power: a request's engine dies, and the next one that it is sent to is dead too
-/// before it has answered. Taken for the request that kills, it would be refused for ten minutes.
+/// A rack loses power: the engine of a request fails, and the next engine is down before it has
+/// answered. If the request were taken for a poison request, it would be refused for ten minutes.
 #[gtest]
 fn a_request_that_meets_two_dying_engines_is_not_refused() {
     let mut tracker = after_one_death();
@@ -46,9 +46,9 @@
     expect_that!(verdict, ok(eq(())));
 }
 
-/// A request crashes each engine before its answer is read, as happens when the process is gone within
-/// the few milliseconds that the answer's head takes. Callers lose no more engines to it than to one
-/// that is answered first.
+/// A request crashes each engine before its answer is read, as happens if the process exits within
+/// the few milliseconds before the response head is sent. It must cost no more engines than a
+/// request that is answered first.
 #[gtest]
 fn a_request_that_kills_before_the_answer_costs_two_engines() {
     let mut tracker = PoisonTracker::default();
@@ -69,8 +69,8 @@
     expect_that!(killed.count(), eq(2));
 }
 
-/// A rack loses its power: a request is sent to one of its engines after the other, and none of them
-/// has even begun to answer. The caller is served by the next engine that lives.
+/// A rack loses power: a request is sent to several of its engines in turn, and none of them begins
+/// to answer. The caller must still be served by the next live engine.
 #[gtest]
 fn a_request_that_meets_dead_engines_only_is_not_refused() {
     let mut tracker = PoisonTracker::default();
@@ -84,7 +84,7 @@
     expect_that!(verdict, ok(eq(())));
 }
 
-/// Whether an engine lives is asked for suspects only: for all others it would cost a round trip.
+/// The liveness of an engine is checked for suspects only, because the check costs a round trip.
 #[gtest]
 fn only_suspects_need_proof_that_their_engine_lives() {
     let mut tracker = after_one_death();
@@ -96,8 +96,8 @@
     expect_that!(tracker.needs_proof(fresh), eq(false));
 }
 
-/// Two requests were on a dead engine. On the same engine again, a second death could not tell
-/// them apart, and an innocent caller would be refused.
+/// Two requests were in flight on a crashed engine. If both ran on one engine again, a second crash
+/// could not distinguish them, and an unrelated caller would be refused.
 #[gtest]
 fn suspects_are_watched_on_different_engines() {
     let mut tracker = after_one_death();
@@ -110,8 +110,8 @@
     expect_that!(apart, ok(anything()));
 }
 
-/// An innocent request shares an engine with the culprit, is resumed, gets past the point of the
-/// death, and then shares a second engine with the culprit. Its caller gets the whole answer.
+/// An unrelated request shares an engine with the poison request, is resumed, gets past the point of
+/// the crash, and then shares a second engine with the poison request. It must not be refused.
 #[gtest]
 fn an_innocent_request_finishes_after_two_shared_deaths() {
     let mut tracker = after_one_death();
@@ -129,7 +129,8 @@
     expect_that!(culprit, err(eq(PoisonHold::Refused)));
 }
 
-/// The culprit's caller sent it twice at once, so that a second copy already runs elsewhere.
+/// The caller sent the poison request twice, so a second copy already runs on another engine when
+/// the first one crashes its engine.
 #[gtest]
 fn a_second_copy_is_watched_as_well() {
     let mut tracker = PoisonTracker::default();
@@ -165,8 +166,8 @@
     expect_that!(refused, eq([true, false]));
 }
 
-/// The culprit's caller is sent to another VM after each failure. If VMs did not tell each other,
-/// each would lose two engines.
+/// The caller of a poison request is sent to another VM after each failure. If VMs did not share
+/// their marks, each VM would lose two engines.
 #[gtest]
 fn vms_share_their_marks() {
     let mut first = PoisonTracker::default();
@@ -198,7 +199,7 @@
     expect_that!(told[29], eq(0));
 }
 
-/// One request of a simulated run.
+/// A request of the simulation.
 struct Request {
     digest: RequestDigest,
     steps_left: u32,
@@ -207,7 +208,8 @@
     over: bool,
 }
 
-/// Engines of a simulated run; the number is the incarnation, `None` a dead one.
+/// A simulation of engines and requests. Each engine is given by its incarnation, or `None` after a
+/// crash.
 struct World {
     tracker: PoisonTracker,
     engines: Vec<Option<u64>>,
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Starts what may start, each on the first engine of a random order that it may start on.
+    /// Starts each waiting request on the first permitted engine in random order.
     fn dispatch(&mut self) {
         for request in self
             .requests
@@ -262,7 +264,7 @@
                         let run =
                             self.tracker
                                 .started(request.digest, engine(n), incarnation, at(0));
-                        // Engines answer an order before they compute.
+                        // Engines begin to answer a request before they compute.
                         self.tracker.arrived(run);
                         request.run = Some((run, n));
                         request.steps_of_run = 0;
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Each run makes a step, or kills its engine if it is the culprit's.
+    /// Advances each run by a step, or crashes its engine if it runs the poison request.
     fn step(&mut self) {
         for i in 0..self.requests.len() {
             let Some((run, n)) = self.requests[i].run else {
@@ -316,9 +318,9 @@
 }
 
 proptest! {
-    /// A request crashes every engine that runs it, sometimes at once and sometimes a little
-    /// later, and its caller sends up to three copies. Whatever the order, two engines are lost
-    /// and every other caller gets its answer.
+    /// A request crashes every engine that runs it, at once or a few steps later, and its caller
+    /// sends up to three copies. In any order of events, at most two engines are lost, and all
+    /// other requests finish.
     #[test]
     fn two_engines_are_lost_at_most_and_innocents_finish(
         seed in any::<u64>(),
--- a/crates/decisions/tests/poison_blame.rs
+++ b/crates/decisions/tests/poison_blame.rs
@@ -1,4 +1,4 @@
-//! To which request a death is laid.
+//! Attribution of crashes to requests.
 
 mod poison_support;
 
@@ -9,11 +9,10 @@
 use rand::{SeedableRng as _, seq::SliceRandom as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// A request runs beside the one that crashes its engine, whose second death this is: that one is refused.
-/// The first goes on elsewhere, and the caller of the refused request reaches a VM that does not know of it
-/// and loses that engine too. Both deaths were laid to the first request as well, and its caller, who had
-/// part of the answer, was refused. The log of such a run shows the two requests under one death, the
-/// refusal of the culprit, and then the refusal of the other under a death that another VM's request caused.
+/// An unrelated request shares an engine with a poison request, which is refused after this second
+/// crash. The unrelated request is resumed, and its next engine also crashes, because another VM has
+/// not yet heard of the refusal and runs the poison request there. If both crashes were attributed
+/// to the unrelated request, its caller would be refused after receiving part of the answer.
 #[gtest]
 fn deaths_of_a_refused_request_are_not_laid_to_those_beside_it() {
     let mut tracker = PoisonTracker::default();
@@ -30,7 +29,8 @@
     expect_that!(tracker.refuses(innocent(), at(3)), eq(false));
 }
 
-/// The same, but the culprit ran at another VM, whose word comes after the second death.
+/// The poison request ran on another VM, whose marks arrive after the second crash of the unrelated
+/// request.
 #[gtest]
 fn deaths_are_not_laid_to_a_request_once_a_peer_names_the_culprit() {
     let (mut peer, mut tracker) = (PoisonTracker::default(), PoisonTracker::default());
@@ -52,8 +52,8 @@
     expect_that!(tracker.refuses(culprit(), at(3)), eq(true));
 }
 
-/// Two requests met the same two deaths. Nothing tells them apart, and were neither refused, the one that
-/// kills would go on.
+/// Two requests were in flight at the same two crashes, so nothing distinguishes them. If neither
+/// were refused, the poison request would continue to crash engines.
 #[gtest]
 fn of_two_requests_with_the_same_deaths_both_are_refused() {
     let mut tracker = PoisonTracker::default();
@@ -72,8 +72,8 @@
 }
 
 proptest! {
-    /// VMs hear of deaths in different order. Were a request refused at one and taken at another for it, its
-    /// caller would lose an engine at each that takes it.
+    /// VMs receive marks in different orders. If the order decided whether a request is refused, it
+    /// would crash an engine at each VM that accepts it.
     #[test]
     fn who_is_refused_does_not_depend_on_the_order_of_the_news(
         deaths in prop::collection::vec((0..5_u64, 0..6_u64, 0..5_u32, any::<bool>()), 1..20),
--- a/crates/decisions/tests/poison_support/mod.rs
+++ b/crates/decisions/tests/poison_support/mod.rs
@@ -1,6 +1,6 @@
-//! Requests and engines of the tests of deaths under requests.
+//! Fixtures for the tests of poison requests and suspects.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of the functions.
 #![allow(dead_code)]
 
 use catkin_decisions::{Incarnation, Instant, PoisonRun, PoisonTracker, RequestDigest, UpstreamId};
--- a/crates/decisions/tests/progress.rs
+++ b/crates/decisions/tests/progress.rs
@@ -1,4 +1,4 @@
-//! Copies of a generation's progress on other VMs.
+//! Replicas of a generation's progress on other VMs.
 
 use catkin_decisions::{
     Attempt, BundleVersion, ChainId, Finish, Instant, KeptProgress, Model, ProgressHead,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The first update of a VM that takes chain 1 over after `shared` tokens, as chain `chain`.
+/// First update of a VM that takes over chain 1 after `shared` tokens and continues it as `chain`.
 fn taken_over(chain: u64, attempt: u64, shared: u32) -> ProgressUpdate {
     ProgressUpdate {
         chain: ChainId(chain),
@@ -105,8 +105,8 @@
     expect_that!(tokens(&store), eq(&vec![0, 1, 2, 3, 4]));
 }
 
-/// A connection between two VMs broke and an update is lost. A copy with a hole would give a
-/// returning caller an answer with tokens missing.
+/// A connection between two VMs breaks and an update is lost. A replica with a gap would give a
+/// reconnecting caller an answer with missing tokens.
 #[gtest]
 fn gap_is_refused() {
     let mut store = store();
@@ -118,9 +118,9 @@
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
-/// A router is paused, another one takes its generation over, and the first wakes up and sends what
-/// it still has. It must learn that it no longer runs the generation, and the other's copy must stay
-/// as it is.
+/// A router is paused, another one takes over its generation, and the first one wakes up and sends
+/// buffered updates. It must learn that it was superseded, and the replica of the second router must
+/// not change.
 #[gtest]
 fn chain_that_was_taken_over_is_refused() {
     let mut store = store();
@@ -133,9 +133,9 @@
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
-/// The paused router wakes up just before the other's first update comes in, and adds tokens that
-/// the other's caller never saw. That caller would get them mixed into its answer if it had to come
-/// back once more.
+/// A paused router wakes up just before the first update of the router that took over arrives, and
+/// adds tokens that the second router's caller never received. They must not appear in the answer
+/// if that caller reconnects again.
 #[gtest]
 fn tokens_beyond_a_take_over_are_not_mixed_in() {
     let mut store = store();
@@ -154,8 +154,8 @@
     expect_that!(ids, some(eq(&vec![0, 1, 2, 203])));
 }
 
-/// Two VMs take the same generation over at once, since its caller came back twice. Their tokens
-/// differ from there on, and a caller of the one must not be given those of the other.
+/// Two VMs take over the same generation, because its caller reconnected twice. Their tokens differ
+/// after that point, and a caller of one VM must not receive tokens of the other.
 #[gtest]
 fn caller_goes_on_only_from_its_own_chain() {
     let mut store = store();
@@ -175,8 +175,8 @@
     expect_that!(beyond_shared, eq(false));
 }
 
-/// A key is used by two calls at once on two VMs, and both begin a generation. Neither's copy may
-/// take tokens of the other.
+/// Two concurrent calls with the same key start generations on two VMs. Neither replica may include
+/// tokens of the other generation.
 #[gtest]
 fn two_beginnings_under_one_key_are_kept_apart() {
     let mut store = store();
@@ -221,8 +221,8 @@
     expect_that!(id.parse::<ReturnPoint>(), ok(eq(&point(1, 4))));
 }
 
-/// A VM has forgotten a copy that still grows. What it would begin in the middle could never be
-/// gone on from.
+/// A VM has evicted a replica of a running generation. A replica that starts in the middle could not
+/// be used to resume the generation.
 #[gtest]
 fn copy_without_a_beginning_is_refused() {
     let mut store = store();
@@ -243,8 +243,8 @@
     expect_that!(store.usage(), eq((0, 0)));
 }
 
-/// More callers go away than a VM can hold copies for. Without a bound its memory would grow until
-/// the system kills it together with all streams that it relays.
+/// More callers disconnect than a VM can hold replicas for. Without a limit, its memory would grow
+/// until the operating system kills it, which ends all streams that it relays.
 #[gtest]
 fn oldest_copy_goes_when_the_bound_is_reached() {
     let limits = ProgressLimits {
--- a/crates/decisions/tests/relay.rs
+++ b/crates/decisions/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: whatever comes in, the caller's answer is a gap-free prefix of one chain.
+//! For any order of events, the relay delivers a prefix of one chain without gaps.
 
 use catkin_decisions::{
     Attempt, Delivery, DropReason, Error, Finish, ReceivedEnd, ReceivedToken, Relay, RequestId,
@@ -47,8 +47,8 @@
     );
 }
 
-/// An engine is paused, a second one takes over, and the first one wakes up and sends on. Without
-/// the fence its caller would read two generations mixed into one answer.
+/// An engine is paused, a second one takes over, and the first one wakes up and continues to send.
+/// Without fencing, the caller would receive a mixture of two generations.
 #[gtest]
 fn drops_what_an_older_attempt_sends() {
     let (mut relay, old) = relay_with(2);
@@ -61,9 +61,9 @@
     expect_that!(relay.next(), eq(TokenIndex(2)));
 }
 
-/// A second attempt is started while the first is probed, and the first turns out to be alive and
-/// delivers more. The second one's prefix is then too short: its tokens follow another chain, and a
-/// caller would read them after tokens they were never computed from.
+/// A second attempt is started while the first one is probed, but the first one is alive and
+/// delivers another token. The prefix of the second attempt is then too short, and its tokens would
+/// follow tokens from which they were not computed.
 #[gtest]
 fn adopts_no_attempt_whose_prefix_is_outrun() {
     let (mut relay, old) = relay_with(2);
@@ -76,7 +76,7 @@
     expect_that!(relay.live(), eq(old));
 }
 
-/// A connection loses an event between engine and router. The caller would miss a token.
+/// An event between engine and router is lost. The answer would lack a token.
 #[gtest]
 fn refuses_a_gap() {
     let (mut relay, attempt) = relay_with(2);
@@ -93,7 +93,7 @@
     );
 }
 
-/// An engine mixes up two streams. The caller would read another caller's answer.
+/// An engine confuses two streams. The caller would receive another caller's answer.
 #[gtest]
 fn refuses_another_requests_token() {
     let (mut relay, attempt) = relay_with(2);
@@ -108,8 +108,8 @@
     expect_that!(relay.next(), eq(TokenIndex(2)));
 }
 
-/// An engine says that it has ended, but tokens before the end were lost. The caller would take a
-/// cut answer for a whole one.
+/// An engine reports the end of an answer, but tokens before the end were lost. The caller would
+/// take a truncated answer for a complete one.
 #[gtest]
 fn refuses_an_end_at_another_length() {
     let (mut relay, attempt) = relay_with(2);
@@ -125,7 +125,7 @@
     expect_that!(relay.finish(), none());
 }
 
-/// What may happen between two attempts.
+/// An operation on the relay; each `usize` is the index of a reserved attempt.
 #[derive(Clone, Debug)]
 enum Step {
     Reserve,
@@ -144,9 +144,9 @@
 }
 
 proptest! {
-    /// Attempts are reserved, adopted, answered late, twice and out of order, in every order that
-    /// chance brings. The caller's answer must always be what one chain of attempts computed, each
-    /// from exactly what was delivered before it.
+    /// Attempts are reserved and adopted, and their events arrive late, twice or out of order, in
+    /// random sequences. The answer must always be the output of one chain of attempts, each of
+    /// which continues exactly the tokens delivered before it.
     #[test]
     fn answer_is_always_a_prefix_of_one_chain(steps in prop::collection::vec(step(), 0..200)) {
         let mut relay = Relay::new(request());
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -1,4 +1,4 @@
-//! Suspects that other VMs have sent to upstreams.
+//! Announced runs of suspects on other VMs.
 
 mod poison_support;
 
@@ -14,7 +14,8 @@
     }
 }
 
-/// A VM that knows of one death under the culprit, and that another VM sends it to engine 1.
+/// A VM that knows of one crash of the poison request, and has received the announcement of another
+/// VM that sends it to engine 1.
 fn after_an_announcement() -> PoisonTracker {
     let mut other = PoisonTracker::default();
     start(&mut other, culprit(), 0);
@@ -25,7 +26,7 @@
     tracker
 }
 
-/// A VM whose culprit has lost engine 0 and is about to be sent to engine `n`.
+/// A VM whose poison request has crashed engine 0 and is about to be sent to engine `n`.
 fn suspect_on(n: usize) -> (PoisonTracker, PoisonRun) {
     let mut tracker = PoisonTracker::default();
     start(&mut tracker, culprit(), 0);
@@ -46,7 +47,8 @@
     expect_that!(tracker.suspect_run(suspect), some(eq(&run_on(2))));
 }
 
-/// Guards against a VM that is lost with the second upstream: its caller's next VM would lose a third one.
+/// Guards against the loss of a third upstream: a VM fails together with the second one, and its
+/// caller reconnects to another VM.
 #[gtest]
 fn death_of_the_announced_upstream_refuses_the_request() {
     let mut tracker = after_an_announcement();
@@ -57,7 +59,8 @@
     expect_that!(tracker.refuses(innocent(), at(5)), eq(false));
 }
 
-/// Guards against a death long afterwards, under whatever ran there then.
+/// Guards against blaming a suspect for a crash long after its announcement, which another request
+/// may have caused.
 #[gtest]
 fn late_death_of_the_announced_upstream_does_not_count() {
     let mut tracker = after_an_announcement();
@@ -67,7 +70,8 @@
     expect_that!(tracker.refuses(culprit(), at(11)), eq(false));
 }
 
-/// Guards against sending a suspect to a third upstream before anybody has asked whether the second lives.
+/// Guards against sending a suspect to a third upstream before the liveness of the second one was
+/// checked.
 #[gtest]
 fn suspect_waits_until_its_announced_upstream_was_checked() {
     let mut tracker = after_an_announcement();
@@ -85,7 +89,8 @@
     expect_that!(may(&tracker, 2), ok(eq(())));
 }
 
-/// Guards against two suspects of different VMs on one upstream, whose death could not tell them apart.
+/// Guards against two suspects of different VMs on one upstream, whose crash could not be attributed
+/// to one of them.
 #[gtest]
 fn other_suspects_keep_away_from_the_announced_upstream() {
     let mut tracker = after_an_announcement();
@@ -98,7 +103,7 @@
     expect_that!(may(1, 2), ok(eq(())));
 }
 
-/// Guards against holding up a request that has proved innocent on the other VM.
+/// Guards against delaying a request that has been cleared on another VM.
 #[gtest]
 fn request_that_got_past_the_death_is_not_held() {
     let mut other = PoisonTracker::default();
@@ -116,7 +121,8 @@
     expect_that!(tracker.is_marked(culprit(), at(0)), eq(false));
 }
 
-/// Guards against an order that is sent although its request was found guilty while peers were asked.
+/// Guards against sending a request that reached the limit of crashes while the VM waited for the
+/// answers of its peers.
 #[gtest]
 fn order_is_held_back_once_the_request_is_refused() {
     let mut other = PoisonTracker::default();
@@ -131,7 +137,8 @@
     expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Refused)));
 }
 
-/// Guards against VMs that send one suspect to two upstreams at the same time, and against none of them sending it.
+/// Guards against two VMs that announce the same suspect at the same time and both send it, or
+/// neither.
 #[gtest]
 fn one_of_two_vms_that_announce_a_suspect_together_sends_it() {
     let (mut first, first_run) = suspect_on(1);
@@ -147,7 +154,7 @@
     );
 }
 
-/// Guards against a suspect that is sent while an earlier copy of it runs on another VM.
+/// Guards against sending a suspect while an earlier copy of it runs on another VM.
 #[gtest]
 fn suspect_waits_for_its_run_on_another_vm() {
     let (mut running, sent) = suspect_on(2);
@@ -178,7 +185,7 @@
     expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
 }
 
-/// Guards against an innocent request that is blamed for the death of an upstream to which its order was never sent.
+/// Guards against blaming a request for the crash of an upstream to which it was never sent.
 #[gtest]
 fn withdrawn_run_is_not_blamed_for_the_death_of_its_upstream() {
     let mut late = after_an_announcement();
@@ -196,7 +203,7 @@
     expect_that!(late.unchecked(culprit(), at(0)), is_empty());
 }
 
-/// Guards against a withdrawal that takes back a death which another VM has seen itself.
+/// Guards against a withdrawal that clears a crash which another VM has observed itself.
 #[gtest]
 fn withdrawal_keeps_a_death_that_was_seen() {
     let (mut other, run) = suspect_on(1);
@@ -210,7 +217,7 @@
     expect_that!(tracker.refuses(culprit(), at(0)), eq(true));
 }
 
-/// Guards against a suspect that is blamed for a death while its run is announced, before its order is sent.
+/// Guards against blaming a suspect for a crash between its announcement and its dispatch.
 #[gtest]
 fn suspect_is_not_blamed_for_a_death_before_its_order() {
     let mut tracker = PoisonTracker::default();
--- a/crates/decisions/tests/utf8_joiner.rs
+++ b/crates/decisions/tests/utf8_joiner.rs
@@ -1,4 +1,4 @@
-//! Text out of tokens that may hold parts of characters.
+//! Decoding of tokens that may contain incomplete characters.
 
 use catkin_decisions::Utf8Joiner;
 use googletest::prelude::*;
@@ -23,7 +23,7 @@
 }
 
 proptest! {
-    /// A text is cut into tokens at any bytes, and comes out as it was.
+    /// A text split into tokens at arbitrary bytes is decoded without a change.
     #[test]
     fn any_cuts_give_the_same_text(text in ".{0,40}", size in 1..5_usize) {
         let mut joiner = Utf8Joiner::default();
