--- a/crates/decisions/src/poison_mark.rs
+++ b/crates/decisions/src/poison_mark.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Records that an upstream process crashed while it ran a request. VMs exchange marks by gossip.
+/// One crash of an upstream process while it ran a request. VMs exchange poison records by gossip.
 ///
-/// Marks merge by set union, and a cleared mark stays cleared. The merge is therefore commutative
+/// Records merge by set union, and a cleared record stays cleared. The merge is therefore commutative
 /// and idempotent: the order and number of deliveries do not matter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PoisonMark {
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -4,20 +4,21 @@
 //! the tracker, a poison request would crash one engine after another, and the unrelated requests
 //! on these engines would lose their work each time.
 //!
-//! A crash marks the digests of all requests in flight on the upstream. A marked digest is a
-//! suspect: its next run is isolated, on one upstream at a time and without another isolated
-//! digest on that upstream. A second crash therefore marks only one digest for the second time,
-//! that of the poison request, which is refused from then on. A resumed run starts at the point of
-//! the crash, so a poison request crashes the next upstream at once, while an unrelated request
-//! gets past that point: after [`WATCHED_STEPS`] steps its marks are cleared, and the next suspect
-//! is isolated. An unrelated request can therefore share two upstreams with the poison request and
-//! still finish, because it has been cleared before the second crash.
+//! A crash adds a poison record for the digest of each request in flight on the upstream. A digest
+//! with an uncleared record is a suspect. Its next run is a probation run: on one upstream at a
+//! time, and without another digest on probation there. A second crash therefore adds a second
+//! record to only one digest, that of the poison request, which is refused from then on. A resumed
+//! run starts at the point of the crash, so a poison request crashes the next upstream at once,
+//! while an unrelated request gets past that point: after [`WATCHED_STEPS`] steps its records are
+//! cleared, and the next suspect is put on probation. An unrelated request can therefore share two
+//! upstreams with the poison request and still finish, because it is cleared before the second
+//! crash.
 //!
-//! Bounds: a request that crashes its upstreams within the isolated steps costs two upstreams; one
-//! that does so later is refused after [`MOST_DEATHS`] crashes. Several VMs isolate suspects from
-//! each other only as far as marks have spread and upstreams are partitioned among the VMs
+//! Bounds: a request that crashes its upstreams within the probation steps costs two upstreams; one
+//! that does so later is refused after [`MOST_DEATHS`] crashes. Different VMs separate their
+//! probation runs only as far as records have spread and upstreams are partitioned among the VMs
 //! (parameter `watches` of [`PoisonTracker::may_start`]). An unrelated request that is affected by
-//! two independent crashes within its isolated steps is also refused until its marks expire.
+//! two independent crashes within its probation steps is also refused until its records expire.
 //!
 //! A crash that a refused request explains is not attributed to the other requests on that
 //! upstream, on this VM or another. The cause is the request that reached the limit first, by the
@@ -32,11 +33,11 @@
 //!
 //! A VM may fail together with the second upstream, and its caller reconnects to another VM. The
 //! run of a suspect is therefore announced to the other VMs before the request is sent
-//! ([`SuspectRun`]), and every VM that detects the crash of the upstream marks the request.
+//! ([`SuspectRun`]), and every VM that detects the crash of the upstream records it.
 
 use super::*;
 
-/// Number of [`PoisonTracker::progressed`] calls after which an isolated run is cleared.
+/// Number of [`PoisonTracker::progressed`] calls after which a probation run is cleared.
 pub const WATCHED_STEPS: u32 = 2;
 
 /// Number of uncleared crashes after which a digest is refused.
@@ -45,19 +46,19 @@
 /// Number of crashes, including cleared ones, after which a digest is refused.
 pub const MOST_DEATHS: usize = 3;
 
-/// Maximum number of upstreams on which an unmarked digest runs at the same time.
+/// Maximum number of upstreams on which a digest runs at the same time, if it is not a suspect.
 const MOST_UPSTREAMS: usize = 2;
 
-/// Time after which a mark expires.
+/// Time after which a poison record expires.
 const EXPIRY: Duration = Duration::from_secs(600);
 
-/// Maximum number of stored marks, about 64 bytes each. The oldest are evicted first.
+/// Maximum number of stored records, about 64 bytes each. The oldest are evicted first.
 const MOST_MARKS: usize = 4096;
 
-/// Maximum number of marks in a message to a peer, about half a kilobyte.
+/// Maximum number of records in a message to a peer, about half a kilobyte.
 const MOST_TOLD: usize = 12;
 
-/// Number of times that a mark is sent. Each time it goes to one peer, which sends it equally often
+/// Number of times that a record is sent. Each time it goes to one peer, which sends it equally often
 /// in turn. In the epidemic model of gossip, about one VM in 3,000 (e^-8) does not receive it.
 const TELLINGS: u32 = 8;
 
@@ -84,7 +85,7 @@
 struct Mark {
     digest: RequestDigest,
     death: UpstreamDeath,
-    /// Earliest known detection of the crash, the same for all marks of one crash.
+    /// Earliest known detection of the crash, the same for all records of one crash.
     at: Instant,
     told: u32,
     cleared: bool,
@@ -114,13 +115,13 @@
         open >= MOST_OPEN_DEATHS || all >= MOST_DEATHS
     }
 
-    /// Whether a digest is a suspect, whose next run has to be isolated.
+    /// Whether a digest is a suspect, whose next run is a probation run.
     #[must_use]
     pub fn is_marked(&self, digest: RequestDigest, now: Instant) -> bool {
         self.deaths(digest, now).0 > 0
     }
 
-    /// Checks whether a request may start. `watches` permits this VM isolated runs on the upstream.
+    /// Checks whether a request may start. `watches` permits probation runs on the upstream.
     ///
     /// # Errors
     ///
@@ -313,8 +314,8 @@
         self.others.checked(run);
     }
 
-    /// Records the crash of an upstream process, marks all digests that were in flight on it as far
-    /// as this VM knows, and returns the new marks.
+    /// Records the crash of an upstream process for all digests that were in flight on it as far as
+    /// this VM knows, and returns the new records.
     pub fn died(
         &mut self,
         upstream: &UpstreamId,
@@ -352,8 +353,8 @@
         new
     }
 
-    /// Returns marks for a gossip message to a peer, those sent least often first. Each mark is sent
-    /// eight times in total, and a message has at most 12 marks.
+    /// Returns records for a gossip message to a peer, those sent least often first. Each record is
+    /// sent eight times in total, and a message has at most 12 records.
     pub fn deltas(&mut self, now: Instant) -> Vec<PoisonMark> {
         self.expire(now);
         let mut fresh = self
@@ -372,14 +373,14 @@
             .collect()
     }
 
-    /// Returns the unexpired marks of a digest.
+    /// Returns the unexpired records of a digest, in the form sent to peers.
     #[must_use]
     pub fn marks_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonMark> {
         let marks = self.fresh(digest, now);
         marks.map(|mark| mark.tell(now)).collect()
     }
 
-    /// Returns at most 12 marks of digests that are refused here and were in flight at one of the
+    /// Returns at most 12 records of digests that are refused here and were in flight at one of the
     /// crashes of `marks`. A peer needs them before it attributes these crashes to another request.
     #[must_use]
     pub fn culprits(&self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
@@ -394,13 +395,13 @@
         marks.take(MOST_TOLD).collect()
     }
 
-    /// Returns all marks, for a peer that has just started.
+    /// Returns all records, for a peer that has just started.
     #[must_use]
     pub fn marks(&self, now: Instant) -> Vec<PoisonMark> {
         self.marks.iter().map(|mark| mark.tell(now)).collect()
     }
 
-    /// Merges marks from a peer and returns those that were new, which are then sent to other peers.
+    /// Merges records from a peer and returns the new ones, which are then sent to other peers.
     pub fn merge(&mut self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
         let mut new = Vec::new();
         for mark in marks {
@@ -454,7 +455,7 @@
         open.into_iter().chain(all).min()
     }
 
-    /// Returns the unexpired marks of a digest.
+    /// Returns the unexpired records of a digest.
     fn fresh(&self, digest: RequestDigest, now: Instant) -> impl Iterator<Item = &Mark> {
         let start = self.marks.partition_point(|mark| mark.digest < digest);
         self.marks[start..]
@@ -463,7 +464,7 @@
             .filter(move |mark| now.since(mark.at) <= EXPIRY)
     }
 
-    /// Merges a mark and returns whether it was new.
+    /// Merges a record and returns whether it was new.
     fn mark(&mut self, mut mark: Mark) -> bool {
         let of_death = self.marks.iter_mut().filter(|m| m.death == mark.death);
         for other in of_death {
@@ -487,9 +488,9 @@
         }
     }
 
-    /// Isolates the running copies of a digest that has just become a suspect. Otherwise a second
-    /// copy that is already running could crash the upstream of an isolated unrelated request, and
-    /// both requests would be taken for the cause.
+    /// Puts the running copies of a digest that has just become a suspect on probation. Otherwise a
+    /// second copy that is already running could crash the upstream of an unrelated request on
+    /// probation, and the crash would be attributed to both.
     fn watch(&mut self, digest: RequestDigest) {
         let range = self.range(digest);
         for run in self.runs[range].iter_mut().filter(|run| !run.watched) {
--- a/crates/decisions/src/suspect_run.rs
+++ b/crates/decisions/src/suspect_run.rs
@@ -23,7 +23,7 @@
         (self.digest == other.digest) != (self.upstream == other.upstream)
     }
 
-    /// Identifies the possible crash of the upstream process, as in the marks of the request.
+    /// Identifies the possible crash of the upstream process, as in the poison records of the request.
     #[must_use]
     pub fn death(&self) -> UpstreamDeath {
         UpstreamDeath::of(&self.upstream, self.incarnation)
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -167,7 +167,7 @@
 }
 
 /// The caller of a poison request is sent to another VM after each failure. If VMs did not share
-/// their marks, each VM would lose two engines.
+/// their records, each VM would lose two engines.
 #[gtest]
 fn vms_share_their_marks() {
     let mut first = PoisonTracker::default();
--- a/crates/decisions/tests/poison_blame.rs
+++ b/crates/decisions/tests/poison_blame.rs
@@ -29,7 +29,7 @@
     expect_that!(tracker.refuses(innocent(), at(3)), eq(false));
 }
 
-/// The poison request ran on another VM, whose marks arrive after the second crash of the unrelated
+/// The poison request ran on another VM, whose records arrive after the second crash of the unrelated
 /// request.
 #[gtest]
 fn deaths_are_not_laid_to_a_request_once_a_peer_names_the_culprit() {
@@ -72,7 +72,7 @@
 }
 
 proptest! {
-    /// VMs receive marks in different orders. If the order decided whether a request is refused, it
+    /// VMs receive records in different orders. If the order decided whether a request is refused, it
     /// would crash an engine at each VM that accepts it.
     #[test]
     fn who_is_refused_does_not_depend_on_the_order_of_the_news(
