--- a/crates/decisions/src/request_state.rs
+++ b/crates/decisions/src/request_state.rs
@@ -66,7 +66,7 @@
         &self.request
     }
 
-    /// Marks the request as sent. Call this before the first byte is sent.
+    /// Starts a dispatch of the request, which counts as sent from now on.
     pub fn dispatch(self) -> Dispatched<T> {
         Dispatched {
             request: self.request,
