--- a/crates/catkinward/src/known.rs
+++ b/crates/catkinward/src/known.rs
@@ -106,12 +106,15 @@
     pub(crate) fn died(&self, state: &UpstreamState, incarnation: Incarnation) {
         state.record.lock().evidence.gone(incarnation);
         let now = self.timer.now();
-        let marks = self.poison.lock().died(&state.entry.id, incarnation, now);
+        let marks = self
+            .poison
+            .lock()
+            .upstream_crashed(&state.entry.id, incarnation, now);
         self.news.notify_one();
         let upstream = &state.entry.id;
         tracing::warn!(%upstream, incarnation = incarnation.0, under = marks.len(), "upstream died");
         for mark in marks {
-            tracing::info!(%upstream, body = %mark.digest, death = %mark.death,
+            tracing::info!(%upstream, body = %mark.digest, death = %mark.crash,
                 "request is a suspect: upstream died under it");
         }
     }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -98,7 +98,7 @@
         self.awaits_no_more(&mut record);
         drop(record);
         if let Some(run) = self.run {
-            self.known.poison.lock().arrived(run);
+            self.known.poison.lock().response_started(run);
         }
     }
 
@@ -186,7 +186,7 @@
         let Some(run) = self.run else {
             return Ok(());
         };
-        if !self.known.poison.lock().needs_proof(run) {
+        if !self.known.poison.lock().needs_liveness_check(run) {
             return Ok(());
         }
         let asked = self.state.record.lock().ask(self.known.timer.now());
@@ -205,7 +205,7 @@
         if !same {
             return Err(AttemptFault::Unproven);
         }
-        self.known.poison.lock().proven(run);
+        self.known.poison.lock().liveness_confirmed(run);
         Ok(())
     }
 
@@ -238,7 +238,7 @@
 
     fn forget_run(&self) {
         if let Some(run) = self.run {
-            self.known.poison.lock().left(run);
+            self.known.poison.lock().abandoned(run);
         }
     }
 }
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -195,21 +195,21 @@
     #[must_use]
     pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonMark> {
         let now = self.known.timer.now();
-        self.known.poison.lock().marks_of(digest, now)
+        self.known.poison.lock().records_of(digest, now)
     }
 
     /// Marks of the requests that are refused here, for a peer that tells of deaths which they explain.
     #[must_use]
     pub fn culprits(&self, marks: &[PoisonMark]) -> Vec<PoisonMark> {
         let now = self.known.timer.now();
-        self.known.poison.lock().culprits(marks, now)
+        self.known.poison.lock().explaining_records(marks, now)
     }
 
     /// All such marks.
     #[must_use]
     pub fn poison_marks(&self) -> Vec<PoisonMark> {
         let now = self.known.timer.now();
-        self.known.poison.lock().marks(now)
+        self.known.poison.lock().records(now)
     }
 
     /// Takes such marks from a peer.
@@ -220,7 +220,7 @@
             self.known.news.notify_one();
         }
         for mark in new {
-            tracing::info!(%peer, body = %mark.digest, death = %mark.death, cleared = mark.cleared,
+            tracing::info!(%peer, body = %mark.digest, death = %mark.crash, cleared = mark.cleared,
                 age_ms = mark.age_ms, "a peer tells of a death under a request");
         }
     }
@@ -241,7 +241,7 @@
         for run in runs {
             tracing::info!(%peer, body = %run.digest, upstream = %run.upstream,
                 incarnation = run.incarnation.0, "peer runs a suspect");
-            self.known.poison.lock().runs_elsewhere(run.clone(), now);
+            self.known.poison.lock().running_on_peer(run.clone(), now);
         }
     }
 
@@ -276,7 +276,7 @@
     /// Whether a request is a suspect.
     pub(crate) fn suspects(&self, digest: RequestDigest) -> bool {
         let now = self.known.timer.now();
-        self.known.poison.lock().is_marked(digest, now)
+        self.known.poison.lock().is_suspect(digest, now)
     }
 
     /// Waits until there is something new for peers.
@@ -301,7 +301,7 @@
             return true;
         };
         let id = &state.entry.id;
-        let watches = want.urgent || !poison.is_marked(digest, now) || self.watches(id);
+        let watches = want.urgent || !poison.is_suspect(digest, now) || self.watches(id);
         poison.may_start(digest, id, watches, now).is_ok()
     }
 
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -203,9 +203,9 @@
 #[gtest]
 #[tokio::test]
 async fn a_vm_that_asks_about_deaths_is_told_who_caused_them() {
-    let mark = |digest: u64, death: u64| PoisonMark {
+    let mark = |digest: u64, crash: u64| PoisonMark {
         digest: format!("{digest:032x}").parse().expect("a digest"),
-        death: UpstreamDeath(death),
+        crash: UpstreamDeath(crash),
         cleared: false,
         age_ms: 0,
     };
@@ -237,7 +237,7 @@
         panic!("no news");
     };
     let named = culprit.map(|mark| {
-        let same = |told: &PoisonMark| (told.digest, told.death) == (mark.digest, mark.death);
+        let same = |told: &PoisonMark| (told.digest, told.crash) == (mark.digest, mark.crash);
         told.poison.iter().any(same)
     });
     expect_that!(named, eq([true, true]));
--- a/crates/decisions/src/poison_mark.rs
+++ b/crates/decisions/src/poison_mark.rs
@@ -9,7 +9,8 @@
     /// Digest of the request that was in flight.
     pub digest: RequestDigest,
     /// The crashed process.
-    pub death: UpstreamDeath,
+    #[serde(rename = "death")]
+    pub crash: UpstreamDeath,
     /// Whether the request has since got past the point at which the upstream crashed.
     pub cleared: bool,
     /// Milliseconds since the crash was first detected.
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -17,8 +17,9 @@
 //! Bounds: a request that crashes its upstreams within the probation steps costs two upstreams; one
 //! that does so later is refused after [`MOST_DEATHS`] crashes. Different VMs separate their
 //! probation runs only as far as records have spread and upstreams are partitioned among the VMs
-//! (parameter `watches` of [`PoisonTracker::may_start`]). An unrelated request that is affected by
-//! two independent crashes within its probation steps is also refused until its records expire.
+//! (parameter `allows_probation` of [`PoisonTracker::may_start`]). An unrelated request that is
+//! affected by two independent crashes within its probation steps is also refused until its records
+//! expire.
 //!
 //! A crash that a refused request explains is not attributed to the other requests on that
 //! upstream, on this VM or another. The cause is the request that reached the limit first, by the
@@ -26,10 +27,10 @@
 //! be refused, and its caller would lose an answer without cause.
 //!
 //! A run counts as a possible cause of a crash if the upstream had begun to answer it, or was
-//! confirmed alive right before the request was sent ([`PoisonTracker::proven`]). Otherwise the
-//! upstream may have been dead already, as after the loss of a rack, so the crash only makes the
-//! request a suspect. Suspects are sent only to upstreams that were just confirmed alive, so a
-//! request that crashes upstreams before they answer is also refused after its second upstream.
+//! confirmed alive right before the request was sent ([`PoisonTracker::liveness_confirmed`]).
+//! Otherwise the upstream may have been dead already, as after the loss of a rack, so the crash only
+//! makes the request a suspect. Suspects are sent only to upstreams that were just confirmed alive,
+//! so a request that crashes upstreams before they answer is also refused after its second upstream.
 //!
 //! A VM may fail together with the second upstream, and its caller reconnects to another VM. The
 //! run of a suspect is therefore announced to the other VMs before the request is sent
@@ -41,26 +42,26 @@
 pub const WATCHED_STEPS: u32 = 2;
 
 /// Number of uncleared crashes after which a digest is refused.
-const MOST_OPEN_DEATHS: usize = 2;
+const MAX_OPEN_CRASHES_PER_DIGEST: usize = 2;
 
 /// Number of crashes, including cleared ones, after which a digest is refused.
 pub const MOST_DEATHS: usize = 3;
 
 /// Maximum number of upstreams on which a digest runs at the same time, if it is not a suspect.
-const MOST_UPSTREAMS: usize = 2;
+const MAX_UPSTREAMS_PER_DIGEST: usize = 2;
 
 /// Time after which a poison record expires.
-const EXPIRY: Duration = Duration::from_secs(600);
+const RECORD_TTL: Duration = Duration::from_secs(600);
 
 /// Maximum number of stored records, about 64 bytes each. The oldest are evicted first.
-const MOST_MARKS: usize = 4096;
+const MAX_RECORDS: usize = 4096;
 
 /// Maximum number of records in a message to a peer, about half a kilobyte.
-const MOST_TOLD: usize = 12;
+const MAX_RECORDS_PER_MESSAGE: usize = 12;
 
 /// Number of times that a record is sent. Each time it goes to one peer, which sends it equally often
 /// in turn. In the epidemic model of gossip, about one VM in 3,000 (e^-8) does not receive it.
-const TELLINGS: u32 = 8;
+const SENDS_PER_RECORD: u32 = 8;
 
 /// Identifies a run of a request on an upstream.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -73,21 +74,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTracker {
     /// Sorted by digest and crash.
-    marks: Vec<Mark>,
+    records: Vec<StoredRecord>,
     /// Sorted by digest and id.
     runs: Vec<Run>,
-    last: u64,
+    last_run_id: u64,
     /// Runs of suspects that other VMs have announced.
-    others: SuspectRuns,
+    remote_runs: SuspectRuns,
 }
 
 #[derive(Clone, Debug)]
-struct Mark {
+struct StoredRecord {
     digest: RequestDigest,
-    death: UpstreamDeath,
+    crash: UpstreamDeath,
     /// Earliest known detection of the crash, the same for all records of one crash.
-    at: Instant,
-    told: u32,
+    detected_at: Instant,
+    times_sent: u32,
     cleared: bool,
     /// Whether the only evidence of the run is the announcement of another VM.
     presumed: bool,
@@ -98,12 +99,12 @@
     key: PoisonRun,
     upstream: UpstreamId,
     incarnation: Incarnation,
-    watched: bool,
+    on_probation: bool,
     /// Whether the request has been sent, or is sent next.
     sent: bool,
     /// Whether the upstream has begun to answer, or was confirmed alive right before the request
     /// was sent.
-    was_there: bool,
+    upstream_was_alive: bool,
     steps: u32,
 }
 
@@ -111,17 +112,17 @@
     /// Whether a digest is refused on all upstreams.
     #[must_use]
     pub fn refuses(&self, digest: RequestDigest, now: Instant) -> bool {
-        let (open, all) = self.deaths(digest, now);
-        open >= MOST_OPEN_DEATHS || all >= MOST_DEATHS
+        let (open, all) = self.count_crashes(digest, now);
+        open >= MAX_OPEN_CRASHES_PER_DIGEST || all >= MOST_DEATHS
     }
 
     /// Whether a digest is a suspect, whose next run is a probation run.
     #[must_use]
-    pub fn is_marked(&self, digest: RequestDigest, now: Instant) -> bool {
-        self.deaths(digest, now).0 > 0
+    pub fn is_suspect(&self, digest: RequestDigest, now: Instant) -> bool {
+        self.count_crashes(digest, now).0 > 0
     }
 
-    /// Checks whether a request may start. `watches` permits probation runs on the upstream.
+    /// Checks whether a request may start; `allows_probation` permits a probation run.
     ///
     /// # Errors
     ///
@@ -130,33 +131,37 @@
         &self,
         digest: RequestDigest,
         upstream: &UpstreamId,
-        watches: bool,
+        allows_probation: bool,
         now: Instant,
     ) -> Result<(), PoisonHold> {
         if self.refuses(digest, now) {
             return Err(PoisonHold::Refused);
         }
-        let mut elsewhere = self.runs[self.range(digest)]
+        let mut other_upstreams = self.runs[self.run_range(digest)]
             .iter()
             .filter(|run| run.upstream != *upstream)
             .map(|run| &run.upstream)
             .collect::<Vec<_>>();
-        elsewhere.sort();
-        elsewhere.dedup();
-        let marked = self.is_marked(digest, now);
-        let beside_another = || {
-            self.runs
-                .iter()
-                .any(|run| run.watched && run.upstream == *upstream && run.key.digest != digest)
+        other_upstreams.sort();
+        other_upstreams.dedup();
+        let suspect = self.is_suspect(digest, now);
+        let shares_upstream_with_suspect = || {
+            self.runs.iter().any(|run| {
+                run.on_probation && run.upstream == *upstream && run.key.digest != digest
+            })
         };
-        let free = if marked {
-            let awaited = self.others.hold(digest, now);
-            let occupied = self.others.occupy(upstream, digest, now);
-            watches && elsewhere.is_empty() && !beside_another() && !awaited && !occupied
+        let allowed = if suspect {
+            let waits_for_remote_run = self.remote_runs.must_wait(digest, now);
+            let occupied = self.remote_runs.is_occupied(upstream, digest, now);
+            allows_probation
+                && other_upstreams.is_empty()
+                && !shares_upstream_with_suspect()
+                && !waits_for_remote_run
+                && !occupied
         } else {
-            elsewhere.len() < MOST_UPSTREAMS
+            other_upstreams.len() < MAX_UPSTREAMS_PER_DIGEST
         };
-        free.then_some(()).ok_or(PoisonHold::Elsewhere)
+        allowed.then_some(()).ok_or(PoisonHold::Elsewhere)
     }
 
     /// Records that a request starts on an upstream, after [`Self::may_start`] has permitted it.
@@ -167,28 +172,28 @@
         incarnation: Incarnation,
         now: Instant,
     ) -> PoisonRun {
-        self.last += 1;
+        self.last_run_id += 1;
         let key = PoisonRun {
             digest,
-            id: self.last,
+            id: self.last_run_id,
         };
         let run = Run {
             key,
             upstream,
             incarnation,
-            watched: self.is_marked(digest, now),
+            on_probation: self.is_suspect(digest, now),
             sent: false,
-            was_there: false,
+            upstream_was_alive: false,
             steps: 0,
         };
-        self.runs.insert(self.range(digest).end, run);
+        self.runs.insert(self.run_range(digest).end, run);
         key
     }
 
     /// Records progress of a run, by a few tokens.
     pub fn progressed(&mut self, run: PoisonRun) {
         let Some(run) = self.run_mut(run) else { return };
-        if !run.watched {
+        if !run.on_probation {
             return;
         }
         run.steps += 1;
@@ -200,37 +205,37 @@
 
     /// Records that the upstream has completed a run.
     pub fn finished(&mut self, run: PoisonRun) {
-        if self.remove(run).is_some_and(|run| run.watched) {
+        if self.remove(run).is_some_and(|run| run.on_probation) {
             self.clear(run.digest);
         }
     }
 
     /// Records that this VM abandoned a run, which is no evidence for or against the request.
-    pub fn left(&mut self, run: PoisonRun) {
+    pub fn abandoned(&mut self, run: PoisonRun) {
         self.remove(run);
     }
 
     /// Records that the upstream has begun to answer, so the run counts as a possible cause if the
     /// upstream crashes.
-    pub fn arrived(&mut self, run: PoisonRun) {
+    pub fn response_started(&mut self, run: PoisonRun) {
         if let Some(run) = self.run_mut(run) {
-            run.was_there = true;
+            run.upstream_was_alive = true;
         }
     }
 
     /// Whether the upstream of a run has to be confirmed alive before the request is sent, which
     /// holds for suspects.
     #[must_use]
-    pub fn needs_proof(&self, run: PoisonRun) -> bool {
+    pub fn needs_liveness_check(&self, run: PoisonRun) -> bool {
         self.runs
             .binary_search_by_key(&run, |run| run.key)
-            .is_ok_and(|i| self.runs[i].watched)
+            .is_ok_and(|i| self.runs[i].on_probation)
     }
 
     /// Records that the upstream of a run was confirmed alive and that the request is sent now. If
     /// the upstream crashes afterwards, the run counts as a possible cause, answered or not.
-    pub fn proven(&mut self, run: PoisonRun) {
-        self.arrived(run);
+    pub fn liveness_confirmed(&mut self, run: PoisonRun) {
+        self.response_started(run);
     }
 
     /// Returns the announcement of a run to other VMs, if the request is a suspect.
@@ -238,7 +243,7 @@
     pub fn suspect_run(&self, run: PoisonRun) -> Option<SuspectRun> {
         let i = self.runs.binary_search_by_key(&run, |run| run.key).ok()?;
         let run = &self.runs[i];
-        run.watched.then(|| run.as_suspect())
+        run.on_probation.then(|| run.as_suspect())
     }
 
     /// Commits a run whose request is sent next.
@@ -251,7 +256,7 @@
             return Err(PoisonHold::Refused);
         }
         let own = self.suspect_run(run);
-        if own.is_some_and(|own| self.others.precedes(&own, now)) {
+        if own.is_some_and(|own| self.remote_runs.precedes(&own, now)) {
             return Err(PoisonHold::Elsewhere);
         }
         if let Some(run) = self.run_mut(run) {
@@ -264,15 +269,15 @@
     #[must_use]
     pub fn conflicts(&self, announced: &[SuspectRun]) -> SuspectConflicts {
         let mut conflicts = SuspectConflicts::default();
-        for run in self.runs.iter().filter(|run| run.watched) {
+        for run in self.runs.iter().filter(|run| run.on_probation) {
             let own = run.as_suspect();
             if announced.iter().any(|other| other.conflicts(&own)) {
-                let of_kind = if run.sent {
+                let list = if run.sent {
                     &mut conflicts.running
                 } else {
                     &mut conflicts.waiting
                 };
-                of_kind.push(own);
+                list.push(own);
             }
         }
         conflicts
@@ -280,25 +285,24 @@
 
     /// Records the announcement of another VM that it sends a suspect to an upstream.
     pub fn announced(&mut self, run: SuspectRun, now: Instant) {
-        self.others.announced(run, false, now);
+        self.remote_runs.announced(run, false, now);
     }
 
     /// Records the answer of another VM that a suspect already runs there.
-    pub fn runs_elsewhere(&mut self, run: SuspectRun, now: Instant) {
-        self.others.announced(run, true, now);
+    pub fn running_on_peer(&mut self, run: SuspectRun, now: Instant) {
+        self.remote_runs.announced(run, true, now);
     }
 
     /// Records that the VM that announced a run has withdrawn it without sending the request.
     pub fn withdrawn(&mut self, run: &SuspectRun) {
-        self.others.withdrawn(run);
-        let death = run.death();
-        let presumed = self
-            .marks
-            .iter_mut()
-            .filter(|mark| mark.digest == run.digest && mark.death == death && mark.presumed);
-        for mark in presumed.filter(|mark| !mark.cleared) {
-            mark.cleared = true;
-            mark.told = 0;
+        self.remote_runs.withdrawn(run);
+        let crash = run.crash();
+        let presumed = self.records.iter_mut().filter(|record| {
+            record.digest == run.digest && record.crash == crash && record.presumed
+        });
+        for record in presumed.filter(|record| !record.cleared) {
+            record.cleared = true;
+            record.times_sent = 0;
         }
     }
 
@@ -306,49 +310,49 @@
     /// request is sent to another upstream.
     #[must_use]
     pub fn unchecked(&self, digest: RequestDigest, now: Instant) -> Vec<SuspectRun> {
-        self.others.unchecked(digest, now)
+        self.remote_runs.unchecked(digest, now)
     }
 
     /// Records that the liveness of the upstream of an announced run was checked.
     pub fn checked(&mut self, run: &SuspectRun) {
-        self.others.checked(run);
+        self.remote_runs.checked(run);
     }
 
     /// Records the crash of an upstream process for all digests that were in flight on it as far as
     /// this VM knows, and returns the new records.
-    pub fn died(
+    pub fn upstream_crashed(
         &mut self,
         upstream: &UpstreamId,
         incarnation: Incarnation,
         now: Instant,
     ) -> Vec<PoisonMark> {
         self.expire(now);
-        let death = UpstreamDeath::of(upstream, incarnation);
-        let (dead, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.runs)
+        let crash = UpstreamDeath::of(upstream, incarnation);
+        let (crashed, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|run| run.upstream == *upstream && run.incarnation == incarnation);
         self.runs = running;
-        let under = dead
+        let in_flight = crashed
             .iter()
-            .filter(|run| run.was_there || !self.is_marked(run.key.digest, now))
+            .filter(|run| run.upstream_was_alive || !self.is_suspect(run.key.digest, now))
             .map(|run| (run.key.digest, false));
-        let mut under = under.collect::<Vec<_>>();
-        let announced = self.others.died(death, now);
-        under.extend(announced.into_iter().map(|digest| (digest, true)));
+        let mut in_flight = in_flight.collect::<Vec<_>>();
+        let announced = self.remote_runs.upstream_crashed(crash, now);
+        in_flight.extend(announced.into_iter().map(|digest| (digest, true)));
         let mut new = Vec::new();
-        for (digest, presumed) in under {
-            let mark = Mark {
+        for (digest, presumed) in in_flight {
+            let record = StoredRecord {
                 digest,
-                death,
-                at: now,
-                told: 0,
+                crash,
+                detected_at: now,
+                times_sent: 0,
                 cleared: false,
                 presumed,
             };
-            if self.mark(mark.clone()) {
-                new.push(mark.tell(now));
+            if self.merge_record(record.clone()) {
+                new.push(record.to_message(now));
             }
-            self.watch(digest);
+            self.start_probation(digest);
         }
         new
     }
@@ -357,70 +361,74 @@
     /// sent eight times in total, and a message has at most 12 records.
     pub fn deltas(&mut self, now: Instant) -> Vec<PoisonMark> {
         self.expire(now);
-        let mut fresh = self
-            .marks
+        let mut pending = self
+            .records
             .iter_mut()
-            .filter(|mark| mark.told < TELLINGS)
+            .filter(|record| record.times_sent < SENDS_PER_RECORD)
             .collect::<Vec<_>>();
-        fresh.sort_by_key(|mark| (mark.told, std::cmp::Reverse(mark.at)));
-        fresh.truncate(MOST_TOLD);
-        fresh
+        pending.sort_by_key(|record| (record.times_sent, std::cmp::Reverse(record.detected_at)));
+        pending.truncate(MAX_RECORDS_PER_MESSAGE);
+        pending
             .into_iter()
-            .map(|mark| {
-                mark.told += 1;
-                mark.tell(now)
+            .map(|record| {
+                record.times_sent += 1;
+                record.to_message(now)
             })
             .collect()
     }
 
     /// Returns the unexpired records of a digest, in the form sent to peers.
     #[must_use]
-    pub fn marks_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonMark> {
-        let marks = self.fresh(digest, now);
-        marks.map(|mark| mark.tell(now)).collect()
+    pub fn records_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonMark> {
+        let records = self.unexpired(digest, now);
+        records.map(|record| record.to_message(now)).collect()
     }
 
     /// Returns at most 12 records of digests that are refused here and were in flight at one of the
-    /// crashes of `marks`. A peer needs them before it attributes these crashes to another request.
+    /// crashes of `records`. A peer needs them before it attributes these crashes to another request.
     #[must_use]
-    pub fn culprits(&self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
-        let shared = |mark: &&Mark| marks.iter().any(|other| other.death == mark.death);
-        let sharing = self.marks.iter().filter(shared);
-        let mut digests = sharing.map(|mark| mark.digest).collect::<Vec<_>>();
+    pub fn explaining_records(&self, records: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
+        let shared =
+            |record: &&StoredRecord| records.iter().any(|other| other.crash == record.crash);
+        let sharing = self.records.iter().filter(shared);
+        let mut digests = sharing.map(|record| record.digest).collect::<Vec<_>>();
         digests.dedup();
         digests.retain(|digest| self.refuses(*digest, now));
-        let marks = digests
+        let records = digests
             .into_iter()
-            .flat_map(|digest| self.marks_of(digest, now));
-        marks.take(MOST_TOLD).collect()
+            .flat_map(|digest| self.records_of(digest, now));
+        records.take(MAX_RECORDS_PER_MESSAGE).collect()
     }
 
     /// Returns all records, for a peer that has just started.
     #[must_use]
-    pub fn marks(&self, now: Instant) -> Vec<PoisonMark> {
-        self.marks.iter().map(|mark| mark.tell(now)).collect()
+    pub fn records(&self, now: Instant) -> Vec<PoisonMark> {
+        self.records
+            .iter()
+            .map(|record| record.to_message(now))
+            .collect()
     }
 
     /// Merges records from a peer and returns the new ones, which are then sent to other peers.
-    pub fn merge(&mut self, marks: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
+    pub fn merge(&mut self, records: &[PoisonMark], now: Instant) -> Vec<PoisonMark> {
         let mut new = Vec::new();
-        for mark in marks {
-            let age = Duration::from_millis(mark.age_ms.into());
-            let changed = self.mark(Mark {
-                digest: mark.digest,
-                death: mark.death,
-                at: Instant(now.0.saturating_sub(age)),
-                told: 0,
-                cleared: mark.cleared,
+        for record in records {
+            let age = Duration::from_millis(record.age_ms.into());
+            let changed = self.merge_record(StoredRecord {
+                digest: record.digest,
+                crash: record.crash,
+                detected_at: Instant(now.0.saturating_sub(age)),
+                times_sent: 0,
+                cleared: record.cleared,
                 presumed: false,
             });
             if changed {
-                new.push(*mark);
+                new.push(*record);
             }
-            if mark.cleared {
-                self.others.cleared(mark.digest);
+            if record.cleared {
+                self.remote_runs.cleared(record.digest);
             } else {
-                self.watch(mark.digest);
+                self.start_probation(record.digest);
             }
         }
         self.expire(now);
@@ -428,61 +436,78 @@
     }
 
     /// Counts the crashes of a digest that no other digest explains: uncleared ones, and all.
-    fn deaths(&self, digest: RequestDigest, now: Instant) -> (usize, usize) {
-        let convicted = self.convicted_at(digest, now);
-        self.fresh(digest, now)
-            .filter(|mark| !self.is_explained(mark, convicted, now))
-            .fold((0, 0), |(open, all), mark| {
-                (open + usize::from(!mark.cleared), all + 1)
+    fn count_crashes(&self, digest: RequestDigest, now: Instant) -> (usize, usize) {
+        let own_limit = self.limit_reached_at(digest, now);
+        self.unexpired(digest, now)
+            .filter(|record| !self.is_explained_by_other(record, own_limit, now))
+            .fold((0, 0), |(open, all), record| {
+                (open + usize::from(!record.cleared), all + 1)
             })
     }
 
     /// Whether a digest that reached the limit earlier than this one was in flight at the crash.
-    fn is_explained(&self, mark: &Mark, convicted: Option<Instant>, now: Instant) -> bool {
-        self.marks
+    fn is_explained_by_other(
+        &self,
+        record: &StoredRecord,
+        own_limit: Option<Instant>,
+        now: Instant,
+    ) -> bool {
+        self.records
             .iter()
-            .filter(|other| other.death == mark.death && other.digest != mark.digest)
-            .filter_map(|other| self.convicted_at(other.digest, now))
-            .any(|other| convicted.is_none_or(|own| other < own))
+            .filter(|other| other.crash == record.crash && other.digest != record.digest)
+            .filter_map(|other| self.limit_reached_at(other.digest, now))
+            .any(|other| own_limit.is_none_or(|own| other < own))
     }
 
     /// When a digest reached the number of crashes at which it is refused, regardless of the other
     /// requests on the upstreams.
-    fn convicted_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
-        let open = self.fresh(digest, now).filter(|mark| !mark.cleared);
-        let open = Instant::nth_smallest(open.map(|mark| mark.at), MOST_OPEN_DEATHS);
-        let all = Instant::nth_smallest(self.fresh(digest, now).map(|mark| mark.at), MOST_DEATHS);
+    fn limit_reached_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
+        let open = self.unexpired(digest, now).filter(|record| !record.cleared);
+        let open = Instant::nth_smallest(
+            open.map(|record| record.detected_at),
+            MAX_OPEN_CRASHES_PER_DIGEST,
+        );
+        let all = Instant::nth_smallest(
+            self.unexpired(digest, now).map(|record| record.detected_at),
+            MOST_DEATHS,
+        );
         open.into_iter().chain(all).min()
     }
 
     /// Returns the unexpired records of a digest.
-    fn fresh(&self, digest: RequestDigest, now: Instant) -> impl Iterator<Item = &Mark> {
-        let start = self.marks.partition_point(|mark| mark.digest < digest);
-        self.marks[start..]
+    fn unexpired(
+        &self,
+        digest: RequestDigest,
+        now: Instant,
+    ) -> impl Iterator<Item = &StoredRecord> {
+        let start = self
+            .records
+            .partition_point(|record| record.digest < digest);
+        self.records[start..]
             .iter()
-            .take_while(move |mark| mark.digest == digest)
-            .filter(move |mark| now.since(mark.at) <= EXPIRY)
+            .take_while(move |record| record.digest == digest)
+            .filter(move |record| now.since(record.detected_at) <= RECORD_TTL)
     }
 
     /// Merges a record and returns whether it was new.
-    fn mark(&mut self, mut mark: Mark) -> bool {
-        let of_death = self.marks.iter_mut().filter(|m| m.death == mark.death);
-        for other in of_death {
-            mark.at = mark.at.min(other.at);
-            other.at = mark.at;
+    fn merge_record(&mut self, mut record: StoredRecord) -> bool {
+        let of_crash = self.records.iter_mut().filter(|m| m.crash == record.crash);
+        for other in of_crash {
+            record.detected_at = record.detected_at.min(other.detected_at);
+            other.detected_at = record.detected_at;
         }
-        let place = self
-            .marks
-            .binary_search_by(|known| (known.digest, known.death).cmp(&(mark.digest, mark.death)));
-        match place {
-            Ok(i) if mark.cleared && !self.marks[i].cleared => {
-                self.marks[i].cleared = true;
-                self.marks[i].told = 0;
+        let position = self.records.binary_search_by(|known| {
+            (known.digest, known.crash).cmp(&(record.digest, record.crash))
+        });
+        match position {
+            Ok(i) if record.cleared && !self.records[i].cleared => {
+                self.records[i].cleared = true;
+                self.records[i].times_sent = 0;
                 true
             }
             Ok(_) => false,
             Err(i) => {
-                self.marks.insert(i, mark);
+                self.records.insert(i, record);
                 true
             }
         }
@@ -491,38 +516,43 @@
     /// Puts the running copies of a digest that has just become a suspect on probation. Otherwise a
     /// second copy that is already running could crash the upstream of an unrelated request on
     /// probation, and the crash would be attributed to both.
-    fn watch(&mut self, digest: RequestDigest) {
-        let range = self.range(digest);
-        for run in self.runs[range].iter_mut().filter(|run| !run.watched) {
-            run.watched = true;
+    fn start_probation(&mut self, digest: RequestDigest) {
+        let run_range = self.run_range(digest);
+        for run in self.runs[run_range]
+            .iter_mut()
+            .filter(|run| !run.on_probation)
+        {
+            run.on_probation = true;
             run.steps = 0;
         }
     }
 
     fn clear(&mut self, digest: RequestDigest) {
-        self.others.cleared(digest);
-        let range = self.range(digest);
-        for run in &mut self.runs[range] {
-            run.watched = false;
+        self.remote_runs.cleared(digest);
+        let run_range = self.run_range(digest);
+        for run in &mut self.runs[run_range] {
+            run.on_probation = false;
         }
-        for mark in &mut self.marks {
-            if mark.digest == digest && !mark.cleared {
-                mark.cleared = true;
-                mark.told = 0;
+        for record in &mut self.records {
+            if record.digest == digest && !record.cleared {
+                record.cleared = true;
+                record.times_sent = 0;
             }
         }
     }
 
     fn expire(&mut self, now: Instant) {
-        self.marks.retain(|mark| now.since(mark.at) <= EXPIRY);
-        while self.marks.len() > MOST_MARKS {
-            let oldest = self.marks.iter().map(|mark| mark.at).min();
-            self.marks.retain(|mark| Some(mark.at) != oldest);
+        self.records
+            .retain(|record| now.since(record.detected_at) <= RECORD_TTL);
+        while self.records.len() > MAX_RECORDS {
+            let oldest = self.records.iter().map(|record| record.detected_at).min();
+            self.records
+                .retain(|record| Some(record.detected_at) != oldest);
         }
     }
 
     /// Returns the index range of a digest's runs.
-    fn range(&self, digest: RequestDigest) -> std::ops::Range<usize> {
+    fn run_range(&self, digest: RequestDigest) -> std::ops::Range<usize> {
         let start = self.runs.partition_point(|run| run.key.digest < digest);
         let end = self.runs.partition_point(|run| run.key.digest <= digest);
         start..end
@@ -549,12 +579,12 @@
     }
 }
 
-impl Mark {
-    fn tell(&self, now: Instant) -> PoisonMark {
-        let age = now.since(self.at).as_millis();
+impl StoredRecord {
+    fn to_message(&self, now: Instant) -> PoisonMark {
+        let age = now.since(self.detected_at).as_millis();
         PoisonMark {
             digest: self.digest,
-            death: self.death,
+            crash: self.crash,
             cleared: self.cleared,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         }
--- a/crates/decisions/src/suspect_run.rs
+++ b/crates/decisions/src/suspect_run.rs
@@ -25,7 +25,7 @@
 
     /// Identifies the possible crash of the upstream process, as in the poison records of the request.
     #[must_use]
-    pub fn death(&self) -> UpstreamDeath {
+    pub fn crash(&self) -> UpstreamDeath {
         UpstreamDeath::of(&self.upstream, self.incarnation)
     }
 }
--- a/crates/decisions/src/suspect_runs.rs
+++ b/crates/decisions/src/suspect_runs.rs
@@ -2,13 +2,13 @@
 
 /// Time for which an announced run blocks other runs of the same suspect. A poison request crashes
 /// its upstream within its first tokens.
-const HOLD: Duration = Duration::from_secs(1);
+const BLOCK_DURATION: Duration = Duration::from_secs(1);
 
 /// Time for which a crash of the upstream is attributed to a suspect that was announced there.
-const EXPIRY: Duration = Duration::from_secs(10);
+const ATTRIBUTION_PERIOD: Duration = Duration::from_secs(10);
 
 /// Maximum number of stored announcements. The oldest are evicted first.
-const MOST_RUNS: usize = 1024;
+const MAX_RUNS: usize = 1024;
 
 /// Runs of this VM that conflict with runs announced by another VM.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -22,17 +22,17 @@
 /// Runs of suspects that other VMs have announced.
 ///
 /// A suspect waits until the upstream of its announced run has been checked and has survived for
-/// [`HOLD`]. Other suspects are not sent to that upstream during this time.
+/// [`BLOCK_DURATION`]. Other suspects are not sent to that upstream during this time.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectRuns {
     /// Sorted by run, at most one entry for each run.
-    runs: Vec<Announced>,
+    runs: Vec<Announcement>,
 }
 
 #[derive(Clone, Debug)]
-struct Announced {
+struct Announcement {
     run: SuspectRun,
-    at: Instant,
+    received_at: Instant,
     /// Whether the request is known to have been sent.
     sent: bool,
     /// Whether this VM has checked the liveness of the upstream since the announcement.
@@ -44,14 +44,19 @@
     /// `sent` states whether the request is known to have been sent.
     pub fn announced(&mut self, run: SuspectRun, sent: bool, now: Instant) {
         self.runs
-            .retain(|announced| now.since(announced.at) <= EXPIRY);
-        if self.runs.len() >= MOST_RUNS {
-            let oldest = self.runs.iter().map(|announced| announced.at).min();
-            self.runs.retain(|announced| Some(announced.at) != oldest);
+            .retain(|announced| now.since(announced.received_at) <= ATTRIBUTION_PERIOD);
+        if self.runs.len() >= MAX_RUNS {
+            let oldest = self
+                .runs
+                .iter()
+                .map(|announced| announced.received_at)
+                .min();
+            self.runs
+                .retain(|announced| Some(announced.received_at) != oldest);
         }
-        let announced = Announced {
+        let announced = Announcement {
             run,
-            at: now,
+            received_at: now,
             sent,
             checked: false,
         };
@@ -64,7 +69,7 @@
     /// Returns the runs of a request whose upstreams this VM has not checked yet.
     #[must_use]
     pub fn unchecked(&self, digest: RequestDigest, now: Instant) -> Vec<SuspectRun> {
-        self.of(digest, now)
+        self.runs_of(digest, now)
             .filter(|announced| !announced.checked)
             .map(|announced| announced.run.clone())
             .collect()
@@ -79,9 +84,9 @@
 
     /// Whether a request has to wait for its announced runs on other VMs.
     #[must_use]
-    pub fn hold(&self, digest: RequestDigest, now: Instant) -> bool {
-        self.of(digest, now)
-            .any(|announced| !announced.checked || announced.holds(now))
+    pub fn must_wait(&self, digest: RequestDigest, now: Instant) -> bool {
+        self.runs_of(digest, now)
+            .any(|announced| !announced.checked || announced.is_blocking(now))
     }
 
     /// Whether an announced run takes precedence over a conflicting run of this VM. A run that has
@@ -91,17 +96,17 @@
     pub fn precedes(&self, own: &SuspectRun, now: Instant) -> bool {
         self.runs
             .iter()
-            .filter(|announced| announced.run.conflicts(own) && announced.holds(now))
+            .filter(|announced| announced.run.conflicts(own) && announced.is_blocking(now))
             .any(|announced| announced.sent || announced.run < *own)
     }
 
-    /// Whether another suspect was announced on an upstream within [`HOLD`].
+    /// Whether another suspect was announced on an upstream within [`BLOCK_DURATION`].
     #[must_use]
-    pub fn occupy(&self, upstream: &UpstreamId, digest: RequestDigest, now: Instant) -> bool {
+    pub fn is_occupied(&self, upstream: &UpstreamId, digest: RequestDigest, now: Instant) -> bool {
         self.runs.iter().any(|announced| {
             announced.run.upstream == *upstream
                 && announced.run.digest != digest
-                && announced.holds(now)
+                && announced.is_blocking(now)
         })
     }
 
@@ -118,25 +123,25 @@
     }
 
     /// Removes the runs on a crashed process; returns the digests to which the crash is attributed.
-    pub fn died(&mut self, death: UpstreamDeath, now: Instant) -> Vec<RequestDigest> {
-        let on_it = |announced: &&Announced| announced.run.death() == death;
-        let under = self.runs.iter().filter(on_it);
-        let under = under
-            .filter(|announced| now.since(announced.at) <= EXPIRY)
+    pub fn upstream_crashed(&mut self, crash: UpstreamDeath, now: Instant) -> Vec<RequestDigest> {
+        let of_process = |announced: &&Announcement| announced.run.crash() == crash;
+        let attributed = self.runs.iter().filter(of_process);
+        let attributed = attributed
+            .filter(|announced| now.since(announced.received_at) <= ATTRIBUTION_PERIOD)
             .map(|announced| announced.run.digest)
             .collect();
-        self.runs.retain(|announced| announced.run.death() != death);
-        under
+        self.runs.retain(|announced| announced.run.crash() != crash);
+        attributed
     }
 
-    fn of(&self, digest: RequestDigest, now: Instant) -> impl Iterator<Item = &Announced> {
+    fn runs_of(&self, digest: RequestDigest, now: Instant) -> impl Iterator<Item = &Announcement> {
         let start = self
             .runs
             .partition_point(|announced| announced.run.digest < digest);
         self.runs[start..]
             .iter()
             .take_while(move |announced| announced.run.digest == digest)
-            .filter(move |announced| now.since(announced.at) <= EXPIRY)
+            .filter(move |announced| now.since(announced.received_at) <= ATTRIBUTION_PERIOD)
     }
 
     fn position(&self, run: &SuspectRun) -> Result<usize, usize> {
@@ -145,8 +150,8 @@
     }
 }
 
-impl Announced {
-    fn holds(&self, now: Instant) -> bool {
-        now.since(self.at) <= HOLD
+impl Announcement {
+    fn is_blocking(&self, now: Instant) -> bool {
+        now.since(self.received_at) <= BLOCK_DURATION
     }
 }
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -12,58 +12,58 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 /// Engine 0 has crashed while it ran the poison request and an unrelated request.
-fn after_one_death() -> PoisonTracker {
+fn tracker_after_one_crash() -> PoisonTracker {
     let mut tracker = PoisonTracker::default();
-    start(&mut tracker, culprit(), 0);
-    start(&mut tracker, innocent(), 0);
-    die(&mut tracker, 0);
+    start(&mut tracker, poison_digest(), 0);
+    start(&mut tracker, unrelated_digest(), 0);
+    crash(&mut tracker, 0);
     tracker
 }
 
 /// A request crashes its engine, is resumed on another one and crashes that as well. Unless it is
 /// refused, it would crash all engines.
 #[gtest]
-fn a_second_death_refuses_the_culprit() {
-    let mut tracker = after_one_death();
-    start(&mut tracker, culprit(), 1);
+fn second_crash_refuses_the_poison_request() {
+    let mut tracker = tracker_after_one_crash();
+    start(&mut tracker, poison_digest(), 1);
 
-    die(&mut tracker, 1);
+    crash(&mut tracker, 1);
 
-    let verdict = tracker.may_start(culprit(), &engine(2), true, at(0));
-    expect_that!(verdict, err(eq(PoisonHold::Refused)));
+    let result = tracker.may_start(poison_digest(), &engine(2), true, at(0));
+    expect_that!(result, err(eq(PoisonHold::Refused)));
 }
 
 /// A rack loses power: the engine of a request fails, and the next engine is down before it has
 /// answered. If the request were taken for a poison request, it would be refused for ten minutes.
 #[gtest]
-fn a_request_that_meets_two_dying_engines_is_not_refused() {
-    let mut tracker = after_one_death();
-    tracker.started(innocent(), engine(1), FIRST, at(0));
+fn request_with_one_crash_and_one_dead_engine_is_not_refused() {
+    let mut tracker = tracker_after_one_crash();
+    tracker.started(unrelated_digest(), engine(1), FIRST, at(0));
 
-    die(&mut tracker, 1);
+    crash(&mut tracker, 1);
 
-    let verdict = tracker.may_start(innocent(), &engine(2), true, at(0));
-    expect_that!(verdict, ok(eq(())));
+    let result = tracker.may_start(unrelated_digest(), &engine(2), true, at(0));
+    expect_that!(result, ok(eq(())));
 }
 
 /// A request crashes each engine before its answer is read, as happens if the process exits within
 /// the few milliseconds before the response head is sent. It must cost no more engines than a
 /// request that is answered first.
 #[gtest]
-fn a_request_that_kills_before_the_answer_costs_two_engines() {
+fn request_that_crashes_engines_before_the_response_costs_two() {
     let mut tracker = PoisonTracker::default();
     let killed = (0..10).take_while(|n| {
-        let may = tracker
-            .may_start(culprit(), &engine(*n), true, at(0))
+        let allowed = tracker
+            .may_start(poison_digest(), &engine(*n), true, at(0))
             .is_ok();
-        if may {
-            let run = tracker.started(culprit(), engine(*n), FIRST, at(0));
-            if tracker.needs_proof(run) {
-                tracker.proven(run);
+        if allowed {
+            let run = tracker.started(poison_digest(), engine(*n), FIRST, at(0));
+            if tracker.needs_liveness_check(run) {
+                tracker.liveness_confirmed(run);
             }
-            die(&mut tracker, *n);
+            crash(&mut tracker, *n);
         }
-        may
+        allowed
     });
 
     expect_that!(killed.count(), eq(2));
@@ -72,96 +72,96 @@
 /// A rack loses power: a request is sent to several of its engines in turn, and none of them begins
 /// to answer. The caller must still be served by the next live engine.
 #[gtest]
-fn a_request_that_meets_dead_engines_only_is_not_refused() {
+fn request_sent_only_to_dead_engines_is_not_refused() {
     let mut tracker = PoisonTracker::default();
     for n in 0..5 {
-        tracker.started(innocent(), engine(n), FIRST, at(0));
-        die(&mut tracker, n);
+        tracker.started(unrelated_digest(), engine(n), FIRST, at(0));
+        crash(&mut tracker, n);
     }
 
-    let verdict = tracker.may_start(innocent(), &engine(9), true, at(0));
+    let result = tracker.may_start(unrelated_digest(), &engine(9), true, at(0));
 
-    expect_that!(verdict, ok(eq(())));
+    expect_that!(result, ok(eq(())));
 }
 
 /// The liveness of an engine is checked for suspects only, because the check costs a round trip.
 #[gtest]
-fn only_suspects_need_proof_that_their_engine_lives() {
-    let mut tracker = after_one_death();
+fn only_suspects_need_a_liveness_check() {
+    let mut tracker = tracker_after_one_crash();
 
-    let suspect = tracker.started(innocent(), engine(1), FIRST, at(0));
-    let fresh = tracker.started(digest(7), engine(2), FIRST, at(0));
+    let suspect = tracker.started(unrelated_digest(), engine(1), FIRST, at(0));
+    let non_suspect = tracker.started(digest(7), engine(2), FIRST, at(0));
 
-    expect_that!(tracker.needs_proof(suspect), eq(true));
-    expect_that!(tracker.needs_proof(fresh), eq(false));
+    expect_that!(tracker.needs_liveness_check(suspect), eq(true));
+    expect_that!(tracker.needs_liveness_check(non_suspect), eq(false));
 }
 
 /// Two requests were in flight on a crashed engine. If both ran on one engine again, a second crash
 /// could not distinguish them, and an unrelated caller would be refused.
 #[gtest]
-fn suspects_are_watched_on_different_engines() {
-    let mut tracker = after_one_death();
-    start(&mut tracker, culprit(), 1);
+fn suspects_are_on_probation_on_different_engines() {
+    let mut tracker = tracker_after_one_crash();
+    start(&mut tracker, poison_digest(), 1);
 
-    let beside = tracker.may_start(innocent(), &engine(1), true, at(0));
-    let apart = tracker.may_start(innocent(), &engine(2), true, at(0));
+    let same_engine = tracker.may_start(unrelated_digest(), &engine(1), true, at(0));
+    let other_engine = tracker.may_start(unrelated_digest(), &engine(2), true, at(0));
 
-    expect_that!(beside, err(eq(PoisonHold::Elsewhere)));
-    expect_that!(apart, ok(anything()));
+    expect_that!(same_engine, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(other_engine, ok(anything()));
 }
 
 /// An unrelated request shares an engine with the poison request, is resumed, gets past the point of
 /// the crash, and then shares a second engine with the poison request. It must not be refused.
 #[gtest]
-fn an_innocent_request_finishes_after_two_shared_deaths() {
-    let mut tracker = after_one_death();
-    let run = start(&mut tracker, innocent(), 1);
+fn unrelated_request_is_not_refused_after_two_shared_crashes() {
+    let mut tracker = tracker_after_one_crash();
+    let run = start(&mut tracker, unrelated_digest(), 1);
     for _ in 0..WATCHED_STEPS {
         tracker.progressed(run);
     }
-    start(&mut tracker, culprit(), 1);
+    start(&mut tracker, poison_digest(), 1);
 
-    die(&mut tracker, 1);
+    crash(&mut tracker, 1);
 
-    let innocent = tracker.may_start(innocent(), &engine(2), true, at(0));
-    let culprit = tracker.may_start(culprit(), &engine(2), true, at(0));
-    expect_that!(innocent, ok(anything()));
-    expect_that!(culprit, err(eq(PoisonHold::Refused)));
+    let unrelated = tracker.may_start(unrelated_digest(), &engine(2), true, at(0));
+    let poison = tracker.may_start(poison_digest(), &engine(2), true, at(0));
+    expect_that!(unrelated, ok(anything()));
+    expect_that!(poison, err(eq(PoisonHold::Refused)));
 }
 
 /// The caller sent the poison request twice, so a second copy already runs on another engine when
 /// the first one crashes its engine.
 #[gtest]
-fn a_second_copy_is_watched_as_well() {
+fn running_second_copy_is_put_on_probation() {
     let mut tracker = PoisonTracker::default();
-    start(&mut tracker, culprit(), 0);
-    start(&mut tracker, culprit(), 1);
-    start(&mut tracker, innocent(), 0);
+    start(&mut tracker, poison_digest(), 0);
+    start(&mut tracker, poison_digest(), 1);
+    start(&mut tracker, unrelated_digest(), 0);
 
-    die(&mut tracker, 0);
+    crash(&mut tracker, 0);
 
-    let beside = tracker.may_start(innocent(), &engine(1), true, at(0));
-    let third_copy = tracker.may_start(culprit(), &engine(2), true, at(0));
-    expect_that!(beside, err(eq(PoisonHold::Elsewhere)));
+    let same_engine = tracker.may_start(unrelated_digest(), &engine(1), true, at(0));
+    let third_copy = tracker.may_start(poison_digest(), &engine(2), true, at(0));
+    expect_that!(same_engine, err(eq(PoisonHold::Elsewhere)));
     expect_that!(third_copy, err(eq(PoisonHold::Elsewhere)));
 }
 
 #[gtest]
-fn an_upstream_watched_by_another_vm_is_left_alone() {
-    let tracker = after_one_death();
+fn suspect_is_not_started_on_an_upstream_of_another_vm() {
+    let tracker = tracker_after_one_crash();
 
-    let verdict = tracker.may_start(innocent(), &engine(1), false, at(0));
+    let result = tracker.may_start(unrelated_digest(), &engine(1), false, at(0));
 
-    expect_that!(verdict, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(result, err(eq(PoisonHold::Elsewhere)));
 }
 
 #[gtest]
-fn marks_expire() {
-    let mut tracker = after_one_death();
-    start(&mut tracker, culprit(), 1);
-    die(&mut tracker, 1);
+fn poison_records_expire() {
+    let mut tracker = tracker_after_one_crash();
+    start(&mut tracker, poison_digest(), 1);
+    crash(&mut tracker, 1);
 
-    let refused = [600, 601].map(|seconds| tracker.refuses(culprit(), at(seconds)));
+    let refused = [600, 601].map(|seconds| tracker.refuses(poison_digest(), at(seconds)));
 
     expect_that!(refused, eq([true, false]));
 }
@@ -169,34 +169,34 @@
 /// The caller of a poison request is sent to another VM after each failure. If VMs did not share
 /// their records, each VM would lose two engines.
 #[gtest]
-fn vms_share_their_marks() {
+fn vms_share_poison_records() {
     let mut first = PoisonTracker::default();
-    start(&mut first, culprit(), 0);
-    die(&mut first, 0);
+    start(&mut first, poison_digest(), 0);
+    crash(&mut first, 0);
     let mut second = PoisonTracker::default();
     second.merge(&first.deltas(at(0)), at(0));
-    start(&mut second, culprit(), 1);
-    die(&mut second, 1);
+    start(&mut second, poison_digest(), 1);
+    crash(&mut second, 1);
 
     first.merge(&second.deltas(at(0)), at(0));
 
-    expect_that!(first.refuses(culprit(), at(0)), eq(true));
-    expect_that!(second.refuses(culprit(), at(0)), eq(true));
+    expect_that!(first.refuses(poison_digest(), at(0)), eq(true));
+    expect_that!(second.refuses(poison_digest(), at(0)), eq(true));
 }
 
 #[gtest]
-fn deltas_are_bounded_and_told_eight_times() {
+fn deltas_are_bounded_and_records_are_sent_eight_times() {
     let mut tracker = PoisonTracker::default();
     for n in 0..30 {
         start(&mut tracker, digest(n), 0);
     }
-    die(&mut tracker, 0);
+    crash(&mut tracker, 0);
 
-    let told = [0; 30].map(|_| tracker.deltas(at(0)).len());
+    let sent = [0; 30].map(|_| tracker.deltas(at(0)).len());
 
-    expect_that!(told, each(le(12)));
-    expect_that!(told.iter().sum::<usize>(), eq(30 * 8));
-    expect_that!(told[29], eq(0));
+    expect_that!(sent, each(le(12)));
+    expect_that!(sent.iter().sum::<usize>(), eq(30 * 8));
+    expect_that!(sent[29], eq(0));
 }
 
 /// A request of the simulation.
@@ -205,24 +205,24 @@
     steps_left: u32,
     run: Option<(PoisonRun, usize)>,
     steps_of_run: u32,
-    over: bool,
+    done: bool,
 }
 
 /// A simulation of engines and requests. Each engine is given by its incarnation, or `None` after a
 /// crash.
-struct World {
+struct Simulation {
     tracker: PoisonTracker,
     engines: Vec<Option<u64>>,
     requests: Vec<Request>,
-    lost: u32,
+    engines_lost: u32,
     rng: Xoshiro256PlusPlus,
 }
 
-impl World {
-    fn new(seed: u64, engines: usize, innocents: u64, copies: usize) -> Self {
+impl Simulation {
+    fn new(seed: u64, engines: usize, unrelated_count: u64, copies: usize) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let mut digests = vec![culprit(); copies];
-        digests.extend((1..=innocents).map(digest));
+        let mut digests = vec![poison_digest(); copies];
+        digests.extend((1..=unrelated_count).map(digest));
         digests.shuffle(&mut rng);
         Self {
             tracker: PoisonTracker::default(),
@@ -234,10 +234,10 @@
                     steps_left: rng.random_range(1..12),
                     run: None,
                     steps_of_run: 0,
-                    over: false,
+                    done: false,
                 })
                 .collect(),
-            lost: 0,
+            engines_lost: 0,
             rng,
         }
     }
@@ -247,7 +247,7 @@
         for request in self
             .requests
             .iter_mut()
-            .filter(|r| !r.over && r.run.is_none())
+            .filter(|r| !r.done && r.run.is_none())
         {
             let mut order = (0..self.engines.len()).collect::<Vec<_>>();
             order.shuffle(&mut self.rng);
@@ -265,13 +265,13 @@
                             self.tracker
                                 .started(request.digest, engine(n), incarnation, at(0));
                         // Engines begin to answer a request before they compute.
-                        self.tracker.arrived(run);
+                        self.tracker.response_started(run);
                         request.run = Some((run, n));
                         request.steps_of_run = 0;
                         break;
                     }
                     Err(PoisonHold::Refused) => {
-                        request.over = true;
+                        request.done = true;
                         break;
                     }
                     Err(PoisonHold::Elsewhere) => {}
@@ -287,7 +287,7 @@
                 continue;
             };
             self.requests[i].steps_of_run += 1;
-            if self.requests[i].digest == culprit() {
+            if self.requests[i].digest == poison_digest() {
                 if self.rng.random() || self.requests[i].steps_of_run >= WATCHED_STEPS {
                     self.kill(n);
                 } else {
@@ -298,7 +298,7 @@
             self.requests[i].steps_left -= 1;
             if self.requests[i].steps_left == 0 {
                 self.tracker.finished(run);
-                self.requests[i].over = true;
+                self.requests[i].done = true;
                 self.requests[i].run = None;
             } else {
                 self.tracker.progressed(run);
@@ -309,8 +309,8 @@
     fn kill(&mut self, n: usize) {
         let incarnation = self.engines[n].take().expect("it runs something");
         self.tracker
-            .died(&engine(n), Incarnation(incarnation), at(0));
-        self.lost += 1;
+            .upstream_crashed(&engine(n), Incarnation(incarnation), at(0));
+        self.engines_lost += 1;
         for request in &mut self.requests {
             request.run = request.run.filter(|(_, on)| *on != n);
         }
@@ -322,51 +322,51 @@
     /// sends up to three copies. In any order of events, at most two engines are lost, and all
     /// other requests finish.
     #[test]
-    fn two_engines_are_lost_at_most_and_innocents_finish(
+    fn at_most_two_engines_are_lost_and_unrelated_requests_finish(
         seed in any::<u64>(),
         engines in 3..10_usize,
-        innocents in 0..40_u64,
+        unrelated_count in 0..40_u64,
         copies in 1..4_usize,
     ) {
-        let mut world = World::new(seed, engines, innocents, copies);
+        let mut simulation = Simulation::new(seed, engines, unrelated_count, copies);
 
         for _ in 0..2000 {
-            world.dispatch();
-            world.step();
+            simulation.dispatch();
+            simulation.step();
         }
 
-        let unfinished = world.requests.iter().filter(|r| !r.over).count();
-        let refused_innocents = (1..=innocents)
-            .filter(|n| world.tracker.refuses(digest(*n), at(0)))
+        let unfinished = simulation.requests.iter().filter(|r| !r.done).count();
+        let refused_unrelated = (1..=unrelated_count)
+            .filter(|n| simulation.tracker.refuses(digest(*n), at(0)))
             .count();
-        prop_assert!(world.lost <= 2, "{} engines lost", world.lost);
-        prop_assert_eq!((unfinished, refused_innocents), (0, 0));
+        prop_assert!(simulation.engines_lost <= 2, "{} engines lost", simulation.engines_lost);
+        prop_assert_eq!((unfinished, refused_unrelated), (0, 0));
     }
 
     #[test]
-    fn marks_merge_in_any_order_and_number(
-        deaths in prop::collection::vec((0..4_u64, 0..4_usize, any::<bool>()), 1..20),
+    fn record_merge_is_commutative_and_idempotent(
+        crashes in prop::collection::vec((0..4_u64, 0..4_usize, any::<bool>()), 1..20),
         seed in any::<u64>(),
     ) {
-        let mut peers = vec![PoisonTracker::default(); deaths.len()];
-        for (tracker, (n_digest, n, clear)) in peers.iter_mut().zip(&deaths) {
+        let mut peers = vec![PoisonTracker::default(); crashes.len()];
+        for (tracker, (n_digest, n, clear)) in peers.iter_mut().zip(&crashes) {
             let digest = digest(*n_digest);
             start(tracker, digest, *n);
-            die(tracker, *n);
+            crash(tracker, *n);
             if *clear {
                 let run = start(tracker, digest, 9);
                 tracker.finished(run);
             }
         }
-        let mut told = peers.iter().flat_map(|t| t.marks(at(0))).collect::<Vec<_>>();
+        let mut sent = peers.iter().flat_map(|t| t.records(at(0))).collect::<Vec<_>>();
         let mut in_order = PoisonTracker::default();
-        in_order.merge(&told, at(0));
+        in_order.merge(&sent, at(0));
 
-        told.extend(told.clone());
-        told.shuffle(&mut Xoshiro256PlusPlus::seed_from_u64(seed));
+        sent.extend(sent.clone());
+        sent.shuffle(&mut Xoshiro256PlusPlus::seed_from_u64(seed));
         let mut shuffled = PoisonTracker::default();
-        shuffled.merge(&told, at(0));
+        shuffled.merge(&sent, at(0));
 
-        prop_assert_eq!(in_order.marks(at(0)), shuffled.marks(at(0)));
+        prop_assert_eq!(in_order.records(at(0)), shuffled.records(at(0)));
     }
 }
--- a/crates/decisions/tests/poison_blame.rs
+++ b/crates/decisions/tests/poison_attribution.rs
@@ -14,59 +14,60 @@
 /// not yet heard of the refusal and runs the poison request there. If both crashes were attributed
 /// to the unrelated request, its caller would be refused after receiving part of the answer.
 #[gtest]
-fn deaths_of_a_refused_request_are_not_laid_to_those_beside_it() {
+fn crashes_of_a_refused_request_are_not_attributed_to_others() {
     let mut tracker = PoisonTracker::default();
-    start_at(&mut tracker, culprit(), 0, at(1));
-    die_at(&mut tracker, 0, at(1));
-    start_at(&mut tracker, culprit(), 1, at(2));
-    tracker.started(innocent(), engine(1), FIRST, at(1));
-    die_at(&mut tracker, 1, at(2));
-    start_at(&mut tracker, innocent(), 2, at(2));
+    start_at(&mut tracker, poison_digest(), 0, at(1));
+    crash_at(&mut tracker, 0, at(1));
+    start_at(&mut tracker, poison_digest(), 1, at(2));
+    tracker.started(unrelated_digest(), engine(1), FIRST, at(1));
+    crash_at(&mut tracker, 1, at(2));
+    start_at(&mut tracker, unrelated_digest(), 2, at(2));
 
-    die_at(&mut tracker, 2, at(3));
+    crash_at(&mut tracker, 2, at(3));
 
-    expect_that!(tracker.refuses(culprit(), at(3)), eq(true));
-    expect_that!(tracker.refuses(innocent(), at(3)), eq(false));
+    expect_that!(tracker.refuses(poison_digest(), at(3)), eq(true));
+    expect_that!(tracker.refuses(unrelated_digest(), at(3)), eq(false));
 }
 
 /// The poison request ran on another VM, whose records arrive after the second crash of the unrelated
 /// request.
 #[gtest]
-fn deaths_are_not_laid_to_a_request_once_a_peer_names_the_culprit() {
+fn crashes_are_reattributed_when_a_peer_reports_the_poison_request() {
     let (mut peer, mut tracker) = (PoisonTracker::default(), PoisonTracker::default());
     for (n, now) in [(0, at(0)), (1, at(1))] {
-        start_at(&mut peer, culprit(), n, now);
-        die_at(&mut peer, n, now);
+        start_at(&mut peer, poison_digest(), n, now);
+        crash_at(&mut peer, n, now);
     }
     for (n, now) in [(1, at(1)), (2, at(2))] {
-        start_at(&mut tracker, innocent(), n, now);
-        die_at(&mut tracker, n, now);
+        start_at(&mut tracker, unrelated_digest(), n, now);
+        crash_at(&mut tracker, n, now);
     }
-    let before = tracker.refuses(innocent(), at(3));
+    let before = tracker.refuses(unrelated_digest(), at(3));
 
-    let own = tracker.marks_of(innocent(), at(3));
-    tracker.merge(&peer.culprits(&own, at(3)), at(3));
+    let own = tracker.records_of(unrelated_digest(), at(3));
+    tracker.merge(&peer.explaining_records(&own, at(3)), at(3));
 
     expect_that!(before, eq(true));
-    expect_that!(tracker.refuses(innocent(), at(3)), eq(false));
-    expect_that!(tracker.refuses(culprit(), at(3)), eq(true));
+    expect_that!(tracker.refuses(unrelated_digest(), at(3)), eq(false));
+    expect_that!(tracker.refuses(poison_digest(), at(3)), eq(true));
 }
 
 /// Two requests were in flight at the same two crashes, so nothing distinguishes them. If neither
 /// were refused, the poison request would continue to crash engines.
 #[gtest]
-fn of_two_requests_with_the_same_deaths_both_are_refused() {
+fn two_requests_with_the_same_crashes_are_both_refused() {
     let mut tracker = PoisonTracker::default();
     for n in 0..2 {
         let now = at(u64::try_from(n).expect("small"));
-        for digest in [culprit(), innocent()] {
+        for digest in [poison_digest(), unrelated_digest()] {
             let run = tracker.started(digest, engine(n), FIRST, now);
-            tracker.arrived(run);
+            tracker.response_started(run);
         }
-        die_at(&mut tracker, n, now);
+        crash_at(&mut tracker, n, now);
     }
 
-    let refused = [culprit(), innocent()].map(|digest| tracker.refuses(digest, at(2)));
+    let refused =
+        [poison_digest(), unrelated_digest()].map(|digest| tracker.refuses(digest, at(2)));
 
     expect_that!(refused, eq([true, true]));
 }
@@ -75,30 +76,30 @@
     /// VMs receive records in different orders. If the order decided whether a request is refused, it
     /// would crash an engine at each VM that accepts it.
     #[test]
-    fn who_is_refused_does_not_depend_on_the_order_of_the_news(
-        deaths in prop::collection::vec((0..5_u64, 0..6_u64, 0..5_u32, any::<bool>()), 1..20),
+    fn refusals_do_not_depend_on_the_order_of_records(
+        crashes in prop::collection::vec((0..5_u64, 0..6_u64, 0..5_u32, any::<bool>()), 1..20),
         seed in any::<u64>(),
     ) {
-        let mut told = deaths
+        let mut records = crashes
             .into_iter()
-            .map(|(n, death, age, cleared)| PoisonMark {
+            .map(|(n, crash, age, cleared)| PoisonMark {
                 digest: digest(n),
-                death: UpstreamDeath(death),
+                crash: UpstreamDeath(crash),
                 cleared,
                 age_ms: 1000 * age,
             })
             .collect::<Vec<_>>();
-        let refused = |told: &[PoisonMark]| {
+        let refused = |records: &[PoisonMark]| {
             let mut tracker = PoisonTracker::default();
-            for mark in told {
-                tracker.merge(&[*mark], at(10));
+            for record in records {
+                tracker.merge(&[*record], at(10));
             }
             (0..5).map(|n| tracker.refuses(digest(n), at(10))).collect::<Vec<_>>()
         };
-        let in_order = refused(&told);
+        let in_order = refused(&records);
 
-        told.shuffle(&mut Xoshiro256PlusPlus::seed_from_u64(seed));
+        records.shuffle(&mut Xoshiro256PlusPlus::seed_from_u64(seed));
 
-        prop_assert_eq!(in_order, refused(&told));
+        prop_assert_eq!(in_order, refused(&records));
     }
 }
--- a/crates/decisions/tests/poison_support/mod.rs
+++ b/crates/decisions/tests/poison_support/mod.rs
@@ -12,11 +12,11 @@
     format!("{n:032x}").parse().expect("32 hexadecimal digits")
 }
 
-pub fn culprit() -> RequestDigest {
+pub fn poison_digest() -> RequestDigest {
     digest(0)
 }
 
-pub fn innocent() -> RequestDigest {
+pub fn unrelated_digest() -> RequestDigest {
     digest(1)
 }
 
@@ -43,14 +43,14 @@
         .may_start(digest, &engine, true, now)
         .expect("it may start");
     let run = tracker.started(digest, engine, FIRST, now);
-    tracker.arrived(run);
+    tracker.response_started(run);
     run
 }
 
-pub fn die(tracker: &mut PoisonTracker, n: usize) {
-    die_at(tracker, n, at(0));
+pub fn crash(tracker: &mut PoisonTracker, n: usize) {
+    crash_at(tracker, n, at(0));
 }
 
-pub fn die_at(tracker: &mut PoisonTracker, n: usize, now: Instant) {
-    tracker.died(&engine(n), FIRST, now);
+pub fn crash_at(tracker: &mut PoisonTracker, n: usize, now: Instant) {
+    tracker.upstream_crashed(&engine(n), FIRST, now);
 }
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -8,7 +8,7 @@
 
 fn run_on(n: usize) -> SuspectRun {
     SuspectRun {
-        digest: culprit(),
+        digest: poison_digest(),
         upstream: engine(n),
         incarnation: FIRST,
     }
@@ -16,122 +16,123 @@
 
 /// A VM that knows of one crash of the poison request, and has received the announcement of another
 /// VM that sends it to engine 1.
-fn after_an_announcement() -> PoisonTracker {
+fn tracker_after_announcement() -> PoisonTracker {
     let mut other = PoisonTracker::default();
-    start(&mut other, culprit(), 0);
-    die(&mut other, 0);
+    start(&mut other, poison_digest(), 0);
+    crash(&mut other, 0);
     let mut tracker = PoisonTracker::default();
-    tracker.merge(&other.marks(at(0)), at(0));
+    tracker.merge(&other.records(at(0)), at(0));
     tracker.announced(run_on(1), at(0));
     tracker
 }
 
 /// A VM whose poison request has crashed engine 0 and is about to be sent to engine `n`.
-fn suspect_on(n: usize) -> (PoisonTracker, PoisonRun) {
+fn tracker_with_suspect_on(n: usize) -> (PoisonTracker, PoisonRun) {
     let mut tracker = PoisonTracker::default();
-    start(&mut tracker, culprit(), 0);
-    die(&mut tracker, 0);
-    let run = start(&mut tracker, culprit(), n);
+    start(&mut tracker, poison_digest(), 0);
+    crash(&mut tracker, 0);
+    let run = start(&mut tracker, poison_digest(), n);
     (tracker, run)
 }
 
 #[gtest]
 fn only_suspects_are_announced() {
     let mut tracker = PoisonTracker::default();
-    let fresh = start(&mut tracker, innocent(), 1);
-    start(&mut tracker, culprit(), 0);
-    die(&mut tracker, 0);
-    let suspect = start(&mut tracker, culprit(), 2);
+    let non_suspect = start(&mut tracker, unrelated_digest(), 1);
+    start(&mut tracker, poison_digest(), 0);
+    crash(&mut tracker, 0);
+    let suspect = start(&mut tracker, poison_digest(), 2);
 
-    expect_that!(tracker.suspect_run(fresh), none());
+    expect_that!(tracker.suspect_run(non_suspect), none());
     expect_that!(tracker.suspect_run(suspect), some(eq(&run_on(2))));
 }
 
 /// Guards against the loss of a third upstream: a VM fails together with the second one, and its
 /// caller reconnects to another VM.
 #[gtest]
-fn death_of_the_announced_upstream_refuses_the_request() {
-    let mut tracker = after_an_announcement();
+fn crash_of_the_announced_upstream_refuses_the_request() {
+    let mut tracker = tracker_after_announcement();
 
-    die_at(&mut tracker, 1, at(5));
+    crash_at(&mut tracker, 1, at(5));
 
-    expect_that!(tracker.refuses(culprit(), at(5)), eq(true));
-    expect_that!(tracker.refuses(innocent(), at(5)), eq(false));
+    expect_that!(tracker.refuses(poison_digest(), at(5)), eq(true));
+    expect_that!(tracker.refuses(unrelated_digest(), at(5)), eq(false));
 }
 
 /// Guards against blaming a suspect for a crash long after its announcement, which another request
 /// may have caused.
 #[gtest]
-fn late_death_of_the_announced_upstream_does_not_count() {
-    let mut tracker = after_an_announcement();
+fn late_crash_of_the_announced_upstream_is_not_attributed() {
+    let mut tracker = tracker_after_announcement();
 
-    die_at(&mut tracker, 1, at(11));
+    crash_at(&mut tracker, 1, at(11));
 
-    expect_that!(tracker.refuses(culprit(), at(11)), eq(false));
+    expect_that!(tracker.refuses(poison_digest(), at(11)), eq(false));
 }
 
 /// Guards against sending a suspect to a third upstream before the liveness of the second one was
 /// checked.
 #[gtest]
 fn suspect_waits_until_its_announced_upstream_was_checked() {
-    let mut tracker = after_an_announcement();
-    let may = |tracker: &PoisonTracker, seconds| {
-        tracker.may_start(culprit(), &engine(2), true, at(seconds))
+    let mut tracker = tracker_after_announcement();
+    let try_start = |tracker: &PoisonTracker, seconds| {
+        tracker.may_start(poison_digest(), &engine(2), true, at(seconds))
     };
 
-    let unchecked = tracker.unchecked(culprit(), at(2));
-    let before = may(&tracker, 2);
+    let unchecked = tracker.unchecked(poison_digest(), at(2));
+    let before = try_start(&tracker, 2);
     tracker.checked(&run_on(1));
 
     expect_that!(unchecked, eq(&vec![run_on(1)]));
     expect_that!(before, err(eq(PoisonHold::Elsewhere)));
-    expect_that!(may(&tracker, 1), err(eq(PoisonHold::Elsewhere)));
-    expect_that!(may(&tracker, 2), ok(eq(())));
+    expect_that!(try_start(&tracker, 1), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(try_start(&tracker, 2), ok(eq(())));
 }
 
 /// Guards against two suspects of different VMs on one upstream, whose crash could not be attributed
 /// to one of them.
 #[gtest]
-fn other_suspects_keep_away_from_the_announced_upstream() {
-    let mut tracker = after_an_announcement();
-    start(&mut tracker, innocent(), 3);
-    die(&mut tracker, 3);
-    let may = |n, seconds| tracker.may_start(innocent(), &engine(n), true, at(seconds));
+fn other_suspects_are_not_sent_to_the_announced_upstream() {
+    let mut tracker = tracker_after_announcement();
+    start(&mut tracker, unrelated_digest(), 3);
+    crash(&mut tracker, 3);
+    let try_start =
+        |n, seconds| tracker.may_start(unrelated_digest(), &engine(n), true, at(seconds));
 
-    expect_that!(may(1, 1), err(eq(PoisonHold::Elsewhere)));
-    expect_that!(may(2, 1), ok(eq(())));
-    expect_that!(may(1, 2), ok(eq(())));
+    expect_that!(try_start(1, 1), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(try_start(2, 1), ok(eq(())));
+    expect_that!(try_start(1, 2), ok(eq(())));
 }
 
 /// Guards against delaying a request that has been cleared on another VM.
 #[gtest]
-fn request_that_got_past_the_death_is_not_held() {
+fn cleared_request_is_not_blocked() {
     let mut other = PoisonTracker::default();
-    start(&mut other, culprit(), 0);
-    die(&mut other, 0);
-    let run = start(&mut other, culprit(), 1);
-    let mut tracker = after_an_announcement();
+    start(&mut other, poison_digest(), 0);
+    crash(&mut other, 0);
+    let run = start(&mut other, poison_digest(), 1);
+    let mut tracker = tracker_after_announcement();
 
     other.finished(run);
-    tracker.merge(&other.marks(at(0)), at(0));
-    let unchecked = tracker.unchecked(culprit(), at(0));
-    die(&mut tracker, 1);
+    tracker.merge(&other.records(at(0)), at(0));
+    let unchecked = tracker.unchecked(poison_digest(), at(0));
+    crash(&mut tracker, 1);
 
     expect_that!(unchecked, is_empty());
-    expect_that!(tracker.is_marked(culprit(), at(0)), eq(false));
+    expect_that!(tracker.is_suspect(poison_digest(), at(0)), eq(false));
 }
 
 /// Guards against sending a request that reached the limit of crashes while the VM waited for the
 /// answers of its peers.
 #[gtest]
-fn order_is_held_back_once_the_request_is_refused() {
+fn commit_fails_once_the_request_is_refused() {
     let mut other = PoisonTracker::default();
-    start(&mut other, culprit(), 1);
-    die(&mut other, 1);
-    let (mut tracker, run) = suspect_on(2);
+    start(&mut other, poison_digest(), 1);
+    crash(&mut other, 1);
+    let (mut tracker, run) = tracker_with_suspect_on(2);
     let before = tracker.clone().commit(run, at(0));
 
-    tracker.merge(&other.marks(at(0)), at(0));
+    tracker.merge(&other.records(at(0)), at(0));
 
     expect_that!(before, ok(eq(())));
     expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Refused)));
@@ -140,9 +141,9 @@
 /// Guards against two VMs that announce the same suspect at the same time and both send it, or
 /// neither.
 #[gtest]
-fn one_of_two_vms_that_announce_a_suspect_together_sends_it() {
-    let (mut first, first_run) = suspect_on(1);
-    let (mut second, second_run) = suspect_on(2);
+fn one_of_two_concurrent_announcements_is_committed() {
+    let (mut first, first_run) = tracker_with_suspect_on(1);
+    let (mut second, second_run) = tracker_with_suspect_on(2);
 
     first.announced(run_on(2), at(0));
     second.announced(run_on(1), at(0));
@@ -157,12 +158,12 @@
 /// Guards against sending a suspect while an earlier copy of it runs on another VM.
 #[gtest]
 fn suspect_waits_for_its_run_on_another_vm() {
-    let (mut running, sent) = suspect_on(2);
+    let (mut running, sent) = tracker_with_suspect_on(2);
     running.commit(sent, at(0)).expect("nothing is in its way");
-    let (mut tracker, run) = suspect_on(1);
+    let (mut tracker, run) = tracker_with_suspect_on(1);
 
     let conflicts = running.conflicts(&[run_on(1)]);
-    tracker.runs_elsewhere(conflicts.running[0].clone(), at(0));
+    tracker.running_on_peer(conflicts.running[0].clone(), at(0));
 
     expect_that!(conflicts.waiting, is_empty());
     expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
@@ -170,62 +171,65 @@
 
 /// Guards against two VMs that send different suspects to one upstream at the same time.
 #[gtest]
-fn suspect_waits_for_another_one_on_its_upstream() {
-    let (mut culprits, sent) = suspect_on(1);
-    culprits.commit(sent, at(0)).expect("nothing is in its way");
+fn suspect_waits_for_another_suspect_on_its_upstream() {
+    let (mut peer, sent) = tracker_with_suspect_on(1);
+    peer.commit(sent, at(0)).expect("nothing is in its way");
     let mut tracker = PoisonTracker::default();
-    start(&mut tracker, innocent(), 0);
-    die(&mut tracker, 0);
-    let run = start(&mut tracker, innocent(), 1);
+    start(&mut tracker, unrelated_digest(), 0);
+    crash(&mut tracker, 0);
+    let run = start(&mut tracker, unrelated_digest(), 1);
 
     let announced = tracker.suspect_run(run).expect("a suspect");
-    let conflicts = culprits.conflicts(&[announced]);
-    tracker.runs_elsewhere(conflicts.running[0].clone(), at(0));
+    let conflicts = peer.conflicts(&[announced]);
+    tracker.running_on_peer(conflicts.running[0].clone(), at(0));
 
     expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
 }
 
 /// Guards against blaming a request for the crash of an upstream to which it was never sent.
 #[gtest]
-fn withdrawn_run_is_not_blamed_for_the_death_of_its_upstream() {
-    let mut late = after_an_announcement();
-    let mut early = late.clone();
-
-    late.withdrawn(&run_on(1));
-    die(&mut late, 1);
-    die(&mut early, 1);
-    let blamed = early.refuses(culprit(), at(0));
-    early.withdrawn(&run_on(1));
-
-    expect_that!(blamed, eq(true));
-    expect_that!(late.refuses(culprit(), at(0)), eq(false));
-    expect_that!(early.refuses(culprit(), at(0)), eq(false));
-    expect_that!(late.unchecked(culprit(), at(0)), is_empty());
+fn crash_is_not_attributed_to_a_withdrawn_run() {
+    let mut withdrawn_first = tracker_after_announcement();
+    let mut crashed_first = withdrawn_first.clone();
+
+    withdrawn_first.withdrawn(&run_on(1));
+    crash(&mut withdrawn_first, 1);
+    crash(&mut crashed_first, 1);
+    let refused_before = crashed_first.refuses(poison_digest(), at(0));
+    crashed_first.withdrawn(&run_on(1));
+
+    expect_that!(refused_before, eq(true));
+    expect_that!(withdrawn_first.refuses(poison_digest(), at(0)), eq(false));
+    expect_that!(crashed_first.refuses(poison_digest(), at(0)), eq(false));
+    expect_that!(
+        withdrawn_first.unchecked(poison_digest(), at(0)),
+        is_empty()
+    );
 }
 
 /// Guards against a withdrawal that clears a crash which another VM has observed itself.
 #[gtest]
-fn withdrawal_keeps_a_death_that_was_seen() {
-    let (mut other, run) = suspect_on(1);
+fn withdrawal_keeps_an_observed_crash() {
+    let (mut other, run) = tracker_with_suspect_on(1);
     other.commit(run, at(0)).expect("nothing is in its way");
-    die(&mut other, 1);
+    crash(&mut other, 1);
     let mut tracker = PoisonTracker::default();
-    tracker.merge(&other.marks(at(0)), at(0));
+    tracker.merge(&other.records(at(0)), at(0));
 
     tracker.withdrawn(&run_on(1));
 
-    expect_that!(tracker.refuses(culprit(), at(0)), eq(true));
+    expect_that!(tracker.refuses(poison_digest(), at(0)), eq(true));
 }
 
 /// Guards against blaming a suspect for a crash between its announcement and its dispatch.
 #[gtest]
-fn suspect_is_not_blamed_for_a_death_before_its_order() {
+fn crash_before_dispatch_is_not_attributed_to_the_suspect() {
     let mut tracker = PoisonTracker::default();
-    start(&mut tracker, culprit(), 0);
-    die(&mut tracker, 0);
-    tracker.started(culprit(), engine(1), FIRST, at(0));
+    start(&mut tracker, poison_digest(), 0);
+    crash(&mut tracker, 0);
+    tracker.started(poison_digest(), engine(1), FIRST, at(0));
 
-    die(&mut tracker, 1);
+    crash(&mut tracker, 1);
 
-    expect_that!(tracker.refuses(culprit(), at(0)), eq(false));
+    expect_that!(tracker.refuses(poison_digest(), at(0)), eq(false));
 }
--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -170,7 +170,7 @@
     let body = serde_json::to_vec(request).expect("JSON");
     ["engine-8", "engine-9"].map(|upstream| PoisonMark {
         digest: RequestDigest::of(&team, &body),
-        death: UpstreamDeath::of(&upstream.parse().expect("an id"), Incarnation(1)),
+        crash: UpstreamDeath::of(&upstream.parse().expect("an id"), Incarnation(1)),
         cleared: false,
         age_ms: 10,
     })
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -302,7 +302,7 @@
             let marks = site.node.upstreams.poison_marks();
             marks
                 .iter()
-                .map(|m| (m.digest, m.death))
+                .map(|m| (m.digest, m.crash))
                 .collect::<Vec<_>>()
         };
         while digests(self) != digests(other) {
