--- a/crates/catkinward/src/generation.rs
+++ b/crates/catkinward/src/generation.rs
@@ -126,7 +126,7 @@
             return false;
         }
         let progress = self.progress();
-        progress.is_some_and(|progress| progress.reaches(point))
+        progress.is_some_and(|progress| progress.can_resume(point))
     }
 
     /// Lets the caller have all tokens before `next`.
--- a/crates/catkinward/src/peer_copies.rs
+++ b/crates/catkinward/src/peer_copies.rs
@@ -45,7 +45,10 @@
     /// Where none reaches as far as the caller has come, any of that key shows what it was used for.
     pub(crate) fn find_here(&self, id: &RequestId, point: &ReturnPoint) -> Option<ProgressRecord> {
         let store = self.store.lock();
-        store.find(id, point).or_else(|| store.any(id)).cloned()
+        store
+            .find(id, point)
+            .or_else(|| store.find_any(id))
+            .cloned()
     }
 
     /// Looks for the copy of a generation, here and where it may be kept. The first one that reaches
@@ -56,7 +59,7 @@
         point: &ReturnPoint,
     ) -> Option<ProgressRecord> {
         let mut best = self.find_here(id, point);
-        if best.as_ref().is_some_and(|record| record.reaches(point)) {
+        if best.as_ref().is_some_and(|record| record.can_resume(point)) {
             return best;
         }
         let mut answers = self
@@ -66,7 +69,7 @@
             .collect::<futures::stream::FuturesUnordered<_>>();
         while let Some(answer) = futures::StreamExt::next(&mut answers).await {
             let Some(record) = answer else { continue };
-            if record.reaches(point) {
+            if record.can_resume(point) {
                 return Some(record);
             }
             best = Some(record);
@@ -89,13 +92,13 @@
 
     /// Keeps a copy of a generation that this VM has run, for a caller who comes back to it.
     pub(crate) fn keep_own(&self, update: &ProgressUpdate) {
-        self.store.lock().keep(self.timer.now(), update);
+        self.store.lock().apply(self.timer.now(), update);
     }
 
     pub(crate) fn to_be_asked(&self, point: &ReturnPoint) -> Vec<PeerEntry> {
         let now = self.timer.now();
         let table = self.table.lock();
-        let Some((vm, _)) = &point.from else {
+        let Some((vm, _)) = &point.origin else {
             return table.nearest(now, MOST_ASKED_BLINDLY);
         };
         let mut asked = table.likely_holders(now, vm, MOST_ASKED);
@@ -114,7 +117,7 @@
         let asked = async {
             let link = self.link(&peer).await.ok()?;
             let answer = link
-                .ask(PeerBody::Find(id, point.next, point.from), PROBE_TIMEOUT)
+                .ask(PeerBody::Find(id, point.next, point.origin), PROBE_TIMEOUT)
                 .await;
             if answer.is_err() {
                 self.drop_link(&peer.vm, link.serial);
@@ -133,7 +136,7 @@
         let mut store = self.store.lock();
         let mut superseded = Vec::new();
         for update in updates {
-            if let KeptProgress::Superseded(attempt) = store.keep(now, update) {
+            if let KeptProgress::Superseded(attempt) = store.apply(now, update) {
                 superseded.push((update.id.clone(), update.chain, attempt));
             }
         }
@@ -153,7 +156,7 @@
         let lineage = update.head.iter().flat_map(|head| &head.lineage);
         let ended = lineage.map(|(chain, _)| (update.id.clone(), *chain, update.attempt));
         self.superseded(&ended.collect::<Vec<_>>());
-        self.store.lock().keep(self.timer.now(), update);
+        self.store.lock().apply(self.timer.now(), update);
     }
 
     pub(crate) fn superseded(&self, list: &[(RequestId, ChainId, Attempt)]) {
--- a/crates/catkinward/src/peer_server.rs
+++ b/crates/catkinward/src/peer_server.rs
@@ -23,7 +23,7 @@
             PeerBody::AskSlices(requests) => Some(self.slices(peer, &requests)),
             PeerBody::Progress(updates) => self.keep(&updates),
             PeerBody::Find(id, next, from) => {
-                let copy = self.copy(&id, &ReturnPoint { next, from });
+                let copy = self.copy(&id, &ReturnPoint { next, origin: from });
                 Some(PeerBody::Found(copy.map(Box::new)))
             }
             PeerBody::FetchBundle(digest) => {
--- a/crates/catkinward/src/returning_caller.rs
+++ b/crates/catkinward/src/returning_caller.rs
@@ -36,7 +36,7 @@
     if record.head.digest != request.body {
         return Err(ProblemKind::KeyConflict.into());
     }
-    if !record.reaches(point) {
+    if !record.can_resume(point) {
         return Err(lost(&request));
     }
     Ok(take_over(node, request, point, &record))
@@ -54,7 +54,7 @@
     loop {
         let record = find_copy(node, &request.id, point).await;
         let is_final = match &record {
-            Some(record) => record.head.digest != request.body || record.reaches(point),
+            Some(record) => record.head.digest != request.body || record.can_resume(point),
             None => point.next == TokenIndex(0),
         };
         let waited = node.timer.now().since(start);
@@ -85,7 +85,7 @@
     record: &ProgressRecord,
 ) -> Generation {
     let request = request.going_on(record);
-    let last = record.attempt.take_over(rand::random());
+    let last = record.attempt.first_after_takeover(rand::random());
     let generation = Generation::resumed(request, record, last);
     if record.finish.is_some() {
         return generation;
@@ -100,7 +100,7 @@
         attempt: Some(last),
         upstream: record.upstream.clone(),
         bundle: Some(record.head.bundle),
-        detail: point.from.as_ref().map(|(vm, _)| vm.as_str().into()),
+        detail: point.origin.as_ref().map(|(vm, _)| vm.as_str().into()),
         ..Event::new(EventKind::TakenOver)
     });
     generation
--- a/crates/decisions/src/attempt.rs
+++ b/crates/decisions/src/attempt.rs
@@ -11,14 +11,14 @@
 const ATTEMPTS_PER_VM: u64 = 1 << 16;
 
 /// Number of ranges among which a VM that takes over chooses at random.
-const JUMPS: u64 = 256;
+const TAKEOVER_RANGES: u64 = 256;
 
 impl Attempt {
     /// Returns the first attempt number of a VM that takes over the request. It is far above this
     /// one, because the previous VM may have made attempts that have not been reported. `random`
     /// separates two VMs that take over at the same time; an engine refuses the smaller number.
     #[must_use]
-    pub fn take_over(self, random: u64) -> Self {
-        Self((self.0 / ATTEMPTS_PER_VM + 1 + random % JUMPS) * ATTEMPTS_PER_VM)
+    pub fn first_after_takeover(self, random: u64) -> Self {
+        Self((self.0 / ATTEMPTS_PER_VM + 1 + random % TAKEOVER_RANGES) * ATTEMPTS_PER_VM)
     }
 }
--- a/crates/decisions/src/progress_head.rs
+++ b/crates/decisions/src/progress_head.rs
@@ -21,7 +21,7 @@
     /// Returns the number of tokens that the generation has in common with `chain`, or `None` if it
     /// does not continue that chain.
     #[must_use]
-    pub fn shared_with(&self, chain: ChainId) -> Option<TokenIndex> {
+    pub fn shared_tokens(&self, chain: ChainId) -> Option<TokenIndex> {
         let found = self.lineage.iter().find(|(ancestor, _)| *ancestor == chain);
         found.map(|(_, tokens)| *tokens)
     }
--- a/crates/decisions/src/progress_record.rs
+++ b/crates/decisions/src/progress_record.rs
@@ -23,7 +23,7 @@
     /// Creates a replica from the first update of a generation. Returns `None` for a later update,
     /// because a generation cannot be resumed from a replica without its first tokens.
     #[must_use]
-    pub fn begin(update: &ProgressUpdate) -> Option<Self> {
+    pub fn from_first_update(update: &ProgressUpdate) -> Option<Self> {
         if update.from > TokenIndex(0) {
             return None;
         }
@@ -57,9 +57,9 @@
     /// different tokens, and a caller of one must not receive tokens of the other, because that
     /// would mix two answers.
     #[must_use]
-    pub fn reaches(&self, point: &ReturnPoint) -> bool {
-        let shared = match point.from {
-            Some((_, chain)) if chain != self.chain => self.head.shared_with(chain),
+    pub fn can_resume(&self, point: &ReturnPoint) -> bool {
+        let shared = match point.origin {
+            Some((_, chain)) if chain != self.chain => self.head.shared_tokens(chain),
             _ => Some(self.tokens.len()),
         };
         shared.is_some_and(|shared| point.next <= shared)
@@ -67,7 +67,7 @@
 
     /// Whether another replica of the same generation is the better one to resume from.
     #[must_use]
-    pub fn is_behind(&self, other: &Self) -> bool {
+    pub fn is_worse_than(&self, other: &Self) -> bool {
         (self.finish.is_some(), self.attempt, self.tokens.len())
             < (other.finish.is_some(), other.attempt, other.tokens.len())
     }
--- a/crates/decisions/src/progress_store.rs
+++ b/crates/decisions/src/progress_store.rs
@@ -15,17 +15,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressLimits {
     /// Maximum total size of the replicas, in bytes.
-    pub size: usize,
+    pub max_bytes: usize,
     /// Time after its last update at which a replica expires. It exceeds the time that a caller
     /// takes to reconnect.
-    pub age: Duration,
+    pub ttl: Duration,
 }
 
 /// Result of storing an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeptProgress {
     /// The replica includes the update.
-    Kept,
+    Stored,
     /// The update would leave a gap, or belongs to an older attempt than the replica.
     Refused,
     /// Another VM has taken over the generation, with this attempt.
@@ -35,8 +35,8 @@
 impl Default for ProgressLimits {
     fn default() -> Self {
         Self {
-            size: 16 * 1024 * 1024,
-            age: Duration::from_secs(120),
+            max_bytes: 16 * 1024 * 1024,
+            ttl: Duration::from_secs(120),
         }
     }
 }
@@ -53,28 +53,28 @@
     }
 
     /// Stores an update.
-    pub fn keep(&mut self, now: Instant, update: &ProgressUpdate) -> KeptProgress {
+    pub fn apply(&mut self, now: Instant, update: &ProgressUpdate) -> KeptProgress {
         if let Some(attempt) = self.superseded_by(update) {
             return KeptProgress::Superseded(attempt);
         }
-        let kept = match self.position(&update.id, update.chain) {
+        let stored = match self.position(&update.id, update.chain) {
             Ok(i) => {
-                let (at, record) = &mut self.records[i];
+                let (updated_at, record) = &mut self.records[i];
                 let before = record.tokens.size();
                 let merged = record.merge(update);
-                *at = if merged { now } else { *at };
+                *updated_at = if merged { now } else { *updated_at };
                 self.size = self.size + record.tokens.size() - before;
                 merged
             }
-            Err(i) => ProgressRecord::begin(update).is_some_and(|record| {
+            Err(i) => ProgressRecord::from_first_update(update).is_some_and(|record| {
                 self.size += record.tokens.size();
                 self.records.insert(i, (now, record));
                 true
             }),
         };
         self.evict();
-        if kept {
-            KeptProgress::Kept
+        if stored {
+            KeptProgress::Stored
         } else {
             KeptProgress::Refused
         }
@@ -83,21 +83,28 @@
     /// Returns the best replica of a generation from which a caller at `point` can be resumed.
     #[must_use]
     pub fn find(&self, id: &RequestId, point: &ReturnPoint) -> Option<&ProgressRecord> {
-        self.of(id)
-            .filter(|record| record.reaches(point))
-            .reduce(|best, other| if best.is_behind(other) { other } else { best })
+        self.replicas_of(id)
+            .filter(|record| record.can_resume(point))
+            .reduce(|best, other| {
+                if best.is_worse_than(other) {
+                    other
+                } else {
+                    best
+                }
+            })
     }
 
     /// Returns any replica of a generation, to check for which request its key was used.
     #[must_use]
-    pub fn any(&self, id: &RequestId) -> Option<&ProgressRecord> {
-        self.of(id).next()
+    pub fn find_any(&self, id: &RequestId) -> Option<&ProgressRecord> {
+        self.replicas_of(id).next()
     }
 
     /// Removes expired replicas.
     pub fn expire(&mut self, now: Instant) {
-        let age = self.limits.age;
-        self.records.retain(|(at, _)| now.since(*at) <= age);
+        let ttl = self.limits.ttl;
+        self.records
+            .retain(|(updated_at, _)| now.since(*updated_at) <= ttl);
         self.size = self.records.iter().map(|(_, r)| r.tokens.size()).sum();
     }
 
@@ -107,7 +114,7 @@
         (self.records.len(), self.size)
     }
 
-    fn of(&self, id: &RequestId) -> impl Iterator<Item = &ProgressRecord> {
+    fn replicas_of(&self, id: &RequestId) -> impl Iterator<Item = &ProgressRecord> {
         let start = self.records.partition_point(|(_, record)| record.id < *id);
         let records = self.records[start..].iter().map(|(_, record)| record);
         records.take_while(move |record| record.id == *id)
@@ -117,19 +124,19 @@
     /// may wake up and send updates after a takeover; the replica of the new VM lists the chain in
     /// its lineage.
     fn superseded_by(&self, update: &ProgressUpdate) -> Option<Attempt> {
-        self.of(&update.id)
-            .filter(|record| record.head.shared_with(update.chain).is_some())
+        self.replicas_of(&update.id)
+            .filter(|record| record.head.shared_tokens(update.chain).is_some())
             .map(|record| record.attempt)
             .max()
     }
 
     fn evict(&mut self) {
-        while self.size > self.limits.size {
+        while self.size > self.limits.max_bytes {
             let oldest = self
                 .records
                 .iter()
                 .enumerate()
-                .min_by_key(|(_, (at, _))| *at);
+                .min_by_key(|(_, (updated_at, _))| *updated_at);
             let Some((i, _)) = oldest else { return };
             let (_, record) = self.records.remove(i);
             self.size -= record.tokens.size();
--- a/crates/decisions/src/return_point.rs
+++ b/crates/decisions/src/return_point.rs
@@ -7,7 +7,7 @@
     /// Index of the next token for the caller.
     pub next: TokenIndex,
     /// VM and chain that delivered the earlier tokens; `None` if the caller has no tokens.
-    pub from: Option<(VmId, ChainId)>,
+    pub origin: Option<(VmId, ChainId)>,
 }
 
 impl ReturnPoint {
@@ -30,7 +30,7 @@
         let (index, chain, vm) = parts.ok_or(Error::EventId)?;
         Ok(Self {
             next: index.parse::<TokenIndex>()?.next(),
-            from: Some((vm.parse()?, chain.parse()?)),
+            origin: Some((vm.parse()?, chain.parse()?)),
         })
     }
 }
--- a/crates/decisions/tests/progress.rs
+++ b/crates/decisions/tests/progress.rs
@@ -51,7 +51,7 @@
 }
 
 /// First update of a VM that takes over chain 1 after `shared` tokens and continues it as `chain`.
-fn taken_over(chain: u64, attempt: u64, shared: u32) -> ProgressUpdate {
+fn takeover_update(chain: u64, attempt: u64, shared: u32) -> ProgressUpdate {
     ProgressUpdate {
         chain: ChainId(chain),
         head: Some(ProgressHead {
@@ -62,10 +62,10 @@
     }
 }
 
-fn point(chain: u64, next: u32) -> ReturnPoint {
+fn resume_point(chain: u64, next: u32) -> ReturnPoint {
     ReturnPoint {
         next: TokenIndex(next),
-        from: Some(("vm-1".parse().expect("a name"), ChainId(chain))),
+        origin: Some(("vm-1".parse().expect("a name"), ChainId(chain))),
     }
 }
 
@@ -85,36 +85,36 @@
 }
 
 #[gtest]
-fn updates_add_up() {
+fn updates_are_appended() {
     let mut store = store();
 
-    store.keep(at(0), &update(1, 0, 0..3));
-    store.keep(at(0), &update(1, 3, 3..5));
+    store.apply(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 3, 3..5));
 
     expect_that!(tokens(&store), eq(&vec![0, 1, 2, 3, 4]));
 }
 
 #[gtest]
-fn repeated_tokens_are_taken_once() {
+fn duplicate_tokens_are_stored_once() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 0, 0..3));
 
-    let kept = store.keep(at(0), &update(1, 1, 1..5));
+    let result = store.apply(at(0), &update(1, 1, 1..5));
 
-    expect_that!(kept, eq(KeptProgress::Kept));
+    expect_that!(result, eq(KeptProgress::Stored));
     expect_that!(tokens(&store), eq(&vec![0, 1, 2, 3, 4]));
 }
 
 /// A connection between two VMs breaks and an update is lost. A replica with a gap would give a
 /// reconnecting caller an answer with missing tokens.
 #[gtest]
-fn gap_is_refused() {
+fn update_after_a_gap_is_refused() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 0, 0..3));
 
-    let kept = store.keep(at(0), &update(1, 4, 4..6));
+    let result = store.apply(at(0), &update(1, 4, 4..6));
 
-    expect_that!(kept, eq(KeptProgress::Refused));
+    expect_that!(result, eq(KeptProgress::Refused));
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
@@ -122,14 +122,14 @@
 /// buffered updates. It must learn that it was superseded, and the replica of the second router must
 /// not change.
 #[gtest]
-fn chain_that_was_taken_over_is_refused() {
+fn update_of_a_superseded_chain_is_refused() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
-    store.keep(at(0), &taken_over(2, 65536, 3));
+    store.apply(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &takeover_update(2, 65536, 3));
 
-    let kept = store.keep(at(0), &update(1, 3, [103, 104]));
+    let result = store.apply(at(0), &update(1, 3, [103, 104]));
 
-    expect_that!(kept, eq(KeptProgress::Superseded(Attempt(65536))));
+    expect_that!(result, eq(KeptProgress::Superseded(Attempt(65536))));
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
@@ -137,18 +137,18 @@
 /// adds tokens that the second router's caller never received. They must not appear in the answer
 /// if that caller reconnects again.
 #[gtest]
-fn tokens_beyond_a_take_over_are_not_mixed_in() {
+fn tokens_after_a_takeover_are_not_mixed() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
-    store.keep(at(0), &update(1, 3, [103, 104]));
-    store.keep(at(0), &taken_over(2, 65536, 3));
+    store.apply(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 3, [103, 104]));
+    store.apply(at(0), &takeover_update(2, 65536, 3));
     let next = ProgressUpdate {
         chain: ChainId(2),
         ..update(65536, 3, [203])
     };
-    store.keep(at(0), &next);
+    store.apply(at(0), &next);
 
-    let record = store.find(&id(1), &point(2, 4));
+    let record = store.find(&id(1), &resume_point(2, 4));
 
     let ids = record.map(|record| record.tokens.ids().to_vec());
     expect_that!(ids, some(eq(&vec![0, 1, 2, 203])));
@@ -157,44 +157,44 @@
 /// Two VMs take over the same generation, because its caller reconnected twice. Their tokens differ
 /// after that point, and a caller of one VM must not receive tokens of the other.
 #[gtest]
-fn caller_goes_on_only_from_its_own_chain() {
+fn caller_resumes_only_from_its_own_chain() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 0, 0..3));
     let other = ProgressUpdate {
         tokens: log([0, 1, 2, 303, 304]),
-        ..taken_over(3, 131_072, 3)
+        ..takeover_update(3, 131_072, 3)
     };
-    store.keep(at(0), &other);
+    store.apply(at(0), &other);
 
-    let with_more = store.find(&id(1), &point(2, 4)).is_some();
-    let with_shared = store.find(&id(1), &point(1, 3)).is_some();
-    let beyond_shared = store.find(&id(1), &point(1, 4)).is_some();
+    let beyond_replica = store.find(&id(1), &resume_point(2, 4)).is_some();
+    let at_shared_tokens = store.find(&id(1), &resume_point(1, 3)).is_some();
+    let beyond_shared_tokens = store.find(&id(1), &resume_point(1, 4)).is_some();
 
-    expect_that!(with_more, eq(false));
-    expect_that!(with_shared, eq(true));
-    expect_that!(beyond_shared, eq(false));
+    expect_that!(beyond_replica, eq(false));
+    expect_that!(at_shared_tokens, eq(true));
+    expect_that!(beyond_shared_tokens, eq(false));
 }
 
 /// Two concurrent calls with the same key start generations on two VMs. Neither replica may include
 /// tokens of the other generation.
 #[gtest]
-fn two_beginnings_under_one_key_are_kept_apart() {
+fn concurrent_generations_of_one_key_are_separate() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 0, 0..3));
     let second = ProgressUpdate {
         chain: ChainId(2),
         ..update(1, 0, [900])
     };
-    store.keep(at(0), &second);
+    store.apply(at(0), &second);
 
     let further = ProgressUpdate {
         chain: ChainId(2),
         ..update(1, 1, [901])
     };
-    store.keep(at(0), &further);
+    store.apply(at(0), &further);
 
     let ids = |chain| {
-        let record = store.find(&id(1), &point(chain, 1));
+        let record = store.find(&id(1), &resume_point(chain, 1));
         record.map(|record| record.tokens.ids().to_vec())
     };
     expect_that!(ids(1), some(eq(&vec![0, 1, 2])));
@@ -204,39 +204,39 @@
 #[gtest]
 fn older_attempt_of_a_chain_is_refused() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
-    store.keep(at(0), &update(2, 3, [3]));
+    store.apply(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(2, 3, [3]));
 
-    let kept = store.keep(at(0), &update(1, 4, [104]));
+    let result = store.apply(at(0), &update(1, 4, [104]));
 
-    expect_that!(kept, eq(KeptProgress::Refused));
+    expect_that!(result, eq(KeptProgress::Refused));
 }
 
 #[gtest]
-fn event_ids_are_read_back() {
+fn event_ids_round_trip() {
     let vm = "vm-1".parse().expect("a name");
 
     let id = ReturnPoint::event_id(TokenIndex(3), ChainId(1), &vm);
 
-    expect_that!(id.parse::<ReturnPoint>(), ok(eq(&point(1, 4))));
+    expect_that!(id.parse::<ReturnPoint>(), ok(eq(&resume_point(1, 4))));
 }
 
 /// A VM has evicted a replica of a running generation. A replica that starts in the middle could not
 /// be used to resume the generation.
 #[gtest]
-fn copy_without_a_beginning_is_refused() {
+fn replica_without_first_tokens_is_refused() {
     let mut store = store();
 
-    let kept = store.keep(at(0), &update(1, 3, [3]));
+    let result = store.apply(at(0), &update(1, 3, [3]));
 
-    expect_that!(kept, eq(KeptProgress::Refused));
+    expect_that!(result, eq(KeptProgress::Refused));
     expect_that!(store.usage(), eq((0, 0)));
 }
 
 #[gtest]
-fn copies_expire() {
+fn replicas_expire() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..3));
+    store.apply(at(0), &update(1, 0, 0..3));
 
     store.expire(at(121));
 
@@ -246,9 +246,9 @@
 /// More callers disconnect than a VM can hold replicas for. Without a limit, its memory would grow
 /// until the operating system kills it, which ends all streams that it relays.
 #[gtest]
-fn oldest_copy_goes_when_the_bound_is_reached() {
+fn oldest_replica_is_evicted_at_the_size_limit() {
     let limits = ProgressLimits {
-        size: 59,
+        max_bytes: 59,
         ..ProgressLimits::default()
     };
     let mut store = ProgressStore::new(limits);
@@ -257,20 +257,20 @@
             id: id(n),
             ..update(1, 0, 0..2)
         };
-        store.keep(at(n.into()), &update);
+        store.apply(at(n.into()), &update);
     }
 
-    let kept = (1..=4).filter(|n| store.any(&id(*n)).is_some());
+    let remaining = (1..=4).filter(|n| store.find_any(&id(*n)).is_some());
 
-    expect_that!(kept.collect::<Vec<_>>(), elements_are![eq(&3), eq(&4)]);
+    expect_that!(remaining.collect::<Vec<_>>(), elements_are![eq(&3), eq(&4)]);
 }
 
 #[gtest]
-fn finish_is_kept() {
+fn finish_reason_is_stored() {
     let mut store = store();
-    store.keep(at(0), &update(1, 0, 0..2));
+    store.apply(at(0), &update(1, 0, 0..2));
 
-    store.keep(
+    store.apply(
         at(0),
         &ProgressUpdate {
             finish: Some(Finish::Length),
@@ -278,6 +278,6 @@
         },
     );
 
-    let finish = store.any(&id(1)).and_then(|record| record.finish);
+    let finish = store.find_any(&id(1)).and_then(|record| record.finish);
     expect_that!(finish, some(eq(Finish::Length)));
 }
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -154,7 +154,7 @@
 /// Id under which the engine knows a generation: that of the request, and its chain.
 fn engine_id(answer: &Answer) -> Option<String> {
     let point: ReturnPoint = answer.last_event_id.as_ref()?.parse().ok()?;
-    let (_, chain) = point.from?;
+    let (_, chain) = point.origin?;
     Some(format!("{}.{chain}", answer.request_id.as_ref()?))
 }
 
