--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -151,7 +151,7 @@
             }
             match self.receive().await {
                 Received::Bytes(bytes) => self.push(&bytes)?,
-                Received::End if self.has_part() => self.lost(Loss::Torn)?,
+                Received::End if self.has_incomplete_event() => self.lost(Loss::Torn)?,
                 Received::End => {
                     self.finished();
                     return Ok(None);
@@ -242,10 +242,10 @@
         }
     }
 
-    fn has_part(&self) -> bool {
+    fn has_incomplete_event(&self) -> bool {
         self.active
             .as_ref()
-            .is_some_and(|active| active.splitter.has_part())
+            .is_some_and(|active| active.splitter.has_incomplete_event())
     }
 
     fn note_delivery(&mut self) {
--- a/crates/decisions/src/event_splitter.rs
+++ b/crates/decisions/src/event_splitter.rs
@@ -13,7 +13,7 @@
 pub struct EventSplitter {
     buf: Vec<u8>,
     /// Length of the prefix of `buf` that holds no end of an event, so it is not searched again.
-    searched: usize,
+    searched_len: usize,
 }
 
 /// A complete event.
@@ -41,11 +41,11 @@
 
     /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<WholeEvent> {
-        let Some(end) = event_end(&self.buf, self.searched) else {
-            self.searched = self.buf.len().saturating_sub(3);
+        let Some(end) = event_end(&self.buf, self.searched_len) else {
+            self.searched_len = self.buf.len().saturating_sub(3);
             return None;
         };
-        self.searched = 0;
+        self.searched_len = 0;
         let rest = self.buf.split_off(end);
         let bytes = std::mem::replace(&mut self.buf, rest);
         Some(WholeEvent {
@@ -56,7 +56,7 @@
 
     /// Whether an incomplete event is buffered.
     #[must_use]
-    pub fn has_part(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         !self.buf.is_empty()
     }
 }
--- a/crates/decisions/src/relay.rs
+++ b/crates/decisions/src/relay.rs
@@ -102,7 +102,7 @@
     /// Fails for another request or a gap in the live attempt, which must then be abandoned.
     pub fn token(&mut self, received: ReceivedToken) -> Result<Delivery, Error> {
         self.check_request(&received.request_id)?;
-        if let Some(reason) = self.reason_to_drop(received.attempt) {
+        if let Some(reason) = self.drop_reason(received.attempt) {
             return Ok(self.drop_event(reason));
         }
         if received.index < self.next() {
@@ -126,7 +126,7 @@
     /// Fails for another request, or if the live attempt ends at another length than delivered.
     pub fn end(&mut self, received: &ReceivedEnd) -> Result<Delivery, Error> {
         self.check_request(&received.request_id)?;
-        if let Some(reason) = self.reason_to_drop(received.attempt) {
+        if let Some(reason) = self.drop_reason(received.attempt) {
             return Ok(self.drop_event(reason));
         }
         if received.tokens != self.next() {
@@ -150,7 +150,7 @@
         })
     }
 
-    fn reason_to_drop(&self, attempt: Attempt) -> Option<DropReason> {
+    fn drop_reason(&self, attempt: Attempt) -> Option<DropReason> {
         if self.finish.is_some() {
             return Some(DropReason::AfterEnd);
         }
--- a/crates/decisions/src/token_log.rs
+++ b/crates/decisions/src/token_log.rs
@@ -25,10 +25,10 @@
 
     fn try_from(parts: TokenLogParts) -> Result<Self, Error> {
         let end = parts.ends.last().map_or(0, |end| to_usize(*end));
-        let sound = parts.ids.len() == parts.ends.len()
+        let is_consistent = parts.ids.len() == parts.ends.len()
             && parts.ends.is_sorted()
             && end == parts.bytes.len();
-        if !sound {
+        if !is_consistent {
             return Err(Error::TokenLog);
         }
         Ok(Self {
--- a/crates/decisions/src/utf8_joiner.rs
+++ b/crates/decisions/src/utf8_joiner.rs
@@ -18,10 +18,10 @@
                     self.pending.clear();
                     return text;
                 }
-                Err(fault) => {
-                    let valid = fault.valid_up_to();
+                Err(error) => {
+                    let valid = error.valid_up_to();
                     text.push_str(&String::from_utf8_lossy(&self.pending[..valid]));
-                    let Some(invalid) = fault.error_len() else {
+                    let Some(invalid) = error.error_len() else {
                         self.pending.drain(..valid);
                         return text;
                     };
--- a/crates/decisions/tests/relay.rs
+++ b/crates/decisions/tests/relay.rs
@@ -50,7 +50,7 @@
 /// An engine is paused, a second one takes over, and the first one wakes up and continues to send.
 /// Without fencing, the caller would receive a mixture of two generations.
 #[gtest]
-fn drops_what_an_older_attempt_sends() {
+fn drops_events_of_a_superseded_attempt() {
     let (mut relay, old) = relay_with(2);
     let new = relay.reserve();
     assert!(relay.adopt(new));
@@ -65,7 +65,7 @@
 /// delivers another token. The prefix of the second attempt is then too short, and its tokens would
 /// follow tokens from which they were not computed.
 #[gtest]
-fn adopts_no_attempt_whose_prefix_is_outrun() {
+fn refuses_an_attempt_with_an_outdated_prefix() {
     let (mut relay, old) = relay_with(2);
     let second = relay.reserve();
     relay.token(token(old, 2)).expect("in order");
@@ -97,12 +97,12 @@
 #[gtest]
 fn refuses_another_requests_token() {
     let (mut relay, attempt) = relay_with(2);
-    let crossed = ReceivedToken {
+    let mismatched = ReceivedToken {
         request_id: "other".parse().expect("a valid id"),
         ..token(attempt, 2)
     };
 
-    let delivery = relay.token(crossed);
+    let delivery = relay.token(mismatched);
 
     expect_that!(delivery, err(matches_pattern!(Error::Crossed { .. })));
     expect_that!(relay.next(), eq(TokenIndex(2)));
@@ -111,7 +111,7 @@
 /// An engine reports the end of an answer, but tokens before the end were lost. The caller would
 /// take a truncated answer for a complete one.
 #[gtest]
-fn refuses_an_end_at_another_length() {
+fn refuses_an_end_with_missing_tokens() {
     let (mut relay, attempt) = relay_with(2);
 
     let delivery = relay.end(&ReceivedEnd {
--- a/crates/decisions/tests/utf8_joiner.rs
+++ b/crates/decisions/tests/utf8_joiner.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 #[gtest]
-fn holds_back_the_start_of_a_character() {
+fn buffers_an_incomplete_character() {
     let mut joiner = Utf8Joiner::default();
 
     let texts = [joiner.push(b"caf\xc3"), joiner.push(b"\xa9!")];
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn replaces_what_can_start_no_character() {
+fn replaces_invalid_bytes() {
     let mut joiner = Utf8Joiner::default();
 
     let texts = [joiner.push(b"a\xffb\xc3"), joiner.finish()];
@@ -25,7 +25,7 @@
 proptest! {
     /// A text split into tokens at arbitrary bytes is decoded without a change.
     #[test]
-    fn any_cuts_give_the_same_text(text in ".{0,40}", size in 1..5_usize) {
+    fn text_does_not_depend_on_the_splits(text in ".{0,40}", size in 1..5_usize) {
         let mut joiner = Utf8Joiner::default();
 
         let mut joined: String = text.as_bytes().chunks(size).map(|c| joiner.push(c)).collect();
