--- a/crates/decisions/src/poison_hold.rs
+++ b/crates/decisions/src/poison_hold.rs
@@ -9,5 +9,5 @@
     /// The request cannot run on this upstream now: another suspect request is on probation there,
     /// or the request already runs on another upstream.
     #[display("the request must wait for another upstream")]
-    Elsewhere,
+    OtherUpstream,
 }
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -161,7 +161,7 @@
         } else {
             other_upstreams.len() < MAX_UPSTREAMS_PER_DIGEST
         };
-        allowed.then_some(()).ok_or(PoisonHold::Elsewhere)
+        allowed.then_some(()).ok_or(PoisonHold::OtherUpstream)
     }
 
     /// Records that a request starts on an upstream, after [`Self::may_start`] has permitted it.
@@ -257,7 +257,7 @@
         }
         let own = self.suspect_run(run);
         if own.is_some_and(|own| self.remote_runs.precedes(&own, now)) {
-            return Err(PoisonHold::Elsewhere);
+            return Err(PoisonHold::OtherUpstream);
         }
         if let Some(run) = self.run_mut(run) {
             run.sent = true;
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -106,7 +106,7 @@
     let same_engine = tracker.may_start(unrelated_digest(), &engine(1), true, at(0));
     let other_engine = tracker.may_start(unrelated_digest(), &engine(2), true, at(0));
 
-    expect_that!(same_engine, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(same_engine, err(eq(PoisonHold::OtherUpstream)));
     expect_that!(other_engine, ok(anything()));
 }
 
@@ -142,8 +142,8 @@
 
     let same_engine = tracker.may_start(unrelated_digest(), &engine(1), true, at(0));
     let third_copy = tracker.may_start(poison_digest(), &engine(2), true, at(0));
-    expect_that!(same_engine, err(eq(PoisonHold::Elsewhere)));
-    expect_that!(third_copy, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(same_engine, err(eq(PoisonHold::OtherUpstream)));
+    expect_that!(third_copy, err(eq(PoisonHold::OtherUpstream)));
 }
 
 #[gtest]
@@ -152,7 +152,7 @@
 
     let result = tracker.may_start(unrelated_digest(), &engine(1), false, at(0));
 
-    expect_that!(result, err(eq(PoisonHold::Elsewhere)));
+    expect_that!(result, err(eq(PoisonHold::OtherUpstream)));
 }
 
 #[gtest]
@@ -274,7 +274,7 @@
                         request.done = true;
                         break;
                     }
-                    Err(PoisonHold::Elsewhere) => {}
+                    Err(PoisonHold::OtherUpstream) => {}
                 }
             }
         }
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -84,8 +84,8 @@
     tracker.checked(&run_on(1));
 
     expect_that!(unchecked, eq(&vec![run_on(1)]));
-    expect_that!(before, err(eq(PoisonHold::Elsewhere)));
-    expect_that!(try_start(&tracker, 1), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(before, err(eq(PoisonHold::OtherUpstream)));
+    expect_that!(try_start(&tracker, 1), err(eq(PoisonHold::OtherUpstream)));
     expect_that!(try_start(&tracker, 2), ok(eq(())));
 }
 
@@ -99,7 +99,7 @@
     let try_start =
         |n, seconds| tracker.may_start(unrelated_digest(), &engine(n), true, at(seconds));
 
-    expect_that!(try_start(1, 1), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(try_start(1, 1), err(eq(PoisonHold::OtherUpstream)));
     expect_that!(try_start(2, 1), ok(eq(())));
     expect_that!(try_start(1, 2), ok(eq(())));
 }
@@ -151,7 +151,7 @@
     expect_that!(first.commit(first_run, at(0)), ok(eq(())));
     expect_that!(
         second.commit(second_run, at(0)),
-        err(eq(PoisonHold::Elsewhere))
+        err(eq(PoisonHold::OtherUpstream))
     );
 }
 
@@ -166,7 +166,10 @@
     tracker.running_on_peer(conflicts.running[0].clone(), at(0));
 
     expect_that!(conflicts.waiting, is_empty());
-    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(
+        tracker.commit(run, at(0)),
+        err(eq(PoisonHold::OtherUpstream))
+    );
 }
 
 /// Guards against two VMs that send different suspects to one upstream at the same time.
@@ -183,7 +186,10 @@
     let conflicts = peer.conflicts(&[announced]);
     tracker.running_on_peer(conflicts.running[0].clone(), at(0));
 
-    expect_that!(tracker.commit(run, at(0)), err(eq(PoisonHold::Elsewhere)));
+    expect_that!(
+        tracker.commit(run, at(0)),
+        err(eq(PoisonHold::OtherUpstream))
+    );
 }
 
 /// Guards against blaming a request for the crash of an upstream to which it was never sent.
