--- a/crates/catkinward/src/generation.rs
+++ b/crates/catkinward/src/generation.rs
@@ -100,7 +100,7 @@
     /// Its progress, for those who keep copies or take it over.
     #[must_use]
     pub fn progress(&self) -> Option<ProgressRecord> {
-        ProgressRecord::begin(&self.progress_from(TokenIndex(0))?)
+        ProgressRecord::from_first_update(&self.progress_from(TokenIndex(0))?)
     }
 
     /// Its progress from token `from` on; `None` for a generation whose caller cannot come back.
--- a/crates/decisions/src/poison_hold.rs
+++ b/crates/decisions/src/poison_hold.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum PoisonHold {
     /// Upstreams crashed while running the request; it is refused until its poison records expire.
-    #[display("upstreams died under this request")]
+    #[display("upstreams crashed while running this request")]
     Refused,
     /// The request cannot run on this upstream now: another suspect request is on probation there,
     /// or the request already runs on another upstream.
