--- a/crates/decisions/src/suspect_runs.rs
+++ b/crates/decisions/src/suspect_runs.rs
@@ -22,7 +22,7 @@
 /// Runs of suspects that other VMs have announced.
 ///
 /// A suspect waits until the upstream of its announced run has been checked and has survived for
-/// [`BLOCK_DURATION`]. Other suspects are not sent to that upstream during this time.
+/// `BLOCK_DURATION`. Other suspects are not sent to that upstream during this time.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectRuns {
     /// Sorted by run, at most one entry for each run.
@@ -100,7 +100,7 @@
             .any(|announced| announced.sent || announced.run < *own)
     }
 
-    /// Whether another suspect was announced on an upstream within [`BLOCK_DURATION`].
+    /// Whether another suspect was announced on an upstream within `BLOCK_DURATION`.
     #[must_use]
     pub fn is_occupied(&self, upstream: &UpstreamId, digest: RequestDigest, now: Instant) -> bool {
         self.runs.iter().any(|announced| {
