--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -101,7 +101,7 @@
         self.awaits_no_more(&mut record);
         drop(record);
         if let Some(run) = self.run {
-            self.known.poison.lock().arrived(run);
+            self.known.poison.lock().response_started(run);
         }
     }
 
@@ -189,7 +189,7 @@
         let Some(run) = self.run else {
             return Ok(());
         };
-        if !self.known.poison.lock().needs_proof(run) {
+        if !self.known.poison.lock().needs_liveness_check(run) {
             return Ok(());
         }
         let asked = self
@@ -212,7 +212,7 @@
         if !same {
             return Err(AttemptError::Unproven);
         }
-        self.known.poison.lock().proven(run);
+        self.known.poison.lock().liveness_confirmed(run);
         Ok(())
     }
 
@@ -245,7 +245,7 @@
 
     fn forget_run(&self) {
         if let Some(run) = self.run {
-            self.known.poison.lock().left(run);
+            self.known.poison.lock().abandoned(run);
         }
     }
 }
--- a/crates/decisions/src/poison_block.rs
+++ b/crates/decisions/src/poison_block.rs
@@ -3,10 +3,11 @@
 /// Why a request may not start on an upstream.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum PoisonBlock {
-    /// Upstreams died under it; it runs nowhere until its marks expire.
-    #[display("upstreams died under this request")]
+    /// Upstreams crashed while running the request; it is refused until its poison records expire.
+    #[display("upstreams crashed while running this request")]
     Refused,
-    /// Not on this upstream now: another suspect is watched there, or it runs elsewhere.
+    /// The request cannot run on this upstream now: another suspect request is on probation there,
+    /// or the request already runs on another upstream.
     #[display("the request must wait for another upstream")]
-    Elsewhere,
+    OtherUpstream,
 }
--- a/crates/decisions/src/poison_record.rs
+++ b/crates/decisions/src/poison_record.rs
@@ -1,17 +1,18 @@
 use super::*;
 
-/// One death of an upstream under one request, as VMs tell each other.
+/// One crash of an upstream process while it ran a request. VMs exchange poison records by gossip.
 ///
-/// Marks merge by union, and a cleared one stays cleared, so that it does not matter in which order
-/// or how often they come.
+/// Records merge by set union, and a cleared record stays cleared. The merge is therefore commutative
+/// and idempotent: the order and number of deliveries do not matter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PoisonRecord {
-    /// The request.
+    /// Digest of the request that was in flight.
     pub digest: RequestDigest,
-    /// The death.
-    pub death: UpstreamCrashId,
-    /// True once the request got past the point at which the upstream died.
+    /// The crashed process.
+    #[serde(rename = "death")]
+    pub crash: UpstreamCrashId,
+    /// Whether the request has since got past the point at which the upstream crashed.
     pub cleared: bool,
-    /// Milliseconds since the death was noticed.
+    /// Milliseconds since the crash was first detected.
     pub age_ms: u32,
 }
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -1,92 +1,96 @@
-//! Requests that kill the upstreams that run them.
+//! Detects poison requests, which crash every upstream that runs them.
 //!
-//! Load pattern: one request crashes each engine that runs it, its VM resumes it elsewhere, and its
-//! caller sends it again. Without the tracker it takes down engine after engine, and the innocent
-//! requests beside it lose their work each time.
+//! When an engine crashes, its requests are resumed on other engines, and callers retry. Without
+//! the tracker, a poison request would crash one engine after another, and the unrelated requests
+//! on these engines would lose their work each time.
 //!
-//! Each death of an upstream marks the digests in flight on it. A marked digest is watched on its
-//! next run: on one upstream at a time, with no other watched digest beside it. So a second death
-//! marks exactly one digest twice, the culprit's, which is refused from then on. A resume starts
-//! where the upstream died, so the culprit kills again at once, while an innocent request gets past
-//! that point: after [`PROBATION_STEPS`] steps its marks are cleared and the next one is watched.
-//! An innocent request may thus share two upstreams with the culprit and still finish: by the
-//! second time it has been cleared.
+//! A crash adds a poison record for the digest of each request in flight on the upstream. A digest
+//! with an uncleared record is a suspect. Its next run is a probation run: on one upstream at a
+//! time, and without another digest on probation there. A second crash therefore adds a second
+//! record to only one digest, that of the poison request, which is refused from then on. A resumed
+//! run starts at the point of the crash, so a poison request crashes the next upstream at once,
+//! while an unrelated request gets past that point: after [`PROBATION_STEPS`] steps its records are
+//! cleared, and the next suspect is put on probation. An unrelated request can therefore share two
+//! upstreams with the poison request and still finish, because it is cleared before the second
+//! crash.
 //!
-//! Bounds: two upstreams are lost to one digest if it kills within its watched steps; one that
-//! kills later is refused after [`MAX_CRASHES_PER_DIGEST`]. VMs watch apart from each other only as far as
-//! marks have spread and upstreams are divided among them (`watches` of [`PoisonTracker::may_start`]).
-//! An innocent request that meets two unrelated deaths within its watched steps is refused too,
-//! until its marks expire.
+//! Bounds: a request that crashes its upstreams within the probation steps costs two upstreams; one
+//! that does so later is refused after [`MAX_CRASHES_PER_DIGEST`] crashes. Different VMs separate their
+//! probation runs only as far as records have spread and upstreams are partitioned among the VMs
+//! (parameter `allows_probation` of [`PoisonTracker::may_start`]). An unrelated request that is
+//! affected by two independent crashes within its probation steps is also refused until its records
+//! expire.
 //!
-//! A death that a refused request explains is not laid to the others that ran there, on this VM or
-//! another: whoever was refused first, by the times of the deaths, is the cause. Without this a request
-//! that runs beside the culprit twice is refused with it, and its caller loses an answer for nothing.
+//! A crash that a refused request explains is not attributed to the other requests on that
+//! upstream, on this VM or another. The cause is the request that reached the limit first, by the
+//! times of the crashes. Otherwise a request that ran next to the poison request twice would also
+//! be refused, and its caller would lose an answer without cause.
 //!
-//! A run counts as a cause of its upstream's death if the upstream had begun to answer it, or had proved
-//! alive right before the order was sent ([`PoisonTracker::proven`]). Without either, the upstream may
-//! have been dead when the order came, as at the loss of a rack, so such a death only makes the request
-//! a suspect. Suspects are sent to upstreams that have just proved alive, so a request that kills before
-//! it is answered is refused after its second upstream too.
+//! A run counts as a possible cause of a crash if the upstream had begun to answer it, or was
+//! confirmed alive right before the request was sent ([`PoisonTracker::liveness_confirmed`]).
+//! Otherwise the upstream may have been dead already, as after the loss of a rack, so the crash only
+//! makes the request a suspect. Suspects are sent only to upstreams that were just confirmed alive,
+//! so a request that crashes upstreams before they answer is also refused after its second upstream.
 //!
-//! A VM may be lost together with the second upstream, and its caller returns to another VM. So the run of
-//! a suspect is announced to the other VMs before its order is sent ([`SuspectRun`]), and whoever notices
-//! that the upstream died marks the request.
+//! A VM may fail together with the second upstream, and its caller reconnects to another VM. The
+//! run of a suspect is therefore announced to the other VMs before the request is sent
+//! ([`SuspectRun`]), and every VM that detects the crash of the upstream records it.
 
 use super::*;
 
-/// Calls of [`PoisonTracker::progressed`] until a watched run is cleared.
+/// Number of [`PoisonTracker::progressed`] calls after which a probation run is cleared.
 pub const PROBATION_STEPS: u32 = 2;
 
-/// Deaths under a digest, none of them cleared, after which it is refused.
-const MOST_OPEN_DEATHS: usize = 2;
+/// Number of uncleared crashes after which a digest is refused.
+const MAX_OPEN_CRASHES_PER_DIGEST: usize = 2;
 
-/// Deaths under a digest, cleared ones counted in, after which it is refused.
+/// Number of crashes, including cleared ones, after which a digest is refused.
 pub const MAX_CRASHES_PER_DIGEST: usize = 3;
 
-/// Upstreams that one unmarked digest runs on at once.
-const MOST_UPSTREAMS: usize = 2;
+/// Maximum number of upstreams on which a digest runs at the same time, if it is not a suspect.
+const MAX_UPSTREAMS_PER_DIGEST: usize = 2;
 
-/// How long a mark counts.
-const EXPIRY: Duration = Duration::from_secs(600);
+/// Time after which a poison record expires.
+const RECORD_TTL: Duration = Duration::from_secs(600);
 
-/// Marks kept; the oldest go first. About 64 bytes each.
-const MOST_MARKS: usize = 4096;
+/// Maximum number of stored records, about 64 bytes each. The oldest are evicted first.
+const MAX_RECORDS: usize = 4096;
 
-/// Marks told to a peer at a time: about half a kilobyte.
-const MOST_TOLD: usize = 12;
+/// Maximum number of records in a message to a peer, about half a kilobyte.
+const MAX_RECORDS_PER_MESSAGE: usize = 12;
 
-/// How often a mark is told. Each telling goes to one peer, who tells it as often in turn; by the
-/// theory of rumours about one VM in 3,000 (e to the -8) then misses it.
-const TELLINGS: u32 = 8;
+/// Number of times that a record is sent. Each time it goes to one peer, which sends it equally often
+/// in turn. In the epidemic model of gossip, about one VM in 3,000 (e^-8) does not receive it.
+const SENDS_PER_RECORD: u32 = 8;
 
-/// Names a run of a request on an upstream.
+/// Identifies a run of a request on an upstream.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct TrackedRunId {
     digest: RequestDigest,
     id: u64,
 }
 
-/// What runs where on this VM, and which digests upstreams died under.
+/// Tracks the runs of this VM by upstream, and the digests that were in flight at crashes.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTracker {
-    /// Sorted by digest and death.
-    marks: Vec<Mark>,
+    /// Sorted by digest and crash.
+    records: Vec<StoredRecord>,
     /// Sorted by digest and id.
     runs: Vec<Run>,
-    last: u64,
-    /// Runs of suspects on other VMs.
-    others: SuspectRuns,
+    last_run_id: u64,
+    /// Runs of suspects that other VMs have announced.
+    remote_runs: SuspectRuns,
 }
 
 #[derive(Clone, Debug)]
-struct Mark {
+struct StoredRecord {
     digest: RequestDigest,
-    death: UpstreamCrashId,
-    /// When the death was first noticed, as far as is known here; the same for all marks of a death.
-    at: Instant,
-    told: u32,
+    crash: UpstreamCrashId,
+    /// Earliest known detection of the crash, the same for all records of one crash.
+    detected_at: Instant,
+    times_sent: u32,
     cleared: bool,
-    /// Whether it stems from the announcement of another VM alone.
+    /// Whether the only evidence of the run is the announcement of another VM.
     presumed: bool,
 }
 
@@ -95,68 +99,72 @@
     key: TrackedRunId,
     upstream: UpstreamId,
     incarnation: Incarnation,
-    watched: bool,
-    /// Whether its order is sent, or is about to be.
+    on_probation: bool,
+    /// Whether the request has been sent, or is sent next.
     sent: bool,
-    /// Whether the upstream has begun to answer it, or proved alive right before it was sent.
-    was_there: bool,
+    /// Whether the upstream has begun to answer, or was confirmed alive right before the request
+    /// was sent.
+    upstream_was_alive: bool,
     steps: u32,
 }
 
 impl PoisonTracker {
-    /// Whether a digest is refused everywhere.
+    /// Whether a digest is refused on all upstreams.
     #[must_use]
     pub fn refuses(&self, digest: RequestDigest, now: Instant) -> bool {
-        let (open, all) = self.deaths(digest, now);
-        open >= MOST_OPEN_DEATHS || all >= MAX_CRASHES_PER_DIGEST
+        let (open, all) = self.count_crashes(digest, now);
+        open >= MAX_OPEN_CRASHES_PER_DIGEST || all >= MAX_CRASHES_PER_DIGEST
     }
 
-    /// Whether a digest is a suspect, to be watched on its next run.
+    /// Whether a digest is a suspect, whose next run is a probation run.
     #[must_use]
-    pub fn is_marked(&self, digest: RequestDigest, now: Instant) -> bool {
-        self.deaths(digest, now).0 > 0
+    pub fn is_suspect(&self, digest: RequestDigest, now: Instant) -> bool {
+        self.count_crashes(digest, now).0 > 0
     }
 
-    /// Whether a request may start on an upstream. `watches` tells whether this VM may watch
-    /// suspects there.
+    /// Checks whether a request may start; `allows_probation` permits a probation run.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// Returns the reason why the request may not start.
     pub fn may_start(
         &self,
         digest: RequestDigest,
         upstream: &UpstreamId,
-        watches: bool,
+        allows_probation: bool,
         now: Instant,
     ) -> Result<(), PoisonBlock> {
         if self.refuses(digest, now) {
             return Err(PoisonBlock::Refused);
         }
-        let mut elsewhere = self.runs[self.range(digest)]
+        let mut other_upstreams = self.runs[self.run_range(digest)]
             .iter()
             .filter(|run| run.upstream != *upstream)
             .map(|run| &run.upstream)
             .collect::<Vec<_>>();
-        elsewhere.sort();
-        elsewhere.dedup();
-        let marked = self.is_marked(digest, now);
-        let beside_another = || {
-            self.runs
-                .iter()
-                .any(|run| run.watched && run.upstream == *upstream && run.key.digest != digest)
+        other_upstreams.sort();
+        other_upstreams.dedup();
+        let suspect = self.is_suspect(digest, now);
+        let shares_upstream_with_suspect = || {
+            self.runs.iter().any(|run| {
+                run.on_probation && run.upstream == *upstream && run.key.digest != digest
+            })
         };
-        let free = if marked {
-            let awaited = self.others.hold(digest, now);
-            let occupied = self.others.occupy(upstream, digest, now);
-            watches && elsewhere.is_empty() && !beside_another() && !awaited && !occupied
+        let allowed = if suspect {
+            let waits_for_remote_run = self.remote_runs.must_wait(digest, now);
+            let occupied = self.remote_runs.is_occupied(upstream, digest, now);
+            allows_probation
+                && other_upstreams.is_empty()
+                && !shares_upstream_with_suspect()
+                && !waits_for_remote_run
+                && !occupied
         } else {
-            elsewhere.len() < MOST_UPSTREAMS
+            other_upstreams.len() < MAX_UPSTREAMS_PER_DIGEST
         };
-        free.then_some(()).ok_or(PoisonBlock::Elsewhere)
+        allowed.then_some(()).ok_or(PoisonBlock::OtherUpstream)
     }
 
-    /// Notes that a request starts on an upstream, after [`Self::may_start`].
+    /// Records that a request starts on an upstream, after [`Self::may_start`] has permitted it.
     pub fn started(
         &mut self,
         digest: RequestDigest,
@@ -164,28 +172,28 @@
         incarnation: Incarnation,
         now: Instant,
     ) -> TrackedRunId {
-        self.last += 1;
+        self.last_run_id += 1;
         let key = TrackedRunId {
             digest,
-            id: self.last,
+            id: self.last_run_id,
         };
         let run = Run {
             key,
             upstream,
             incarnation,
-            watched: self.is_marked(digest, now),
+            on_probation: self.is_suspect(digest, now),
             sent: false,
-            was_there: false,
+            upstream_was_alive: false,
             steps: 0,
         };
-        self.runs.insert(self.range(digest).end, run);
+        self.runs.insert(self.run_range(digest).end, run);
         key
     }
 
-    /// Notes some progress of a run: a few tokens.
+    /// Records progress of a run, by a few tokens.
     pub fn progressed(&mut self, run: TrackedRunId) {
         let Some(run) = self.run_mut(run) else { return };
-        if !run.watched {
+        if !run.on_probation {
             return;
         }
         run.steps += 1;
@@ -195,61 +203,61 @@
         }
     }
 
-    /// Notes the end of a run that the upstream brought to its end.
+    /// Records that the upstream has completed a run.
     pub fn finished(&mut self, run: TrackedRunId) {
-        if self.remove(run).is_some_and(|run| run.watched) {
+        if self.remove(run).is_some_and(|run| run.on_probation) {
             self.clear(run.digest);
         }
     }
 
-    /// Notes that a run was given up here; that says nothing of the request.
-    pub fn left(&mut self, run: TrackedRunId) {
+    /// Records that this VM abandoned a run, which is no evidence for or against the request.
+    pub fn abandoned(&mut self, run: TrackedRunId) {
         self.remove(run);
     }
 
-    /// Notes that the upstream of a run has begun to answer: the run is there.
-    pub fn arrived(&mut self, run: TrackedRunId) {
+    /// Records that the upstream has begun to answer, so the run counts as a possible cause if the
+    /// upstream crashes.
+    pub fn response_started(&mut self, run: TrackedRunId) {
         if let Some(run) = self.run_mut(run) {
-            run.was_there = true;
+            run.upstream_was_alive = true;
         }
     }
 
-    /// Whether the upstream of a run has to prove alive before the order is sent: the request is a
-    /// suspect.
+    /// Whether the upstream of a run has to be confirmed alive before the request is sent, which
+    /// holds for suspects.
     #[must_use]
-    pub fn needs_proof(&self, run: TrackedRunId) -> bool {
+    pub fn needs_liveness_check(&self, run: TrackedRunId) -> bool {
         self.runs
             .binary_search_by_key(&run, |run| run.key)
-            .is_ok_and(|i| self.runs[i].watched)
+            .is_ok_and(|i| self.runs[i].on_probation)
     }
 
-    /// Notes that the upstream of a run has just proved alive, and that the order goes out now. If it
-    /// dies from here on, the run is taken for the cause, answered or not.
-    pub fn proven(&mut self, run: TrackedRunId) {
-        self.arrived(run);
+    /// Records that the upstream of a run was confirmed alive and that the request is sent now. If
+    /// the upstream crashes afterwards, the run counts as a possible cause, answered or not.
+    pub fn liveness_confirmed(&mut self, run: TrackedRunId) {
+        self.response_started(run);
     }
 
-    /// The run as it is announced to other VMs, if the request is a suspect.
+    /// Returns the announcement of a run to other VMs, if the request is a suspect.
     #[must_use]
     pub fn suspect_run(&self, run: TrackedRunId) -> Option<SuspectRun> {
         let i = self.runs.binary_search_by_key(&run, |run| run.key).ok()?;
         let run = &self.runs[i];
-        run.watched.then(|| run.as_suspect())
+        run.on_probation.then(|| run.as_suspect())
     }
 
-    /// Commits a run whose order is sent next, unless another VM has told of deaths under the request or of a run that goes
-    /// first since this one was started.
+    /// Commits a run whose request is sent next.
     ///
     /// # Errors
     ///
-    /// Why the order must not be sent.
+    /// Fails if another VM has since reported crashes of the request or a run with precedence.
     pub fn commit(&mut self, run: TrackedRunId, now: Instant) -> Result<(), PoisonBlock> {
         if self.refuses(run.digest, now) {
             return Err(PoisonBlock::Refused);
         }
         let own = self.suspect_run(run);
-        if own.is_some_and(|own| self.others.precedes(&own, now)) {
-            return Err(PoisonBlock::Elsewhere);
+        if own.is_some_and(|own| self.remote_runs.precedes(&own, now)) {
+            return Err(PoisonBlock::OtherUpstream);
         }
         if let Some(run) = self.run_mut(run) {
             run.sent = true;
@@ -257,269 +265,294 @@
         Ok(())
     }
 
-    /// Runs of suspects on this VM that conflict with runs that another VM announces.
+    /// Returns the runs of suspects on this VM that conflict with runs announced by another VM.
     #[must_use]
     pub fn conflicts(&self, announced: &[SuspectRun]) -> SuspectConflicts {
         let mut conflicts = SuspectConflicts::default();
-        for run in self.runs.iter().filter(|run| run.watched) {
+        for run in self.runs.iter().filter(|run| run.on_probation) {
             let own = run.as_suspect();
             if announced.iter().any(|other| other.conflicts(&own)) {
-                let of_kind = if run.sent {
+                let list = if run.sent {
                     &mut conflicts.running
                 } else {
                     &mut conflicts.waiting
                 };
-                of_kind.push(own);
+                list.push(own);
             }
         }
         conflicts
     }
 
-    /// Takes the announcement of another VM that it sends a suspect to an upstream.
+    /// Records the announcement of another VM that it sends a suspect to an upstream.
     pub fn announced(&mut self, run: SuspectRun, now: Instant) {
-        self.others.announced(run, false, now);
+        self.remote_runs.announced(run, false, now);
     }
 
-    /// Takes the answer of another VM that a suspect runs there.
-    pub fn runs_elsewhere(&mut self, run: SuspectRun, now: Instant) {
-        self.others.announced(run, true, now);
+    /// Records the answer of another VM that a suspect already runs there.
+    pub fn running_on_peer(&mut self, run: SuspectRun, now: Instant) {
+        self.remote_runs.announced(run, true, now);
     }
 
-    /// Takes the withdrawal of a run by the VM that has announced it: its order was not sent.
+    /// Records that the VM that announced a run has withdrawn it without sending the request.
     pub fn withdrawn(&mut self, run: &SuspectRun) {
-        self.others.withdrawn(run);
-        let death = run.death();
-        let presumed = self
-            .marks
-            .iter_mut()
-            .filter(|mark| mark.digest == run.digest && mark.death == death && mark.presumed);
-        for mark in presumed.filter(|mark| !mark.cleared) {
-            mark.cleared = true;
-            mark.told = 0;
+        self.remote_runs.withdrawn(run);
+        let crash = run.crash();
+        let presumed = self.records.iter_mut().filter(|record| {
+            record.digest == run.digest && record.crash == crash && record.presumed
+        });
+        for record in presumed.filter(|record| !record.cleared) {
+            record.cleared = true;
+            record.times_sent = 0;
         }
     }
 
-    /// Announced runs of a request whose upstreams have to be asked whether they live before it is sent elsewhere.
+    /// Returns the announced runs of a request whose upstreams need a liveness check before the
+    /// request is sent to another upstream.
     #[must_use]
     pub fn unchecked(&self, digest: RequestDigest, now: Instant) -> Vec<SuspectRun> {
-        self.others.unchecked(digest, now)
+        self.remote_runs.unchecked(digest, now)
     }
 
-    /// Notes that the upstream of an announced run was asked.
+    /// Records that the liveness of the upstream of an announced run was checked.
     pub fn checked(&mut self, run: &SuspectRun) {
-        self.others.checked(run);
+        self.remote_runs.checked(run);
     }
 
-    /// Notes the death of a process of an upstream and marks all digests in flight on it, by what is
-    /// known here; returns the marks that are new.
-    pub fn died(
+    /// Records the crash of an upstream process for all digests that were in flight on it as far as
+    /// this VM knows, and returns the new records.
+    pub fn upstream_crashed(
         &mut self,
         upstream: &UpstreamId,
         incarnation: Incarnation,
         now: Instant,
     ) -> Vec<PoisonRecord> {
         self.expire(now);
-        let death = UpstreamCrashId::of(upstream, incarnation);
-        let (dead, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.runs)
+        let crash = UpstreamCrashId::of(upstream, incarnation);
+        let (crashed, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.runs)
             .into_iter()
             .partition(|run| run.upstream == *upstream && run.incarnation == incarnation);
         self.runs = running;
-        let under = dead
+        let in_flight = crashed
             .iter()
-            .filter(|run| run.was_there || !self.is_marked(run.key.digest, now))
+            .filter(|run| run.upstream_was_alive || !self.is_suspect(run.key.digest, now))
             .map(|run| (run.key.digest, false));
-        let mut under = under.collect::<Vec<_>>();
-        let announced = self.others.died(death, now);
-        under.extend(announced.into_iter().map(|digest| (digest, true)));
+        let mut in_flight = in_flight.collect::<Vec<_>>();
+        let announced = self.remote_runs.upstream_crashed(crash, now);
+        in_flight.extend(announced.into_iter().map(|digest| (digest, true)));
         let mut new = Vec::new();
-        for (digest, presumed) in under {
-            let mark = Mark {
+        for (digest, presumed) in in_flight {
+            let record = StoredRecord {
                 digest,
-                death,
-                at: now,
-                told: 0,
+                crash,
+                detected_at: now,
+                times_sent: 0,
                 cleared: false,
                 presumed,
             };
-            if self.mark(mark.clone()) {
-                new.push(mark.tell(now));
+            if self.merge_record(record.clone()) {
+                new.push(record.to_message(now));
             }
-            self.watch(digest);
+            self.start_probation(digest);
         }
         new
     }
 
-    /// Marks for a peer: those told least often so far, each eight times in all, 12 at a time.
+    /// Returns records for a gossip message to a peer, those sent least often first. Each record is
+    /// sent eight times in total, and a message has at most 12 records.
     pub fn deltas(&mut self, now: Instant) -> Vec<PoisonRecord> {
         self.expire(now);
-        let mut fresh = self
-            .marks
+        let mut pending = self
+            .records
             .iter_mut()
-            .filter(|mark| mark.told < TELLINGS)
+            .filter(|record| record.times_sent < SENDS_PER_RECORD)
             .collect::<Vec<_>>();
-        fresh.sort_by_key(|mark| (mark.told, std::cmp::Reverse(mark.at)));
-        fresh.truncate(MOST_TOLD);
-        fresh
+        pending.sort_by_key(|record| (record.times_sent, std::cmp::Reverse(record.detected_at)));
+        pending.truncate(MAX_RECORDS_PER_MESSAGE);
+        pending
             .into_iter()
-            .map(|mark| {
-                mark.told += 1;
-                mark.tell(now)
+            .map(|record| {
+                record.times_sent += 1;
+                record.to_message(now)
             })
             .collect()
     }
 
-    /// Marks of one digest.
+    /// Returns the unexpired records of a digest, in the form sent to peers.
     #[must_use]
-    pub fn marks_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonRecord> {
-        let marks = self.fresh(digest, now);
-        marks.map(|mark| mark.tell(now)).collect()
+    pub fn records_of(&self, digest: RequestDigest, now: Instant) -> Vec<PoisonRecord> {
+        let records = self.unexpired(digest, now);
+        records.map(|record| record.to_message(now)).collect()
     }
 
-    /// Marks of the digests that are refused here and share a death with one of `marks`: what a peer
-    /// has to know before it lays these deaths to another request. At most 12.
+    /// Returns at most 12 records of digests that are refused here and were in flight at one of the
+    /// crashes of `records`. A peer needs them before it attributes these crashes to another request.
     #[must_use]
-    pub fn culprits(&self, marks: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
-        let shared = |mark: &&Mark| marks.iter().any(|other| other.death == mark.death);
-        let sharing = self.marks.iter().filter(shared);
-        let mut digests = sharing.map(|mark| mark.digest).collect::<Vec<_>>();
+    pub fn explaining_records(&self, records: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
+        let shared =
+            |record: &&StoredRecord| records.iter().any(|other| other.crash == record.crash);
+        let sharing = self.records.iter().filter(shared);
+        let mut digests = sharing.map(|record| record.digest).collect::<Vec<_>>();
         digests.dedup();
         digests.retain(|digest| self.refuses(*digest, now));
-        let marks = digests
+        let records = digests
             .into_iter()
-            .flat_map(|digest| self.marks_of(digest, now));
-        marks.take(MOST_TOLD).collect()
+            .flat_map(|digest| self.records_of(digest, now));
+        records.take(MAX_RECORDS_PER_MESSAGE).collect()
     }
 
-    /// All marks, as for a peer that has just started.
+    /// Returns all records, for a peer that has just started.
     #[must_use]
-    pub fn marks(&self, now: Instant) -> Vec<PoisonRecord> {
-        self.marks.iter().map(|mark| mark.tell(now)).collect()
+    pub fn records(&self, now: Instant) -> Vec<PoisonRecord> {
+        self.records
+            .iter()
+            .map(|record| record.to_message(now))
+            .collect()
     }
 
-    /// Takes marks from a peer; returns those that were new. What is new here is told on.
-    pub fn merge(&mut self, marks: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
+    /// Merges records from a peer and returns the new ones, which are then sent to other peers.
+    pub fn merge(&mut self, records: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
         let mut new = Vec::new();
-        for mark in marks {
-            let age = Duration::from_millis(mark.age_ms.into());
-            let changed = self.mark(Mark {
-                digest: mark.digest,
-                death: mark.death,
-                at: Instant(now.0.saturating_sub(age)),
-                told: 0,
-                cleared: mark.cleared,
+        for record in records {
+            let age = Duration::from_millis(record.age_ms.into());
+            let changed = self.merge_record(StoredRecord {
+                digest: record.digest,
+                crash: record.crash,
+                detected_at: Instant(now.0.saturating_sub(age)),
+                times_sent: 0,
+                cleared: record.cleared,
                 presumed: false,
             });
             if changed {
-                new.push(*mark);
+                new.push(*record);
             }
-            if mark.cleared {
-                self.others.cleared(mark.digest);
+            if record.cleared {
+                self.remote_runs.cleared(record.digest);
             } else {
-                self.watch(mark.digest);
+                self.start_probation(record.digest);
             }
         }
         self.expire(now);
         new
     }
 
-    /// Deaths under a digest that no other digest explains: those not cleared, and all.
-    fn deaths(&self, digest: RequestDigest, now: Instant) -> (usize, usize) {
-        let convicted = self.convicted_at(digest, now);
-        self.fresh(digest, now)
-            .filter(|mark| !self.is_explained(mark, convicted, now))
-            .fold((0, 0), |(open, all), mark| {
-                (open + usize::from(!mark.cleared), all + 1)
+    /// Counts the crashes of a digest that no other digest explains: uncleared ones, and all.
+    fn count_crashes(&self, digest: RequestDigest, now: Instant) -> (usize, usize) {
+        let own_limit = self.limit_reached_at(digest, now);
+        self.unexpired(digest, now)
+            .filter(|record| !self.is_explained_by_other(record, own_limit, now))
+            .fold((0, 0), |(open, all), record| {
+                (open + usize::from(!record.cleared), all + 1)
             })
     }
 
-    /// Whether another digest that was to be refused earlier than this one was on the same upstream.
-    fn is_explained(&self, mark: &Mark, convicted: Option<Instant>, now: Instant) -> bool {
-        self.marks
+    /// Whether a digest that reached the limit earlier than this one was in flight at the crash.
+    fn is_explained_by_other(
+        &self,
+        record: &StoredRecord,
+        own_limit: Option<Instant>,
+        now: Instant,
+    ) -> bool {
+        self.records
             .iter()
-            .filter(|other| other.death == mark.death && other.digest != mark.digest)
-            .filter_map(|other| self.convicted_at(other.digest, now))
-            .any(|other| convicted.is_none_or(|own| other < own))
-    }
-
-    /// When so many upstreams had died under a digest that it is refused, whoever ran beside it.
-    fn convicted_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
-        let open = self.fresh(digest, now).filter(|mark| !mark.cleared);
-        let open = Instant::nth_smallest(open.map(|mark| mark.at), MOST_OPEN_DEATHS);
+            .filter(|other| other.crash == record.crash && other.digest != record.digest)
+            .filter_map(|other| self.limit_reached_at(other.digest, now))
+            .any(|other| own_limit.is_none_or(|own| other < own))
+    }
+
+    /// When a digest reached the number of crashes at which it is refused, regardless of the other
+    /// requests on the upstreams.
+    fn limit_reached_at(&self, digest: RequestDigest, now: Instant) -> Option<Instant> {
+        let open = self.unexpired(digest, now).filter(|record| !record.cleared);
+        let open = Instant::nth_smallest(
+            open.map(|record| record.detected_at),
+            MAX_OPEN_CRASHES_PER_DIGEST,
+        );
         let all = Instant::nth_smallest(
-            self.fresh(digest, now).map(|mark| mark.at),
+            self.unexpired(digest, now).map(|record| record.detected_at),
             MAX_CRASHES_PER_DIGEST,
         );
         open.into_iter().chain(all).min()
     }
 
-    /// Marks of a digest that still count.
-    fn fresh(&self, digest: RequestDigest, now: Instant) -> impl Iterator<Item = &Mark> {
-        let start = self.marks.partition_point(|mark| mark.digest < digest);
-        self.marks[start..]
+    /// Returns the unexpired records of a digest.
+    fn unexpired(
+        &self,
+        digest: RequestDigest,
+        now: Instant,
+    ) -> impl Iterator<Item = &StoredRecord> {
+        let start = self
+            .records
+            .partition_point(|record| record.digest < digest);
+        self.records[start..]
             .iter()
-            .take_while(move |mark| mark.digest == digest)
-            .filter(move |mark| now.since(mark.at) <= EXPIRY)
+            .take_while(move |record| record.digest == digest)
+            .filter(move |record| now.since(record.detected_at) <= RECORD_TTL)
     }
 
-    /// Takes in a mark; returns whether it was new.
-    fn mark(&mut self, mut mark: Mark) -> bool {
-        let of_death = self.marks.iter_mut().filter(|m| m.death == mark.death);
-        for other in of_death {
-            mark.at = mark.at.min(other.at);
-            other.at = mark.at;
+    /// Merges a record and returns whether it was new.
+    fn merge_record(&mut self, mut record: StoredRecord) -> bool {
+        let of_crash = self.records.iter_mut().filter(|m| m.crash == record.crash);
+        for other in of_crash {
+            record.detected_at = record.detected_at.min(other.detected_at);
+            other.detected_at = record.detected_at;
         }
-        let place = self
-            .marks
-            .binary_search_by(|known| (known.digest, known.death).cmp(&(mark.digest, mark.death)));
-        match place {
-            Ok(i) if mark.cleared && !self.marks[i].cleared => {
-                self.marks[i].cleared = true;
-                self.marks[i].told = 0;
+        let position = self.records.binary_search_by(|known| {
+            (known.digest, known.crash).cmp(&(record.digest, record.crash))
+        });
+        match position {
+            Ok(i) if record.cleared && !self.records[i].cleared => {
+                self.records[i].cleared = true;
+                self.records[i].times_sent = 0;
                 true
             }
             Ok(_) => false,
             Err(i) => {
-                self.marks.insert(i, mark);
+                self.records.insert(i, record);
                 true
             }
         }
     }
 
-    /// Watches the runs of a digest that has just become a suspect. Without this a second copy
-    /// that was under way already could kill its upstream beside a watched innocent request, and
-    /// both would be taken for the culprit.
-    fn watch(&mut self, digest: RequestDigest) {
-        let range = self.range(digest);
-        for run in self.runs[range].iter_mut().filter(|run| !run.watched) {
-            run.watched = true;
+    /// Puts the running copies of a digest that has just become a suspect on probation. Otherwise a
+    /// second copy that is already running could crash the upstream of an unrelated request on
+    /// probation, and the crash would be attributed to both.
+    fn start_probation(&mut self, digest: RequestDigest) {
+        let run_range = self.run_range(digest);
+        for run in self.runs[run_range]
+            .iter_mut()
+            .filter(|run| !run.on_probation)
+        {
+            run.on_probation = true;
             run.steps = 0;
         }
     }
 
     fn clear(&mut self, digest: RequestDigest) {
-        self.others.cleared(digest);
-        let range = self.range(digest);
-        for run in &mut self.runs[range] {
-            run.watched = false;
+        self.remote_runs.cleared(digest);
+        let run_range = self.run_range(digest);
+        for run in &mut self.runs[run_range] {
+            run.on_probation = false;
         }
-        for mark in &mut self.marks {
-            if mark.digest == digest && !mark.cleared {
-                mark.cleared = true;
-                mark.told = 0;
+        for record in &mut self.records {
+            if record.digest == digest && !record.cleared {
+                record.cleared = true;
+                record.times_sent = 0;
             }
         }
     }
 
     fn expire(&mut self, now: Instant) {
-        self.marks.retain(|mark| now.since(mark.at) <= EXPIRY);
-        while self.marks.len() > MOST_MARKS {
-            let oldest = self.marks.iter().map(|mark| mark.at).min();
-            self.marks.retain(|mark| Some(mark.at) != oldest);
+        self.records
+            .retain(|record| now.since(record.detected_at) <= RECORD_TTL);
+        while self.records.len() > MAX_RECORDS {
+            let oldest = self.records.iter().map(|record| record.detected_at).min();
+            self.records
+                .retain(|record| Some(record.detected_at) != oldest);
         }
     }
 
-    /// Places of a digest's runs.
-    fn range(&self, digest: RequestDigest) -> std::ops::Range<usize> {
+    /// Returns the index range of a digest's runs.
+    fn run_range(&self, digest: RequestDigest) -> std::ops::Range<usize> {
         let start = self.runs.partition_point(|run| run.key.digest < digest);
         let end = self.runs.partition_point(|run| run.key.digest <= digest);
         start..end
@@ -546,12 +579,12 @@
     }
 }
 
-impl Mark {
-    fn tell(&self, now: Instant) -> PoisonRecord {
-        let age = now.since(self.at).as_millis();
+impl StoredRecord {
+    fn to_message(&self, now: Instant) -> PoisonRecord {
+        let age = now.since(self.detected_at).as_millis();
         PoisonRecord {
             digest: self.digest,
-            death: self.death,
+            crash: self.crash,
             cleared: self.cleared,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         }
--- a/crates/decisions/src/progress_store.rs
+++ b/crates/decisions/src/progress_store.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Copies of other VMs' generations, sorted by id and chain, bounded in bytes and in age.
+/// Replicas of the progress of other VMs' generations, sorted by id and chain.
 ///
-/// Nobody looks after these copies: each expires by itself, and when the bound in bytes is reached
-/// the one that was longest without news goes first.
+/// Size and age are bounded. No VM deletes replicas explicitly: each expires, and at the size limit
+/// the least recently updated one is evicted.
 #[derive(Debug)]
 pub struct ProgressStore {
     limits: ProgressLimits,
@@ -11,37 +11,38 @@
     size: usize,
 }
 
-/// Bounds of a store of copies.
+/// Limits of a [`ProgressStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressLimits {
-    /// Bytes of all copies together.
-    pub size: usize,
-    /// How long a copy is kept without news: longer than a caller takes to come back.
-    pub age: Duration,
+    /// Maximum total size of the replicas, in bytes.
+    pub max_bytes: usize,
+    /// Time after its last update at which a replica expires. It exceeds the time that a caller
+    /// takes to reconnect.
+    pub ttl: Duration,
 }
 
-/// What a store made of an update.
+/// Result of storing an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProgressStoreResult {
-    /// The copy is up to it.
-    Kept,
-    /// It leaves a gap, or is older than the copy.
+    /// The replica includes the update.
+    Stored,
+    /// The update would leave a gap, or belongs to an older attempt than the replica.
     Refused,
-    /// Another VM goes on with the generation, under this attempt.
+    /// Another VM has taken over the generation, with this attempt.
     Superseded(Attempt),
 }
 
 impl Default for ProgressLimits {
     fn default() -> Self {
         Self {
-            size: 16 * 1024 * 1024,
-            age: Duration::from_secs(120),
+            max_bytes: 16 * 1024 * 1024,
+            ttl: Duration::from_secs(120),
         }
     }
 }
 
 impl ProgressStore {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(limits: ProgressLimits) -> Self {
         Self {
@@ -51,83 +52,91 @@
         }
     }
 
-    /// Takes in an update.
-    pub fn keep(&mut self, now: Instant, update: &ProgressUpdate) -> ProgressStoreResult {
+    /// Stores an update.
+    pub fn apply(&mut self, now: Instant, update: &ProgressUpdate) -> ProgressStoreResult {
         if let Some(attempt) = self.superseded_by(update) {
             return ProgressStoreResult::Superseded(attempt);
         }
-        let kept = match self.position(&update.id, update.chain) {
+        let stored = match self.position(&update.id, update.chain) {
             Ok(i) => {
-                let (at, record) = &mut self.records[i];
+                let (updated_at, record) = &mut self.records[i];
                 let before = record.tokens.size();
                 let merged = record.merge(update);
-                *at = if merged { now } else { *at };
+                *updated_at = if merged { now } else { *updated_at };
                 self.size = self.size + record.tokens.size() - before;
                 merged
             }
-            Err(i) => ProgressRecord::begin(update).is_some_and(|record| {
+            Err(i) => ProgressRecord::from_first_update(update).is_some_and(|record| {
                 self.size += record.tokens.size();
                 self.records.insert(i, (now, record));
                 true
             }),
         };
         self.evict();
-        if kept {
-            ProgressStoreResult::Kept
+        if stored {
+            ProgressStoreResult::Stored
         } else {
             ProgressStoreResult::Refused
         }
     }
 
-    /// The best copy of a generation for a caller at `point`.
+    /// Returns the best replica of a generation from which a caller at `point` can be resumed.
     #[must_use]
     pub fn find(&self, id: &RequestId, point: &ResumePoint) -> Option<&ProgressRecord> {
-        self.of(id)
-            .filter(|record| record.reaches(point))
-            .reduce(|best, other| if best.is_behind(other) { other } else { best })
+        self.replicas_of(id)
+            .filter(|record| record.can_resume(point))
+            .reduce(|best, other| {
+                if best.is_worse_than(other) {
+                    other
+                } else {
+                    best
+                }
+            })
     }
 
-    /// Any copy of a generation, to see what its key was used for.
+    /// Returns any replica of a generation, to check for which request its key was used.
     #[must_use]
-    pub fn any(&self, id: &RequestId) -> Option<&ProgressRecord> {
-        self.of(id).next()
+    pub fn find_any(&self, id: &RequestId) -> Option<&ProgressRecord> {
+        self.replicas_of(id).next()
     }
 
-    /// Drops the copies that have expired.
+    /// Removes expired replicas.
     pub fn expire(&mut self, now: Instant) {
-        let age = self.limits.age;
-        self.records.retain(|(at, _)| now.since(*at) <= age);
+        let ttl = self.limits.ttl;
+        self.records
+            .retain(|(updated_at, _)| now.since(*updated_at) <= ttl);
         self.size = self.records.iter().map(|(_, r)| r.tokens.size()).sum();
     }
 
-    /// Number of copies, and their bytes.
+    /// Returns the number of replicas and their total size in bytes.
     #[must_use]
     pub fn usage(&self) -> (usize, usize) {
         (self.records.len(), self.size)
     }
 
-    fn of(&self, id: &RequestId) -> impl Iterator<Item = &ProgressRecord> {
+    fn replicas_of(&self, id: &RequestId) -> impl Iterator<Item = &ProgressRecord> {
         let start = self.records.partition_point(|(_, record)| record.id < *id);
         let records = self.records[start..].iter().map(|(_, record)| record);
         records.take_while(move |record| record.id == *id)
     }
 
-    /// A VM that was paused wakes up and sends on what another has taken over. The copy of the
-    /// other names the chain that it goes on from.
+    /// Returns the attempt with which another VM has taken over the chain of an update. A paused VM
+    /// may wake up and send updates after a takeover; the replica of the new VM lists the chain in
+    /// its lineage.
     fn superseded_by(&self, update: &ProgressUpdate) -> Option<Attempt> {
-        self.of(&update.id)
-            .filter(|record| record.head.shared_with(update.chain).is_some())
+        self.replicas_of(&update.id)
+            .filter(|record| record.head.shared_tokens(update.chain).is_some())
             .map(|record| record.attempt)
             .max()
     }
 
     fn evict(&mut self) {
-        while self.size > self.limits.size {
+        while self.size > self.limits.max_bytes {
             let oldest = self
                 .records
                 .iter()
                 .enumerate()
-                .min_by_key(|(_, (at, _))| *at);
+                .min_by_key(|(_, (updated_at, _))| *updated_at);
             let Some((i, _)) = oldest else { return };
             let (_, record) = self.records.remove(i);
             self.size -= record.tokens.size();
--- a/crates/decisions/tests/poison_support/mod.rs
+++ b/crates/decisions/tests/poison_support/mod.rs
@@ -1,6 +1,6 @@
-//! Requests and engines of the tests of deaths under requests.
+//! Fixtures for the tests of poison requests and suspects.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of the functions.
 #![allow(dead_code)]
 
 use catkin_decisions::{
@@ -14,11 +14,11 @@
     format!("{n:032x}").parse().expect("32 hexadecimal digits")
 }
 
-pub fn culprit() -> RequestDigest {
+pub fn poison_digest() -> RequestDigest {
     digest(0)
 }
 
-pub fn innocent() -> RequestDigest {
+pub fn unrelated_digest() -> RequestDigest {
     digest(1)
 }
 
@@ -45,14 +45,14 @@
         .may_start(digest, &engine, true, now)
         .expect("it may start");
     let run = tracker.started(digest, engine, FIRST, now);
-    tracker.arrived(run);
+    tracker.response_started(run);
     run
 }
 
-pub fn die(tracker: &mut PoisonTracker, n: usize) {
-    die_at(tracker, n, at(0));
+pub fn crash(tracker: &mut PoisonTracker, n: usize) {
+    crash_at(tracker, n, at(0));
 }
 
-pub fn die_at(tracker: &mut PoisonTracker, n: usize, now: Instant) {
-    tracker.died(&engine(n), FIRST, now);
+pub fn crash_at(tracker: &mut PoisonTracker, n: usize, now: Instant) {
+    tracker.upstream_crashed(&engine(n), FIRST, now);
 }
--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -170,7 +170,7 @@
     let body = serde_json::to_vec(request).expect("JSON");
     ["engine-8", "engine-9"].map(|upstream| PoisonRecord {
         digest: RequestDigest::of(&team, &body),
-        death: UpstreamCrashId::of(&upstream.parse().expect("an id"), Incarnation(1)),
+        crash: UpstreamCrashId::of(&upstream.parse().expect("an id"), Incarnation(1)),
         cleared: false,
         age_ms: 10,
     })
