--- a/crates/decisions/src/bundle.rs
+++ b/crates/decisions/src/bundle.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// A checked configuration bundle under its version. All lists are sorted by name.
+/// A validated configuration bundle. All lists are sorted by name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bundle {
-    /// Version under which it was rolled out.
+    /// Version of the release that this bundle belongs to.
     pub version: BundleVersion,
-    /// Digest of its canonical form.
+    /// Digest of the bundle's canonical form.
     pub digest: BundleDigest,
-    /// Teams that may call.
+    /// Teams that may send calls.
     pub teams: Vec<Team>,
-    /// Services offered.
+    /// Services that teams may call.
     pub services: Vec<Service>,
-    /// Upstreams that serve them.
+    /// Upstreams that run the services.
     pub upstreams: Vec<Upstream>,
 }
 
 impl Bundle {
-    /// The service of that name.
+    /// Looks up a service by name.
     #[must_use]
     pub fn service(&self, id: &str) -> Option<&Service> {
         let i = self
@@ -26,20 +26,20 @@
         self.services.get(i)
     }
 
-    /// The team of that name.
+    /// Looks up a team by name.
     #[must_use]
     pub fn team(&self, id: &TeamId) -> Option<&Team> {
         let i = self.teams.binary_search_by(|team| team.id.cmp(id)).ok()?;
         self.teams.get(i)
     }
 
-    /// The team whose bearer key has that hash.
+    /// Looks up a team by the hash of its bearer key.
     #[must_use]
     pub fn team_by_key(&self, key: &KeyHash) -> Option<&Team> {
         self.teams.iter().find(|team| team.key == *key)
     }
 
-    /// The upstream of that id.
+    /// Looks up an upstream by id.
     #[must_use]
     pub fn upstream(&self, id: &UpstreamId) -> Option<&Upstream> {
         let i = self
--- a/crates/decisions/src/bundle_author.rs
+++ b/crates/decisions/src/bundle_author.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Who made a change of the bundle store, and when.
+/// Author and time of a change of the bundle store.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct BundleAuthor {
-    /// The operator.
+    /// Operator who made the change.
     pub operator: OperatorName,
-    /// Mark of the change.
+    /// Unique id of the change.
     pub change: ChangeToken,
-    /// Seconds since 1970.
+    /// Time of the change, in seconds since the Unix epoch.
     pub at: u64,
 }
--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -1,25 +1,25 @@
-//! The steps by which a bundle comes into force.
+//! Transactions that propose, sign off, roll out and roll back a bundle.
 //!
-//! Operators race each other, and a call of the table service may take effect while its answer is
-//! lost. Each step is therefore one transaction whose conditions are the versions of the rows that
-//! it was decided on, so that of two racing operators one wins and the other changes nothing, and a
-//! repeated transaction takes effect once at most. Each step marks one row with a random token; by
-//! reading that row back its author learns what became of it, however late.
+//! Operators race each other, and a call of the table service may take effect although its response
+//! is lost. Each step is therefore one transaction whose conditions are the versions of the rows
+//! that the decision was based on: of two racing operators one wins and the other changes nothing,
+//! and a retried transaction takes effect at most once. Each step writes a random token into one
+//! row; its author can read that row back at any later time to learn the result.
 
 use super::*;
 
-/// One transaction of the bundle store.
+/// A transaction of the bundle store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BundleChange {
-    /// Rows that must have these versions; 0 means that there is none.
+    /// Required row versions; 0 means that the row must not exist.
     pub conditions: Vec<(BundleKey, u64)>,
-    /// Rows to write.
+    /// Rows that the transaction writes.
     pub writes: Vec<BundleRow>,
     witness: Witness,
     change: ChangeToken,
 }
 
-/// What tells whether a change took effect.
+/// Row that shows whether a change took effect.
 #[derive(Clone, Debug, PartialEq)]
 enum Witness {
     Proposal(DraftId),
@@ -27,23 +27,23 @@
     Release(BundleVersion),
 }
 
-/// What became of a change whose answer was lost or says that a condition did not hold.
+/// Result of a change whose response was lost or reports a failed condition.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Settled {
-    /// It took effect.
+    /// The change took effect.
     Done,
-    /// It can never take effect: another operator was first.
+    /// The change can never take effect, because another operator's change was first.
     Lost(BundleRefusal),
-    /// It has not taken effect; repeating it is safe.
+    /// The change has not taken effect; retrying it is safe.
     Open,
 }
 
 impl BundleChange {
-    /// Proposes content over the release in force.
+    /// Proposes new content to replace the release in force.
     ///
     /// # Errors
     ///
-    /// If that content is in force.
+    /// Fails if that content is already in force.
     pub fn propose(
         current: Option<&Stored<CurrentBundle>>,
         digest: BundleDigest,
@@ -68,11 +68,11 @@
         })
     }
 
-    /// Signs a draft off by what was looked at, `digest`.
+    /// Signs off a draft; `digest` is that of the content that the operator reviewed.
     ///
     /// # Errors
     ///
-    /// If the author proposed it, if it is signed off, or if it has another digest.
+    /// Fails if the author proposed the draft, if it is signed off already, or if its digest differs.
     pub fn sign_off(
         draft: &Stored<BundleDraft>,
         digest: BundleDigest,
@@ -101,13 +101,13 @@
         })
     }
 
-    /// Rolls a draft out over the release that it was proposed over. `next` is the release after
-    /// that one, if there is any.
+    /// Rolls out a draft to replace its base release. `next` is the release after the base, if there
+    /// is one.
     ///
     /// # Errors
     ///
-    /// If it is not signed off, or anything was rolled out since it was proposed: its author could
-    /// not have seen that, and it would be undone unnoticed.
+    /// Fails if the draft is not signed off, or if there was a release since it was proposed: the
+    /// draft's author could not have seen that release, and the rollout would silently undo it.
     pub fn roll_out(
         draft: &Stored<BundleDraft>,
         current: Option<&Stored<CurrentBundle>>,
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// If that content is in force.
+    /// Fails if that content is already in force.
     pub fn roll_back(
         earlier: &BundleRelease,
         current: Option<&Stored<CurrentBundle>>,
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Key of the row that tells whether it took effect.
+    /// Key of the row that shows whether the change took effect.
     #[must_use]
     pub fn witness(&self) -> BundleKey {
         match &self.witness {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// What became of it, by the row of [`Self::witness`] as it is now.
+    /// Determines the change's result from the current value of the row at [`Self::witness`].
     #[must_use]
     pub fn settled(&self, row: Option<&BundleRow>) -> Settled {
         match (&self.witness, row) {
@@ -219,8 +219,8 @@
     }
 }
 
-/// The rows may have been read while another operator wrote them: then the base may be gone although
-/// no release after it was seen.
+/// Checks that the draft's base is still in force. The rows may have been read while another operator
+/// wrote them, so the base may have been replaced although no later release was read.
 fn check_base(
     draft: &DraftId,
     current: Option<&Stored<CurrentBundle>>,
--- a/crates/decisions/src/bundle_digest.rs
+++ b/crates/decisions/src/bundle_digest.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 digest_newtype!(
-    /// SHA-256 of a bundle in its canonical form. Sign-offs are given to it, and an object is named
-    /// by it.
+    /// SHA-256 of a bundle's canonical form. Operators sign off a digest, and the object that holds
+    /// the content is named after it.
     BundleDigest,
     "bundle digest"
 );
--- a/crates/decisions/src/bundle_draft.rs
+++ b/crates/decisions/src/bundle_draft.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// A proposed bundle. Its content is an object named by the digest.
+/// A proposed bundle. Its content is stored as an object named after the digest.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct BundleDraft {
-    /// Id, with the version that it would replace.
+    /// Id of the draft, which includes the version that it would replace.
     pub id: DraftId,
-    /// Digest of its content.
+    /// Digest of the draft's content.
     pub digest: BundleDigest,
-    /// Who proposed it.
+    /// Operator who proposed the draft, and when.
     pub proposed: BundleAuthor,
-    /// Who signed it off, if anyone has.
+    /// Sign-off by a second operator, if there is one.
     pub signed_off: Option<SignOff>,
 }
 
-/// A sign-off of a draft.
+/// Approval of a draft by a second operator.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct SignOff {
-    /// Who gave it.
+    /// Operator who signed off the draft, and when.
     pub author: BundleAuthor,
-    /// Digest of what was looked at.
+    /// Digest of the content that the operator reviewed.
     pub digest: BundleDigest,
 }
--- a/crates/decisions/src/bundle_refusal.rs
+++ b/crates/decisions/src/bundle_refusal.rs
@@ -1,77 +1,77 @@
 use super::*;
 
-/// Why a step of a bundle was refused. Nothing was changed.
+/// Reason for rejecting a change of the bundle store. A rejected change has no effect.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum BundleRefusal {
-    /// The content is what is in force.
+    /// The content is already in force.
     #[display("this is the content of version {version}, which is in force")]
     InForceAlready {
-        /// That version.
+        /// Version that has this content.
         version: BundleVersion,
     },
-    /// There is no such draft.
+    /// The draft does not exist.
     #[display("there is no draft `{draft}`")]
     NoDraft {
-        /// The draft asked for.
+        /// Id of the requested draft.
         draft: DraftId,
     },
-    /// There is no such version.
+    /// The version does not exist.
     #[display("there is no version {version}")]
     NoVersion {
-        /// The version asked for.
+        /// Requested version.
         version: BundleVersion,
     },
-    /// No second operator has looked at it.
+    /// No second operator has signed off the draft.
     #[display("draft `{draft}` is not signed off")]
     NotSignedOff {
-        /// The draft.
+        /// Id of the draft.
         draft: DraftId,
     },
-    /// The digest looked at is not that of the draft.
+    /// The draft's digest differs from the one that was reviewed.
     #[display("draft `{draft}` has the digest {found}, not {expected}")]
     OtherDigest {
-        /// The draft.
+        /// Id of the draft.
         draft: DraftId,
-        /// Digest that was signed off, or is asked for.
+        /// Digest that was signed off or requested.
         expected: BundleDigest,
-        /// Digest of the draft.
+        /// Digest of the draft as stored.
         found: BundleDigest,
     },
-    /// The draft is a release already.
+    /// The draft has been rolled out already.
     #[display("draft `{draft}` is version {version} already, rolled out by {by}")]
     Released {
-        /// The draft.
+        /// Id of the draft.
         draft: DraftId,
-        /// The version that it became.
+        /// Version that the draft was released as.
         version: BundleVersion,
-        /// Who rolled it out.
+        /// Operator who rolled it out.
         by: OperatorName,
     },
-    /// Another operator rolled out first.
+    /// Another operator rolled out a release first.
     #[display("{by} rolled out version {version} first; nothing of yours was changed")]
     Overtaken {
-        /// The winner.
+        /// Operator whose rollout took effect.
         by: OperatorName,
-        /// The winner's version.
+        /// Version of that operator's release.
         version: BundleVersion,
     },
-    /// One's own draft.
+    /// Operators may not sign off their own drafts.
     #[display("draft `{draft}` was proposed by {operator}, and another operator must sign it off")]
     OwnDraft {
-        /// The draft.
+        /// Id of the draft.
         draft: DraftId,
-        /// Who proposed it and tried to sign it off.
+        /// Operator who proposed the draft and tried to sign it off.
         operator: OperatorName,
     },
-    /// Another operator signed it off first.
+    /// Another operator signed off the draft first.
     #[display("{by} signed off draft `{draft}` first")]
     SignedOff {
-        /// The draft.
+        /// Id of the draft.
         draft: DraftId,
-        /// The winner.
+        /// Operator whose sign-off took effect.
         by: OperatorName,
     },
-    /// The table service refuses although nobody else changed the rows.
-    #[display("the table service refused the change although nothing stood against it")]
+    /// The table service rejected the change although nobody else changed the rows.
+    #[display("the table service rejected the change although all its conditions hold")]
     Unexplained,
 }
--- a/crates/decisions/src/bundle_release.rs
+++ b/crates/decisions/src/bundle_release.rs
@@ -1,45 +1,45 @@
 use super::*;
 
-/// A version that was rolled out; its row is never changed.
+/// A version that was rolled out. Its row is never changed.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct BundleRelease {
-    /// Its version, one more than that of the release before.
+    /// Version, one more than that of the previous release.
     pub version: BundleVersion,
-    /// Digest of its content.
+    /// Digest of the release's content.
     pub digest: BundleDigest,
-    /// Where its content comes from.
+    /// Origin of the content.
     pub source: ReleaseSource,
-    /// Who rolled it out.
+    /// Operator who rolled it out, and when.
     pub released: BundleAuthor,
 }
 
-/// Where the content of a release comes from.
+/// Origin of a release's content.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReleaseSource {
-    /// A draft that was signed off.
+    /// A signed-off draft.
     Draft {
-        /// The draft.
+        /// Id of the draft.
         draft: DraftId,
-        /// Who proposed it.
+        /// Operator who proposed the draft.
         proposed_by: OperatorName,
-        /// Who signed it off.
+        /// Operator who signed off the draft.
         signed_off_by: OperatorName,
     },
-    /// An earlier version.
+    /// A rollback to the content of an earlier version.
     RollBack {
-        /// That version.
+        /// Version whose content is used again.
         version: BundleVersion,
     },
 }
 
-/// The one row that all VMs read: which release is in force. It is kept small.
+/// The row that names the release in force. It is small because every VM polls it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CurrentBundle {
     /// Version in force.
     pub version: BundleVersion,
-    /// Digest of its content, and name of the object that holds it.
+    /// Digest of the release's content, which is also the name of the object that holds it.
     pub digest: BundleDigest,
-    /// Operator who rolled it out.
+    /// Operator who rolled out the release.
     pub by: OperatorName,
 }
--- a/crates/decisions/src/bundle_row.rs
+++ b/crates/decisions/src/bundle_row.rs
@@ -3,11 +3,11 @@
 /// Key of a row of the bundle store.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum BundleKey {
-    /// The row that says which release is in force.
+    /// The row that names the release in force.
     Current,
-    /// A draft.
+    /// A draft, by id.
     Draft(DraftId),
-    /// A release.
+    /// A release, by version.
     Release(BundleVersion),
 }
 
@@ -16,7 +16,7 @@
         match self {
             Self::Current => f.write_str("current"),
             Self::Draft(id) => write!(f, "draft/{id}"),
-            // Padded, so that the order of keys is that of versions.
+            // Zero-padded so that keys sort in version order.
             Self::Release(version) => write!(f, "release/{:020}", version.0),
         }
     }
@@ -25,16 +25,16 @@
 /// Value of a row of the bundle store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BundleRow {
-    /// Of [`BundleKey::Current`].
+    /// Value at [`BundleKey::Current`].
     Current(CurrentBundle),
-    /// Of [`BundleKey::Draft`].
+    /// Value at [`BundleKey::Draft`].
     Draft(BundleDraft),
-    /// Of [`BundleKey::Release`].
+    /// Value at [`BundleKey::Release`].
     Release(BundleRelease),
 }
 
 impl BundleRow {
-    /// Its key.
+    /// Key under which the row is stored.
     #[must_use]
     pub fn key(&self) -> BundleKey {
         match self {
@@ -45,11 +45,11 @@
     }
 }
 
-/// A row as read, with the version that the table service gives it.
+/// A row as read from the table service, with its row version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stored<T> {
-    /// Version of the row; it rises with each write.
+    /// Version of the row, which increases with each write.
     pub row: u64,
-    /// Its value.
+    /// Value of the row.
     pub value: T,
 }
--- a/crates/decisions/src/bundle_version.rs
+++ b/crates/decisions/src/bundle_version.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 number_newtype!(
-    /// Version of a configuration bundle: dense, and never going back on a VM.
+    /// Version of a configuration bundle. Versions have no gaps, and a VM never returns to a lower one.
     BundleVersion,
     "bundle version"
 );
--- a/crates/decisions/src/bundle_view.rs
+++ b/crates/decisions/src/bundle_view.rs
@@ -1,21 +1,21 @@
-//! Which bundle a VM takes, from what it hears.
+//! Selects the bundle release that a VM puts in force.
 //!
-//! Word of a release comes from the table service and from peers: late, crossed and repeated. A VM
-//! only moves to a larger version. One that starts knows nothing, and the first word it hears from
-//! a peer may be old; serving under that would take back a release on this VM. So it waits for the
-//! table service, and takes the largest of its peers' words only once the table service has not
-//! answered for a while.
+//! The table service and peers announce releases, and the announcements may arrive late, out of
+//! order and more than once. A VM only moves to a larger version. A VM that starts has no version
+//! yet, and the first one that a peer advertises may be stale; serving it would undo a later release
+//! on this VM. So a starting VM waits for the table service, and uses the largest version that its
+//! peers advertise only if the table service has not answered for a while.
 
 use super::*;
 
-/// How long a VM that starts waits for the table service before it takes its peers' word.
+/// Time that a starting VM waits for the table service before it uses the versions of its peers.
 ///
-/// Peers exchange what they know once a second, and a read of the table service is given up after
-/// one second: in three seconds every reachable peer has spoken and the table service has failed
-/// twice.
+/// Peers exchange their state once a second, and a read of the table service times out after one
+/// second: in three seconds every reachable peer has sent its version and the table service has
+/// failed twice.
 pub const PEERS_WORD_AFTER: Duration = Duration::from_secs(3);
 
-/// What a VM knows of releases.
+/// The releases that a VM has learned of.
 #[derive(Clone, Debug)]
 pub struct BundleView {
     started: Instant,
@@ -26,7 +26,7 @@
 }
 
 impl BundleView {
-    /// The view of a VM that starts now and knows nothing.
+    /// Creates the view of a VM that starts at `now` and knows of no release.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -38,36 +38,36 @@
         }
     }
 
-    /// Takes in an answer of the table service; `None` if nothing was ever rolled out.
+    /// Records the current release in the table service; `None` if nothing was ever rolled out.
     pub fn table(&mut self, current: Option<(BundleVersion, BundleDigest)>) {
         self.heard_table = true;
         self.table = self.table.max(current);
     }
 
-    /// Takes in the word of a peer.
+    /// Records a release that a peer advertises.
     pub fn hear(&mut self, version: BundleVersion, digest: BundleDigest) {
         if self.peers.is_none_or(|(largest, _)| version > largest) {
             self.peers = Some((version, digest));
         }
     }
 
-    /// Notes that no source has the content of a release. If only peers spoke of it, their word is
-    /// forgotten: a wrong one would otherwise stand before every true release to come.
+    /// Records that no source has the content of a release. If only peers advertise it, it is
+    /// discarded: a wrong version would otherwise take precedence over every later real release.
     pub fn unfetchable(&mut self, version: BundleVersion) {
         self.peers = self.peers.filter(|(largest, _)| *largest != version);
     }
 
-    /// Notes the version in force.
+    /// Records the version in force.
     pub fn advanced(&mut self, version: BundleVersion) {
         self.in_force = self.in_force.max(version);
     }
 
-    /// The release to fetch and put in force, if any.
+    /// Returns the release to fetch and put in force, if there is one.
     #[must_use]
     pub fn wanted(&self, now: Instant) -> Option<(BundleVersion, BundleDigest)> {
         let serves = self.in_force > BundleVersion::default();
         let may_start = self.heard_table || now.since(self.started) >= PEERS_WORD_AFTER;
-        // Where both name one version, the table service knows its digest.
+        // For the same version, the digest of the table service takes precedence over a peer's.
         let largest = match (self.peers, self.table) {
             (Some(peers), Some(table)) if peers.0 <= table.0 => Some(table),
             (peers, table) => peers.or(table),
--- a/crates/decisions/src/change_token.rs
+++ b/crates/decisions/src/change_token.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 text_newtype!(
-    /// Random mark of one change of a stored row.
+    /// Random id of one write to a stored row.
     ///
-    /// A call of the table service may take effect while its answer is lost. Its sender reads the
-    /// row back, and by this mark tells its own change from one of another operator of the same
-    /// name, or of itself at another time.
+    /// A call of the table service may take effect although its response is lost. The sender then
+    /// reads the row back; this token distinguishes its write from a write by another operator of
+    /// the same name, or from an earlier or later one of its own.
     ChangeToken,
     "change token"
 );
--- a/crates/decisions/src/config_sharing.rs
+++ b/crates/decisions/src/config_sharing.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Part of a VM's link that reads of its configuration may take; its streams need the rest.
+/// Reads of the configuration may use 1/`LINK_PART` of a VM's link; its streams need the rest.
 const LINK_PART: u64 = 2;
 
-/// Whether a VM's link can carry its configuration to so many others within the time that they wait for it. A link of
-/// unknown bandwidth can.
+/// Whether a VM's link can send a configuration of `bytes` to `readers` other VMs within their read
+/// timeout. A link of unknown bandwidth is assumed to be fast enough.
 #[must_use]
 pub fn link_carries_config(
     link: Option<LinkRate>,
--- a/crates/decisions/src/config_version.rs
+++ b/crates/decisions/src/config_version.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 number_newtype!(
-    /// Version of a routing configuration. Versions rise in uneven steps.
+    /// Version of a routing configuration. Versions increase, with gaps between them.
     ConfigVersion,
     "configuration version"
 );
--- a/crates/decisions/src/delivery.rs
+++ b/crates/decisions/src/delivery.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// What a relay makes of an event.
+/// Result of relaying an engine event to the caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Delivery {
-    /// The next token of the answer, for the caller.
+    /// The next token of the response, to be sent to the caller.
     Token(TokenIndex, Token),
-    /// The answer is whole.
+    /// The response is complete.
     End(Finish),
-    /// Nothing for the caller.
+    /// The event was dropped; nothing is sent to the caller.
     Dropped(DropReason),
 }
--- a/crates/decisions/src/draft_id.rs
+++ b/crates/decisions/src/draft_id.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Id of a draft, as in `7-k3f9`: the version it was proposed over, and a random text.
+/// Id of a draft, such as `7-k3f9`: its base version and a random token.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct DraftId {
-    /// Version over which the draft was proposed, and which it replaces if it is rolled out.
+    /// Version in force when the draft was proposed, which it replaces if it is rolled out.
     pub base: BundleVersion,
-    /// Tells drafts over the same version apart.
+    /// Token that distinguishes drafts with the same base version.
     pub mark: ChangeToken,
 }
 
--- a/crates/decisions/src/error.rs
+++ b/crates/decisions/src/error.rs
@@ -1,82 +1,86 @@
 use super::*;
 
-/// Every way in which input to a decision can be wrong.
+/// Invalid input to a decision.
 #[derive(Debug, Display, Error, PartialEq)]
 pub enum Error {
-    /// An attempt sent a token further on than the next one.
-    #[display("attempt {attempt} sent token {found} where token {expected} was due")]
+    /// An attempt skipped one or more tokens.
+    #[display("attempt {attempt} sent token {found}, expected token {expected}")]
     Gap {
-        /// The attempt that did.
+        /// Attempt that sent the event.
         attempt: Attempt,
-        /// Index that was due.
+        /// Index of the next token to deliver.
         expected: TokenIndex,
-        /// Index that came.
+        /// Index that was received.
         found: TokenIndex,
     },
-    /// An attempt ended at another length than it had delivered.
-    #[display("attempt {attempt} ended at {claimed} tokens where {delivered} were delivered")]
+    /// The length in an end event differs from the number of tokens delivered.
+    #[display("attempt {attempt} ended with length {claimed} after {delivered} delivered tokens")]
     Length {
-        /// The attempt that did.
+        /// Attempt that sent the event.
         attempt: Attempt,
-        /// Length that its end event names.
+        /// Length stated in the end event.
         claimed: TokenIndex,
-        /// Tokens delivered.
+        /// Number of tokens delivered.
         delivered: TokenIndex,
     },
-    /// A reply bears the id of another request.
-    #[display("a reply to request `{found}` came in answer to request `{expected}`")]
+    /// A response carries the id of another request.
+    #[display(
+        "mismatched response: it belongs to request `{found}`, expected request `{expected}`"
+    )]
     Crossed {
-        /// Request that was asked.
+        /// Id of the request that was sent.
         expected: RequestId,
-        /// Request that the reply names.
+        /// Request id in the response.
         found: RequestId,
     },
-    /// A part of a policy that names no field, or has no value that fits.
-    #[display("`{part}` is no field of the policy with a value that fits it")]
+    /// A part of a policy text names an unknown field or has an invalid value.
+    #[display("`{part}` is not a policy field with a valid value")]
     Policy {
-        /// The part.
+        /// The invalid part of the policy text.
         #[error(not(source))]
         part: Arc<str>,
     },
-    /// A digest that is none.
+    /// A malformed digest.
     #[display("a {what} must have 64 lower-case hexadecimal digits")]
     Digest {
-        /// What it is a digest of.
+        /// Kind of digest.
         what: &'static str,
     },
-    /// A draft id that is none.
+    /// A malformed draft id.
     #[display("a draft id must be a version, a dash and a text, as in `7-k3f9`")]
     DraftId,
-    /// A number that is none.
+    /// A malformed number.
     #[display("`{what}` must be a whole number: {source}")]
     Number {
-        /// What the number stands for.
+        /// Meaning of the number.
         what: &'static str,
-        /// Why it is none.
+        /// Parse error.
         source: ParseIntError,
     },
-    /// An event of a stream that is too large.
-    #[display("an event of a stream is larger than {LARGEST_EVENT} bytes")]
+    /// A stream event is too large.
+    #[display("stream event is larger than {LARGEST_EVENT} bytes")]
     EventTooLarge,
-    /// A token log whose parts do not fit together.
-    #[display("a token log's ids, ends and bytes do not fit together")]
+    /// The parts of a token log are inconsistent.
+    #[display("token log is inconsistent: its ids, ends and bytes do not match")]
     TokenLog,
-    /// A clock reading that is too far in the future to be taken in.
-    #[display("a received clock reading is {} s ahead of this process", lead.as_secs())]
+    /// A received clock reading is too far in the future to be merged.
+    #[display("received clock reading is {} s ahead of this process's clock", lead.as_secs())]
     ClockLead {
-        /// How far ahead.
+        /// Time by which the reading is ahead of this process's clock.
         lead: Duration,
     },
-    /// A clock reading that is none.
-    #[display("a clock reading must be microseconds, a point and a count")]
+    /// A malformed clock reading.
+    #[display(
+        "a clock reading must be microseconds, a dot and a count, as in `1700000000000000.0`"
+    )]
     HybridTime,
-    /// An event id that was never given out.
-    #[display("an event id must be an index, `@`, a chain, `.` and a VM")]
+    /// A malformed event id.
+    #[display("an event id must be a token index, `@`, a chain id, `.` and a VM id")]
     EventId,
-    /// A text that cannot be a name.
+    /// A text that is not a valid name or id.
     #[display("`{what}` must have 1 to 200 visible ASCII characters")]
     Text {
-        /// What the text stands for.
+        /// Meaning of the text.
         what: &'static str,
     },
 }
--- a/crates/decisions/src/hybrid_clock.rs
+++ b/crates/decisions/src/hybrid_clock.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// How far ahead of the own wall clock a received reading may be.
+/// Maximum lead of a received reading over the local wall clock.
 ///
-/// VMs keep their clocks within milliseconds of each other. One whose clock is days ahead would
-/// otherwise pull the readings of every process there with it, and a time line would show events
-/// in the future until that day has come.
+/// VMs keep their clocks within milliseconds of each other. Without a limit, a VM whose clock is days
+/// ahead would advance the readings of every other process with it, and timelines would show events
+/// in the future until the wall clocks catch up.
 pub const LARGEST_CLOCK_LEAD: Duration = Duration::from_secs(600);
 
-/// A hybrid logical clock (Kulkarni and others, 2014): each reading is larger than all earlier ones
-/// of this process and than all that it has received, however far the wall clocks are apart.
+/// A hybrid logical clock (Kulkarni et al., 2014). Each reading is larger than all earlier readings of
+/// this process and all readings it has received, however much the wall clocks differ.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HybridClock {
     last: HybridTime,
 }
 
 impl HybridClock {
-    /// Reads the clock for an event or a message that is sent; `wall` is the time since 1970.
+    /// Returns a new reading for an event or an outgoing message; `wall` is the time since the Unix
+    /// epoch.
     pub fn tick(&mut self, wall: Duration) -> HybridTime {
         let wall = HybridTime {
             micros: micros(wall),
@@ -25,12 +26,12 @@
         self.last
     }
 
-    /// Takes in a reading that came with a message: all later readings are larger.
+    /// Merges the reading of a received message, so that all later readings are larger.
     ///
     /// # Errors
     ///
-    /// If it is further ahead than [`LARGEST_CLOCK_LEAD`]; the clock is as before, and the order
-    /// over processes is lost for that message.
+    /// Fails if the reading is ahead of `wall` by more than [`LARGEST_CLOCK_LEAD`]. The clock is then
+    /// unchanged, and events are not causally ordered across processes for that message.
     pub fn witness(&mut self, wall: Duration, received: HybridTime) -> Result<(), Error> {
         let limit = micros(wall.saturating_add(LARGEST_CLOCK_LEAD));
         if received.micros > limit {
--- a/crates/decisions/src/hybrid_time.rs
+++ b/crates/decisions/src/hybrid_time.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// Reading of a hybrid logical clock. Readings order events causally over processes; their
-/// microseconds stay near the wall clock, so that people can read them.
+/// A reading of a hybrid logical clock. Readings order events causally across processes; their
+/// microseconds stay close to the wall clock, so that they can be shown as dates and times.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(into = "String", try_from = "String")]
 pub struct HybridTime {
-    /// Microseconds since 1970, the largest that the process has heard of.
+    /// Microseconds since the Unix epoch: the largest value read or received by the process.
     pub micros: u64,
-    /// Tells apart readings of the same microsecond.
+    /// Counter that orders readings with the same microseconds.
     pub count: u32,
 }
 
 impl HybridTime {
-    /// The smallest reading after this one.
+    /// Returns the smallest reading after this one.
     #[must_use]
     pub fn next(self) -> Self {
         match self.count.checked_add(1) {
--- a/crates/decisions/src/key_hash.rs
+++ b/crates/decisions/src/key_hash.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 digest_newtype!(
-    /// SHA-256 of a bearer key as it is sent; the key itself is never kept.
+    /// SHA-256 of a bearer key as sent by the caller; the key itself is never stored.
     KeyHash,
     "key hash"
 );
--- a/crates/decisions/src/leaving_source.rs
+++ b/crates/decisions/src/leaving_source.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Who said that an upstream is leaving. Each word counts by itself.
+/// Source of the information that an upstream is leaving. Any one source is sufficient.
 #[derive(
     Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, EnumString, IntoStaticStr, strum::Display,
 )]
@@ -8,10 +8,10 @@
 pub enum LeavingSource {
     /// The platform's list of VMs.
     Platform,
-    /// The upstream's own load report.
+    /// A load report of the upstream itself.
     Report,
-    /// The upstream's refusal of a request.
+    /// Refusal of a request by the upstream.
     Refusal,
-    /// Another VM of the system.
+    /// Another VM, by gossip.
     Peer,
 }
--- a/crates/decisions/src/operator_name.rs
+++ b/crates/decisions/src/operator_name.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Name of an operator.
+    /// Name of an operator who changes bundles.
     OperatorName,
     "operator"
 );
--- a/crates/decisions/src/path_rule.rs
+++ b/crates/decisions/src/path_rule.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Whether calls below a path may be repeated.
+/// Rule that says whether calls below a path may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PathRule {
-    /// HTTP method in capitals.
+    /// HTTP method in upper case.
     pub method: Arc<str>,
     /// Path prefix within the service.
     pub prefix: Arc<str>,
-    /// True if a repeat does no harm.
+    /// Whether a call may be retried without side effects.
     pub idempotent: bool,
 }
--- a/crates/decisions/src/route.rs
+++ b/crates/decisions/src/route.rs
@@ -1,44 +1,44 @@
 use super::*;
 
-/// A route: which calls it takes and how they are served.
+/// A route, which selects calls by host and path prefix and determines how they are served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route in the configuration.
     pub name: Arc<str>,
-    /// Host that a call must name.
+    /// Host name that a call must have.
     pub host: Arc<str>,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Kind of the calls, which determines whether they may be retried.
     pub kind: CallKind,
-    /// Longest time that a caller is kept waiting for the whole answer.
+    /// Maximum time that a caller waits for the complete response.
     pub timeout: Duration,
-    /// Time within which the answer, or a stream's first event, is of full use.
+    /// Target latency of the response, or of a stream's first event.
     pub target_latency: Duration,
-    /// Longest pause between events that is still of full use, for streams.
+    /// Target for the time between two events of a stream; `None` for other calls.
     pub target_pause: Option<Duration>,
-    /// Rank among calls; 0 is the highest.
+    /// Priority of the calls; 0 is the highest.
     pub priority: u8,
-    /// Services with the weight of each, never empty.
+    /// Services that share the calls by weight; never empty.
     pub targets: Vec<RouteTarget>,
-    /// Upstreams on which one call may run at most.
+    /// Maximum number of upstreams that one call may run on.
     pub max_upstreams: u32,
-    /// Whether callers need no key.
+    /// Whether callers may call without a key.
     pub public: bool,
 }
 
-/// One of the services of a route.
+/// A service of a route, with its share of the calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its weight among the targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
 impl Route {
-    /// The service for a call. `draw` is spread evenly over all numbers; the same draw gives the
-    /// same service.
+    /// Selects the service for a call. `draw` is uniformly distributed; the same draw always selects
+    /// the same service.
     #[must_use]
     pub fn service_for(&self, draw: u64) -> Option<&ServiceId> {
         let total = self
--- a/crates/decisions/src/route_table.rs
+++ b/crates/decisions/src/route_table.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Routes by host and longest prefix of the path.
+/// Routes, looked up by host and longest path prefix.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// Sorted by host, then by prefix.
@@ -8,7 +8,7 @@
 }
 
 impl RouteTable {
-    /// A table of `routes`; of two with the same host and prefix the first is kept.
+    /// Creates a table. Of several routes with the same host and prefix, the first is kept.
     #[must_use]
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut routes = routes.into_iter().map(Arc::new).collect::<Vec<_>>();
@@ -17,11 +17,10 @@
         Self { routes }
     }
 
-    /// The route of a call, if there is one: of those of its host, the one with the longest prefix
-    /// that begins its path.
+    /// Finds the route of a call: the one for its host with the longest prefix of its path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        // Each prefix ends with a slash, so only the path's own beginnings up to a slash can match.
+        // Each route prefix ends with a slash, so only prefixes of the path up to a slash can match.
         path.rmatch_indices('/').find_map(|(slash, _)| {
             let prefix = &path[..=slash];
             self.routes
@@ -31,7 +30,7 @@
         })
     }
 
-    /// All routes.
+    /// Iterates over all routes, in order of host and prefix.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.iter()
     }
--- a/crates/decisions/src/routing_config.rs
+++ b/crates/decisions/src/routing_config.rs
@@ -1,73 +1,73 @@
 use super::*;
 
-/// A routing configuration that was signed off elsewhere: one version, taken whole.
+/// One version of the routing configuration, which is signed off elsewhere and applied as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingConfig {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Size of its encoded form, in bytes.
+    /// Size of the configuration's encoded form, in bytes.
     pub bytes: usize,
-    /// Its routes.
+    /// Routes by host and path prefix.
     pub routes: RouteTable,
-    /// Its services, sorted by name.
+    /// Services, sorted by name.
     pub services: Vec<ServiceSpec>,
-    /// What callers may send.
+    /// Limits on requests from callers.
     pub limits: CallerLimits,
-    /// Keys of callers, sorted by key; `None` if no key is asked for.
+    /// Keys of callers, sorted by key; `None` if callers need no key.
     pub keys: Option<Vec<CallerKey>>,
 }
 
-/// What a configuration says of a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Whether its upstreams are model engines, which report their load.
+    /// Whether the service's upstreams are model engines, which report their load.
     pub engine: bool,
-    /// Whether its upstreams keep copies of each other's memory.
+    /// Whether the service's upstreams keep KV copies (backups of each other's KV cache).
     pub copies: bool,
 }
 
-/// Bounds on what a caller may send, and on how long it may take.
+/// Limits on the size of a caller's requests and on the time they may take to arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head to arrive.
+    /// Timeout for receiving a request's head.
     pub head_timeout: Duration,
-    /// Time that a connection may stay idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// A key with the team that holds it.
+/// A caller's key with the team that it belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerKey {
-    /// The key itself.
+    /// Key as the caller sends it.
     pub key: Arc<str>,
-    /// Its team.
+    /// Team that the key belongs to.
     pub team: TeamId,
-    /// The team's rank, which goes before the route's; 0 is the highest.
+    /// Priority of the team, which overrides that of the route; 0 is the highest.
     pub priority: Option<u8>,
 }
 
 impl RoutingConfig {
-    /// Sorts keys so that they can be found.
+    /// Sorts keys for the binary search in [`Self::holder`].
     #[must_use]
     pub fn sorted_keys(mut keys: Vec<CallerKey>) -> Vec<CallerKey> {
         keys.sort_by(|a, b| a.key.cmp(&b.key));
         keys
     }
 
-    /// What is said of a service.
+    /// Returns the settings of a service.
     #[must_use]
     pub fn service(&self, name: &ServiceId) -> Option<&ServiceSpec> {
         let index = self.services.binary_search_by(|s| s.name.cmp(name)).ok()?;
         Some(&self.services[index])
     }
 
-    /// Holder of a key.
+    /// Looks up a caller's key.
     #[must_use]
     pub fn holder(&self, key: &str) -> Option<&CallerKey> {
         let keys = self.keys.as_ref()?;
@@ -76,16 +76,16 @@
     }
 }
 
-/// The newest configuration that this process has heard of. It never goes back: an older one that
-/// arrives late, from a store that answers stale or from a peer, is dropped. Without this a caller
-/// would see a removed route or key served again.
+/// The newest configuration that this process has received. An older one that arrives later, from a
+/// peer or a stale read of the store, is dropped: otherwise a removed route or key would be served
+/// again.
 #[derive(Clone, Debug, Default)]
 pub struct NewestConfig {
     config: Option<Arc<RoutingConfig>>,
 }
 
 impl NewestConfig {
-    /// Takes `config` if it is newer; tells whether it was.
+    /// Replaces the configuration if `config` is newer, and returns whether it was.
     pub fn advance(&mut self, config: Arc<RoutingConfig>) -> bool {
         let newer = self
             .config
@@ -97,7 +97,7 @@
         newer
     }
 
-    /// The newest one, if any was heard of.
+    /// Returns the newest configuration, if one has been received.
     #[must_use]
     pub fn get(&self) -> Option<&Arc<RoutingConfig>> {
         self.config.as_ref()
--- a/crates/decisions/src/software_version.rs
+++ b/crates/decisions/src/software_version.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Version of an upstream's software.
+    /// Version of the software that an upstream runs.
     SoftwareVersion,
     "software version"
 );
--- a/crates/decisions/src/vm_id.rs
+++ b/crates/decisions/src/vm_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Id of a VM.
+    /// Id of a VM of the system.
     VmId,
     "VM"
 );
--- a/crates/decisions/src/zone_gossip.rs
+++ b/crates/decisions/src/zone_gossip.rs
@@ -1,84 +1,88 @@
-//! Gossip within an availability zone: what the VMs that poll the store advertise, and who may rely on it.
+//! Gossip within an availability zone: VMs that poll the store advertise what they read, so that the
+//! other VMs need not poll it while the gossip is fresh.
 
 use super::*;
 
-/// Age up to which another VM's poll of the store counts: it polls every 1.1 s and gossips every 0.4 s. A VM whose
-/// gossip is older polls by itself at once, which leaves 0.4 s of the two seconds in which a leaving upstream must
-/// be known.
+/// Maximum age of another VM's poll of the store: that VM polls every 1.1 s and gossips every 0.4 s.
+/// A VM whose newest gossip is older polls the store itself at once, which leaves 0.4 s of the two
+/// seconds within which every VM must know of a leaving upstream.
 pub const GOSSIP_AGE: Duration = Duration::from_millis(1600);
 
-/// Age of the reader's word at which the VM that stands by reads: later than the reader's word comes as a rule, and
-/// sooner than the others do without it.
+/// Age of the reader's gossip at which the standby polls the store: longer than the typical interval
+/// between the reader's gossip, and shorter than the age at which the other VMs stop relying on it.
 pub const STANDBY_AGE: Duration = Duration::from_millis(1300);
 
-/// Age up to which another VM's reading of the configuration counts. Its question waits at the store for up to
-/// [`CONFIG_WAIT`]; the rest is for a store that is slow. Beyond that a VM asks by itself, which leaves half a
-/// second of the three in which a configuration must be in force.
+/// Maximum age of another VM's poll of the configuration. Its long poll takes up to [`CONFIG_WAIT`];
+/// the rest allows for a slow store. When the gossip is older, a VM polls the store itself, which
+/// leaves half a second of the three within which a configuration must be in force.
 pub const CONFIG_GOSSIP_AGE: Duration = Duration::from_millis(2400);
 
-/// How long a question for changes of the configuration waits at the store. Its sum with the bound of an answer
-/// stays below three seconds, so that a silent connection is noticed in that time.
+/// Time that the store holds a long poll for configuration changes. Together with the response timeout
+/// it stays below three seconds, so that a connection without responses is detected in that time.
 pub const CONFIG_WAIT: Duration = Duration::from_millis(1900);
 
-/// Wait for the rest of a delta that came in part, or overtook a part, before the table is read instead.
+/// Time to wait for the rest of a delta that arrived incomplete or out of order; afterwards the table
+/// is read from the store instead.
 pub const REST_WAIT: Duration = Duration::from_millis(60);
 
-/// Changes in one datagram: about 110 bytes each, within 1,400.
+/// Maximum number of changes in one datagram: a change takes about 110 bytes of 1,400.
 pub const CHANGES_TOLD: usize = 10;
 
-/// What a VM advertises to its zone of what it has read from the store.
+/// What a VM has read from the store, as advertised to the other VMs of its zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneGossip {
-    /// Its name.
+    /// Id of the sending VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
-    /// Version of the configuration in force there, if there is one yet.
+    /// Version of the configuration in force at the sender, if there is one yet.
     #[serde(rename = "c")]
     pub config: Option<ConfigVersion>,
-    /// Whether others read that configuration from the store, as the VM's link cannot carry it to all of them.
+    /// Whether the other VMs must read that configuration from the store, because the sender's link
+    /// cannot carry it to all of them.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub config_from_store: bool,
-    /// Milliseconds since the store was asked there for the configuration and answered; none if it never was.
+    /// Milliseconds since the sender's last successful poll of the configuration; `None` if there was
+    /// none.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub config_age_ms: Option<u32>,
-    /// Version of the store up to which it has read the table of upstreams.
+    /// Store version up to which the sender has read the upstream table.
     #[serde(rename = "n")]
     pub version: u64,
-    /// Digest of that table.
+    /// Digest of the sender's upstream table.
     #[serde(rename = "d")]
     pub digest: u64,
-    /// Milliseconds since the store was heard.
+    /// Milliseconds since the sender's last response from the store.
     #[serde(rename = "g")]
     pub age_ms: u32,
-    /// What has changed, in full or in part.
+    /// Changed rows of the upstream table: all of a delta, or one part of it.
     #[serde(rename = "u")]
     pub changes: Vec<UpstreamChange>,
 }
 
-/// What this VM has received from others of its zone.
+/// Freshness of the gossip that this VM has received from its zone.
 #[derive(Clone, Debug, Default)]
 pub struct GossipView {
-    /// When the store last answered any of them.
+    /// Last response of the store to any of the senders.
     store_heard: Option<Instant>,
-    /// When any of them last polled the store for the configuration.
+    /// Last successful poll of the configuration by any of the senders.
     config_heard: Option<Instant>,
-    /// Since when the own table is known to miss something.
+    /// Time since which the local table is known to miss changes.
     behind: Option<Instant>,
 }
 
 /// Whether this VM may rely on gossip.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GossipState {
-    /// The own table holds what the store said, until then at least.
+    /// The local table is up to date and can be relied on until this time.
     Fresh(Instant),
-    /// Something is missing; it may still come until then.
+    /// Changes are missing, which may still arrive until this time.
     Behind(Instant),
-    /// No fresh gossip.
+    /// There is no fresh gossip, or missing changes have not arrived in time.
     Silent,
 }
 
 impl GossipView {
-    /// Takes in gossip, after the changes in it were merged into `table`.
+    /// Records received gossip, after its changes were merged into `table`.
     pub fn take(&mut self, gossip: &ZoneGossip, table: &UpstreamTable, now: Instant) {
         let ago = |ms: u32| now.before(Duration::from_millis(ms.into()));
         self.store_heard = self.store_heard.max(Some(ago(gossip.age_ms)));
@@ -90,25 +94,26 @@
         }
     }
 
-    /// Notes that the table was read here.
+    /// Records that this VM has read the table from the store itself.
     pub fn read_here(&mut self) {
         self.behind = None;
     }
 
-    /// Time since the store was heard by the one who heard it last, if anybody told.
+    /// Time since the last response of the store to any VM that sent gossip; `None` without gossip.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.store_heard.map(|heard| now.since(heard))
     }
 
-    /// Until when the configuration is known by the word of others; none if nobody told of theirs.
+    /// Time until which gossip about the configuration can be relied on; `None` if no VM has sent any.
     #[must_use]
     pub fn config_until(&self) -> Option<Instant> {
         self.config_heard
             .map(|heard| heard.after(CONFIG_GOSSIP_AGE))
     }
 
-    /// Whether the own table can be relied on without reading it, for words up to an age.
+    /// Whether the local table can be relied on without reading the store, given a maximum age of the
+    /// gossip.
     #[must_use]
     pub fn state(&self, age: Duration, now: Instant) -> GossipState {
         let until = self.store_heard.map(|heard| heard.after(age));
--- a/crates/decisions/src/zone_role.rs
+++ b/crates/decisions/src/zone_role.rs
@@ -1,30 +1,30 @@
 use super::*;
 
-/// VMs of a zone up to which one reads the platform for it; beyond that a second one stands by. One may be lost,
-/// and then the others read by themselves until its successor is known.
+/// Maximum number of VMs in a zone with a single reader; a larger zone also has a standby. When a VM
+/// that reads for the zone is lost, the others poll the store themselves until its successor is known.
 const ONE_READER_UP_TO: usize = 8;
 
-/// VMs of a large zone, after the two that read for it, that tell what they read for themselves. The platform may
-/// turn some VMs away; with a third of them away, two readers are away together once in nine times, four of four
-/// once in eighty.
+/// Number of VMs, ranked after those that read for the zone, that advertise what they read for
+/// themselves. The platform may throttle some VMs: if it throttles a third of them, two readers are
+/// throttled together in one of 9 cases, but two readers and two deputies in only one of about 80.
 const DEPUTIES: usize = 2;
 
-/// What a VM does for its zone, by its rank among the VMs there.
+/// Task of a VM in its zone, which follows from its rank among the zone's VMs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum ZoneRole {
-    /// Reads what the platform keeps, and tells the others.
+    /// Polls the platform store and advertises what it reads to the other VMs.
     Reader,
-    /// Reads and tells as soon as the reader's word grows old.
+    /// Polls and advertises as soon as the reader's gossip is too old.
     Standby,
-    /// Tells what it reads for itself while nobody else tells.
+    /// Advertises what it reads for itself while no other VM advertises.
     Deputy,
-    /// Relies on the others.
+    /// Relies on the gossip of the others, and advertises nothing.
     Member,
 }
 
 impl ZoneRole {
-    /// The role of a VM; `zone_vms` are the live ones, itself among them.
+    /// Returns the role of a VM; `zone_vms` are the zone's live VMs, including `vm`.
     #[must_use]
     pub fn of(vm: &str, zone_vms: &[Arc<str>]) -> Self {
         let ranked = rendezvous_rank("reader", zone_vms.to_vec(), Arc::clone);
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Whether it reads the platform for its zone.
+    /// Whether a VM with this role polls the platform store for its zone.
     #[must_use]
     pub fn reads(self) -> bool {
         matches!(self, Self::Reader | Self::Standby)
     }
 }
 
-/// Whether a zone has so many VMs that none but its readers ask the platform all the time.
+/// Whether a zone has so many VMs that only its readers poll the platform store continuously.
 #[must_use]
 pub fn is_large_zone(vms: usize) -> bool {
     vms > ONE_READER_UP_TO
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -1,4 +1,5 @@
-//! Leases and orders together: VMs that crash, pause and come back, and engines of both kinds.
+//! Leases and engine orders together: VMs crash, pause and resume, and only some engines reject orders
+//! with old terms.
 
 use catkin_decisions::{
     EngineGoal, EngineReport, EngineState, Incarnation, Instant, Lease, LeaseAnswer, LeaseHolder,
@@ -30,7 +31,7 @@
     vms: Vec<Vm>,
     engines: Vec<Engine>,
     orders: Vec<Order>,
-    /// Orders that were sent while the network was slow.
+    /// Orders that were sent while the network was slow and have not arrived.
     late: Vec<Order>,
     slow: bool,
     wanted: usize,
@@ -41,14 +42,14 @@
     lease: Lease,
     planner: Option<(Term, OrderPlanner)>,
     reports: Vec<(UpstreamId, EngineReport)>,
-    /// Version that its bundle wants; one that was paused knows an old one.
+    /// Model version in this VM's bundle, which is stale after a pause.
     wants: usize,
     paused_until: u64,
-    /// A write under way, and when it was sent.
+    /// A write in flight, and when it was sent.
     write: Option<(Instant, LeaseWrite)>,
 }
 
-/// An engine; those of even number refuse old terms.
+/// An engine. Those with an even index reject orders with old terms.
 struct Engine {
     enforces: bool,
     loaded: Vec<Model>,
@@ -57,7 +58,7 @@
     stale_applied: usize,
 }
 
-/// An order under way to an engine.
+/// An order in flight to an engine.
 struct Order {
     engine: usize,
     term: Term,
@@ -133,7 +134,7 @@
             6 => self.slow = !self.slow,
             7 | 8 => self.arrive_late(i),
             9 => {
-                // The write takes effect and its answer is lost.
+                // The write takes effect and its response is lost.
                 self.write(vm);
                 self.answer(vm, LeaseAnswer::Unknown);
             }
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Time passes, and everybody who is not paused acts. Orders arrive at once unless the network
+    /// Advances time; every VM that is not paused acts. Orders arrive immediately unless the network
     /// is slow.
     fn run(&mut self, rounds: u64) {
         for _ in 0..rounds {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A VM does what its lease asks for, and takes in the bundle in force.
+    /// Takes the next step of a VM's lease, after updating the VM to the bundle in force.
     fn act(&mut self, vm: usize) {
         if self.vms[vm].paused_until > self.now {
             return;
@@ -198,7 +199,7 @@
         }
     }
 
-    /// The table service carries out a VM's write.
+    /// Executes a VM's write in the table service.
     fn write(&mut self, vm: usize) -> LeaseAnswer {
         let Some((_, write)) = &self.vms[vm].write else {
             return LeaseAnswer::NotRun;
@@ -220,7 +221,7 @@
         }
     }
 
-    /// A holder reads the engines' states back and sends its orders, which arrive at any time.
+    /// Lets the lease holder read the engines' states and send its orders.
     fn order(&mut self, vm: usize) {
         let (now, instant) = (self.now, self.instant());
         if self.vms[vm].paused_until > now {
@@ -267,7 +268,7 @@
         engine.take(self.now, order.term, &order.state.models);
     }
 
-    /// Faults end: all that is under way arrives, the latest order first, and everybody acts.
+    /// Ends all faults: orders in flight arrive, the latest first, and every VM acts.
     fn settle(&mut self) {
         self.slow = false;
         self.run(60);
@@ -296,7 +297,7 @@
     }
 }
 
-/// A tenth of the usual times, so that leases change hands often within a run.
+/// A tenth of the production times, so that the lease holder changes often within a run.
 fn lease_settings() -> LeaseSettings {
     let ms = Duration::from_millis;
     LeaseSettings {
@@ -328,10 +329,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(100))]
 
-    /// Holders crash, are paused with a write or an order under way, lose answers and come back with
-    /// an old bundle; engines restart. Orders arrive late and in any order. An engine that checks
-    /// terms must never act on an old one, and in the end every engine holds what the last bundle
-    /// wants, also those that act on everything.
+    /// Lease holders crash, pause with a write or an order in flight, lose responses and resume with
+    /// a stale bundle; engines restart; orders arrive late and reordered. An engine that checks terms
+    /// must never apply an order with an old one. At the end every engine must have the models of the
+    /// latest bundle, including engines that apply every order.
     #[test]
     fn stale_orders_are_refused_or_corrected(
         steps in prop::collection::vec((0_u8..18, 0_usize..12, 0_u64..8), 0..100),
--- a/crates/decisions/tests/bundle_change.rs
+++ b/crates/decisions/tests/bundle_change.rs
@@ -1,4 +1,4 @@
-//! Steps of a bundle under racing operators, lost answers and calls that come late.
+//! Changes of the bundle store with racing operators, lost responses and delayed calls.
 
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDigest, BundleDraft, BundleKey, BundleRefusal, BundleRelease,
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-/// Rows of a table service: key, row version, value.
+/// A mock of the table service. Each row has a key, a row version and a value.
 #[derive(Clone, Default)]
 struct Table(Vec<(BundleKey, u64, BundleRow)>);
 
@@ -104,14 +104,14 @@
     BundleDigest::of(content)
 }
 
-/// A table with a draft of `content` by ada, signed off by bea.
+/// Adds a draft of `content` by ada that bea has signed off.
 fn signed_off(table: &mut Table, content: &str, change: u32) -> DraftId {
     let current = table.current();
     let proposal =
         BundleChange::propose(current.as_ref(), digest(content), author("ada", change)).unwrap();
     assert!(table.transact(&proposal));
     let BundleKey::Draft(id) = proposal.witness() else {
-        panic!("a proposal is witnessed by its draft");
+        panic!("the result of a proposal is read from its draft");
     };
     let draft = table.draft(&id).expect("the draft");
     let sign_off =
@@ -133,8 +133,8 @@
     )
 }
 
-/// Both operators read before either writes. The second to write must change nothing and be told
-/// who won.
+/// Two operators both read before either writes. The second write must change nothing and its author
+/// must learn who was first.
 #[gtest]
 fn second_of_two_racing_operators_is_told_who_won() {
     let mut table = Table::default();
@@ -179,8 +179,8 @@
     expect_that!(table.settled(&loser), eq(&Settled::Lost(signed_off)));
 }
 
-/// A bundle comes into force unseen by a second person, or takes back a release that its author has
-/// not seen. Operators notice it when callers do.
+/// Guards against a bundle coming into force without review by a second operator, or undoing a
+/// release that its author has not seen. Operators would notice only when callers fail.
 #[gtest]
 fn steps_out_of_order_are_refused() {
     let mut table = Table::default();
@@ -189,7 +189,7 @@
     let proposal = BundleChange::propose(None, digest("three"), author("ada", 5)).unwrap();
     assert!(table.transact(&proposal));
     let BundleKey::Draft(unsigned) = proposal.witness() else {
-        panic!("a proposal is witnessed by its draft");
+        panic!("the result of a proposal is read from its draft");
     };
     let release = roll_out(&table, &first, author("ada", 6)).unwrap();
     let no_sign_off = roll_out(&table, &unsigned, author("ada", 7));
@@ -238,15 +238,15 @@
     );
 }
 
-/// One step of an operator of the property test.
+/// A step of an operator in the property test.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     operator: usize,
     kind: u8,
     pick: usize,
-    /// How many other steps take place between reading and writing.
+    /// Number of other steps between reading and writing.
     delay: usize,
-    /// Whether the transaction is sent a second time, late.
+    /// Whether the transaction is sent a second time, with a delay.
     repeated: bool,
 }
 
@@ -293,7 +293,7 @@
     decided.ok()
 }
 
-/// Each change that was sent, whether any of its calls took effect, and what its author was told.
+/// For each call: the change, whether the call took effect, and the result its author saw.
 type Told = Vec<(BundleChange, bool, Settled)>;
 
 fn run(steps: &[Step]) -> (Table, Told) {
@@ -334,8 +334,9 @@
 }
 
 proptest! {
-    /// Operators read, wait, write, and write again late, all crossed. Versions stay dense, every
-    /// content was seen by two people, no change takes effect twice, and everyone was told the truth.
+    /// Operators read, wait, write, and repeat writes late, all interleaved. Versions must have no
+    /// gaps, two operators must have reviewed each content, no change may take effect twice, and
+    /// every author must see the correct result.
     #[test]
     fn racing_operators_leave_a_dense_and_signed_off_history(steps in steps()) {
         let (table, told) = run(&steps);
--- a/crates/decisions/tests/bundle_view.rs
+++ b/crates/decisions/tests/bundle_view.rs
@@ -1,4 +1,4 @@
-//! What a VM puts in force, from word that comes late, crossed and repeated.
+//! Selection of the release in force when announcements arrive late, reordered or repeated.
 
 use catkin_decisions::{BundleDigest, BundleVersion, BundleView, Instant, PEERS_WORD_AFTER};
 use googletest::prelude::*;
@@ -19,8 +19,8 @@
     Instant(Duration::from_millis(millis))
 }
 
-/// A VM starts and a peer that lags tells it of an old release first. Served under it, callers would
-/// see the rollout taken back.
+/// A starting VM first receives an old release from a peer that lags. If it served that release,
+/// callers would see the rollout undone.
 #[gtest]
 fn starting_vm_waits_for_the_table_service() {
     let mut view = BundleView::new(at(0));
@@ -33,8 +33,8 @@
     expect_that!(view.wanted(at(100)), some(eq(word(5))));
 }
 
-/// A VM starts while the platform is cut off. It must serve what its peers serve, once all of them
-/// had time to speak.
+/// A VM starts while the platform is unreachable. It must serve what its peers serve, once all of
+/// them have had time to advertise their versions.
 #[gtest]
 fn starting_vm_that_is_cut_off_takes_the_largest_of_its_peers() {
     let mut view = BundleView::new(at(0));
@@ -61,8 +61,8 @@
     expect_that!(view.wanted(at(10)), some(eq(word(6))));
 }
 
-/// A peer speaks of a release that does not exist, because of a fault or a wrong table. Without
-/// forgetting its word, this VM would ask for that content for ever and take no true release.
+/// A peer advertises a release that does not exist, because of a fault or a wrong table. Unless it
+/// is discarded, this VM requests that content forever and puts no real release in force.
 #[gtest]
 fn word_without_content_is_forgotten() {
     let mut view = BundleView::new(at(0));
@@ -77,7 +77,7 @@
     expect_that!(view.wanted(at(10)), some(eq(word(6))));
 }
 
-/// A peer and the table service name one version with two digests.
+/// A peer and the table service report different digests for the same version.
 #[gtest]
 fn table_service_goes_before_peers() {
     let mut view = BundleView::new(at(0));
@@ -95,23 +95,23 @@
     expect_that!(view.wanted(Instant(PEERS_WORD_AFTER)), none());
 }
 
-/// One event of the property test: VMs of one availability zone, with and without the platform.
+/// An event of the property test, in an availability zone whose platform is reachable or not.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// A release is rolled out.
     RollOut,
-    /// A VM asks the table service; the answer comes `delay` steps later, if at all.
+    /// A VM reads the table service; the response arrives `delay` steps later, if at all.
     Read { vm: usize, delay: usize },
-    /// A VM tells another what it has in force; the message comes late, and perhaps twice.
+    /// A VM advertises its release in force to another; the message is delayed and may be duplicated.
     Tell {
         from: usize,
         to: usize,
         delay: usize,
         twice: bool,
     },
-    /// The platform is cut off, or reachable again.
+    /// The platform becomes unreachable, or reachable again.
     CutOff(bool),
-    /// A VM is restarted and has to ask anew; its peers answer while it waits.
+    /// A VM restarts without a release; its peers advertise theirs while it waits.
     Restart(usize),
     /// Time passes.
     Wait,
@@ -137,13 +137,13 @@
     ]
 }
 
-/// A message to a VM: due at a step, from the table service or a peer.
+/// A message from the table service or a peer to a VM, due at a step.
 struct Message {
     due: usize,
     to: usize,
     version: u64,
     from_table: bool,
-    /// Start of the process it is addressed to; a later one never gets it.
+    /// Start time of the addressed process; a later process does not receive the message.
     start: usize,
 }
 
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Puts in force what each VM wants; returns false if a VM went back.
+    /// Puts each VM's next release in force; returns false if a VM moved to a lower version.
     fn advance(&mut self) -> bool {
         let time = self.time();
         let mut forward = true;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The new process knows nothing. Its peers tell it what they have in force within the wait.
+    /// Starts a new process without a release. Its peers advertise theirs within its waiting time.
     fn restart(&mut self, vm: usize) {
         self.starts[vm] = self.now + 1;
         self.views[vm] = BundleView::new(self.time());
@@ -256,8 +256,9 @@
 }
 
 proptest! {
-    /// VMs hear of releases late, crossed and twice, are cut off and restarted. No VM ever goes back
-    /// while it runs, and none that starts while cut off serves less than a peer did when it asked.
+    /// Announcements are delayed, reordered and duplicated; VMs lose the platform and restart. No VM
+    /// may move to a lower version while it runs, and a VM that starts without the platform must not
+    /// serve a lower version than a peer had in force at the start.
     #[test]
     fn versions_never_go_back(steps in prop::collection::vec(step(), 1..120)) {
         let mut zone = Zone::new();
--- a/crates/decisions/tests/config_sharing.rs
+++ b/crates/decisions/tests/config_sharing.rs
@@ -1,4 +1,4 @@
-//! Whether a VM's link carries its configuration to the others of its zone.
+//! Whether a VM's link can send its configuration to the other VMs of its zone.
 
 use catkin_decisions::{LinkRate, link_carries_config};
 use googletest::prelude::*;
--- a/crates/decisions/tests/hybrid_clock.rs
+++ b/crates/decisions/tests/hybrid_clock.rs
@@ -1,12 +1,12 @@
-//! The order of events over processes whose wall clocks differ.
+//! Order of events across processes whose wall clocks differ.
 
 use catkin_decisions::{Error, HybridClock, HybridTime, LARGEST_CLOCK_LEAD};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Three processes pass messages while their wall clocks stand still, jump back or differ by
-/// seconds. Someone who reads the merged time line must never see an effect before its cause.
+/// Three processes exchange messages while their wall clocks stop, jump back or differ by seconds.
+/// In the merged timeline, an effect must never precede its cause.
 fn check_causal(steps: &[(usize, usize, u64)]) -> std::result::Result<(), TestCaseError> {
     let mut clocks = [HybridClock::default(); 3];
     let mut last = [HybridTime::default(); 3];
@@ -51,8 +51,8 @@
     expect_that!(readings, eq(&["5.0", "5.1", "5.2", "9.0"]));
 }
 
-/// A VM comes up with its clock a day ahead and sends a message. Taken in, it would move every
-/// other VM's time line a day into the future.
+/// A VM starts with its clock a day ahead and sends a message. If other VMs merged its reading, their
+/// timelines would move a day into the future.
 #[gtest]
 fn readings_from_the_far_future_are_refused() {
     let mut clock = HybridClock::default();
--- a/crates/decisions/tests/routes.rs
+++ b/crates/decisions/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route takes a call, and which configuration is in force.
+//! Route lookup, and selection of the configuration in force.
 
 use catkin_decisions::{
     CallKind, CallerKey, CallerLimits, ConfigVersion, NewestConfig, Route, RouteTable, RouteTarget,
@@ -58,7 +58,7 @@
 }
 
 proptest! {
-    /// Hundreds of routes, some within others. The table finds what a look at all of them finds.
+    /// The table finds the same route among nested prefixes as a linear search does.
     #[test]
     fn longest_prefix_of_the_host_wins(
         prefixes in prop::collection::vec("(/[ab]{0,2}){0,3}/", 1..30),
@@ -79,7 +79,7 @@
     }
 }
 
-/// A tenth of the calls is to go to the new service. The same call always goes to the same one.
+/// One of two services has a tenth of the weight. The same draw always selects the same service.
 #[gtest]
 fn targets_get_calls_by_their_weight() {
     let route = route("h", "/");
@@ -92,8 +92,8 @@
     expect_that!(route.service_for(7), eq(route.service_for(7)));
 }
 
-/// A store that answers stale tells of an older configuration after a newer one. A key that was taken
-/// away would open the door again.
+/// A stale read of the store returns an older configuration after a newer one. If it were applied, a
+/// revoked key would be accepted again.
 #[gtest]
 fn configuration_never_goes_back() {
     let mut newest = NewestConfig::default();
@@ -104,7 +104,7 @@
     expect_that!(newest.get().unwrap().version, eq(ConfigVersion(9)));
 }
 
-/// Each key is its team's, and no other text is a key.
+/// Each key maps to its team, and prefixes of keys or empty texts are not accepted.
 #[gtest]
 fn key_belongs_to_its_team() {
     let config = config(1);
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -1,4 +1,4 @@
-//! One VM of a zone reads the platform's table of upstreams, and the others rely on its word.
+//! One VM of a zone reads the platform's upstream table, and the others rely on its gossip.
 
 use catkin_decisions::{
     ConfigVersion, GOSSIP_AGE, GossipState, GossipView, Instant, REST_WAIT, UpstreamChange,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The same rows, written at a version.
+/// Returns the same rows, as written at `version`.
 fn written(version: u64, rows: &[UpstreamChange]) -> Vec<UpstreamChange> {
     let row = |row: &UpstreamChange| UpstreamChange {
         written: version,
@@ -46,14 +46,14 @@
     rows.iter().map(row).collect()
 }
 
-/// A VM that has read engines 1 to 3 at version 10.
+/// The table of a VM that has read engines 1 to 3 at version 10.
 fn table() -> UpstreamTable {
     let mut table = UpstreamTable::default();
     table.read(&[1, 2, 3].map(|n| entry(n, false)), true, 10);
     table
 }
 
-/// What a VM tells that has read `changes` up to `version` after the same beginning.
+/// Gossip of a VM that started with [`table`] and has read `changes` up to `version`.
 fn news(changes: &[UpstreamChange], version: u64) -> ZoneGossip {
     let mut table = table();
     let changes = table.read(&written(version, changes), false, version).news;
@@ -69,7 +69,7 @@
     }
 }
 
-/// How a VM stands after it has taken in news, each at its time.
+/// Table and gossip state of a VM that received each gossip at its time in milliseconds.
 fn after(taken: &[(u64, ZoneGossip)], now: Instant) -> (UpstreamTable, GossipState) {
     let (mut table, mut heard) = (table(), GossipView::default());
     for (ms, gossip) in taken {
@@ -79,8 +79,8 @@
     (table, heard.state(GOSSIP_AGE, now))
 }
 
-/// Entries are written anew all the time with nothing new in them. Told on, they would fill the links of
-/// small VMs.
+/// Upstreams rewrite their entries continuously without changing them. If these writes were relayed,
+/// they would saturate the links of small VMs.
 #[gtest]
 fn rows_that_say_nothing_new_are_not_told() {
     let mut table = table();
@@ -101,8 +101,8 @@
     expect_that!(table.version(), eq(11));
 }
 
-/// The datagram that says which upstream leaves is lost. The next word has a digest that does not fit, and
-/// the VM reads the table itself; else it would send calls there until they fail.
+/// The datagram with a leaving upstream is lost. The digest in the next gossip differs from the local
+/// one, so the VM reads the table itself; otherwise it would send calls to that upstream until they fail.
 #[gtest]
 fn a_lost_change_shows_with_the_next_word() {
     let lost = news(&[entry(2, true)], 11);
@@ -118,8 +118,8 @@
     expect_that!(later, eq(GossipState::Silent));
 }
 
-/// Many upstreams change at once, and the changes fill two datagrams. The first one alone does not fit
-/// the digest, but the second one is on its way.
+/// Many upstreams change at once, and the changes fill two datagrams. After the first datagram the
+/// digest does not match yet, but the second one is in flight.
 #[gtest]
 fn the_rest_of_a_change_is_waited_for() {
     let both = news(&[entry(2, true), removed(3)], 11);
@@ -136,8 +136,8 @@
     expect_that!(whole, eq(GossipState::Fresh(at(1005).after(GOSSIP_AGE))));
 }
 
-/// The VM that reads loses its power, or the store turns it away and its words grow old. The others read
-/// the table themselves before a leaving upstream gets calls for longer than it may.
+/// The reader VM loses power, or the store throttles it and its gossip becomes stale. The other VMs must
+/// read the table themselves before a leaving upstream receives calls for longer than allowed.
 #[gtest]
 fn old_words_do_not_count() {
     let stale = ZoneGossip {
@@ -152,8 +152,8 @@
     expect_that!(turned_away, eq(GossipState::Silent));
 }
 
-/// Two VMs read for a zone, and the word of the one that lags comes last. What it does not know yet must
-/// not undo what is known.
+/// Two VMs read for a zone, and the gossip of the one that lags arrives last. Its older rows must not
+/// overwrite newer ones.
 #[gtest]
 fn an_older_word_undoes_nothing() {
     let newer = news(&[entry(2, true)], 12);
@@ -181,10 +181,9 @@
     }
 }
 
-/// A VM that reads for its zone has lagged, and tells of an upstream in two datagrams, that it is there and that it
-/// has gone; the second one arrives first. The other VM knew already that it has gone. Brought back by the late
-/// datagram it stayed for good, since no later change names it, and got calls more than four seconds after it
-/// had left.
+/// A reader that lags sends an upstream's entry and its removal in two datagrams, and the removal arrives
+/// first, at a VM that had already applied it. If the late entry restored the upstream, no later change
+/// would remove it again, and it would still receive calls more than four seconds after it had left.
 #[gtest]
 fn an_upstream_that_has_gone_is_not_brought_back_by_late_words() {
     let mut table = table();
@@ -200,7 +199,8 @@
     expect_that!(table.digest(), eq(before));
 }
 
-/// The same between two VMs that both know less: the removal is remembered until the table is known beyond it.
+/// The same if neither VM had applied the removal: it must be kept until the table has been read beyond
+/// its version.
 #[gtest]
 fn a_removal_that_was_told_outlasts_an_older_row() {
     let mut table = table();
@@ -214,7 +214,7 @@
     expect_that!(table.entries().len(), eq(3));
 }
 
-/// The same, while this VM reads a page from before the removal.
+/// The same, while this VM reads a page of the table that predates the removal.
 #[gtest]
 fn a_removal_is_remembered_until_the_table_is_known_beyond_it() {
     let mut table = table();
@@ -227,8 +227,9 @@
     expect_that!(table.entries().len(), eq(2));
 }
 
-/// The store lists each change, and a question that began before another VM's word is answered with some that are
-/// known already. Taken for news, an upstream that has left would be there again for a moment, and told so to the zone.
+/// The store lists every change, so the result of a query sent before another VM's gossip arrived contains
+/// changes that were already applied. If they counted as new, a removed upstream would be present again
+/// for a moment, and would be advertised to the zone.
 #[gtest]
 fn rows_of_a_page_that_are_known_better_are_no_news() {
     let mut table = table();
@@ -245,7 +246,7 @@
     expect_that!(table.entries().len(), eq(2));
 }
 
-/// What another VM told is newer than the page that is read meanwhile, as its question waited longer at the store.
+/// Another VM's gossip is newer than the page read meanwhile, because its query waited longer at the store.
 #[gtest]
 fn a_page_that_is_older_than_what_was_told_undoes_nothing() {
     for whole in [false, true] {
@@ -262,14 +263,14 @@
     }
 }
 
-/// What one VM does next with what the store holds.
+/// A step of the property test, on the store or one of the VMs.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The store's row of an upstream is written: there, leaving, or removed.
+    /// Writes an upstream's row to the store as removed (0), present (1) or leaving (2).
     Write(u8, u8),
-    /// A VM reads what changed, or all, as the store was some writes ago.
+    /// A VM reads the changes or the complete table, as of some writes ago.
     Read(usize, bool, usize),
-    /// A VM hears another one's latest changes, in pieces, some of them lost, the others in this order.
+    /// A VM receives another VM's latest changes one by one in this order; some are lost or repeated.
     Hear(usize, usize, Vec<u8>),
 }
 
@@ -283,12 +284,12 @@
     ]
 }
 
-/// The store: each write, in order; the version is the number of writes.
+/// The store: all writes in order. Its version is the number of writes.
 #[derive(Default)]
 struct Store(Vec<UpstreamChange>);
 
 impl Store {
-    /// The newest row of each key as of a version, written after another one.
+    /// Returns the newest row of each key as of `version`, if it was written later than `after`.
     fn rows(&self, after: usize, version: usize) -> Vec<UpstreamChange> {
         let writes = &self.0[..version];
         let newest = |(i, row): &(usize, &UpstreamChange)| {
@@ -305,8 +306,8 @@
 }
 
 proptest! {
-    /// Three VMs read the store by themselves, late or not, and hear each other's changes in any order, in part or
-    /// twice. Whoever has read up to the newest version knows just what the store holds.
+    /// Three VMs read the store, up to date or not, and receive each other's changes reordered, incomplete or
+    /// duplicated. A VM that has read up to the newest version must have exactly the entries of the store.
     #[test]
     fn whoever_has_read_up_to_now_knows_what_the_store_holds(
         steps in prop::collection::vec(step(), 1..80),
@@ -360,7 +361,7 @@
         }
     }
 
-    /// Whatever changes are read in whatever pieces, a VM that was told all of them has the same digest.
+    /// A VM that received all changes by gossip has the same digest as the VM that read them.
     #[test]
     fn the_digest_is_that_of_the_content(
         steps in prop::collection::vec((1..20_u8, 0..3_u8), 1..60),
