--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -67,7 +67,7 @@
         let settled = self.apply(&change).await?;
         match change.writes.into_iter().next() {
             Some(BundleRow::Draft(made)) => Ok(Applied { made, settled }),
-            _ => Err(BundleRefusal::Unexplained.into()),
+            _ => Err(BundleRefusal::UnexpectedConflict.into()),
         }
     }
 
@@ -205,9 +205,9 @@
 
     async fn apply_release(&self, change: &BundleChange) -> Result<Applied<BundleVersion>> {
         let settled = self.apply(change).await?;
-        match change.witness() {
+        match change.confirmation_key() {
             BundleKey::Release(made) => Ok(Applied { made, settled }),
-            _ => Err(BundleRefusal::Unexplained.into()),
+            _ => Err(BundleRefusal::UnexpectedConflict.into()),
         }
     }
 
@@ -236,7 +236,7 @@
             match self.settle(change).await {
                 Ok(Settled::Done) => return Ok(true),
                 Ok(Settled::Lost(refusal)) => return Err(refusal.into()),
-                Ok(Settled::Open) => {}
+                Ok(Settled::Pending) => {}
                 Err(Error::Platform(fault)) => last = fault,
                 Err(error) => return Err(error),
             }
@@ -248,8 +248,8 @@
     }
 
     async fn settle(&self, change: &BundleChange) -> Result<Settled> {
-        let rows = bundle_rows::read_rows(&self.platform, &[change.witness()]).await?;
-        Ok(change.settled(rows.first().map(|(_, row)| row)))
+        let rows = bundle_rows::read_rows(&self.platform, &[change.confirmation_key()]).await?;
+        Ok(change.resolve(rows.first().map(|(_, row)| row)))
     }
 
     async fn read(&self, keys: &[BundleKey]) -> Result<Vec<(u64, BundleRow)>> {
@@ -296,7 +296,7 @@
 fn find_draft(rows: &[(u64, BundleRow)]) -> Option<Stored<BundleDraft>> {
     rows.iter().find_map(|(row, value)| match value {
         BundleRow::Draft(draft) => Some(Stored {
-            row: *row,
+            row_version: *row,
             value: draft.clone(),
         }),
         _ => None,
@@ -306,7 +306,7 @@
 fn find_current(rows: &[(u64, BundleRow)]) -> Option<Stored<CurrentBundle>> {
     rows.iter().find_map(|(row, value)| match value {
         BundleRow::Current(current) => Some(Stored {
-            row: *row,
+            row_version: *row,
             value: current.clone(),
         }),
         _ => None,
--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -15,13 +15,13 @@
     pub conditions: Vec<(BundleKey, u64)>,
     /// Rows that the transaction writes.
     pub writes: Vec<BundleRow>,
-    witness: Witness,
+    confirmation_row: ConfirmationRow,
     change: ChangeToken,
 }
 
 /// Row that shows whether a change took effect.
 #[derive(Clone, Debug, PartialEq)]
-enum Witness {
+enum ConfirmationRow {
     Proposal(DraftId),
     SignOff(DraftId),
     Release(BundleVersion),
@@ -35,7 +35,7 @@
     /// The change can never take effect, because another operator's change was first.
     Lost(BundleRefusal),
     /// The change has not taken effect; retrying it is safe.
-    Open,
+    Pending,
 }
 
 impl BundleChange {
@@ -52,7 +52,7 @@
         check_new_content(current, digest)?;
         let id = DraftId {
             base: version_of(current),
-            mark: author.change.clone(),
+            token: author.change.clone(),
         };
         let change = author.change.clone();
         Ok(Self {
@@ -63,7 +63,7 @@
                 proposed: author,
                 signed_off: None,
             })],
-            witness: Witness::Proposal(id),
+            confirmation_row: ConfirmationRow::Proposal(id),
             change,
         })
     }
@@ -80,23 +80,23 @@
     ) -> Result<Self, BundleRefusal> {
         let BundleDraft { id, proposed, .. } = &draft.value;
         if proposed.operator == author.operator {
-            return Err(BundleRefusal::OwnDraft {
+            return Err(BundleRefusal::SelfSignOff {
                 draft: id.clone(),
                 operator: author.operator,
             });
         }
         if let Some(signed_off) = &draft.value.signed_off {
-            return Err(signed_off_first(id, signed_off));
+            return Err(already_signed_off(id, signed_off));
         }
         check_digest(&draft.value, digest)?;
         let change = author.change.clone();
         Ok(Self {
-            conditions: vec![(BundleKey::Draft(id.clone()), draft.row)],
+            conditions: vec![(BundleKey::Draft(id.clone()), draft.row_version)],
             writes: vec![BundleRow::Draft(BundleDraft {
                 signed_off: Some(SignOff { author, digest }),
                 ..draft.value.clone()
             })],
-            witness: Witness::SignOff(id.clone()),
+            confirmation_row: ConfirmationRow::SignOff(id.clone()),
             change,
         })
     }
@@ -116,7 +116,7 @@
     ) -> Result<Self, BundleRefusal> {
         let BundleDraft { id, proposed, .. } = &draft.value;
         if let Some(next) = next {
-            return Err(overtaken_by(next, Some(id)));
+            return Err(superseded_by(next, Some(id)));
         }
         check_base(id, current)?;
         let signed_off = draft.value.signed_off.as_ref();
@@ -128,7 +128,7 @@
             signed_off_by: signed_off.author.operator.clone(),
         };
         let mut change = Self::release(current, draft.value.digest, source, author)?;
-        let draft_unchanged = (BundleKey::Draft(id.clone()), draft.row);
+        let draft_unchanged = (BundleKey::Draft(id.clone()), draft.row_version);
         change.conditions.push(draft_unchanged);
         Ok(change)
     }
@@ -160,7 +160,10 @@
         let change = author.change.clone();
         Ok(Self {
             conditions: vec![
-                (BundleKey::Current, current.map_or(0, |stored| stored.row)),
+                (
+                    BundleKey::Current,
+                    current.map_or(0, |stored| stored.row_version),
+                ),
                 (BundleKey::Release(version), 0),
             ],
             writes: vec![
@@ -176,41 +179,48 @@
                     released: author,
                 }),
             ],
-            witness: Witness::Release(version),
+            confirmation_row: ConfirmationRow::Release(version),
             change,
         })
     }
 
     /// Key of the row that shows whether the change took effect.
     #[must_use]
-    pub fn witness(&self) -> BundleKey {
-        match &self.witness {
-            Witness::Proposal(id) | Witness::SignOff(id) => BundleKey::Draft(id.clone()),
-            Witness::Release(version) => BundleKey::Release(*version),
+    pub fn confirmation_key(&self) -> BundleKey {
+        match &self.confirmation_row {
+            ConfirmationRow::Proposal(id) | ConfirmationRow::SignOff(id) => {
+                BundleKey::Draft(id.clone())
+            }
+            ConfirmationRow::Release(version) => BundleKey::Release(*version),
         }
     }
 
-    /// Determines the change's result from the current value of the row at [`Self::witness`].
+    /// Determines the change's result from the current value of the row at [`Self::confirmation_key`].
     #[must_use]
-    pub fn settled(&self, row: Option<&BundleRow>) -> Settled {
-        match (&self.witness, row) {
-            (Witness::Proposal(_), Some(BundleRow::Draft(draft))) => {
-                self.by_author(&draft.proposed, || BundleRefusal::Unexplained)
+    pub fn resolve(&self, row: Option<&BundleRow>) -> Settled {
+        match (&self.confirmation_row, row) {
+            (ConfirmationRow::Proposal(_), Some(BundleRow::Draft(draft))) => {
+                self.resolve_by_author(&draft.proposed, || BundleRefusal::UnexpectedConflict)
             }
-            (Witness::SignOff(id), Some(BundleRow::Draft(draft))) => match &draft.signed_off {
-                Some(sign_off) => {
-                    self.by_author(&sign_off.author, || signed_off_first(id, sign_off))
+            (ConfirmationRow::SignOff(id), Some(BundleRow::Draft(draft))) => {
+                match &draft.signed_off {
+                    Some(sign_off) => self
+                        .resolve_by_author(&sign_off.author, || already_signed_off(id, sign_off)),
+                    None => Settled::Pending,
                 }
-                None => Settled::Open,
-            },
-            (Witness::Release(_), Some(BundleRow::Release(release))) => {
-                self.by_author(&release.released, || overtaken_by(release, None))
             }
-            _ => Settled::Open,
+            (ConfirmationRow::Release(_), Some(BundleRow::Release(release))) => {
+                self.resolve_by_author(&release.released, || superseded_by(release, None))
+            }
+            _ => Settled::Pending,
         }
     }
 
-    fn by_author(&self, author: &BundleAuthor, lost: impl FnOnce() -> BundleRefusal) -> Settled {
+    fn resolve_by_author(
+        &self,
+        author: &BundleAuthor,
+        lost: impl FnOnce() -> BundleRefusal,
+    ) -> Settled {
         if author.change == self.change {
             Settled::Done
         } else {
@@ -227,7 +237,7 @@
 ) -> Result<(), BundleRefusal> {
     match current {
         Some(Stored { value, .. }) if value.version != draft.base => {
-            Err(BundleRefusal::Overtaken {
+            Err(BundleRefusal::Superseded {
                 by: value.by.clone(),
                 version: value.version,
             })
@@ -248,7 +258,7 @@
     digest: BundleDigest,
 ) -> Result<(), BundleRefusal> {
     match current {
-        Some(current) if current.value.digest == digest => Err(BundleRefusal::InForceAlready {
+        Some(current) if current.value.digest == digest => Err(BundleRefusal::AlreadyInForce {
             version: current.value.version,
         }),
         _ => Ok(()),
@@ -259,21 +269,21 @@
     if draft.digest == expected {
         return Ok(());
     }
-    Err(BundleRefusal::OtherDigest {
+    Err(BundleRefusal::DigestMismatch {
         draft: draft.id.clone(),
         expected,
         found: draft.digest,
     })
 }
 
-fn signed_off_first(draft: &DraftId, sign_off: &SignOff) -> BundleRefusal {
-    BundleRefusal::SignedOff {
+fn already_signed_off(draft: &DraftId, sign_off: &SignOff) -> BundleRefusal {
+    BundleRefusal::AlreadySignedOff {
         draft: draft.clone(),
         by: sign_off.author.operator.clone(),
     }
 }
 
-fn overtaken_by(release: &BundleRelease, draft: Option<&DraftId>) -> BundleRefusal {
+fn superseded_by(release: &BundleRelease, draft: Option<&DraftId>) -> BundleRefusal {
     let by = release.released.operator.clone();
     let version = release.version;
     match (&release.source, draft) {
@@ -284,6 +294,6 @@
                 by,
             }
         }
-        _ => BundleRefusal::Overtaken { by, version },
+        _ => BundleRefusal::Superseded { by, version },
     }
 }
--- a/crates/decisions/src/bundle_refusal.rs
+++ b/crates/decisions/src/bundle_refusal.rs
@@ -5,7 +5,7 @@
 pub enum BundleRefusal {
     /// The content is already in force.
     #[display("this is the content of version {version}, which is in force")]
-    InForceAlready {
+    AlreadyInForce {
         /// Version that has this content.
         version: BundleVersion,
     },
@@ -29,7 +29,7 @@
     },
     /// The draft's digest differs from the one that was reviewed.
     #[display("draft `{draft}` has the digest {found}, not {expected}")]
-    OtherDigest {
+    DigestMismatch {
         /// Id of the draft.
         draft: DraftId,
         /// Digest that was signed off or requested.
@@ -49,7 +49,7 @@
     },
     /// Another operator rolled out a release first.
     #[display("{by} rolled out version {version} first; nothing of yours was changed")]
-    Overtaken {
+    Superseded {
         /// Operator whose rollout took effect.
         by: OperatorName,
         /// Version of that operator's release.
@@ -57,7 +57,7 @@
     },
     /// Operators may not sign off their own drafts.
     #[display("draft `{draft}` was proposed by {operator}, and another operator must sign it off")]
-    OwnDraft {
+    SelfSignOff {
         /// Id of the draft.
         draft: DraftId,
         /// Operator who proposed the draft and tried to sign it off.
@@ -65,7 +65,7 @@
     },
     /// Another operator signed off the draft first.
     #[display("{by} signed off draft `{draft}` first")]
-    SignedOff {
+    AlreadySignedOff {
         /// Id of the draft.
         draft: DraftId,
         /// Operator whose sign-off took effect.
@@ -73,5 +73,5 @@
     },
     /// The table service rejected the change although nobody else changed the rows.
     #[display("the table service rejected the change although all its conditions hold")]
-    Unexplained,
+    UnexpectedConflict,
 }
--- a/crates/decisions/src/bundle_row.rs
+++ b/crates/decisions/src/bundle_row.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stored<T> {
     /// Version of the row, which increases with each write.
-    pub row: u64,
+    pub row_version: u64,
     /// Value of the row.
     pub value: T,
 }
--- a/crates/decisions/src/draft_id.rs
+++ b/crates/decisions/src/draft_id.rs
@@ -7,12 +7,12 @@
     /// Version in force when the draft was proposed, which it replaces if it is rolled out.
     pub base: BundleVersion,
     /// Token that distinguishes drafts with the same base version.
-    pub mark: ChangeToken,
+    pub token: ChangeToken,
 }
 
 impl fmt::Display for DraftId {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{}", self.base, self.mark)
+        write!(f, "{}-{}", self.base, self.token)
     }
 }
 
@@ -20,10 +20,10 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let (base, mark) = s.split_once('-').ok_or(Error::DraftId)?;
+        let (base, token) = s.split_once('-').ok_or(Error::DraftId)?;
         Ok(Self {
             base: base.parse().map_err(|_| Error::DraftId)?,
-            mark: mark.parse().map_err(|_| Error::DraftId)?,
+            token: token.parse().map_err(|_| Error::DraftId)?,
         })
     }
 }
--- a/crates/decisions/tests/bundle_change.rs
+++ b/crates/decisions/tests/bundle_change.rs
@@ -35,14 +35,14 @@
         true
     }
 
-    fn settled(&self, change: &BundleChange) -> Settled {
-        change.settled(self.row(&change.witness()))
+    fn resolve(&self, change: &BundleChange) -> Settled {
+        change.resolve(self.row(&change.confirmation_key()))
     }
 
     fn current(&self) -> Option<Stored<CurrentBundle>> {
         match self.find(&BundleKey::Current)? {
             (_, row, BundleRow::Current(value)) => Some(Stored {
-                row: *row,
+                row_version: *row,
                 value: value.clone(),
             }),
             _ => None,
@@ -52,7 +52,7 @@
     fn draft(&self, id: &DraftId) -> Option<Stored<BundleDraft>> {
         match self.find(&BundleKey::Draft(id.clone()))? {
             (_, row, BundleRow::Draft(value)) => Some(Stored {
-                row: *row,
+                row_version: *row,
                 value: value.clone(),
             }),
             _ => None,
@@ -105,12 +105,12 @@
 }
 
 /// Adds a draft of `content` by ada that bea has signed off.
-fn signed_off(table: &mut Table, content: &str, change: u32) -> DraftId {
+fn add_signed_off_draft(table: &mut Table, content: &str, change: u32) -> DraftId {
     let current = table.current();
     let proposal =
         BundleChange::propose(current.as_ref(), digest(content), author("ada", change)).unwrap();
     assert!(table.transact(&proposal));
-    let BundleKey::Draft(id) = proposal.witness() else {
+    let BundleKey::Draft(id) = proposal.confirmation_key() else {
         panic!("the result of a proposal is read from its draft");
     };
     let draft = table.draft(&id).expect("the draft");
@@ -136,30 +136,30 @@
 /// Two operators both read before either writes. The second write must change nothing and its author
 /// must learn who was first.
 #[gtest]
-fn second_of_two_racing_operators_is_told_who_won() {
+fn losing_roll_out_reports_the_winner() {
     let mut table = Table::default();
-    let one = signed_off(&mut table, "one", 1);
-    let two = signed_off(&mut table, "two", 3);
+    let one = add_signed_off_draft(&mut table, "one", 1);
+    let two = add_signed_off_draft(&mut table, "two", 3);
     let winner = roll_out(&table, &one, author("ada", 5)).unwrap();
     let loser = roll_out(&table, &two, author("cy", 6)).unwrap();
 
     assert!(table.transact(&winner));
     assert!(!table.transact(&loser));
 
-    let overtaken = BundleRefusal::Overtaken {
+    let superseded = BundleRefusal::Superseded {
         by: operator("ada"),
         version: BundleVersion(1),
     };
-    expect_that!(table.settled(&winner), eq(&Settled::Done));
+    expect_that!(table.resolve(&winner), eq(&Settled::Done));
     expect_that!(
-        overtaken.to_string(),
+        superseded.to_string(),
         eq("ada rolled out version 1 first; nothing of yours was changed")
     );
-    expect_that!(table.settled(&loser), eq(&Settled::Lost(overtaken)));
+    expect_that!(table.resolve(&loser), eq(&Settled::Lost(superseded)));
 }
 
 #[gtest]
-fn second_of_two_racing_sign_offs_is_told_who_won() {
+fn losing_sign_off_reports_the_winner() {
     let mut table = Table::default();
     let proposal = BundleChange::propose(None, digest("one"), author("ada", 1)).unwrap();
     assert!(table.transact(&proposal));
@@ -171,34 +171,37 @@
     assert!(table.transact(&winner));
     assert!(!table.transact(&loser));
 
-    let signed_off = BundleRefusal::SignedOff {
+    let already_signed_off = BundleRefusal::AlreadySignedOff {
         draft: draft.id,
         by: operator("bea"),
     };
-    expect_that!(table.settled(&winner), eq(&Settled::Done));
-    expect_that!(table.settled(&loser), eq(&Settled::Lost(signed_off)));
+    expect_that!(table.resolve(&winner), eq(&Settled::Done));
+    expect_that!(
+        table.resolve(&loser),
+        eq(&Settled::Lost(already_signed_off))
+    );
 }
 
 /// Guards against a bundle coming into force without review by a second operator, or undoing a
 /// release that its author has not seen. Operators would notice only when callers fail.
 #[gtest]
-fn steps_out_of_order_are_refused() {
+fn invalid_changes_are_rejected() {
     let mut table = Table::default();
-    let first = signed_off(&mut table, "one", 1);
-    let stale = signed_off(&mut table, "two", 3);
+    let first = add_signed_off_draft(&mut table, "one", 1);
+    let stale = add_signed_off_draft(&mut table, "two", 3);
     let proposal = BundleChange::propose(None, digest("three"), author("ada", 5)).unwrap();
     assert!(table.transact(&proposal));
-    let BundleKey::Draft(unsigned) = proposal.witness() else {
+    let BundleKey::Draft(unsigned) = proposal.confirmation_key() else {
         panic!("the result of a proposal is read from its draft");
     };
     let release = roll_out(&table, &first, author("ada", 6)).unwrap();
-    let no_sign_off = roll_out(&table, &unsigned, author("ada", 7));
-    let own = BundleChange::sign_off(
+    let unsigned_roll_out = roll_out(&table, &unsigned, author("ada", 7));
+    let self_sign_off = BundleChange::sign_off(
         &table.draft(&unsigned).expect("the draft"),
         digest("three"),
         author("ada", 8),
     );
-    let other_digest = BundleChange::sign_off(
+    let digest_mismatch = BundleChange::sign_off(
         &table.draft(&unsigned).expect("the draft"),
         digest("four"),
         author("bea", 9),
@@ -206,9 +209,9 @@
     assert!(table.transact(&release));
     let current = table.current();
     let refusals = [
-        no_sign_off,
-        own,
-        other_digest,
+        unsigned_roll_out,
+        self_sign_off,
+        digest_mismatch,
         roll_out(&table, &first, author("ada", 10)),
         roll_out(&table, &stale, author("ada", 11)),
         BundleChange::propose(current.as_ref(), digest("one"), author("ada", 12)),
@@ -218,7 +221,7 @@
             author("ada", 13),
         ),
     ]
-    .map(|refused| refused.unwrap_err().to_string());
+    .map(|rejected| rejected.unwrap_err().to_string());
 
     expect_that!(
         refusals,
@@ -247,7 +250,7 @@
     /// Number of other steps between reading and writing.
     delay: usize,
     /// Whether the transaction is sent a second time, with a delay.
-    repeated: bool,
+    duplicated: bool,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -258,12 +261,12 @@
         0..4_usize,
         any::<bool>(),
     )
-        .prop_map(|(operator, kind, pick, delay, repeated)| Step {
+        .prop_map(|(operator, kind, pick, delay, duplicated)| Step {
             operator,
             kind,
             pick,
             delay,
-            repeated,
+            duplicated,
         });
     prop::collection::vec(step, 1..60)
 }
@@ -294,42 +297,42 @@
 }
 
 /// For each call: the change, whether the call took effect, and the result its author saw.
-type Told = Vec<(BundleChange, bool, Settled)>;
+type Outcomes = Vec<(BundleChange, bool, Settled)>;
 
-fn run(steps: &[Step]) -> (Table, Told) {
+fn run(steps: &[Step]) -> (Table, Outcomes) {
     let mut table = Table::default();
-    let mut under_way: Vec<(usize, BundleChange, bool)> = Vec::new();
-    let mut told = Told::new();
+    let mut in_flight: Vec<(usize, BundleChange, bool)> = Vec::new();
+    let mut outcomes = Outcomes::new();
     for (now, step) in steps.iter().enumerate() {
-        let (due, rest) = under_way.into_iter().partition(|(at, ..)| *at <= now);
-        under_way = rest;
-        write_all(&mut table, due, &mut under_way, &mut told, now);
+        let (due, rest) = in_flight.into_iter().partition(|(at, ..)| *at <= now);
+        in_flight = rest;
+        write_all(&mut table, due, &mut in_flight, &mut outcomes, now);
         let change = u32::try_from(now).expect("few steps");
         if let Some(change) = decide(&table, *step, change) {
-            under_way.push((now + step.delay, change, step.repeated));
+            in_flight.push((now + step.delay, change, step.duplicated));
         }
     }
-    let due = std::mem::take(&mut under_way);
-    write_all(&mut table, due, &mut under_way, &mut told, steps.len());
-    let late = std::mem::take(&mut under_way);
-    write_all(&mut table, late, &mut under_way, &mut told, steps.len());
-    (table, told)
+    let due = std::mem::take(&mut in_flight);
+    write_all(&mut table, due, &mut in_flight, &mut outcomes, steps.len());
+    let late = std::mem::take(&mut in_flight);
+    write_all(&mut table, late, &mut in_flight, &mut outcomes, steps.len());
+    (table, outcomes)
 }
 
 fn write_all(
     table: &mut Table,
     due: Vec<(usize, BundleChange, bool)>,
-    under_way: &mut Vec<(usize, BundleChange, bool)>,
-    told: &mut Told,
+    in_flight: &mut Vec<(usize, BundleChange, bool)>,
+    outcomes: &mut Outcomes,
     now: usize,
 ) {
-    for (_, change, repeated) in due {
+    for (_, change, duplicated) in due {
         let committed = table.transact(&change);
-        let settled = table.settled(&change);
-        if repeated {
-            under_way.push((now + 2, change.clone(), false));
+        let result = table.resolve(&change);
+        if duplicated {
+            in_flight.push((now + 2, change.clone(), false));
         }
-        told.push((change, committed, settled));
+        outcomes.push((change, committed, result));
     }
 }
 
@@ -338,8 +341,8 @@
     /// gaps, two operators must have reviewed each content, no change may take effect twice, and
     /// every author must see the correct result.
     #[test]
-    fn racing_operators_leave_a_dense_and_signed_off_history(steps in steps()) {
-        let (table, told) = run(&steps);
+    fn racing_operators_produce_gapless_reviewed_releases(steps in steps()) {
+        let (table, outcomes) = run(&steps);
 
         let releases = table.releases();
         for (release, version) in releases.iter().zip(1..) {
@@ -359,10 +362,10 @@
         let last = releases.last().map(|release| (release.version, release.digest));
         let current = table.current().map(|stored| (stored.value.version, stored.value.digest));
         prop_assert_eq!(last, current);
-        for (change, _, settled) in &told {
-            prop_assert_ne!(settled, &Settled::Open, "{:?}", change);
-            let effects = told.iter().filter(|(other, took, _)| other == change && *took).count();
-            let expected = usize::from(*settled == Settled::Done);
+        for (change, _, result) in &outcomes {
+            prop_assert_ne!(result, &Settled::Pending, "{:?}", change);
+            let effects = outcomes.iter().filter(|(other, committed, _)| other == change && *committed).count();
+            let expected = usize::from(*result == Settled::Done);
             prop_assert_eq!(effects, expected, "{:?}", change);
         }
     }
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -156,7 +156,7 @@
     };
     match winner {
         Some((by, made, refused)) if made == BundleVersion(version) => {
-            let expected = BundleRefusal::Overtaken {
+            let expected = BundleRefusal::Superseded {
                 by: author(by).operator,
                 version: made,
             };
