--- a/crates/catkinward/src/bundle_watch.rs
+++ b/crates/catkinward/src/bundle_watch.rs
@@ -57,7 +57,7 @@
 
     /// Takes in a peer's word of a release.
     pub fn heard(&self, version: BundleVersion, digest: BundleDigest) {
-        self.view.lock().hear(version, digest);
+        self.view.lock().record_peer_release(version, digest);
         self.news.notify_one();
     }
 
@@ -76,7 +76,7 @@
     async fn read_once(&self, platform: &Platform) {
         match read_current_row(platform).await {
             Ok(current) => {
-                self.view.lock().table(current);
+                self.view.lock().record_table_release(current);
                 self.news.notify_one();
             }
             // The present bundle stays in force: an outage of the platform stops no request.
@@ -87,16 +87,16 @@
     /// Puts in force what is wanted; false if its content cannot be had now.
     async fn advance(&self) -> bool {
         loop {
-            let wanted = self.view.lock().wanted(self.timer.now());
+            let wanted = self.view.lock().next_release(self.timer.now());
             let Some((version, digest)) = wanted else {
                 return true;
             };
             let Some(read) = self.fetch(version, digest).await else {
-                self.view.lock().unfetchable(version);
+                self.view.lock().record_unavailable(version);
                 return false;
             };
             self.bundle.advance(read);
-            self.view.lock().advanced(version);
+            self.view.lock().record_in_force(version);
         }
     }
 
--- a/crates/catkinward/src/gateway/beliefs.rs
+++ b/crates/catkinward/src/gateway/beliefs.rs
@@ -21,7 +21,7 @@
 
 impl Gateway {
     fn show(&self, now: Instant) {
-        let reads = self.zone_role().reads();
+        let reads = self.zone_role().polls_store();
         let mut state = self.state.lock();
         let usable = state.directory.usable_count(now);
         let suspects = state
@@ -31,7 +31,7 @@
         let peers = state.peers.live_count(now);
         let age = state
             .gossip
-            .age(now)
+            .store_age(now)
             .or(state.table_read.map(|at| now.since(at)));
         drop(state);
         gauge("catkin_upstreams_usable", usable);
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -330,7 +330,7 @@
             .routes
             .find(&call.host, &call.path)
             .ok_or(Reply::NoRoute)?;
-        let holder = call.key.as_deref().and_then(|key| config.holder(key));
+        let holder = call.key.as_deref().and_then(|key| config.find_key(key));
         if config.keys.is_some() && !route.public && holder.is_none() {
             return Err(Reply::UnknownKey.into());
         }
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -69,7 +69,7 @@
             GossipState::Silent => return None,
         };
         let state = self.state.lock();
-        let until = state.gossip.config_until()?.min(told_until);
+        let until = state.gossip.config_valid_until()?.min(told_until);
         (!state.old_config && now < until).then_some(until)
     }
 
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -54,7 +54,7 @@
         let read = state.table.read(&page.rows, whole, page.version);
         let entries = whole.then(|| state.table.entries());
         if from_store {
-            state.gossip.read_here();
+            state.gossip.record_own_read();
             state.table_read = Some(now);
         }
         drop(state);
@@ -77,7 +77,7 @@
         let state = self.state.lock();
         let read_here = state.table_read.map(|at| now.since(at));
         let told = match state.gossip.state(GOSSIP_AGE, now) {
-            GossipState::Fresh(_) => state.gossip.age(now),
+            GossipState::Fresh(_) => state.gossip.store_age(now),
             GossipState::Behind(_) | GossipState::Silent => None,
         };
         let fresh = [read_here, told].into_iter().flatten().any(|a| a <= age);
@@ -154,7 +154,7 @@
             .table
             .told(&gossip.changes, gossip.version, gossip.digest);
         let table = std::mem::take(&mut state.table);
-        state.gossip.take(gossip, &table, now);
+        state.gossip.record(gossip, &table, now);
         state.table = table;
         if matches!(state.gossip.state(GOSSIP_AGE, now), GossipState::Fresh(_)) {
             state.directory.platform_answers(now);
--- a/crates/catkinward/src/process_clock.rs
+++ b/crates/catkinward/src/process_clock.rs
@@ -18,7 +18,7 @@
 
     /// Takes in the reading of a received message.
     pub fn witness(&self, received: HybridTime) {
-        if let Err(fault) = self.clock.lock().witness(wall(), received) {
+        if let Err(fault) = self.clock.lock().observe(wall(), received) {
             tracing::warn!(%fault, "clock reading ignored");
         }
     }
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -372,7 +372,7 @@
         kind,
         timeout: Duration::from_secs(if kind.is_stream() { 25 } else { 1 }),
         target_latency: Duration::from_millis(150),
-        target_pause: None,
+        target_event_gap: None,
         priority: 1,
         targets: vec![RouteTarget {
             service: service.parse().unwrap(),
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -113,7 +113,7 @@
     let names = (2..100).map(|n| Arc::<str>::from(format!("vm-{n}")));
     names
         .into_iter()
-        .find(|name| ZoneRole::of(name, &["vm-1".into(), name.clone()]).reads())
+        .find(|name| ZoneRole::of(name, &["vm-1".into(), name.clone()]).polls_store())
         .unwrap()
 }
 
@@ -291,7 +291,7 @@
     let running = fixture.start();
     let other = (2..100)
         .map(|n| Arc::<str>::from(format!("vm-{n}")))
-        .find(|other| ZoneRole::of("vm-1", &["vm-1".into(), other.clone()]).reads())
+        .find(|other| ZoneRole::of("vm-1", &["vm-1".into(), other.clone()]).polls_store())
         .unwrap();
     let table = FakeTable::new(&entries());
     let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
--- a/crates/decisions/src/bundle_view.rs
+++ b/crates/decisions/src/bundle_view.rs
@@ -20,9 +20,9 @@
 pub struct BundleView {
     started: Instant,
     in_force: BundleVersion,
-    peers: Option<(BundleVersion, BundleDigest)>,
-    table: Option<(BundleVersion, BundleDigest)>,
-    heard_table: bool,
+    peer_release: Option<(BundleVersion, BundleDigest)>,
+    table_release: Option<(BundleVersion, BundleDigest)>,
+    table_responded: bool,
 }
 
 impl BundleView {
@@ -32,46 +32,49 @@
         Self {
             started: now,
             in_force: BundleVersion::default(),
-            peers: None,
-            table: None,
-            heard_table: false,
+            peer_release: None,
+            table_release: None,
+            table_responded: false,
         }
     }
 
     /// Records the current release in the table service; `None` if nothing was ever rolled out.
-    pub fn table(&mut self, current: Option<(BundleVersion, BundleDigest)>) {
-        self.heard_table = true;
-        self.table = self.table.max(current);
+    pub fn record_table_release(&mut self, current: Option<(BundleVersion, BundleDigest)>) {
+        self.table_responded = true;
+        self.table_release = self.table_release.max(current);
     }
 
     /// Records a release that a peer advertises.
-    pub fn hear(&mut self, version: BundleVersion, digest: BundleDigest) {
-        if self.peers.is_none_or(|(largest, _)| version > largest) {
-            self.peers = Some((version, digest));
+    pub fn record_peer_release(&mut self, version: BundleVersion, digest: BundleDigest) {
+        if self
+            .peer_release
+            .is_none_or(|(largest, _)| version > largest)
+        {
+            self.peer_release = Some((version, digest));
         }
     }
 
     /// Records that no source has the content of a release. If only peers advertise it, it is
     /// discarded: a wrong version would otherwise take precedence over every later real release.
-    pub fn unfetchable(&mut self, version: BundleVersion) {
-        self.peers = self.peers.filter(|(largest, _)| *largest != version);
+    pub fn record_unavailable(&mut self, version: BundleVersion) {
+        self.peer_release = self.peer_release.filter(|(largest, _)| *largest != version);
     }
 
     /// Records the version in force.
-    pub fn advanced(&mut self, version: BundleVersion) {
+    pub fn record_in_force(&mut self, version: BundleVersion) {
         self.in_force = self.in_force.max(version);
     }
 
     /// Returns the release to fetch and put in force, if there is one.
     #[must_use]
-    pub fn wanted(&self, now: Instant) -> Option<(BundleVersion, BundleDigest)> {
-        let serves = self.in_force > BundleVersion::default();
-        let may_start = self.heard_table || now.since(self.started) >= PEERS_WORD_AFTER;
+    pub fn next_release(&self, now: Instant) -> Option<(BundleVersion, BundleDigest)> {
+        let serving = self.in_force > BundleVersion::default();
+        let may_bootstrap = self.table_responded || now.since(self.started) >= PEERS_WORD_AFTER;
         // For the same version, the digest of the table service takes precedence over a peer's.
-        let largest = match (self.peers, self.table) {
-            (Some(peers), Some(table)) if peers.0 <= table.0 => Some(table),
-            (peers, table) => peers.or(table),
+        let largest = match (self.peer_release, self.table_release) {
+            (Some(peer), Some(table)) if peer.0 <= table.0 => Some(table),
+            (peer, table) => peer.or(table),
         };
-        largest.filter(|(version, _)| *version > self.in_force && (serves || may_start))
+        largest.filter(|(version, _)| *version > self.in_force && (serving || may_bootstrap))
     }
 }
--- a/crates/decisions/src/hybrid_clock.rs
+++ b/crates/decisions/src/hybrid_clock.rs
@@ -32,7 +32,7 @@
     ///
     /// Fails if the reading is ahead of `wall` by more than [`LARGEST_CLOCK_LEAD`]. The clock is then
     /// unchanged, and events are not causally ordered across processes for that message.
-    pub fn witness(&mut self, wall: Duration, received: HybridTime) -> Result<(), Error> {
+    pub fn observe(&mut self, wall: Duration, received: HybridTime) -> Result<(), Error> {
         let limit = micros(wall.saturating_add(LARGEST_CLOCK_LEAD));
         if received.micros > limit {
             return Err(Error::ClockLead {
--- a/crates/decisions/src/route.rs
+++ b/crates/decisions/src/route.rs
@@ -16,7 +16,7 @@
     /// Target latency of the response, or of a stream's first event.
     pub target_latency: Duration,
     /// Target for the time between two events of a stream; `None` for other calls.
-    pub target_pause: Option<Duration>,
+    pub target_event_gap: Option<Duration>,
     /// Priority of the calls; 0 is the highest.
     pub priority: u8,
     /// Services that share the calls by weight; never empty.
@@ -49,13 +49,13 @@
         if total == 0 {
             return self.targets.first().map(|target| &target.service);
         }
-        let mut left = draw % total;
+        let mut remaining = draw % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/crates/decisions/src/routing_config.rs
+++ b/crates/decisions/src/routing_config.rs
@@ -53,7 +53,7 @@
 }
 
 impl RoutingConfig {
-    /// Sorts keys for the binary search in [`Self::holder`].
+    /// Sorts keys for the binary search in [`Self::find_key`].
     #[must_use]
     pub fn sorted_keys(mut keys: Vec<CallerKey>) -> Vec<CallerKey> {
         keys.sort_by(|a, b| a.key.cmp(&b.key));
@@ -69,7 +69,7 @@
 
     /// Looks up a caller's key.
     #[must_use]
-    pub fn holder(&self, key: &str) -> Option<&CallerKey> {
+    pub fn find_key(&self, key: &str) -> Option<&CallerKey> {
         let keys = self.keys.as_ref()?;
         let index = keys.binary_search_by(|k| k.key.as_ref().cmp(key)).ok()?;
         Some(&keys[index])
--- a/crates/decisions/src/store_backoff.rs
+++ b/crates/decisions/src/store_backoff.rs
@@ -17,7 +17,7 @@
 /// fault for all but the readers, and is spread by `random`, from 0 to 1.
 #[must_use]
 pub fn store_backoff(role: ZoneRole, zone_vms: usize, faults: u32, random: f64) -> Duration {
-    if role.reads() || !is_large_zone(zone_vms) {
+    if role.polls_store() || !is_large_zone(zone_vms) {
         return FIRST_WAIT;
     }
     let doublings = faults.saturating_sub(1).min(8);
--- a/crates/decisions/src/zone_gossip.rs
+++ b/crates/decisions/src/zone_gossip.rs
@@ -63,11 +63,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct GossipView {
     /// Last response of the store to any of the senders.
-    store_heard: Option<Instant>,
+    store_last_seen: Option<Instant>,
     /// Last successful poll of the configuration by any of the senders.
-    config_heard: Option<Instant>,
+    config_last_seen: Option<Instant>,
     /// Time since which the local table is known to miss changes.
-    behind: Option<Instant>,
+    behind_since: Option<Instant>,
 }
 
 /// Whether this VM may rely on gossip.
@@ -83,41 +83,43 @@
 
 impl GossipView {
     /// Records received gossip, after its changes were merged into `table`.
-    pub fn take(&mut self, gossip: &ZoneGossip, table: &UpstreamTable, now: Instant) {
+    pub fn record(&mut self, gossip: &ZoneGossip, table: &UpstreamTable, now: Instant) {
         let ago = |ms: u32| now.before(Duration::from_millis(ms.into()));
-        self.store_heard = self.store_heard.max(Some(ago(gossip.age_ms)));
-        self.config_heard = self.config_heard.max(gossip.config_age_ms.map(ago));
+        self.store_last_seen = self.store_last_seen.max(Some(ago(gossip.age_ms)));
+        self.config_last_seen = self.config_last_seen.max(gossip.config_age_ms.map(ago));
         if table.is_behind(gossip.version, gossip.digest) {
-            self.behind.get_or_insert(now);
+            self.behind_since.get_or_insert(now);
         } else {
-            self.behind = None;
+            self.behind_since = None;
         }
     }
 
     /// Records that this VM has read the table from the store itself.
-    pub fn read_here(&mut self) {
-        self.behind = None;
+    pub fn record_own_read(&mut self) {
+        self.behind_since = None;
     }
 
     /// Time since the last response of the store to any VM that sent gossip; `None` without gossip.
     #[must_use]
-    pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.store_heard.map(|heard| now.since(heard))
+    pub fn store_age(&self, now: Instant) -> Option<Duration> {
+        self.store_last_seen.map(|last_seen| now.since(last_seen))
     }
 
     /// Time until which gossip about the configuration can be relied on; `None` if no VM has sent any.
     #[must_use]
-    pub fn config_until(&self) -> Option<Instant> {
-        self.config_heard
-            .map(|heard| heard.after(CONFIG_GOSSIP_AGE))
+    pub fn config_valid_until(&self) -> Option<Instant> {
+        self.config_last_seen
+            .map(|last_seen| last_seen.after(CONFIG_GOSSIP_AGE))
     }
 
     /// Whether the local table can be relied on without reading the store, given a maximum age of the
     /// gossip.
     #[must_use]
-    pub fn state(&self, age: Duration, now: Instant) -> GossipState {
-        let until = self.store_heard.map(|heard| heard.after(age));
-        match (until, self.behind) {
+    pub fn state(&self, max_age: Duration, now: Instant) -> GossipState {
+        let until = self
+            .store_last_seen
+            .map(|last_seen| last_seen.after(max_age));
+        match (until, self.behind_since) {
             (Some(until), None) if now < until => GossipState::Fresh(until),
             (Some(until), Some(since)) if now < until && now.since(since) < REST_WAIT => {
                 GossipState::Behind(since.after(REST_WAIT))
--- a/crates/decisions/src/zone_role.rs
+++ b/crates/decisions/src/zone_role.rs
@@ -2,12 +2,12 @@
 
 /// Maximum number of VMs in a zone with a single reader; a larger zone also has a standby. When a VM
 /// that reads for the zone is lost, the others poll the store themselves until its successor is known.
-const ONE_READER_UP_TO: usize = 8;
+const SINGLE_READER_MAX_VMS: usize = 8;
 
 /// Number of VMs, ranked after those that read for the zone, that advertise what they read for
 /// themselves. The platform may throttle some VMs: if it throttles a third of them, two readers are
 /// throttled together in one of 9 cases, but two readers and two deputies in only one of about 80.
-const DEPUTIES: usize = 2;
+const DEPUTY_COUNT: usize = 2;
 
 /// Task of a VM in its zone, which follows from its rank among the zone's VMs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, strum::Display)]
@@ -33,14 +33,14 @@
         match rank.unwrap_or(ranked.len()) {
             0 => Self::Reader,
             rank if rank <= standby => Self::Standby,
-            rank if rank <= standby + DEPUTIES => Self::Deputy,
+            rank if rank <= standby + DEPUTY_COUNT => Self::Deputy,
             _ => Self::Member,
         }
     }
 
     /// Whether a VM with this role polls the platform store for its zone.
     #[must_use]
-    pub fn reads(self) -> bool {
+    pub fn polls_store(self) -> bool {
         matches!(self, Self::Reader | Self::Standby)
     }
 }
@@ -48,5 +48,5 @@
 /// Whether a zone has so many VMs that only its readers poll the platform store continuously.
 #[must_use]
 pub fn is_large_zone(vms: usize) -> bool {
-    vms > ONE_READER_UP_TO
+    vms > SINGLE_READER_MAX_VMS
 }
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -25,25 +25,25 @@
     format!("engine-{i}").parse().expect("a valid id")
 }
 
-struct World {
+struct Simulation {
     now: u64,
     row: LeaseRow,
     vms: Vec<Vm>,
     engines: Vec<Engine>,
     orders: Vec<Order>,
     /// Orders that were sent while the network was slow and have not arrived.
-    late: Vec<Order>,
-    slow: bool,
-    wanted: usize,
+    delayed: Vec<Order>,
+    slow_network: bool,
+    target_version: usize,
 }
 
 struct Vm {
-    me: LeaseHolder,
+    holder: LeaseHolder,
     lease: Lease,
     planner: Option<(Term, OrderPlanner)>,
     reports: Vec<(UpstreamId, EngineReport)>,
     /// Model version in this VM's bundle, which is stale after a pause.
-    wants: usize,
+    target_version: usize,
     paused_until: u64,
     /// A write in flight, and when it was sent.
     write: Option<(Instant, LeaseWrite)>,
@@ -51,7 +51,7 @@
 
 /// An engine. Those with an even index reject orders with old terms.
 struct Engine {
-    enforces: bool,
+    rejects_stale: bool,
     loaded: Vec<Model>,
     loading: Vec<(Model, u64)>,
     terms: Vec<Term>,
@@ -68,7 +68,7 @@
 impl Engine {
     fn new(i: usize) -> Self {
         Self {
-            enforces: i.is_multiple_of(2),
+            rejects_stale: i.is_multiple_of(2),
             loaded: vec![model(0)],
             loading: Vec::new(),
             terms: Vec::new(),
@@ -76,10 +76,10 @@
         }
     }
 
-    fn take(&mut self, now: u64, term: Term, models: &[Model]) {
+    fn apply(&mut self, now: u64, term: Term, models: &[Model]) {
         let highest = self.terms.iter().max();
         let stale = highest.is_some_and(|highest| term < *highest);
-        if stale && self.enforces {
+        if stale && self.rejects_stale {
             return;
         }
         self.stale_applied += usize::from(stale);
@@ -109,7 +109,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             now: 0,
@@ -117,9 +117,9 @@
             vms: (0..VMS).map(|i| Vm::new(i, 1, 0)).collect(),
             engines: (0..ENGINES).map(Engine::new).collect(),
             orders: Vec::new(),
-            late: Vec::new(),
-            slow: false,
-            wanted: 0,
+            delayed: Vec::new(),
+            slow_network: false,
+            target_version: 0,
         }
     }
 
@@ -131,21 +131,21 @@
         let vm = i % VMS;
         match action {
             0..=5 => self.run(2 * pick),
-            6 => self.slow = !self.slow,
-            7 | 8 => self.arrive_late(i),
+            6 => self.slow_network = !self.slow_network,
+            7 | 8 => self.deliver_delayed(i),
             9 => {
                 // The write takes effect and its response is lost.
                 self.write(vm);
-                self.answer(vm, LeaseAnswer::Unknown);
+                self.finish_write(vm, LeaseAnswer::Unknown);
             }
-            10 => self.answer(vm, LeaseAnswer::Unknown),
+            10 => self.finish_write(vm, LeaseAnswer::Unknown),
             11 | 12 => self.pause_holder(pick),
             13 => self.vms[vm].paused_until = self.now + 400 * pick,
             14 => {
-                let incarnation = self.vms[vm].me.incarnation.0 + 1;
-                self.vms[vm] = Vm::new(vm, incarnation, self.wanted);
+                let incarnation = self.vms[vm].holder.incarnation.0 + 1;
+                self.vms[vm] = Vm::new(vm, incarnation, self.target_version);
             }
-            15 | 16 => self.wanted = usize::try_from(pick).expect("small") % 3,
+            15 | 16 => self.target_version = usize::try_from(pick).expect("small") % 3,
             _ => self.engines[i % ENGINES] = Engine::new(i % ENGINES),
         }
     }
@@ -156,14 +156,14 @@
         for _ in 0..rounds {
             self.now += 50;
             for vm in 0..VMS {
-                self.act(vm);
-                self.order(vm);
+                self.step_lease(vm);
+                self.send_orders(vm);
             }
-            if self.slow {
-                self.late.append(&mut self.orders);
+            if self.slow_network {
+                self.delayed.append(&mut self.orders);
             }
             for order in std::mem::take(&mut self.orders) {
-                self.arrive(&order);
+                self.deliver(&order);
             }
         }
     }
@@ -179,15 +179,15 @@
     }
 
     /// Takes the next step of a VM's lease, after updating the VM to the bundle in force.
-    fn act(&mut self, vm: usize) {
+    fn step_lease(&mut self, vm: usize) {
         if self.vms[vm].paused_until > self.now {
             return;
         }
         let now = self.instant();
-        self.vms[vm].wants = self.wanted;
+        self.vms[vm].target_version = self.target_version;
         if self.vms[vm].write.is_some() {
-            let answer = self.write(vm);
-            return self.answer(vm, answer);
+            let result = self.write(vm);
+            return self.finish_write(vm, result);
         }
         match self.vms[vm].lease.step(now) {
             LeaseStep::Wait(_) => {}
@@ -214,15 +214,15 @@
         LeaseAnswer::Written
     }
 
-    fn answer(&mut self, vm: usize, answer: LeaseAnswer) {
+    fn finish_write(&mut self, vm: usize, result: LeaseAnswer) {
         let now = self.instant();
         if let Some((sent, write)) = self.vms[vm].write.take() {
-            self.vms[vm].lease.written(sent, now, write, answer);
+            self.vms[vm].lease.written(sent, now, write, result);
         }
     }
 
     /// Lets the lease holder read the engines' states and send its orders.
-    fn order(&mut self, vm: usize) {
+    fn send_orders(&mut self, vm: usize) {
         let (now, instant) = (self.now, self.instant());
         if self.vms[vm].paused_until > now {
             return;
@@ -237,17 +237,17 @@
         vm.reports = reports
             .map(|(i, engine)| (engine_id(i), engine.report(now, instant)))
             .collect();
-        let known = vm.planner.take().filter(|(term, _)| *term == permit.term());
-        let fresh = || (permit.term(), OrderPlanner::new(settings()));
-        let (term, mut planner) = known.unwrap_or_else(fresh);
+        let current = vm.planner.take().filter(|(term, _)| *term == permit.term());
+        let new = || (permit.term(), OrderPlanner::new(settings()));
+        let (term, mut planner) = current.unwrap_or_else(new);
         for (_, report) in vm.reports.iter().filter(|(_, r)| r.highest_term > term) {
             vm.lease.exceed(report.highest_term);
         }
-        for state in planner.plan(instant, &goals(vm.wants), &vm.reports) {
+        for state in planner.plan(instant, &targets(vm.target_version), &vm.reports) {
             planner.sent(instant, &state);
             let engine = (0..ENGINES).find(|i| engine_id(*i) == state.upstream);
             self.orders.push(Order {
-                engine: engine.expect("an engine of the goals"),
+                engine: engine.expect("an engine of the targets"),
                 term,
                 state,
             });
@@ -255,42 +255,42 @@
         vm.planner = Some((term, planner));
     }
 
-    fn arrive_late(&mut self, pick: usize) {
-        if !self.late.is_empty() {
-            let i = pick % self.late.len();
-            let order = self.late.swap_remove(i);
-            self.arrive(&order);
+    fn deliver_delayed(&mut self, pick: usize) {
+        if !self.delayed.is_empty() {
+            let i = pick % self.delayed.len();
+            let order = self.delayed.swap_remove(i);
+            self.deliver(&order);
         }
     }
 
-    fn arrive(&mut self, order: &Order) {
+    fn deliver(&mut self, order: &Order) {
         let engine = &mut self.engines[order.engine];
-        engine.take(self.now, order.term, &order.state.models);
+        engine.apply(self.now, order.term, &order.state.models);
     }
 
     /// Ends all faults: orders in flight arrive, the latest first, and every VM acts.
-    fn settle(&mut self) {
-        self.slow = false;
+    fn recover(&mut self) {
+        self.slow_network = false;
         self.run(60);
-        while let Some(order) = self.late.pop() {
-            self.arrive(&order);
+        while let Some(order) = self.delayed.pop() {
+            self.deliver(&order);
         }
         self.run(200);
     }
 }
 
 impl Vm {
-    fn new(i: usize, incarnation: u64, wants: usize) -> Self {
-        let me = LeaseHolder {
+    fn new(i: usize, incarnation: u64, target_version: usize) -> Self {
+        let holder = LeaseHolder {
             vm: format!("vm-{i}").parse().expect("a valid id"),
             incarnation: Incarnation(incarnation),
         };
         Self {
-            lease: Lease::new(me.clone(), lease_settings()),
-            me,
+            lease: Lease::new(holder.clone(), lease_settings()),
+            holder,
             planner: None,
             reports: Vec::new(),
-            wants,
+            target_version,
             paused_until: 0,
             write: None,
         }
@@ -317,13 +317,13 @@
     }
 }
 
-fn goals(version: usize) -> Vec<EngineGoal> {
-    let goal = |i| EngineGoal {
+fn targets(version: usize) -> Vec<EngineGoal> {
+    let target = |i| EngineGoal {
         upstream: engine_id(i),
         zone: format!("zone-{}", i % 2).parse().expect("a valid name"),
         models: vec![model(version)],
     };
-    (0..ENGINES).map(goal).collect()
+    (0..ENGINES).map(target).collect()
 }
 
 proptest! {
@@ -334,20 +334,20 @@
     /// must never apply an order with an old one. At the end every engine must have the models of the
     /// latest bundle, including engines that apply every order.
     #[test]
-    fn stale_orders_are_refused_or_corrected(
+    fn stale_orders_are_rejected_or_corrected(
         steps in prop::collection::vec((0_u8..18, 0_usize..12, 0_u64..8), 0..100),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
 
         for (action, i, pick) in steps {
-            world.step(action, i, pick);
+            simulation.step(action, i, pick);
         }
-        world.settle();
+        simulation.recover();
 
-        for engine in &world.engines {
-            prop_assert_eq!(&engine.loaded, &vec![model(world.wanted)]);
+        for engine in &simulation.engines {
+            prop_assert_eq!(&engine.loaded, &vec![model(simulation.target_version)]);
             prop_assert!(engine.loading.is_empty());
-            if engine.enforces {
+            if engine.rejects_stale {
                 prop_assert_eq!(engine.stale_applied, 0);
                 prop_assert!(engine.terms.is_sorted());
             }
--- a/crates/decisions/tests/config_sharing.rs
+++ b/crates/decisions/tests/config_sharing.rs
@@ -4,10 +4,10 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_millis(250);
+const TIMEOUT: Duration = Duration::from_millis(250);
 
 #[gtest]
-fn link_of_which_reads_take_more_than_half_does_not_carry_them() {
+fn link_carries_reads_up_to_half_of_its_rate() {
     let mbit = |n: u64| Some(LinkRate(n * 1_000_000));
     let cases = [
         (mbit(10), 5_000, 29, true),
@@ -20,7 +20,7 @@
 
     for (link, bytes, readers, carries) in cases {
         expect_that!(
-            link_carries_config(link, bytes, readers, WITHIN),
+            link_carries_config(link, bytes, readers, TIMEOUT),
             eq(carries),
             "{link:?}, {bytes} bytes for {readers}"
         );
--- a/crates/decisions/tests/hybrid_clock.rs
+++ b/crates/decisions/tests/hybrid_clock.rs
@@ -7,7 +7,7 @@
 
 /// Three processes exchange messages while their wall clocks stop, jump back or differ by seconds.
 /// In the merged timeline, an effect must never precede its cause.
-fn check_causal(steps: &[(usize, usize, u64)]) -> std::result::Result<(), TestCaseError> {
+fn check_causal_order(steps: &[(usize, usize, u64)]) -> std::result::Result<(), TestCaseError> {
     let mut clocks = [HybridClock::default(); 3];
     let mut last = [HybridTime::default(); 3];
     for (from, to, millis) in steps {
@@ -16,7 +16,7 @@
         prop_assert!(sent > last[*from]);
         last[*from] = sent;
 
-        clocks[*to].witness(Duration::from_secs(5), sent)?;
+        clocks[*to].observe(Duration::from_secs(5), sent)?;
         let received = clocks[*to].tick(Duration::ZERO);
 
         prop_assert!(received > sent);
@@ -28,14 +28,14 @@
 
 proptest! {
     #[test]
-    fn effects_follow_their_causes(
+    fn readings_are_causally_ordered(
         steps in prop::collection::vec((0..3_usize, 0..3_usize, 0..10_000_u64), 1..60)
     ) {
-        check_causal(&steps)?;
+        check_causal_order(&steps)?;
     }
 
     #[test]
-    fn readings_keep_their_value_as_text(micros: u64, count: u32) {
+    fn readings_round_trip_through_text(micros: u64, count: u32) {
         let time = HybridTime { micros, count };
 
         prop_assert_eq!(time.to_string().parse(), Ok(time));
@@ -54,7 +54,7 @@
 /// A VM starts with its clock a day ahead and sends a message. If other VMs merged its reading, their
 /// timelines would move a day into the future.
 #[gtest]
-fn readings_from_the_far_future_are_refused() {
+fn readings_far_in_the_future_are_rejected() {
     let mut clock = HybridClock::default();
     let wall = Duration::from_secs(100);
     let ahead = HybridTime {
@@ -62,16 +62,16 @@
         count: 0,
     };
 
-    let refused = clock.witness(wall, ahead);
+    let rejected = clock.observe(wall, ahead);
 
     let lead = Duration::from_secs(24 * 3600);
-    expect_that!(refused, err(eq(&Error::ClockLead { lead })));
+    expect_that!(rejected, err(eq(&Error::ClockLead { lead })));
     expect_that!(lead, gt(LARGEST_CLOCK_LEAD));
     expect_that!(clock.tick(wall).to_string(), eq("100000000.0"));
 }
 
 #[gtest]
-fn texts_that_are_no_readings_are_refused() {
+fn malformed_readings_are_rejected() {
     for text in ["", "5", "5.", ".5", "5.x", "-1.0"] {
         expect_that!(text.parse::<HybridTime>(), err(eq(&Error::HybridTime)));
     }
--- a/crates/decisions/tests/routes.rs
+++ b/crates/decisions/tests/routes.rs
@@ -16,7 +16,7 @@
         kind: CallKind::Idempotent,
         timeout: Duration::from_secs(1),
         target_latency: Duration::from_millis(100),
-        target_pause: None,
+        target_event_gap: None,
         priority: 1,
         targets: vec![
             RouteTarget {
@@ -81,38 +81,38 @@
 
 /// One of two services has a tenth of the weight. The same draw always selects the same service.
 #[gtest]
-fn targets_get_calls_by_their_weight() {
+fn calls_are_split_by_target_weight() {
     let route = route("h", "/");
 
-    let new = (0..1000)
+    let calls_to_new = (0..1000)
         .filter(|draw| route.service_for(*draw).unwrap().as_str() == "new")
         .count();
 
-    expect_that!(new, eq(100));
+    expect_that!(calls_to_new, eq(100));
     expect_that!(route.service_for(7), eq(route.service_for(7)));
 }
 
 /// A stale read of the store returns an older configuration after a newer one. If it were applied, a
 /// revoked key would be accepted again.
 #[gtest]
-fn configuration_never_goes_back() {
+fn older_configuration_is_ignored() {
     let mut newest = NewestConfig::default();
 
-    let taken = [5, 3, 5, 9].map(|version| newest.advance(config(version)));
+    let applied = [5, 3, 5, 9].map(|version| newest.advance(config(version)));
 
-    expect_that!(taken, eq([true, false, false, true]));
+    expect_that!(applied, eq([true, false, false, true]));
     expect_that!(newest.get().unwrap().version, eq(ConfigVersion(9)));
 }
 
 /// Each key maps to its team, and prefixes of keys or empty texts are not accepted.
 #[gtest]
-fn key_belongs_to_its_team() {
+fn key_maps_to_its_team() {
     let config = config(1);
 
-    let holder = |key: &str| config.holder(key).map(|holder| holder.team.to_string());
+    let team = |key: &str| config.find_key(key).map(|found| found.team.to_string());
 
-    expect_that!(holder("k1"), some(eq("t1")));
-    expect_that!(holder("k2"), some(eq("t2")));
-    expect_that!(holder("k"), none());
-    expect_that!(holder(""), none());
+    expect_that!(team("k1"), some(eq("t1")));
+    expect_that!(team("k2"), some(eq("t2")));
+    expect_that!(team("k"), none());
+    expect_that!(team(""), none());
 }
--- a/crates/decisions/tests/store_backoff.rs
+++ b/crates/decisions/tests/store_backoff.rs
@@ -45,7 +45,7 @@
     let vms = zone_vms.iter().map(|vm| asked(vm, rng)).collect::<Vec<_>>();
     let noticed = vms
         .iter()
-        .filter(|(role, _)| role.reads())
+        .filter(|(role, _)| role.polls_store())
         .filter_map(|(_, asked)| asked.last().copied())
         .min()
         .unwrap();
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -54,7 +54,7 @@
 }
 
 /// Gossip of a VM that started with [`table`] and has read `changes` up to `version`.
-fn news(changes: &[UpstreamChange], version: u64) -> ZoneGossip {
+fn gossip_of(changes: &[UpstreamChange], version: u64) -> ZoneGossip {
     let mut table = table();
     let changes = table.read(&written(version, changes), false, version).news;
     ZoneGossip {
@@ -70,19 +70,19 @@
 }
 
 /// Table and gossip state of a VM that received each gossip at its time in milliseconds.
-fn after(taken: &[(u64, ZoneGossip)], now: Instant) -> (UpstreamTable, GossipState) {
-    let (mut table, mut heard) = (table(), GossipView::default());
-    for (ms, gossip) in taken {
+fn apply_gossip(received: &[(u64, ZoneGossip)], now: Instant) -> (UpstreamTable, GossipState) {
+    let (mut table, mut view) = (table(), GossipView::default());
+    for (ms, gossip) in received {
         table.told(&gossip.changes, gossip.version, gossip.digest);
-        heard.take(gossip, &table, at(*ms));
+        view.record(gossip, &table, at(*ms));
     }
-    (table, heard.state(GOSSIP_AGE, now))
+    (table, view.state(GOSSIP_AGE, now))
 }
 
 /// Upstreams rewrite their entries continuously without changing them. If these writes were relayed,
 /// they would saturate the links of small VMs.
 #[gtest]
-fn rows_that_say_nothing_new_are_not_told() {
+fn unchanged_rows_are_not_relayed() {
     let mut table = table();
 
     let rows = written(11, &[entry(1, false), entry(2, true)]);
@@ -94,8 +94,8 @@
 }
 
 #[gtest]
-fn an_upstream_that_leaves_is_known_by_another_vms_word() {
-    let (table, state) = after(&[(1000, news(&[entry(2, true)], 11))], at(1010));
+fn leaving_upstream_is_learned_from_gossip() {
+    let (table, state) = apply_gossip(&[(1000, gossip_of(&[entry(2, true)], 11))], at(1010));
 
     expect_that!(state, eq(GossipState::Fresh(at(1000).after(GOSSIP_AGE))));
     expect_that!(table.version(), eq(11));
@@ -104,15 +104,15 @@
 /// The datagram with a leaving upstream is lost. The digest in the next gossip differs from the local
 /// one, so the VM reads the table itself; otherwise it would send calls to that upstream until they fail.
 #[gtest]
-fn a_lost_change_shows_with_the_next_word() {
-    let lost = news(&[entry(2, true)], 11);
+fn lost_change_is_detected_by_the_next_digest() {
+    let lost = gossip_of(&[entry(2, true)], 11);
     let next = ZoneGossip {
         changes: Vec::new(),
         ..lost
     };
 
-    let (_, soon) = after(&[(1000, next.clone())], at(1010));
-    let (_, later) = after(&[(1000, next)], at(1000).after(REST_WAIT));
+    let (_, soon) = apply_gossip(&[(1000, next.clone())], at(1010));
+    let (_, later) = apply_gossip(&[(1000, next)], at(1000).after(REST_WAIT));
 
     expect_that!(soon, eq(GossipState::Behind(at(1000).after(REST_WAIT))));
     expect_that!(later, eq(GossipState::Silent));
@@ -121,63 +121,63 @@
 /// Many upstreams change at once, and the changes fill two datagrams. After the first datagram the
 /// digest does not match yet, but the second one is in flight.
 #[gtest]
-fn the_rest_of_a_change_is_waited_for() {
-    let both = news(&[entry(2, true), removed(3)], 11);
+fn rest_of_a_split_delta_is_awaited() {
+    let both = gossip_of(&[entry(2, true), removed(3)], 11);
     let part = |changes: &[UpstreamChange]| ZoneGossip {
         changes: changes.to_vec(),
         ..both.clone()
     };
     let (first, second) = (part(&both.changes[..1]), part(&both.changes[1..]));
 
-    let (_, half) = after(&[(1000, second.clone())], at(1005));
-    let (_, whole) = after(&[(1000, second), (1005, first)], at(1006));
+    let (_, partial) = apply_gossip(&[(1000, second.clone())], at(1005));
+    let (_, complete) = apply_gossip(&[(1000, second), (1005, first)], at(1006));
 
-    expect_that!(half, eq(GossipState::Behind(at(1000).after(REST_WAIT))));
-    expect_that!(whole, eq(GossipState::Fresh(at(1005).after(GOSSIP_AGE))));
+    expect_that!(partial, eq(GossipState::Behind(at(1000).after(REST_WAIT))));
+    expect_that!(complete, eq(GossipState::Fresh(at(1005).after(GOSSIP_AGE))));
 }
 
 /// The reader VM loses power, or the store throttles it and its gossip becomes stale. The other VMs must
 /// read the table themselves before a leaving upstream receives calls for longer than allowed.
 #[gtest]
-fn old_words_do_not_count() {
+fn stale_gossip_is_not_relied_on() {
     let stale = ZoneGossip {
         age_ms: 1500,
-        ..news(&[], 11)
+        ..gossip_of(&[], 11)
     };
 
-    let (_, lost) = after(&[(5000, news(&[], 11))], at(5000).after(GOSSIP_AGE));
-    let (_, turned_away) = after(&[(5000, stale)], at(5150));
+    let (_, lost) = apply_gossip(&[(5000, gossip_of(&[], 11))], at(5000).after(GOSSIP_AGE));
+    let (_, throttled) = apply_gossip(&[(5000, stale)], at(5150));
 
     expect_that!(lost, eq(GossipState::Silent));
-    expect_that!(turned_away, eq(GossipState::Silent));
+    expect_that!(throttled, eq(GossipState::Silent));
 }
 
 /// Two VMs read for a zone, and the gossip of the one that lags arrives last. Its older rows must not
 /// overwrite newer ones.
 #[gtest]
-fn an_older_word_undoes_nothing() {
-    let newer = news(&[entry(2, true)], 12);
-    let older = news(&[entry(2, false), entry(3, true)], 11);
+fn older_gossip_overwrites_nothing() {
+    let newer = gossip_of(&[entry(2, true)], 12);
+    let older = gossip_of(&[entry(2, false), entry(3, true)], 11);
 
-    let (table, state) = after(&[(1000, newer.clone()), (1001, older)], at(1002));
+    let (table, state) = apply_gossip(&[(1000, newer.clone()), (1001, older)], at(1002));
 
     expect_that!(table.digest(), eq(newer.digest));
     expect_that!(state, matches_pattern!(GossipState::Fresh(_)));
 }
 
 #[gtest]
-fn one_vm_of_a_small_zone_reads_and_two_of_a_large_one() {
+fn small_zone_has_one_reader_and_large_zone_two() {
     for (size, readers) in [(1, 1), (3, 1), (8, 1), (9, 2), (67, 2)] {
         let vms = (0..size)
             .map(|n| Arc::from(format!("vm-{n}")))
             .collect::<Vec<Arc<str>>>();
 
-        let reading = vms
+        let polling = vms
             .iter()
-            .filter(|vm| ZoneRole::of(vm, &vms).reads())
+            .filter(|vm| ZoneRole::of(vm, &vms).polls_store())
             .count();
 
-        expect_that!(reading, eq(readers), "of {size}");
+        expect_that!(polling, eq(readers), "of {size}");
     }
 }
 
@@ -185,13 +185,13 @@
 /// first, at a VM that had already applied it. If the late entry restored the upstream, no later change
 /// would remove it again, and it would still receive calls more than four seconds after it had left.
 #[gtest]
-fn an_upstream_that_has_gone_is_not_brought_back_by_late_words() {
+fn removed_upstream_is_not_restored_by_late_gossip() {
     let mut table = table();
     table.read(&written(12, &[removed(2)]), false, 12);
     let before = table.digest();
-    let (present, gone) = (written(11, &[entry(2, true)]), written(12, &[removed(2)]));
+    let (present, removal) = (written(11, &[entry(2, true)]), written(12, &[removed(2)]));
 
-    for late in [&gone, &present] {
+    for late in [&removal, &present] {
         table.told(late, 13, before);
     }
     table.read(&written(14, &[entry(1, false)]), false, 14);
@@ -202,11 +202,11 @@
 /// The same if neither VM had applied the removal: it must be kept until the table has been read beyond
 /// its version.
 #[gtest]
-fn a_removal_that_was_told_outlasts_an_older_row() {
+fn removal_from_gossip_outlasts_an_older_row() {
     let mut table = table();
-    let (present, gone) = (written(11, &[entry(4, false)]), written(12, &[removed(4)]));
+    let (present, removal) = (written(11, &[entry(4, false)]), written(12, &[removed(4)]));
 
-    for late in [&gone, &present] {
+    for late in [&removal, &present] {
         table.told(late, 13, 0);
     }
     table.read(&[], false, 13);
@@ -216,10 +216,10 @@
 
 /// The same, while this VM reads a page of the table that predates the removal.
 #[gtest]
-fn a_removal_is_remembered_until_the_table_is_known_beyond_it() {
+fn removal_is_kept_until_the_table_was_read_beyond_it() {
     let mut table = table();
-    let (present, gone) = (written(13, &[entry(2, true)]), written(14, &[removed(2)]));
-    table.told(&gone, 15, 0);
+    let (present, removal) = (written(13, &[entry(2, true)]), written(14, &[removed(2)]));
+    table.told(&removal, 15, 0);
 
     table.read(&[], false, 11);
     table.told(&present, 15, 0);
@@ -231,7 +231,7 @@
 /// changes that were already applied. If they counted as new, a removed upstream would be present again
 /// for a moment, and would be advertised to the zone.
 #[gtest]
-fn rows_of_a_page_that_are_known_better_are_no_news() {
+fn outdated_rows_of_a_page_are_not_new() {
     let mut table = table();
     table.read(&written(12, &[removed(2)]), false, 12);
     let page = [
@@ -248,16 +248,16 @@
 
 /// Another VM's gossip is newer than the page read meanwhile, because its query waited longer at the store.
 #[gtest]
-fn a_page_that_is_older_than_what_was_told_undoes_nothing() {
-    for whole in [false, true] {
+fn page_older_than_gossip_overwrites_nothing() {
+    for complete in [false, true] {
         let mut table = table();
-        let newer = news(&[entry(2, true), removed(3)], 12);
+        let newer = gossip_of(&[entry(2, true), removed(3)], 12);
         table.told(&newer.changes, newer.version, newer.digest);
 
         let page = written(11, &[entry(1, false), entry(2, false), entry(3, false)]);
-        let read = table.read(&page, whole, 11);
+        let read = table.read(&page, complete, 11);
 
-        expect_that!(table.digest(), eq(newer.digest), "whole: {whole}");
+        expect_that!(table.digest(), eq(newer.digest), "complete: {complete}");
         expect_that!(table.version(), eq(12));
         expect_that!(read.news, is_empty());
     }
@@ -271,16 +271,16 @@
     /// A VM reads the changes or the complete table, as of some writes ago.
     Read(usize, bool, usize),
     /// A VM receives another VM's latest changes one by one in this order; some are lost or repeated.
-    Hear(usize, usize, Vec<u8>),
+    Receive(usize, usize, Vec<u8>),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (1..6_u8, 0..3_u8).prop_map(|(n, what)| Step::Write(n, what)),
+        3 => (1..6_u8, 0..3_u8).prop_map(|(n, state)| Step::Write(n, state)),
         2 => (0..3_usize, any::<bool>(), 0..4_usize)
-            .prop_map(|(vm, whole, ago)| Step::Read(vm, whole, ago)),
+            .prop_map(|(vm, complete, ago)| Step::Read(vm, complete, ago)),
         3 => (0..3_usize, 0..3_usize, prop::collection::vec(0..8_u8, 0..8))
-            .prop_map(|(vm, from, order)| Step::Hear(vm, from, order)),
+            .prop_map(|(vm, from, order)| Step::Receive(vm, from, order)),
     ]
 }
 
@@ -299,7 +299,7 @@
         rows.map(|(_, row)| row.clone()).collect()
     }
 
-    fn whole(&self, version: usize) -> Vec<UpstreamChange> {
+    fn complete_table(&self, version: usize) -> Vec<UpstreamChange> {
         let rows = self.rows(0, version).into_iter();
         rows.filter(|row| row.entry.is_some()).collect()
     }
@@ -309,15 +309,15 @@
     /// Three VMs read the store, up to date or not, and receive each other's changes reordered, incomplete or
     /// duplicated. A VM that has read up to the newest version must have exactly the entries of the store.
     #[test]
-    fn whoever_has_read_up_to_now_knows_what_the_store_holds(
+    fn tables_read_up_to_the_newest_version_match_the_store(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut store = Store::default();
         let mut vms = [0, 1, 2].map(|_| (UpstreamTable::default(), Vec::new()));
         for step in steps {
             match step {
-                Step::Write(n, what) => {
-                    let row = match what {
+                Step::Write(n, state) => {
+                    let row = match state {
                         0 => removed(n),
                         1 => entry(n, false),
                         _ => entry(n, true),
@@ -325,23 +325,23 @@
                     let version = store.0.len() as u64 + 1;
                     store.0.extend(written(version, &[row]));
                 }
-                Step::Read(vm, whole, ago) => {
+                Step::Read(vm, complete, ago) => {
                     let version = store.0.len().saturating_sub(ago);
-                    let (table, told) = &mut vms[vm];
-                    let known = usize::try_from(table.version()).unwrap();
-                    let rows = if whole {
-                        store.whole(version)
-                    } else if version < known {
+                    let (table, new_changes) = &mut vms[vm];
+                    let read_version = usize::try_from(table.version()).unwrap();
+                    let rows = if complete {
+                        store.complete_table(version)
+                    } else if version < read_version {
                         continue;
                     } else {
-                        store.rows(known, version)
+                        store.rows(read_version, version)
                     };
-                    *told = table.read(&rows, whole, version as u64).news;
+                    *new_changes = table.read(&rows, complete, version as u64).news;
                 }
-                Step::Hear(vm, from, order) => {
-                    let (table, told) = vms[from].clone();
+                Step::Receive(vm, from, order) => {
+                    let (table, new_changes) = vms[from].clone();
                     for piece in order {
-                        let piece = told.iter().skip(usize::from(piece)).take(1);
+                        let piece = new_changes.iter().skip(usize::from(piece)).take(1);
                         let piece = piece.cloned().collect::<Vec<_>>();
                         vms[vm].0.told(&piece, table.version(), table.digest());
                     }
@@ -350,9 +350,9 @@
         }
         let version = store.0.len();
         for (table, _) in &mut vms {
-            let known = usize::try_from(table.version()).unwrap();
-            table.read(&store.rows(known, version), false, version as u64);
-            let mut rows = store.whole(version);
+            let read_version = usize::try_from(table.version()).unwrap();
+            table.read(&store.rows(read_version, version), false, version as u64);
+            let mut rows = store.complete_table(version);
             rows.sort_by(|a, b| a.key.cmp(&b.key));
             let entries = |rows: Vec<UpstreamChange>| {
                 rows.into_iter().filter_map(|row| row.entry).collect::<Vec<_>>()
@@ -363,20 +363,20 @@
 
     /// A VM that received all changes by gossip has the same digest as the VM that read them.
     #[test]
-    fn the_digest_is_that_of_the_content(
+    fn digest_depends_only_on_content(
         steps in prop::collection::vec((1..20_u8, 0..3_u8), 1..60),
     ) {
-        let (mut reader, mut told) = (table(), table());
-        for (version, (n, what)) in (11..).zip(steps) {
-            let change = match what {
+        let (mut reader, mut receiver) = (table(), table());
+        for (version, (n, state)) in (11..).zip(steps) {
+            let change = match state {
                 0 => removed(n),
                 1 => entry(n, false),
                 _ => entry(n, true),
             };
             let read = reader.read(&written(version, &[change]), false, version);
-            told.told(&read.news, version, reader.digest());
-            prop_assert!(!told.is_behind(version, reader.digest()));
+            receiver.told(&read.news, version, reader.digest());
+            prop_assert!(!receiver.is_behind(version, reader.digest()));
         }
-        prop_assert_eq!(told.digest(), reader.digest());
+        prop_assert_eq!(receiver.digest(), reader.digest());
     }
 }
