--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -101,13 +101,11 @@
         })
     }
 
-    /// Rolls out a draft to replace its base release. `next` is the release after the base, if there
-    /// is one.
+    /// Rolls out a draft to replace its base release. `next` is the release after the base, if any.
     ///
     /// # Errors
-    ///
-    /// Fails if the draft is not signed off, or if there was a release since it was proposed: the
-    /// draft's author could not have seen that release, and the rollout would silently undo it.
+    /// Fails if the draft is not signed off, or if a release followed its proposal: its author could
+    /// not have seen that release, and the rollout would undo it unnoticed.
     pub fn roll_out(
         draft: &Stored<BundleDraft>,
         current: Option<&Stored<CurrentBundle>>,
--- a/crates/decisions/src/hybrid_clock.rs
+++ b/crates/decisions/src/hybrid_clock.rs
@@ -29,7 +29,6 @@
     /// Merges the reading of a received message, so that all later readings are larger.
     ///
     /// # Errors
-    ///
     /// Fails if the reading is ahead of `wall` by more than [`LARGEST_CLOCK_LEAD`]. The clock is then
     /// unchanged, and events are not causally ordered across processes for that message.
     pub fn observe(&mut self, wall: Duration, received: HybridTime) -> Result<(), Error> {
