--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -1,49 +1,49 @@
-//! The steps by which a bundle comes into force.
+//! Transactions that propose, sign off, roll out and roll back a bundle.
 //!
-//! Operators race each other, and a call of the table service may take effect while its answer is
-//! lost. Each step is therefore one transaction whose conditions are the versions of the rows that
-//! it was decided on, so that of two racing operators one wins and the other changes nothing, and a
-//! repeated transaction takes effect once at most. Each step marks one row with a random token; by
-//! reading that row back its author learns what became of it, however late.
+//! Operators race each other, and a call of the table service may take effect although its response
+//! is lost. Each step is therefore one transaction whose conditions are the versions of the rows
+//! that the decision was based on: of two racing operators one wins and the other changes nothing,
+//! and a retried transaction takes effect at most once. Each step writes a random token into one
+//! row; its author can read that row back at any later time to learn the result.
 
 use super::*;
 
-/// One transaction of the bundle store.
+/// A transaction of the bundle store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BundleChange {
-    /// Rows that must have these versions; 0 means that there is none.
+    /// Required row versions; 0 means that the row must not exist.
     pub conditions: Vec<(BundleKey, u64)>,
-    /// Rows to write.
+    /// Rows that the transaction writes.
     pub writes: Vec<BundleRow>,
-    witness: Witness,
+    confirmation_row: ConfirmationRow,
     change: ChangeToken,
 }
 
-/// What tells whether a change took effect.
+/// Row that shows whether a change took effect.
 #[derive(Clone, Debug, PartialEq)]
-enum Witness {
+enum ConfirmationRow {
     Proposal(DraftId),
     SignOff(DraftId),
     Release(BundleVersion),
 }
 
-/// What became of a change whose answer was lost or says that a condition did not hold.
+/// Result of a change whose response was lost or reports a failed condition.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeResult {
-    /// It took effect.
+    /// The change took effect.
     Done,
-    /// It can never take effect: another operator was first.
+    /// The change can never take effect, because another operator's change was first.
     Lost(BundleRefusal),
-    /// It has not taken effect; repeating it is safe.
-    Open,
+    /// The change has not taken effect; retrying it is safe.
+    Pending,
 }
 
 impl BundleChange {
-    /// Proposes content over the release in force.
+    /// Proposes new content to replace the release in force.
     ///
     /// # Errors
     ///
-    /// If that content is in force.
+    /// Fails if that content is already in force.
     pub fn propose(
         current: Option<&Stored<CurrentBundle>>,
         digest: BundleDigest,
@@ -52,7 +52,7 @@
         check_new_content(current, digest)?;
         let id = DraftId {
             base: version_of(current),
-            mark: author.change.clone(),
+            token: author.change.clone(),
         };
         let change = author.change.clone();
         Ok(Self {
@@ -63,16 +63,16 @@
                 proposed: author,
                 signed_off: None,
             })],
-            witness: Witness::Proposal(id),
+            confirmation_row: ConfirmationRow::Proposal(id),
             change,
         })
     }
 
-    /// Signs a draft off by what was looked at, `digest`.
+    /// Signs off a draft; `digest` is that of the content that the operator reviewed.
     ///
     /// # Errors
     ///
-    /// If the author proposed it, if it is signed off, or if it has another digest.
+    /// Fails if the author proposed the draft, if it is signed off already, or if its digest differs.
     pub fn sign_off(
         draft: &Stored<BundleDraft>,
         digest: BundleDigest,
@@ -80,34 +80,32 @@
     ) -> Result<Self, BundleRefusal> {
         let BundleDraft { id, proposed, .. } = &draft.value;
         if proposed.operator == author.operator {
-            return Err(BundleRefusal::OwnDraft {
+            return Err(BundleRefusal::SelfSignOff {
                 draft: id.clone(),
                 operator: author.operator,
             });
         }
         if let Some(signed_off) = &draft.value.signed_off {
-            return Err(signed_off_first(id, signed_off));
+            return Err(already_signed_off(id, signed_off));
         }
         check_digest(&draft.value, digest)?;
         let change = author.change.clone();
         Ok(Self {
-            conditions: vec![(BundleKey::Draft(id.clone()), draft.row)],
+            conditions: vec![(BundleKey::Draft(id.clone()), draft.row_version)],
             writes: vec![BundleRow::Draft(BundleDraft {
                 signed_off: Some(SignOff { author, digest }),
                 ..draft.value.clone()
             })],
-            witness: Witness::SignOff(id.clone()),
+            confirmation_row: ConfirmationRow::SignOff(id.clone()),
             change,
         })
     }
 
-    /// Rolls a draft out over the release that it was proposed over. `next` is the release after
-    /// that one, if there is any.
+    /// Rolls out a draft to replace its base release. `next` is the release after the base, if any.
     ///
     /// # Errors
-    ///
-    /// If it is not signed off, or anything was rolled out since it was proposed: its author could
-    /// not have seen that, and it would be undone unnoticed.
+    /// Fails if the draft is not signed off, or if a release followed its proposal: its author could
+    /// not have seen that release, and the rollout would undo it unnoticed.
     pub fn roll_out(
         draft: &Stored<BundleDraft>,
         current: Option<&Stored<CurrentBundle>>,
@@ -116,7 +114,7 @@
     ) -> Result<Self, BundleRefusal> {
         let BundleDraft { id, proposed, .. } = &draft.value;
         if let Some(next) = next {
-            return Err(overtaken_by(next, Some(id)));
+            return Err(superseded_by(next, Some(id)));
         }
         check_base(id, current)?;
         let signed_off = draft.value.signed_off.as_ref();
@@ -128,7 +126,7 @@
             signed_off_by: signed_off.author.operator.clone(),
         };
         let mut change = Self::release(current, draft.value.digest, source, author)?;
-        let draft_unchanged = (BundleKey::Draft(id.clone()), draft.row);
+        let draft_unchanged = (BundleKey::Draft(id.clone()), draft.row_version);
         change.conditions.push(draft_unchanged);
         Ok(change)
     }
@@ -137,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// If that content is in force.
+    /// Fails if that content is already in force.
     pub fn roll_back(
         earlier: &BundleRelease,
         current: Option<&Stored<CurrentBundle>>,
@@ -160,7 +158,10 @@
         let change = author.change.clone();
         Ok(Self {
             conditions: vec![
-                (BundleKey::Current, current.map_or(0, |stored| stored.row)),
+                (
+                    BundleKey::Current,
+                    current.map_or(0, |stored| stored.row_version),
+                ),
                 (BundleKey::Release(version), 0),
             ],
             writes: vec![
@@ -176,41 +177,44 @@
                     released: author,
                 }),
             ],
-            witness: Witness::Release(version),
+            confirmation_row: ConfirmationRow::Release(version),
             change,
         })
     }
 
-    /// Key of the row that tells whether it took effect.
+    /// Key of the row that shows whether the change took effect.
     #[must_use]
-    pub fn witness(&self) -> BundleKey {
-        match &self.witness {
-            Witness::Proposal(id) | Witness::SignOff(id) => BundleKey::Draft(id.clone()),
-            Witness::Release(version) => BundleKey::Release(*version),
+    pub fn confirmation_key(&self) -> BundleKey {
+        match &self.confirmation_row {
+            ConfirmationRow::Proposal(id) | ConfirmationRow::SignOff(id) => {
+                BundleKey::Draft(id.clone())
+            }
+            ConfirmationRow::Release(version) => BundleKey::Release(*version),
         }
     }
 
-    /// What became of it, by the row of [`Self::witness`] as it is now.
+    /// Determines the change's result from the current value of the row at [`Self::confirmation_key`].
     #[must_use]
-    pub fn settled(&self, row: Option<&BundleRow>) -> ChangeResult {
-        match (&self.witness, row) {
-            (Witness::Proposal(_), Some(BundleRow::Draft(draft))) => {
-                self.by_author(&draft.proposed, || BundleRefusal::Unexplained)
+    pub fn resolve(&self, row: Option<&BundleRow>) -> ChangeResult {
+        match (&self.confirmation_row, row) {
+            (ConfirmationRow::Proposal(_), Some(BundleRow::Draft(draft))) => {
+                self.resolve_by_author(&draft.proposed, || BundleRefusal::UnexpectedConflict)
             }
-            (Witness::SignOff(id), Some(BundleRow::Draft(draft))) => match &draft.signed_off {
-                Some(sign_off) => {
-                    self.by_author(&sign_off.author, || signed_off_first(id, sign_off))
+            (ConfirmationRow::SignOff(id), Some(BundleRow::Draft(draft))) => {
+                match &draft.signed_off {
+                    Some(sign_off) => self
+                        .resolve_by_author(&sign_off.author, || already_signed_off(id, sign_off)),
+                    None => ChangeResult::Pending,
                 }
-                None => ChangeResult::Open,
-            },
-            (Witness::Release(_), Some(BundleRow::Release(release))) => {
-                self.by_author(&release.released, || overtaken_by(release, None))
             }
-            _ => ChangeResult::Open,
+            (ConfirmationRow::Release(_), Some(BundleRow::Release(release))) => {
+                self.resolve_by_author(&release.released, || superseded_by(release, None))
+            }
+            _ => ChangeResult::Pending,
         }
     }
 
-    fn by_author(
+    fn resolve_by_author(
         &self,
         author: &BundleAuthor,
         lost: impl FnOnce() -> BundleRefusal,
@@ -223,15 +227,15 @@
     }
 }
 
-/// The rows may have been read while another operator wrote them: then the base may be gone although
-/// no release after it was seen.
+/// Checks that the draft's base is still in force. The rows may have been read while another operator
+/// wrote them, so the base may have been replaced although no later release was read.
 fn check_base(
     draft: &DraftId,
     current: Option<&Stored<CurrentBundle>>,
 ) -> Result<(), BundleRefusal> {
     match current {
         Some(Stored { value, .. }) if value.version != draft.base => {
-            Err(BundleRefusal::Overtaken {
+            Err(BundleRefusal::Superseded {
                 by: value.by.clone(),
                 version: value.version,
             })
@@ -252,7 +256,7 @@
     digest: BundleDigest,
 ) -> Result<(), BundleRefusal> {
     match current {
-        Some(current) if current.value.digest == digest => Err(BundleRefusal::InForceAlready {
+        Some(current) if current.value.digest == digest => Err(BundleRefusal::AlreadyInForce {
             version: current.value.version,
         }),
         _ => Ok(()),
@@ -263,21 +267,21 @@
     if draft.digest == expected {
         return Ok(());
     }
-    Err(BundleRefusal::OtherDigest {
+    Err(BundleRefusal::DigestMismatch {
         draft: draft.id.clone(),
         expected,
         found: draft.digest,
     })
 }
 
-fn signed_off_first(draft: &DraftId, sign_off: &SignOff) -> BundleRefusal {
-    BundleRefusal::SignedOff {
+fn already_signed_off(draft: &DraftId, sign_off: &SignOff) -> BundleRefusal {
+    BundleRefusal::AlreadySignedOff {
         draft: draft.clone(),
         by: sign_off.author.operator.clone(),
     }
 }
 
-fn overtaken_by(release: &BundleRelease, draft: Option<&DraftId>) -> BundleRefusal {
+fn superseded_by(release: &BundleRelease, draft: Option<&DraftId>) -> BundleRefusal {
     let by = release.released.operator.clone();
     let version = release.version;
     match (&release.source, draft) {
@@ -288,6 +292,6 @@
                 by,
             }
         }
-        _ => BundleRefusal::Overtaken { by, version },
+        _ => BundleRefusal::Superseded { by, version },
     }
 }
--- a/crates/decisions/src/draft_id.rs
+++ b/crates/decisions/src/draft_id.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Id of a draft, as in `7-k3f9`: the version it was proposed over, and a random text.
+/// Id of a draft, such as `7-k3f9`: its base version and a random token.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct DraftId {
-    /// Version over which the draft was proposed, and which it replaces if it is rolled out.
+    /// Version in force when the draft was proposed, which it replaces if it is rolled out.
     pub base: BundleVersion,
-    /// Tells drafts over the same version apart.
-    pub mark: ChangeToken,
+    /// Token that distinguishes drafts with the same base version.
+    pub token: ChangeToken,
 }
 
 impl fmt::Display for DraftId {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{}", self.base, self.mark)
+        write!(f, "{}-{}", self.base, self.token)
     }
 }
 
@@ -20,10 +20,10 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let (base, mark) = s.split_once('-').ok_or(Error::DraftId)?;
+        let (base, token) = s.split_once('-').ok_or(Error::DraftId)?;
         Ok(Self {
             base: base.parse().map_err(|_| Error::DraftId)?,
-            mark: mark.parse().map_err(|_| Error::DraftId)?,
+            token: token.parse().map_err(|_| Error::DraftId)?,
         })
     }
 }
--- a/crates/decisions/src/store_backoff.rs
+++ b/crates/decisions/src/store_backoff.rs
@@ -19,7 +19,7 @@
 /// adds jitter.
 #[must_use]
 pub fn store_backoff(role: ZoneRole, zone_vms: usize, failures: u32, random: f64) -> Duration {
-    if role.reads() || !is_large_zone(zone_vms) {
+    if role.polls_store() || !is_large_zone(zone_vms) {
         return BASE_DELAY;
     }
     let doublings = failures.saturating_sub(1).min(8);
--- a/crates/decisions/tests/bundle_view.rs
+++ b/crates/decisions/tests/bundle_view.rs
@@ -1,117 +1,120 @@
-//! What a VM puts in force, from word that comes late, crossed and repeated.
+//! Selection of the release in force when announcements arrive late, reordered or repeated.
 
 use catkin_decisions::{BundleDigest, BundleVersion, BundleView, Instant, PEER_FALLBACK_DELAY};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
-fn word(version: u64) -> (BundleVersion, BundleDigest) {
+fn release(version: u64) -> (BundleVersion, BundleDigest) {
     let digest = BundleDigest::of(version.to_string());
     (BundleVersion(version), digest)
 }
 
-fn hear(view: &mut BundleView, version: u64) {
-    let (version, digest) = word(version);
-    view.hear(version, digest);
+fn advertise(view: &mut BundleView, version: u64) {
+    let (version, digest) = release(version);
+    view.record_peer_release(version, digest);
 }
 
 fn at(millis: u64) -> Instant {
     Instant(Duration::from_millis(millis))
 }
 
-/// A VM starts and a peer that lags tells it of an old release first. Served under it, callers would
-/// see the rollout taken back.
+/// A starting VM first receives an old release from a peer that lags. If it served that release,
+/// callers would see the rollout undone.
 #[gtest]
 fn starting_vm_waits_for_the_table_service() {
     let mut view = BundleView::new(at(0));
-    hear(&mut view, 4);
+    advertise(&mut view, 4);
 
-    let before = view.wanted(at(100));
-    view.table(Some(word(5)));
+    let before = view.next_release(at(100));
+    view.record_table_release(Some(release(5)));
 
     expect_that!(before, none());
-    expect_that!(view.wanted(at(100)), some(eq(word(5))));
+    expect_that!(view.next_release(at(100)), some(eq(release(5))));
 }
 
-/// A VM starts while the platform is cut off. It must serve what its peers serve, once all of them
-/// had time to speak.
+/// A VM starts while the platform is unreachable. It must serve what its peers serve, once all of
+/// them have had time to advertise their versions.
 #[gtest]
-fn starting_vm_that_is_cut_off_takes_the_largest_of_its_peers() {
+fn starting_vm_without_platform_uses_the_largest_version_of_its_peers() {
     let mut view = BundleView::new(at(0));
     for version in [4, 6, 5] {
-        hear(&mut view, version);
+        advertise(&mut view, version);
     }
 
-    let early = view.wanted(at(2_999));
+    let early = view.next_release(at(2_999));
 
     expect_that!(early, none());
-    expect_that!(view.wanted(Instant(PEER_FALLBACK_DELAY)), some(eq(word(6))));
+    expect_that!(
+        view.next_release(Instant(PEER_FALLBACK_DELAY)),
+        some(eq(release(6)))
+    );
 }
 
 #[gtest]
-fn serving_vm_takes_a_peers_word_at_once() {
+fn serving_vm_accepts_a_newer_release_of_a_peer_immediately() {
     let mut view = BundleView::new(at(0));
-    view.table(Some(word(5)));
-    view.advanced(BundleVersion(5));
-    hear(&mut view, 4);
-    let old = view.wanted(at(10));
-    hear(&mut view, 6);
+    view.record_table_release(Some(release(5)));
+    view.record_in_force(BundleVersion(5));
+    advertise(&mut view, 4);
+    let old = view.next_release(at(10));
+    advertise(&mut view, 6);
 
     expect_that!(old, none());
-    expect_that!(view.wanted(at(10)), some(eq(word(6))));
+    expect_that!(view.next_release(at(10)), some(eq(release(6))));
 }
 
-/// A peer speaks of a release that does not exist, because of a fault or a wrong table. Without
-/// forgetting its word, this VM would ask for that content for ever and take no true release.
+/// A peer advertises a release that does not exist, because of a fault or a wrong table. Unless it
+/// is discarded, this VM requests that content forever and puts no real release in force.
 #[gtest]
-fn word_without_content_is_forgotten() {
+fn peer_release_without_content_is_discarded() {
     let mut view = BundleView::new(at(0));
-    view.table(Some(word(5)));
-    view.advanced(BundleVersion(5));
-    hear(&mut view, 900);
-    let wrong = view.wanted(at(10));
-    view.unfetchable(BundleVersion(900));
-    view.table(Some(word(6)));
+    view.record_table_release(Some(release(5)));
+    view.record_in_force(BundleVersion(5));
+    advertise(&mut view, 900);
+    let nonexistent = view.next_release(at(10));
+    view.record_unavailable(BundleVersion(900));
+    view.record_table_release(Some(release(6)));
 
-    expect_that!(wrong, some(eq(word(900))));
-    expect_that!(view.wanted(at(10)), some(eq(word(6))));
+    expect_that!(nonexistent, some(eq(release(900))));
+    expect_that!(view.next_release(at(10)), some(eq(release(6))));
 }
 
-/// A peer and the table service name one version with two digests.
+/// A peer and the table service report different digests for the same version.
 #[gtest]
-fn table_service_goes_before_peers() {
+fn digest_of_the_table_service_takes_precedence() {
     let mut view = BundleView::new(at(0));
-    view.hear(BundleVersion(6), BundleDigest::of("something else"));
-    view.table(Some(word(6)));
+    view.record_peer_release(BundleVersion(6), BundleDigest::of("something else"));
+    view.record_table_release(Some(release(6)));
 
-    expect_that!(view.wanted(at(0)), some(eq(word(6))));
+    expect_that!(view.next_release(at(0)), some(eq(release(6))));
 }
 
 #[gtest]
-fn vm_serves_nothing_where_nothing_was_rolled_out() {
+fn nothing_is_put_in_force_before_the_first_rollout() {
     let mut view = BundleView::new(at(0));
-    view.table(None);
+    view.record_table_release(None);
 
-    expect_that!(view.wanted(Instant(PEER_FALLBACK_DELAY)), none());
+    expect_that!(view.next_release(Instant(PEER_FALLBACK_DELAY)), none());
 }
 
-/// One event of the property test: VMs of one availability zone, with and without the platform.
+/// An event of the property test, in an availability zone whose platform is reachable or not.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// A release is rolled out.
     RollOut,
-    /// A VM asks the table service; the answer comes `delay` steps later, if at all.
+    /// A VM reads the table service; the response arrives `delay` steps later, if at all.
     Read { vm: usize, delay: usize },
-    /// A VM tells another what it has in force; the message comes late, and perhaps twice.
-    Tell {
+    /// A VM advertises its release in force to another; the message is delayed and may be duplicated.
+    Advertise {
         from: usize,
         to: usize,
         delay: usize,
-        twice: bool,
+        duplicated: bool,
     },
-    /// The platform is cut off, or reachable again.
-    CutOff(bool),
-    /// A VM is restarted and has to ask anew; its peers answer while it waits.
+    /// The platform becomes unreachable, or reachable again.
+    PlatformUnreachable(bool),
+    /// A VM restarts without a release; its peers advertise theirs while it waits.
     Restart(usize),
     /// Time passes.
     Wait,
@@ -123,37 +126,37 @@
     prop_oneof![
         Just(Step::RollOut),
         (0..VMS, 0..5_usize).prop_map(|(vm, delay)| Step::Read { vm, delay }),
-        (0..VMS, 0..VMS, 0..5_usize, any::<bool>()).prop_map(|(from, to, delay, twice)| {
-            Step::Tell {
+        (0..VMS, 0..VMS, 0..5_usize, any::<bool>()).prop_map(|(from, to, delay, duplicated)| {
+            Step::Advertise {
                 from,
                 to,
                 delay,
-                twice,
+                duplicated,
             }
         }),
-        any::<bool>().prop_map(Step::CutOff),
+        any::<bool>().prop_map(Step::PlatformUnreachable),
         (0..VMS).prop_map(Step::Restart),
         Just(Step::Wait),
     ]
 }
 
-/// A message to a VM: due at a step, from the table service or a peer.
+/// A message from the table service or a peer to a VM, due at a step.
 struct Message {
     due: usize,
     to: usize,
     version: u64,
     from_table: bool,
-    /// Start of the process it is addressed to; a later one never gets it.
-    start: usize,
+    /// Start time of the addressed process; a later process does not receive the message.
+    process_start: usize,
 }
 
 struct Zone {
     views: Vec<BundleView>,
     in_force: Vec<u64>,
-    starts: Vec<usize>,
+    process_starts: Vec<usize>,
     messages: Vec<Message>,
     current: u64,
-    cut_off: bool,
+    platform_unreachable: bool,
     now: usize,
 }
 
@@ -162,10 +165,10 @@
         Self {
             views: vec![BundleView::new(at(0)); VMS],
             in_force: vec![0; VMS],
-            starts: vec![0; VMS],
+            process_starts: vec![0; VMS],
             messages: Vec::new(),
             current: 0,
-            cut_off: false,
+            platform_unreachable: false,
             now: 0,
         }
     }
@@ -180,7 +183,7 @@
             to,
             version,
             from_table,
-            start: self.starts[to],
+            process_start: self.process_starts[to],
         });
     }
 
@@ -193,59 +196,59 @@
         for message in due
             .into_iter()
             .rev()
-            .filter(|m| m.start == self.starts[m.to])
+            .filter(|m| m.process_start == self.process_starts[m.to])
         {
             let view = &mut self.views[message.to];
             match (message.from_table, message.version) {
-                (true, 0) => view.table(None),
-                (true, version) => view.table(Some(word(version))),
+                (true, 0) => view.record_table_release(None),
+                (true, version) => view.record_table_release(Some(release(version))),
                 (false, 0) => {}
-                (false, version) => hear(view, version),
+                (false, version) => advertise(view, version),
             }
         }
     }
 
-    /// Puts in force what each VM wants; returns false if a VM went back.
+    /// Puts each VM's next release in force; returns false if a VM moved to a lower version.
     fn advance(&mut self) -> bool {
         let time = self.time();
-        let mut forward = true;
+        let mut increasing = true;
         for (view, in_force) in self.views.iter_mut().zip(&mut self.in_force) {
-            if let Some((version, _)) = view.wanted(time) {
-                forward &= version.0 > *in_force;
+            if let Some((version, _)) = view.next_release(time) {
+                increasing &= version.0 > *in_force;
                 *in_force = version.0;
-                view.advanced(version);
+                view.record_in_force(version);
             }
         }
-        forward
+        increasing
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::RollOut => self.current += 1,
-            Step::Read { vm, delay } if !self.cut_off => {
+            Step::Read { vm, delay } if !self.platform_unreachable => {
                 self.send(vm, self.current, true, delay);
             }
-            Step::Tell {
+            Step::Advertise {
                 from,
                 to,
                 delay,
-                twice,
+                duplicated,
             } => {
                 let version = self.in_force[from];
                 self.send(to, version, false, delay);
-                if twice {
+                if duplicated {
                     self.send(to, version, false, delay + 2);
                 }
             }
-            Step::CutOff(cut_off) => self.cut_off = cut_off,
+            Step::PlatformUnreachable(unreachable) => self.platform_unreachable = unreachable,
             Step::Restart(vm) => self.restart(vm),
             Step::Read { .. } | Step::Wait => {}
         }
     }
 
-    /// The new process knows nothing. Its peers tell it what they have in force within the wait.
+    /// Starts a new process without a release. Its peers advertise theirs within its waiting time.
     fn restart(&mut self, vm: usize) {
-        self.starts[vm] = self.now + 1;
+        self.process_starts[vm] = self.now + 1;
         self.views[vm] = BundleView::new(self.time());
         self.in_force[vm] = 0;
         for peer in (0..VMS).filter(|peer| *peer != vm) {
@@ -256,22 +259,23 @@
 }
 
 proptest! {
-    /// VMs hear of releases late, crossed and twice, are cut off and restarted. No VM ever goes back
-    /// while it runs, and none that starts while cut off serves less than a peer did when it asked.
+    /// Announcements are delayed, reordered and duplicated; VMs lose the platform and restart. No VM
+    /// may move to a lower version while it runs, and a VM that starts without the platform must not
+    /// serve a lower version than a peer had in force at the start.
     #[test]
-    fn versions_never_go_back(steps in prop::collection::vec(step(), 1..120)) {
+    fn versions_in_force_never_decrease(steps in prop::collection::vec(step(), 1..120)) {
         let mut zone = Zone::new();
-        let mut floors = [0; VMS];
+        let mut min_versions = [0; VMS];
         for step in steps {
             if let Step::Restart(vm) = step {
-                floors[vm] = (0..VMS).filter(|p| *p != vm).map(|p| zone.in_force[p]).max().unwrap_or(0);
+                min_versions[vm] = (0..VMS).filter(|p| *p != vm).map(|p| zone.in_force[p]).max().unwrap_or(0);
             }
-            zone.take(step);
+            zone.apply(step);
             zone.now += 1;
             zone.deliver();
             prop_assert!(zone.advance());
-            for (in_force, floor) in zone.in_force.iter().zip(floors) {
-                prop_assert!(*in_force == 0 || *in_force >= floor);
+            for (in_force, min_version) in zone.in_force.iter().zip(min_versions) {
+                prop_assert!(*in_force == 0 || *in_force >= min_version);
             }
         }
     }
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -1,4 +1,4 @@
-//! One VM of a zone reads the platform's table of upstreams, and the others rely on its word.
+//! One VM of a zone reads the platform's upstream table, and the others rely on its gossip.
 
 use catkin_decisions::{
     ConfigVersion, DELTA_WAIT, GOSSIP_MAX_AGE, GossipState, GossipView, Instant, UpstreamChange,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The same rows, written at a version.
+/// Returns the same rows, as written at `version`.
 fn written(version: u64, rows: &[UpstreamChange]) -> Vec<UpstreamChange> {
     let row = |row: &UpstreamChange| UpstreamChange {
         written: version,
@@ -46,15 +46,15 @@
     rows.iter().map(row).collect()
 }
 
-/// A VM that has read engines 1 to 3 at version 10.
+/// The table of a VM that has read engines 1 to 3 at version 10.
 fn table() -> UpstreamTable {
     let mut table = UpstreamTable::default();
     table.apply_read(&[1, 2, 3].map(|n| entry(n, false)), true, 10);
     table
 }
 
-/// What a VM tells that has read `changes` up to `version` after the same beginning.
-fn news(changes: &[UpstreamChange], version: u64) -> ZoneGossip {
+/// Gossip of a VM that started with [`table`] and has read `changes` up to `version`.
+fn gossip_of(changes: &[UpstreamChange], version: u64) -> ZoneGossip {
     let mut table = table();
     let changes = table
         .apply_read(&written(version, changes), false, version)
@@ -71,20 +71,20 @@
     }
 }
 
-/// How a VM stands after it has taken in news, each at its time.
-fn after(taken: &[(u64, ZoneGossip)], now: Instant) -> (UpstreamTable, GossipState) {
-    let (mut table, mut heard) = (table(), GossipView::default());
-    for (ms, gossip) in taken {
+/// Table and gossip state of a VM that received each gossip at its time in milliseconds.
+fn apply_gossip(received: &[(u64, ZoneGossip)], now: Instant) -> (UpstreamTable, GossipState) {
+    let (mut table, mut view) = (table(), GossipView::default());
+    for (ms, gossip) in received {
         table.apply_update(&gossip.changes, gossip.version, gossip.digest);
-        heard.take(gossip, &table, at(*ms));
+        view.record(gossip, &table, at(*ms));
     }
-    (table, heard.state(GOSSIP_MAX_AGE, now))
+    (table, view.state(GOSSIP_MAX_AGE, now))
 }
 
-/// Entries are written anew all the time with nothing new in them. Told on, they would fill the links of
-/// small VMs.
+/// Upstreams rewrite their entries continuously without changing them. If these writes were relayed,
+/// they would saturate the links of small VMs.
 #[gtest]
-fn rows_that_say_nothing_new_are_not_told() {
+fn unchanged_rows_are_not_relayed() {
     let mut table = table();
 
     let rows = written(11, &[entry(1, false), entry(2, true)]);
@@ -96,8 +96,8 @@
 }
 
 #[gtest]
-fn an_upstream_that_leaves_is_known_by_another_vms_word() {
-    let (table, state) = after(&[(1000, news(&[entry(2, true)], 11))], at(1010));
+fn leaving_upstream_is_learned_from_gossip() {
+    let (table, state) = apply_gossip(&[(1000, gossip_of(&[entry(2, true)], 11))], at(1010));
 
     expect_that!(
         state,
@@ -106,101 +106,99 @@
     expect_that!(table.version(), eq(11));
 }
 
-/// The datagram that says which upstream leaves is lost. The next word has a digest that does not fit, and
-/// the VM reads the table itself; else it would send calls there until they fail.
+/// The datagram with a leaving upstream is lost. The digest in the next gossip differs from the local
+/// one, so the VM reads the table itself; otherwise it would send calls to that upstream until they fail.
 #[gtest]
-fn a_lost_change_shows_with_the_next_word() {
-    let lost = news(&[entry(2, true)], 11);
+fn lost_change_is_detected_by_the_next_digest() {
+    let lost = gossip_of(&[entry(2, true)], 11);
     let next = ZoneGossip {
         changes: Vec::new(),
         ..lost
     };
 
-    let (_, soon) = after(&[(1000, next.clone())], at(1010));
-    let (_, later) = after(&[(1000, next)], at(1000).after(DELTA_WAIT));
+    let (_, soon) = apply_gossip(&[(1000, next.clone())], at(1010));
+    let (_, later) = apply_gossip(&[(1000, next)], at(1000).after(DELTA_WAIT));
 
     expect_that!(soon, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
     expect_that!(later, eq(GossipState::Silent));
 }
 
-/// Many upstreams change at once, and the changes fill two datagrams. The first one alone does not fit
-/// the digest, but the second one is on its way.
+/// Many upstreams change at once, and the changes fill two datagrams. After the first datagram the
+/// digest does not match yet, but the second one is in flight.
 #[gtest]
-fn the_rest_of_a_change_is_waited_for() {
-    let both = news(&[entry(2, true), removed(3)], 11);
+fn rest_of_a_split_delta_is_awaited() {
+    let both = gossip_of(&[entry(2, true), removed(3)], 11);
     let part = |changes: &[UpstreamChange]| ZoneGossip {
         changes: changes.to_vec(),
         ..both.clone()
     };
     let (first, second) = (part(&both.changes[..1]), part(&both.changes[1..]));
 
-    let (_, half) = after(&[(1000, second.clone())], at(1005));
-    let (_, whole) = after(&[(1000, second), (1005, first)], at(1006));
+    let (_, partial) = apply_gossip(&[(1000, second.clone())], at(1005));
+    let (_, complete) = apply_gossip(&[(1000, second), (1005, first)], at(1006));
 
-    expect_that!(half, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
-    expect_that!(
-        whole,
+    expect_that!(partial, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
+    expect_that!(complete,
         eq(GossipState::Fresh(at(1005).after(GOSSIP_MAX_AGE)))
     );
 }
 
-/// The VM that reads loses its power, or the store turns it away and its words grow old. The others read
-/// the table themselves before a leaving upstream gets calls for longer than it may.
+/// The reader VM loses power, or the store throttles it and its gossip becomes stale. The other VMs must
+/// read the table themselves before a leaving upstream receives calls for longer than allowed.
 #[gtest]
-fn old_words_do_not_count() {
+fn stale_gossip_is_not_relied_on() {
     let stale = ZoneGossip {
         age_ms: 1500,
-        ..news(&[], 11)
+        ..gossip_of(&[], 11)
     };
 
-    let (_, lost) = after(&[(5000, news(&[], 11))], at(5000).after(GOSSIP_MAX_AGE));
-    let (_, turned_away) = after(&[(5000, stale)], at(5150));
+    let (_, lost) = apply_gossip(&[(5000, gossip_of(&[], 11))], at(5000).after(GOSSIP_MAX_AGE));
+    let (_, throttled) = apply_gossip(&[(5000, stale)], at(5150));
 
     expect_that!(lost, eq(GossipState::Silent));
-    expect_that!(turned_away, eq(GossipState::Silent));
+    expect_that!(throttled, eq(GossipState::Silent));
 }
 
-/// Two VMs read for a zone, and the word of the one that lags comes last. What it does not know yet must
-/// not undo what is known.
+/// Two VMs read for a zone, and the gossip of the one that lags arrives last. Its older rows must not
+/// overwrite newer ones.
 #[gtest]
-fn an_older_word_undoes_nothing() {
-    let newer = news(&[entry(2, true)], 12);
-    let older = news(&[entry(2, false), entry(3, true)], 11);
+fn older_gossip_overwrites_nothing() {
+    let newer = gossip_of(&[entry(2, true)], 12);
+    let older = gossip_of(&[entry(2, false), entry(3, true)], 11);
 
-    let (table, state) = after(&[(1000, newer.clone()), (1001, older)], at(1002));
+    let (table, state) = apply_gossip(&[(1000, newer.clone()), (1001, older)], at(1002));
 
     expect_that!(table.digest(), eq(newer.digest));
     expect_that!(state, matches_pattern!(GossipState::Fresh(_)));
 }
 
 #[gtest]
-fn one_vm_of_a_small_zone_reads_and_two_of_a_large_one() {
+fn small_zone_has_one_reader_and_large_zone_two() {
     for (size, readers) in [(1, 1), (3, 1), (8, 1), (9, 2), (67, 2)] {
         let vms = (0..size)
             .map(|n| Arc::from(format!("vm-{n}")))
             .collect::<Vec<Arc<str>>>();
 
-        let reading = vms
+        let polling = vms
             .iter()
-            .filter(|vm| ZoneRole::of(vm, &vms).reads())
+            .filter(|vm| ZoneRole::of(vm, &vms).polls_store())
             .count();
 
-        expect_that!(reading, eq(readers), "of {size}");
+        expect_that!(polling, eq(readers), "of {size}");
     }
 }
 
-/// A VM that reads for its zone has lagged, and tells of an upstream in two datagrams, that it is there and that it
-/// has gone; the second one arrives first. The other VM knew already that it has gone. Brought back by the late
-/// datagram it stayed for good, since no later change names it, and got calls more than four seconds after it
-/// had left.
+/// A reader that lags sends an upstream's entry and its removal in two datagrams, and the removal arrives
+/// first, at a VM that had already applied it. If the late entry restored the upstream, no later change
+/// would remove it again, and it would still receive calls more than four seconds after it had left.
 #[gtest]
-fn an_upstream_that_has_gone_is_not_brought_back_by_late_words() {
+fn removed_upstream_is_not_restored_by_late_gossip() {
     let mut table = table();
     table.apply_read(&written(12, &[removed(2)]), false, 12);
     let before = table.digest();
-    let (present, gone) = (written(11, &[entry(2, true)]), written(12, &[removed(2)]));
+    let (present, removal) = (written(11, &[entry(2, true)]), written(12, &[removed(2)]));
 
-    for late in [&gone, &present] {
+    for late in [&removal, &present] {
         table.apply_update(late, 13, before);
     }
     table.apply_read(&written(14, &[entry(1, false)]), false, 14);
@@ -208,13 +206,14 @@
     expect_that!(table.digest(), eq(before));
 }
 
-/// The same between two VMs that both know less: the removal is remembered until the table is known beyond it.
+/// The same if neither VM had applied the removal: it must be kept until the table has been read beyond
+/// its version.
 #[gtest]
-fn a_removal_that_was_told_outlasts_an_older_row() {
+fn removal_from_gossip_outlasts_an_older_row() {
     let mut table = table();
-    let (present, gone) = (written(11, &[entry(4, false)]), written(12, &[removed(4)]));
+    let (present, removal) = (written(11, &[entry(4, false)]), written(12, &[removed(4)]));
 
-    for late in [&gone, &present] {
+    for late in [&removal, &present] {
         table.apply_update(late, 13, 0);
     }
     table.apply_read(&[], false, 13);
@@ -222,12 +221,12 @@
     expect_that!(table.entries().len(), eq(3));
 }
 
-/// The same, while this VM reads a page from before the removal.
+/// The same, while this VM reads a page of the table that predates the removal.
 #[gtest]
-fn a_removal_is_remembered_until_the_table_is_known_beyond_it() {
+fn removal_is_kept_until_the_table_was_read_beyond_it() {
     let mut table = table();
-    let (present, gone) = (written(13, &[entry(2, true)]), written(14, &[removed(2)]));
-    table.apply_update(&gone, 15, 0);
+    let (present, removal) = (written(13, &[entry(2, true)]), written(14, &[removed(2)]));
+    table.apply_update(&removal, 15, 0);
 
     table.apply_read(&[], false, 11);
     table.apply_update(&present, 15, 0);
@@ -235,10 +234,11 @@
     expect_that!(table.entries().len(), eq(2));
 }
 
-/// The store lists each change, and a question that began before another VM's word is answered with some that are
-/// known already. Taken for news, an upstream that has left would be there again for a moment, and told so to the zone.
+/// The store lists every change, so the result of a query sent before another VM's gossip arrived contains
+/// changes that were already applied. If they counted as new, a removed upstream would be present again
+/// for a moment, and would be advertised to the zone.
 #[gtest]
-fn rows_of_a_page_that_are_known_better_are_no_news() {
+fn outdated_rows_of_a_page_are_not_new() {
     let mut table = table();
     table.apply_read(&written(12, &[removed(2)]), false, 12);
     let page = [
@@ -253,50 +253,50 @@
     expect_that!(table.entries().len(), eq(2));
 }
 
-/// What another VM told is newer than the page that is read meanwhile, as its question waited longer at the store.
+/// Another VM's gossip is newer than the page read meanwhile, because its query waited longer at the store.
 #[gtest]
-fn a_page_that_is_older_than_what_was_told_undoes_nothing() {
-    for whole in [false, true] {
+fn page_older_than_gossip_overwrites_nothing() {
+    for complete in [false, true] {
         let mut table = table();
-        let newer = news(&[entry(2, true), removed(3)], 12);
+        let newer = gossip_of(&[entry(2, true), removed(3)], 12);
         table.apply_update(&newer.changes, newer.version, newer.digest);
 
         let page = written(11, &[entry(1, false), entry(2, false), entry(3, false)]);
-        let read = table.apply_read(&page, whole, 11);
+        let read = table.apply_read(&page, complete, 11);
 
-        expect_that!(table.digest(), eq(newer.digest), "whole: {whole}");
+        expect_that!(table.digest(), eq(newer.digest), "complete: {complete}");
         expect_that!(table.version(), eq(12));
         expect_that!(read.changed, is_empty());
     }
 }
 
-/// What one VM does next with what the store holds.
+/// A step of the property test, on the store or one of the VMs.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The store's row of an upstream is written: there, leaving, or removed.
+    /// Writes an upstream's row to the store as removed (0), present (1) or leaving (2).
     Write(u8, u8),
-    /// A VM reads what changed, or all, as the store was some writes ago.
+    /// A VM reads the changes or the complete table, as of some writes ago.
     Read(usize, bool, usize),
-    /// A VM hears another one's latest changes, in pieces, some of them lost, the others in this order.
-    Hear(usize, usize, Vec<u8>),
+    /// A VM receives another VM's latest changes one by one in this order; some are lost or repeated.
+    Receive(usize, usize, Vec<u8>),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (1..6_u8, 0..3_u8).prop_map(|(n, what)| Step::Write(n, what)),
+        3 => (1..6_u8, 0..3_u8).prop_map(|(n, state)| Step::Write(n, state)),
         2 => (0..3_usize, any::<bool>(), 0..4_usize)
-            .prop_map(|(vm, whole, ago)| Step::Read(vm, whole, ago)),
+            .prop_map(|(vm, complete, ago)| Step::Read(vm, complete, ago)),
         3 => (0..3_usize, 0..3_usize, prop::collection::vec(0..8_u8, 0..8))
-            .prop_map(|(vm, from, order)| Step::Hear(vm, from, order)),
+            .prop_map(|(vm, from, order)| Step::Receive(vm, from, order)),
     ]
 }
 
-/// The store: each write, in order; the version is the number of writes.
+/// The store: all writes in order. Its version is the number of writes.
 #[derive(Default)]
 struct Store(Vec<UpstreamChange>);
 
 impl Store {
-    /// The newest row of each key as of a version, written after another one.
+    /// Returns the newest row of each key as of `version`, if it was written later than `after`.
     fn rows(&self, after: usize, version: usize) -> Vec<UpstreamChange> {
         let writes = &self.0[..version];
         let newest = |(i, row): &(usize, &UpstreamChange)| {
@@ -306,25 +306,25 @@
         rows.map(|(_, row)| row.clone()).collect()
     }
 
-    fn whole(&self, version: usize) -> Vec<UpstreamChange> {
+    fn complete_table(&self, version: usize) -> Vec<UpstreamChange> {
         let rows = self.rows(0, version).into_iter();
         rows.filter(|row| row.entry.is_some()).collect()
     }
 }
 
 proptest! {
-    /// Three VMs read the store by themselves, late or not, and hear each other's changes in any order, in part or
-    /// twice. Whoever has read up to the newest version knows just what the store holds.
+    /// Three VMs read the store, up to date or not, and receive each other's changes reordered, incomplete or
+    /// duplicated. A VM that has read up to the newest version must have exactly the entries of the store.
     #[test]
-    fn whoever_has_read_up_to_now_knows_what_the_store_holds(
+    fn tables_read_up_to_the_newest_version_match_the_store(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut store = Store::default();
         let mut vms = [0, 1, 2].map(|_| (UpstreamTable::default(), Vec::new()));
         for step in steps {
             match step {
-                Step::Write(n, what) => {
-                    let row = match what {
+                Step::Write(n, state) => {
+                    let row = match state {
                         0 => removed(n),
                         1 => entry(n, false),
                         _ => entry(n, true),
@@ -332,23 +332,23 @@
                     let version = store.0.len() as u64 + 1;
                     store.0.extend(written(version, &[row]));
                 }
-                Step::Read(vm, whole, ago) => {
+                Step::Read(vm, complete, ago) => {
                     let version = store.0.len().saturating_sub(ago);
-                    let (table, told) = &mut vms[vm];
-                    let known = usize::try_from(table.version()).unwrap();
-                    let rows = if whole {
-                        store.whole(version)
-                    } else if version < known {
+                    let (table, new_changes) = &mut vms[vm];
+                    let read_version = usize::try_from(table.version()).unwrap();
+                    let rows = if complete {
+                        store.complete_table(version)
+                    } else if version < read_version {
                         continue;
                     } else {
-                        store.rows(known, version)
+                        store.rows(read_version, version)
                     };
-                    *told = table.apply_read(&rows, whole, version as u64).changed;
+                    *new_changes = table.apply_read(&rows, complete, version as u64).changed;
                 }
-                Step::Hear(vm, from, order) => {
-                    let (table, told) = vms[from].clone();
+                Step::Receive(vm, from, order) => {
+                    let (table, new_changes) = vms[from].clone();
                     for piece in order {
-                        let piece = told.iter().skip(usize::from(piece)).take(1);
+                        let piece = new_changes.iter().skip(usize::from(piece)).take(1);
                         let piece = piece.cloned().collect::<Vec<_>>();
                         vms[vm].0.apply_update(&piece, table.version(), table.digest());
                     }
@@ -357,9 +357,9 @@
         }
         let version = store.0.len();
         for (table, _) in &mut vms {
-            let known = usize::try_from(table.version()).unwrap();
-            table.apply_read(&store.rows(known, version), false, version as u64);
-            let mut rows = store.whole(version);
+            let read_version = usize::try_from(table.version()).unwrap();
+            table.apply_read(&store.rows(read_version, version), false, version as u64);
+            let mut rows = store.complete_table(version);
             rows.sort_by(|a, b| a.key.cmp(&b.key));
             let entries = |rows: Vec<UpstreamChange>| {
                 rows.into_iter().filter_map(|row| row.entry).collect::<Vec<_>>()
@@ -368,22 +368,22 @@
         }
     }
 
-    /// Whatever changes are read in whatever pieces, a VM that was told all of them has the same digest.
+    /// A VM that received all changes by gossip has the same digest as the VM that read them.
     #[test]
-    fn the_digest_is_that_of_the_content(
+    fn digest_depends_only_on_content(
         steps in prop::collection::vec((1..20_u8, 0..3_u8), 1..60),
     ) {
-        let (mut reader, mut told) = (table(), table());
-        for (version, (n, what)) in (11..).zip(steps) {
-            let change = match what {
+        let (mut reader, mut receiver) = (table(), table());
+        for (version, (n, state)) in (11..).zip(steps) {
+            let change = match state {
                 0 => removed(n),
                 1 => entry(n, false),
                 _ => entry(n, true),
             };
             let read = reader.apply_read(&written(version, &[change]), false, version);
-            told.apply_update(&read.changed, version, reader.digest());
-            prop_assert!(!told.is_behind(version, reader.digest()));
+            receiver.apply_update(&read.changed, version, reader.digest());
+            prop_assert!(!receiver.is_behind(version, reader.digest()));
         }
-        prop_assert_eq!(told.digest(), reader.digest());
+        prop_assert_eq!(receiver.digest(), reader.digest());
     }
 }
