--- a/crates/decisions/src/claim_change.rs
+++ b/crates/decisions/src/claim_change.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Key of a claim's row: a team's idempotency key as a digest, behind the team's name.
+/// Key of a claim row: the team's name, then a digest of its idempotency key.
 #[derive(Clone, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ClaimRowKey(Arc<str>);
 
 impl ClaimRowKey {
-    /// Row of a team's idempotency key.
+    /// Key of the row for a team's idempotency key.
     #[must_use]
     pub fn new(team: &TeamId, key: &IdempotencyKey) -> Self {
         Self(format!("{team}/{}", RequestId::of_key(team, key.as_str())).into())
     }
 
-    /// The key itself.
+    /// The key as it is stored.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -24,41 +24,43 @@
     }
 }
 
-/// A wanted change of a claim's row: the record is written if the row has the expected version.
+/// Conditional write of a claim row: the record is written only if the row has the expected
+/// version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimChange {
-    /// The row.
+    /// Key of the row to write.
     pub key: ClaimRowKey,
-    /// Version that the row must have; 0 means that there is none.
+    /// Version that the row must have; 0 if the row must not exist.
     pub expected: u64,
-    /// What is written.
+    /// Record to write.
     pub record: ClaimRecord,
 }
 
-/// A claim's row as the table service showed it; a version of 0 and no record if there is none.
+/// Claim row as returned by the platform store; version 0 and no record if the row does not exist.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FoundClaim {
-    /// The row.
+    /// Key of the row.
     pub key: ClaimRowKey,
-    /// Its version.
+    /// Version of the row; 0 if it does not exist.
     pub version: u64,
-    /// What it holds; `None` too if it cannot be read.
+    /// Record of the row; `None` if the row does not exist or cannot be decoded.
     pub record: Option<ClaimRecord>,
 }
 
-/// What a row that was found in place of the expected one means for a change.
+/// What a row with an unexpected version means for a change.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Judged {
-    /// The change has been made, and its answer was lost.
+    /// The change was committed at this version, although its result was lost.
     Made(u64),
-    /// It may be tried on this version.
+    /// The change may be retried against this version.
     Again(u64),
-    /// Another one has the row.
+    /// The row belongs to another claim.
     Lost,
 }
 
 impl ClaimChange {
-    /// Judges the row that the table service showed in place of the expected one.
+    /// Decides how to proceed with this change, given the row that the platform store returned as a
+    /// conflict.
     pub(crate) fn judge(&self, found: &FoundClaim) -> Judged {
         let Some(record) = &found.record else {
             return Judged::Lost;
--- a/crates/decisions/src/claim_queue.rs
+++ b/crates/decisions/src/claim_queue.rs
@@ -1,23 +1,25 @@
 //! Group commit of claims.
 //!
-//! Load pattern: many non-idempotent requests a second, each of which needs a row before its
-//! dispatch and another write after it, on a table service that does several hundred transactions a
-//! second for all VMs. With one transaction each, 8 VMs could serve no more than some 150 such
-//! requests a second. With one transaction at a time per VM that takes all that wait, the number of
-//! transactions is bounded by the service's latency and not by the requests.
+//! Load pattern: each non-idempotent request needs one write before its dispatch and another one
+//! after it, and many such requests arrive each second. The platform store commits several hundred
+//! transactions per second for all VMs together; with one transaction per write, 8 VMs could serve
+//! no more than about 150 such requests per second. Each VM therefore has one transaction in flight
+//! at a time, which contains the pending changes, so the number of transactions is bounded by the
+//! latency of the store instead of by the request rate.
 //!
-//! A lost answer is settled by sending the same changes again: a change that was made shows its own
-//! token, and one that is still under way finds the row taken when it arrives. A mere read could
-//! not settle it, since a late transaction may take effect after the read.
+//! A change whose result was lost is resolved by sending the same change again: one that was
+//! committed finds its own token in the row, and one that is still in flight finds the row taken
+//! when it arrives. A read could not resolve it, since a delayed transaction may commit after the
+//! read.
 
 use super::*;
 
-/// Changes that one transaction takes.
+/// Maximum number of changes in one transaction.
 ///
-/// Bounds the request's size: 200 rows of up to 8 KB stay below 2 MB.
+/// Bounds the size of the request: 200 rows of up to 8 KB stay below 2 MB.
 const GROUP_MAX: usize = 200;
 
-/// Claims and ends of claims that wait for their transaction. `W` is told what became of a claim.
+/// Pending claims and pending final records of claims. `W` receives the result of a claim.
 #[derive(Debug)]
 pub struct ClaimQueue<W> {
     waiting: std::collections::VecDeque<Entry<W>>,
@@ -29,35 +31,35 @@
 #[derive(Debug)]
 struct Entry<W> {
     change: ClaimChange,
-    /// Whom to tell; `None` for ends of claims.
+    /// Receives the result; `None` for the final record of a claim.
     waiter: Option<W>,
-    /// When a claim is given up.
+    /// When the claim is abandoned.
     deadline: Instant,
-    /// Whether a transaction with it may have taken effect.
+    /// Whether a transaction that contains this change may have been committed.
     doubtful: bool,
 }
 
-/// What the table service answered to a group.
+/// Result of a group transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupAnswer {
-    /// All changes are made.
+    /// All changes were committed.
     Committed,
-    /// None is made, since these rows are other than expected.
+    /// No change was committed, because these rows have other versions than expected.
     Conflicts(Vec<FoundClaim>),
-    /// None is made.
+    /// No change was committed.
     NotRun,
-    /// All may be made, or none.
+    /// The result was lost: either all changes were committed or none.
     Unknown,
 }
 
-/// What became of a claim in the queue.
+/// Result of a claim in the queue.
 #[derive(Debug, PartialEq)]
 pub enum ClaimFate {
-    /// The key is claimed.
+    /// This process has claimed the key.
     Claimed(Claimed),
-    /// Another try has the key.
+    /// Another attempt has claimed the key.
     Taken(FoundClaim),
-    /// It was given up at its deadline, without a dispatch.
+    /// The claim was abandoned at its deadline, and its request was not dispatched.
     GivenUp,
 }
 
@@ -68,7 +70,7 @@
 }
 
 impl<W> ClaimQueue<W> {
-    /// An empty queue with at most `group_max` changes in a transaction.
+    /// Creates an empty queue with at most `group_max` changes in a transaction.
     #[must_use]
     pub fn new(group_max: usize) -> Self {
         Self {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Adds a try to claim a key, to be given up at `deadline`.
+    /// Enqueues a claim, which is abandoned if it is not resolved by `deadline`.
     pub fn claim(&mut self, change: ClaimChange, deadline: Instant, waiter: W) {
         self.waiting.push_back(Entry {
             change,
@@ -88,7 +90,7 @@
         });
     }
 
-    /// Adds the end of a claim. It is never given up.
+    /// Enqueues the final record of a claim, which is never abandoned.
     pub fn end(&mut self, change: ClaimChange) {
         self.waiting.push_back(Entry {
             change,
@@ -98,22 +100,22 @@
         });
     }
 
-    /// Changes that wait or are under way.
+    /// Number of changes that are pending or in flight.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len() + self.in_flight.len()
     }
 
-    /// Whether nothing waits or is under way.
+    /// Whether no change is pending or in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes out the claims whose deadline has passed.
+    /// Removes the claims whose deadline has passed.
     ///
-    /// One that may have been made after all is given back by a release under its own token, or
-    /// its key would look claimed until the row expires.
+    /// A claim that may have been committed is then released under its own token. Otherwise its key
+    /// would count as claimed until the row expires.
     pub fn give_up(&mut self, now: Instant) -> Vec<(W, ClaimFate)> {
         let mut told = Vec::new();
         for mut entry in std::mem::take(&mut self.waiting) {
@@ -131,8 +133,8 @@
         told
     }
 
-    /// The next transaction, if none is under way and something waits: one change a row, the oldest
-    /// first.
+    /// Returns the next transaction, unless one is in flight or nothing is pending. It contains one
+    /// change per row, the oldest first.
     pub fn next_group(&mut self) -> Option<Vec<ClaimChange>> {
         if !self.in_flight.is_empty() || self.waiting.is_empty() {
             return None;
@@ -152,8 +154,8 @@
         Some(changes.collect())
     }
 
-    /// Takes the answer to the transaction under way. What is not settled by it waits again, before
-    /// all others.
+    /// Applies the result of the transaction in flight. Changes that it does not resolve are queued
+    /// again, ahead of all others.
     pub fn answer(&mut self, answer: &GroupAnswer) -> Vec<(W, ClaimFate)> {
         let mut told = Vec::new();
         for entry in std::mem::take(&mut self.in_flight).into_iter().rev() {
--- a/crates/decisions/src/claim_record.rs
+++ b/crates/decisions/src/claim_record.rs
@@ -1,79 +1,80 @@
 use super::*;
 
-/// What the table service holds of a claimed key.
+/// Content of a claim row in the platform store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimRecord {
     /// Digest of the request that claimed the key.
     pub digest: RequestDigest,
-    /// Token of the try that claimed it.
+    /// Token of the attempt that claimed the key.
     pub token: ClaimToken,
-    /// Whether another VM may take the request over.
+    /// Whether another VM may take over the request.
     pub kind: ClaimKind,
-    /// VM that claimed it.
+    /// VM that claimed the key.
     pub holder: VmId,
-    /// Process on that VM.
+    /// Incarnation of the process that claimed the key.
     pub incarnation: Incarnation,
-    /// Request that it became.
+    /// Id that the request was given when it was accepted.
     pub request: RequestId,
-    /// When the holder gives the request up.
+    /// Time at which the holder abandons the request.
     pub deadline: WallTime,
-    /// When the row may be swept.
+    /// Time from which the row may be deleted.
     pub expires: WallTime,
-    /// How far the request got.
+    /// Progress of the request.
     pub stage: ClaimStage,
 }
 
-/// Whether another VM may take a claimed request over.
+/// Whether another VM may take over a claimed request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum ClaimKind {
-    /// A call that must run at most once: nobody may.
+    /// A call that must run at most once: no other VM may take it over.
     Call,
-    /// A generation, which goes on from what was delivered: another VM may.
+    /// A generation, which resumes after the last delivered token: another VM may take it over.
     Generation,
 }
 
-/// How far a claimed request got.
+/// Progress of a claimed request.
 #[derive(Clone, Debug, PartialEq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum ClaimStage {
-    /// It may be dispatched at any moment, or has been.
+    /// The request may be dispatched at any moment, or has been dispatched.
     Claimed,
-    /// It was never dispatched and its claim given back: the same request may claim the key again.
+    /// The request was not dispatched and its claim was released: the same request may claim the
+    /// key again.
     Released,
-    /// It came to an end.
+    /// The request has ended.
     Done(ClaimOutcome),
 }
 
-/// End of a claimed request.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum ClaimOutcome {
-    /// It was answered.
+    /// An upstream responded to the request.
     Answered(RecordedAnswer),
-    /// It was dispatched, and nobody knows whether it ran.
+    /// The request was dispatched, and it is unknown whether it ran.
     Unknown,
 }
 
-/// Answer of an upstream, kept for a caller who sends the request again.
+/// Response of an upstream, stored for callers that retry the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers by name and value.
+    /// Header names and values.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
-    /// Body.
+    /// Response body, or where it is stored.
     pub body: RecordedBody,
 }
 
-/// Body of a recorded answer.
+/// Body of a recorded response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordedBody {
-    /// In the row itself.
+    /// Stored in the claim row itself.
     Inline(Arc<[u8]>),
-    /// In the object store, under this name.
+    /// Stored in the object store under this name.
     Object(Arc<str>),
-    /// Longer than what is kept.
+    /// Not stored, because it exceeds the size limit.
     TooLarge,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl ClaimStage {
-    /// Whether the request has come to an end one way or another.
+    /// Whether this stage is the last one of a request.
     #[must_use]
     pub fn is_final(&self) -> bool {
         !matches!(self, Self::Claimed)
--- a/crates/decisions/src/claim_token.rs
+++ b/crates/decisions/src/claim_token.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Random number that one try to claim a key bears, so that its sender recognises its own row when
-/// the answer was lost.
+/// Random number that identifies one attempt to claim a key. It lets the sender recognise its own
+/// row after the result of the write was lost.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ClaimToken(pub u128);
 
--- a/crates/decisions/src/claim_verdict.rs
+++ b/crates/decisions/src/claim_verdict.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// What became of a try to claim a key.
+/// Result of an attempt to claim a key.
 #[derive(Debug, PartialEq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum ClaimVerdict {
     /// The key is claimed: the request may be dispatched once.
     Claimed(Claimed),
-    /// The same request has the key and may still be running.
+    /// The same request has claimed the key and may still be running.
     InProgress(FoundClaim),
-    /// The same request came to an end.
+    /// The same request has ended.
     Done(ClaimOutcome),
-    /// Another request has the key.
+    /// Another request has claimed the key.
     Conflict,
-    /// The table service could not be asked in time. The request did not run, and will not.
+    /// The platform store could not be reached in time. The request did not run and will not run.
     NotRun,
 }
 
 impl ClaimVerdict {
-    /// Verdict on a request of this digest, by the row that has its key. `clocks_differ` bounds how
-    /// far the holder's clock may be behind this VM's.
+    /// Verdict on a request with this digest, given the row that holds its key. `clocks_differ` is
+    /// the maximum by which the clock of the holder may lag this VM's clock.
     ///
-    /// A holder that is past the request's deadline will record no end any more: it is gone or
-    /// paused. Whether the request ran is then unknown; to dispatch it again could run it twice.
+    /// A holder past the deadline of the request has crashed or is paused, and records no outcome.
+    /// Whether the request ran is then unknown, and dispatching it again could run it twice.
     #[must_use]
     pub fn of_row(
         digest: &RequestDigest,
@@ -30,7 +30,8 @@
         clocks_differ: Duration,
     ) -> Self {
         let Some(record) = &found.record else {
-            // Written in a form that this version cannot read: whatever it says, the key is taken.
+            // This version cannot decode the record. Whatever the record contains, the key is
+            // taken.
             return Self::Done(ClaimOutcome::Unknown);
         };
         if record.digest != *digest {
--- a/crates/decisions/src/claimed.rs
+++ b/crates/decisions/src/claimed.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// A request whose key this process has claimed. Only a settled change makes one, and only this can
-/// be dispatched; dispatching takes it, so that it happens once.
+/// A request whose key this process has claimed. Only a committed claim creates one, and `dispatch`
+/// consumes it, so the request is dispatched at most once.
 ///
-/// It is neither `Clone` nor has it a public constructor: a non-idempotent request that could be
-/// dispatched without it might run twice, and one would notice it by doubled orders.
+/// It does not implement `Clone` and has no public constructor: a non-idempotent request that could
+/// be dispatched without a claim might run twice, which shows up as duplicate orders.
 #[derive(Debug, PartialEq)]
 pub struct Claimed<T = ()> {
     held: HeldClaim,
     request: T,
 }
 
-/// A claim held by this process, by which its end is recorded.
+/// A claim held by this process, needed to record the outcome of the request.
 #[derive(Debug, PartialEq)]
 pub struct HeldClaim {
     key: ClaimRowKey,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Binds the request that claimed the key.
+    /// Attaches the request that claimed the key.
     #[must_use]
     pub fn with<T>(self, request: T) -> Claimed<T> {
         Claimed {
@@ -42,36 +42,37 @@
 }
 
 impl<T> Claimed<T> {
-    /// The request, to be looked at before its dispatch.
+    /// The request, for inspection before its dispatch.
     pub fn request(&self) -> &T {
         &self.request
     }
 
-    /// Takes the request for its one dispatch, and the claim to record its end by.
+    /// Returns the request for its only dispatch, and the claim to record its outcome with.
     pub fn dispatch(self) -> (T, HeldClaim) {
         (self.request, self.held)
     }
 
-    /// Gives the claim back without a dispatch.
+    /// Returns the claim to be released, and drops the request without a dispatch.
     pub fn give_back(self) -> HeldClaim {
         self.held
     }
 }
 
 impl HeldClaim {
-    /// The row.
+    /// Key of the claim row.
     #[must_use]
     pub fn key(&self) -> &ClaimRowKey {
         &self.key
     }
 
-    /// What was claimed.
+    /// Record that was written when the key was claimed.
     #[must_use]
     pub fn record(&self) -> &ClaimRecord {
         &self.record
     }
 
-    /// The change that records the request's end. `expires` is when the row may be swept.
+    /// Returns the change that records the end of the request. The row may be deleted from
+    /// `expires` on.
     #[must_use]
     pub fn end(self, stage: ClaimStage, expires: WallTime) -> ClaimChange {
         ClaimChange {
--- a/crates/decisions/src/exposure.rs
+++ b/crates/decisions/src/exposure.rs
@@ -1,38 +1,40 @@
-//! How many requests of a service may go to a version under trial, over all VMs.
+//! Limits how many requests of a service are sent to a version under canary, summed over all VMs.
 //!
-//! VMs count their requests and report them to the owner of the rollout; the owner grants exposures out of what was
-//! reported. All counts are cumulative, so lost, late and repeated messages change nothing, and the sum of all
-//! exposures stays below the limit whatever VMs know of each other: a request is reported once, to one owner, and
-//! a grant is spent once.
+//! VMs count their requests and report them to the owner of the rollout, which grants canary
+//! requests in proportion to the reported ones. All counts are cumulative, so lost, late and
+//! duplicate messages have no effect. The sum of all canary requests stays below the limit whatever
+//! state the VMs have of each other: each request is reported once, to one owner, and each grant is
+//! spent once.
 
 use super::*;
 
-/// How long a grant may be spent after the owner was last heard: far shorter than the time in which a rollback has
-/// to reach all VMs, so that a VM that is cut off stops by itself.
+/// How long grants may be spent after the last contact with the owner. Far shorter than the time in
+/// which a rollback has to reach all VMs, so that a partitioned VM stops by itself.
 pub const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Exposures that are gathered before they are granted, so that they come as a load and not one by one.
+/// Number of canary requests that accumulate before any are granted, so that they arrive as a load
+/// instead of one by one.
 const BURST: u64 = 24;
 
-/// Most exposures granted to one VM at once.
+/// Maximum number of unspent canary requests granted to one VM.
 const MOST_GRANTED: u64 = 2;
 
-/// Bound on the exposures of a rollout.
+/// Limit on the canary requests of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureLimit {
-    /// Part of all requests.
+    /// Canary requests as a fraction of all requests.
     pub share: f64,
-    /// Exposures beyond that.
+    /// Canary requests allowed in addition to that fraction.
     pub slack: u64,
 }
 
-/// One life of a VM's process.
+/// One incarnation of the process of a VM.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct VmLife {
-    /// The VM.
+    /// Id of the VM.
     #[serde(rename = "v")]
     pub vm: Arc<str>,
-    /// Differs from life to life.
+    /// Number that differs between the incarnations of a VM.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
@@ -43,13 +45,13 @@
     }
 }
 
-/// The owner's account of requests and grants.
+/// The owner's ledger of reported requests and grants.
 #[derive(Clone, Debug)]
 pub struct ExposureLedger {
     limit: ExposureLimit,
-    /// Sorted by VM.
+    /// Accounts of all VMs, sorted by VM.
     accounts: Vec<(VmLife, Account)>,
-    /// Whether gathered exposures are being granted.
+    /// Whether accumulated canary requests are being granted.
     open: bool,
 }
 
@@ -60,7 +62,7 @@
 }
 
 impl ExposureLedger {
-    /// An empty account.
+    /// Creates a ledger without accounts.
     #[must_use]
     pub fn new(limit: ExposureLimit) -> Self {
         Self {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes in a VM's counts and returns what it has been granted in all.
+    /// Applies the counts reported by a VM, and returns the total that the VM has been granted.
     pub fn report(&mut self, vm: &VmLife, requests: u64, spent: u64) -> u64 {
         let index = match self.accounts.binary_search_by(|(other, _)| other.cmp(vm)) {
             Ok(index) => index,
@@ -92,7 +94,7 @@
         account.granted
     }
 
-    /// Exposures that can be granted.
+    /// Number of canary requests that can be granted now.
     #[must_use]
     pub fn balance(&self) -> u64 {
         let sum = |field: fn(&Account) -> u64| {
@@ -109,7 +111,7 @@
     }
 }
 
-/// A VM's part of the exposures, by the grants of one owner.
+/// One VM's canary requests under the grants of one owner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExposureGrants {
     term: u64,
@@ -119,7 +121,7 @@
     renewed: Option<Instant>,
 }
 
-/// Leave to send one request to a version under trial. Only a grant makes one.
+/// Permit to send one request to a version under canary. Only a grant creates permits.
 #[derive(Debug)]
 #[must_use]
 pub struct Exposed(());
@@ -130,7 +132,8 @@
         self.requests += 1;
     }
 
-    /// Begins anew with the owner of a later term. What was reported to the one before is not reported again.
+    /// Resets the counts for the owner of a later term. Requests that were reported to the previous
+    /// owner are not reported again.
     pub fn attach(&mut self, term: u64) {
         if term > self.term {
             *self = Self {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Takes in what the owner of a term has granted in all.
+    /// Applies the total that the owner of this term has granted.
     pub fn renew(&mut self, term: u64, granted: u64, now: Instant) {
         self.attach(term);
         if term == self.term {
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Spends a grant.
+    /// Spends a grant; `None` if none is left or the grants have expired.
     pub fn expose(&mut self, now: Instant) -> Option<Exposed> {
         let renewed = self.renewed?;
         if now.since(renewed) >= GRANT_LIFETIME || self.spent >= self.granted {
@@ -159,18 +162,18 @@
         Some(Exposed(()))
     }
 
-    /// Takes back a grant for which no upstream was found.
+    /// Returns a grant for which no upstream was available.
     pub fn give_back(&mut self, _exposed: Exposed) {
         self.spent = self.spent.saturating_sub(1);
     }
 
-    /// Requests counted for the owner.
+    /// Number of requests to report to the owner.
     #[must_use]
     pub fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// Grants spent.
+    /// Number of grants spent.
     #[must_use]
     pub fn spent(&self) -> u64 {
         self.spent
--- a/crates/decisions/src/idempotency_key.rs
+++ b/crates/decisions/src/idempotency_key.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_newtype!(
-    /// Key under which a team sends a request again without wanting it to run again.
+    /// Key by which a team marks retries of a request, so that the request runs only once.
     IdempotencyKey,
     "idempotency key"
 );
--- a/crates/decisions/src/lease.rs
+++ b/crates/decisions/src/lease.rs
@@ -1,40 +1,43 @@
-//! A lease on a scope, held through one row of the table service.
+//! A lease on a scope, held through one row of the platform store.
 //!
-//! No clock of one VM is compared with that of another. A holder counts its lease from before it sent
-//! the write that extends it. Another VM counts from after it first read that write, and waits out
-//! the whole duration and a margin; so it counts from later, and takes the lease only after the
-//! holder has given it up. What is left is a holder that is paused between its last look at the clock
-//! and its order: its term is then old, and engines that check the term refuse it; the state of the
-//! others is read back and corrected.
+//! No clock of one VM is compared with the clock of another. A holder counts the duration of its
+//! lease from before it sent the write that renews it. Another VM counts from after it first read
+//! that write, and waits for the whole duration and a margin. It therefore counts from a later
+//! time, and acquires the lease only after it has expired for the holder.
+//!
+//! The remaining case is a holder that is paused between its last check of the clock and its order.
+//! Its term is then outdated: engines that check terms reject the order, and the state of the other
+//! engines is read back and corrected.
 
 use super::*;
 
-/// One process's view of a lease.
+/// State of a lease as one process sees it.
 #[derive(Clone, Debug)]
 pub struct Lease {
     cfg: LeaseSettings,
     me: LeaseHolder,
     row: LeaseRow,
-    /// When the row's version was first seen.
+    /// When this version of the row was first seen.
     seen: Option<Instant>,
     /// When the row was last read or written.
     looked: Option<Instant>,
-    /// Term held, and from when its duration counts.
+    /// Term held, and the time from which its duration counts.
     held: Option<(Term, Instant)>,
-    /// When the first write on this version of the row was sent whose answer was lost. It may take
-    /// effect for as long as the version stays: forgotten too early, a lease that it brings would be
-    /// counted from a later write, and a second VM would hold it before this one gives it up.
+    /// When the first write on this version of the row was sent whose result was lost. It may take
+    /// effect as long as the version stays the same. If it were cleared earlier, a lease acquired
+    /// by that write would be counted from a later write, and a second VM would hold the lease
+    /// before it expires here.
     doubt: Option<Instant>,
-    /// Whether the row has to be read to settle a lost answer.
+    /// Whether the row has to be read to resolve a write whose result was lost.
     unsettled: bool,
-    /// Term that must be exceeded.
+    /// The next term must be greater than this one.
     floor: Term,
-    /// Whether it is wanted.
+    /// Whether this process should hold the lease.
     wanted: bool,
 }
 
 impl Lease {
-    /// A lease not held yet.
+    /// Creates a lease that is not held.
     #[must_use]
     pub fn new(me: LeaseHolder, cfg: LeaseSettings) -> Self {
         Self {
@@ -51,29 +54,29 @@
         }
     }
 
-    /// Says whether this process shall try to hold the lease, and give it back if not.
+    /// Sets whether this process should hold the lease. If it should not, a held lease is released.
     pub fn want(&mut self, wanted: bool) {
         self.wanted = wanted;
     }
 
-    /// Notes that an engine knows a term as large as this one, from a lease of former times; the
-    /// next write takes a larger one, or the engine would refuse all orders.
+    /// Records that an engine has seen this term, from a lease whose row is lost. The next write
+    /// uses a greater term; otherwise the engine would reject all orders.
     pub fn exceed(&mut self, term: Term) {
         self.floor = self.floor.max(term);
     }
 
-    /// The term held, if the lease has not lapsed.
+    /// The term held, unless the lease has expired.
     #[must_use]
     pub fn held(&self, now: Instant) -> Option<Term> {
         let (term, since) = self.held?;
         (now < since.after(self.cfg.duration)).then_some(term)
     }
 
-    /// Right to give an order, if it can be answered before the lease lapses and the row was looked
-    /// at recently.
+    /// Returns a permit for one order if the order can be answered before the lease expires and the
+    /// row was read or written recently.
     ///
-    /// A holder that was paused has not looked at the row for longer than it lets pass between two
-    /// renewals; it has to do that first, since another one may have taken the lease meanwhile.
+    /// A gap of more than two renewal intervals since then means that the holder was paused. It has
+    /// to read the row first, since another VM may have acquired the lease.
     #[must_use]
     pub fn permit(&self, now: Instant) -> Option<OrderPermit> {
         let term = self.held(now)?;
@@ -84,7 +87,7 @@
         (in_time && !paused && term > self.floor).then_some(OrderPermit { term, until })
     }
 
-    /// What is to be done now.
+    /// The next action for this lease.
     #[must_use]
     pub fn step(&self, now: Instant) -> LeaseStep {
         let Some((seen, looked)) = self.seen.zip(self.looked) else {
@@ -111,7 +114,7 @@
     }
 
     fn step_of_holder(&self, now: Instant, term: Term) -> LeaseStep {
-        let (_, since) = self.held.expect("it is held");
+        let (_, since) = self.held.expect("only called while the lease is held");
         if !self.wanted {
             return self.write(term, Duration::ZERO);
         }
@@ -125,7 +128,7 @@
         LeaseStep::Wait(due.since(now))
     }
 
-    /// Takes the row as read; `now` is the time after the answer came.
+    /// Applies the row as read; `now` is the time after the response arrived.
     pub fn read(&mut self, now: Instant, row: LeaseRow) {
         if self.seen.is_none() || row.version != self.row.version {
             self.seen = Some(now);
@@ -138,7 +141,7 @@
         let mine = self.row.record.as_ref().filter(|r| r.holder == self.me);
         self.held = match (mine, self.held, doubt) {
             (Some(record), _, Some(sent)) if changed && !record.duration.is_zero() => {
-                // The write whose answer was lost took effect at some time after it was sent.
+                // The write whose result was lost took effect at some time after it was sent.
                 Some((record.term, sent))
             }
             (Some(_), held, _) => held,
@@ -146,7 +149,7 @@
         };
     }
 
-    /// Takes the answer to a write that was sent at `sent`.
+    /// Applies the result of a write that was sent at `sent`.
     pub fn written(&mut self, sent: Instant, now: Instant, write: LeaseWrite, answer: LeaseAnswer) {
         match answer {
             LeaseAnswer::Written => {
@@ -169,7 +172,7 @@
         }
     }
 
-    /// When a lease whose row was first seen at `seen` may be taken.
+    /// When a lease whose row was first seen at `seen` may be acquired.
     fn lapses(&self, seen: Instant) -> Instant {
         match &self.row.record {
             Some(record) if record.duration.is_zero() => seen,
--- a/crates/decisions/src/lease_row.rs
+++ b/crates/decisions/src/lease_row.rs
@@ -1,31 +1,31 @@
 use super::*;
 
-/// Who holds a lease: a process, not only a VM, since a returned process knows nothing of its former
-/// self's orders.
+/// Holder of a lease. This is a process instead of a VM, since a restarted process has no record of
+/// the orders that were sent before the restart.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseHolder {
-    /// The VM.
+    /// VM of the holder.
     pub vm: VmId,
-    /// The process on it.
+    /// Incarnation of the process on that VM.
     pub incarnation: Incarnation,
 }
 
-/// What the lease's row holds.
+/// Content of a lease row.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRecord {
-    /// Last holder.
+    /// The process that last wrote the lease.
     pub holder: LeaseHolder,
-    /// Its fencing number.
+    /// Fencing number of the holder.
     pub term: Term,
-    /// How long the lease lasts after each write; zero once it is given back.
+    /// How long the lease lasts after each write; zero once it is released.
     pub duration: Duration,
 }
 
-/// The lease's row with its version; version 0 and no record if there is none.
+/// Lease row with its version; version 0 and no record if the row does not exist.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseRow {
-    /// Its version.
+    /// Version of the row; 0 if it does not exist.
     pub version: u64,
-    /// Its record; `None` too if it cannot be read.
+    /// Record of the row; `None` if the row does not exist or cannot be decoded.
     pub record: Option<LeaseRecord>,
 }
--- a/crates/decisions/src/lease_settings.rs
+++ b/crates/decisions/src/lease_settings.rs
@@ -3,17 +3,18 @@
 /// Settings of a [`Lease`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// How long the lease lasts after each write. An order stops for as long after a holder's death,
-    /// and orders are worth minutes of loading.
+    /// How long the lease lasts after each write. After the holder crashes, no orders are sent for
+    /// this long; an order takes minutes of loading anyway.
     pub duration: Duration,
-    /// How much longer another VM waits, for clocks that run at different speeds.
+    /// How much longer than the duration another VM waits, to allow for clocks that run at
+    /// different speeds.
     pub margin: Duration,
-    /// Age of the last write at which the holder writes again: a third of the duration, so that two
-    /// lost writes cost nothing.
+    /// Age of the last write at which the holder renews the lease. It is a third of the duration,
+    /// so that the lease survives two lost writes.
     pub renew_after: Duration,
-    /// How often a VM that doesn't hold the lease looks at it.
+    /// How often a VM that does not hold the lease reads the row.
     pub read_period: Duration,
-    /// Longest time that an order is under way.
+    /// Timeout of an order.
     pub order_timeout: Duration,
 }
 
--- a/crates/decisions/src/lease_step.rs
+++ b/crates/decisions/src/lease_step.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// What is to be done for a lease now.
+/// Next action for a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseStep {
-    /// Nothing for so long.
+    /// Do nothing for this long.
     Wait(Duration),
     /// Read the row.
     Read,
@@ -11,24 +11,24 @@
     Write(LeaseWrite),
 }
 
-/// A write of the lease's row.
+/// Conditional write of a lease row.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseWrite {
-    /// Version that the row must have.
+    /// Version that the row must have; 0 if the row must not exist.
     pub expected: u64,
-    /// What is written.
+    /// Record to write.
     pub record: LeaseRecord,
 }
 
-/// Answer to a write of the lease's row.
+/// Result of a write of a lease row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseAnswer {
-    /// It is written.
+    /// The record was written.
     Written,
-    /// It is not, since the row is this one.
+    /// The record was not written; the row is returned as it stands.
     Conflict(LeaseRow),
-    /// It is not.
+    /// The record was not written.
     NotRun,
-    /// It is, or it isn't.
+    /// The result was lost: the record may or may not have been written.
     Unknown,
 }
--- a/crates/decisions/src/order_permit.rs
+++ b/crates/decisions/src/order_permit.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-/// Right to give one order, under a term, until it has to be answered.
+/// Permission to send one order under a term.
 ///
-/// Only a lease makes one. An order without it could come from a holder whose lease has lapsed.
+/// Only a lease creates permits. An order without one could come from a holder whose lease has
+/// expired.
 #[derive(Debug, PartialEq)]
 pub struct OrderPermit {
     pub(crate) term: Term,
@@ -16,7 +17,7 @@
         self.term
     }
 
-    /// Time by which the order has to be answered or given up.
+    /// Time by which the order must be answered; it is abandoned afterwards.
     #[must_use]
     pub fn until(&self) -> Instant {
         self.until
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -1,25 +1,26 @@
-//! Which engine is ordered to hold which models next.
+//! Decides which models each engine is ordered to load or unload next.
 //!
 //! Load pattern: a bundle with a new model version comes into force while long generations run on
-//! the old one. If every engine were ordered at once, the weight store would be asked for all copies
-//! in one moment, no engine would serve meanwhile, and generations whose engine dies in the middle
-//! could not be resumed. So few engines load at once, never all that have a model; an engine gives a
-//! model up only once it holds all that it should; and an old version stays on two engines, in two
-//! availability zones where they exist, until no stream has run on it for a while.
+//! the old version. If every engine were ordered to load at once, the weight store would have to
+//! serve all copies at the same moment, no engine would serve requests meanwhile, and generations
+//! whose engine crashes could not be resumed. Therefore only a few engines load at a time, and
+//! never all engines of a model. An engine unloads a model only once it holds all the models that
+//! it should. An old version stays on two engines, in two availability zones where possible, until
+//! no stream has run on it for a while.
 //!
-//! An order names the whole wanted state, so that a repeated one does no harm, and a state that an
-//! old order has changed is seen in the next report and ordered back.
+//! An order contains the complete target state, so that repeating it has no effect. A state that an
+//! outdated order has changed shows up in the next report and is corrected by a new order.
 
 use super::*;
 use crate::engine_view::{EngineView, keepers, may_load, missing};
 
-/// Plans the orders of one scope, for as long as its lease is held.
+/// Plans the orders of one scope for as long as its lease is held.
 #[derive(Clone, Debug)]
 pub struct OrderPlanner {
     cfg: OrderSettings,
     /// Old models, sorted, and when each was last in use.
     old: Vec<(Model, Instant)>,
-    /// Last order of each engine, sorted.
+    /// Last order sent to each engine, sorted.
     sent: Vec<(UpstreamId, Sent)>,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl OrderPlanner {
-    /// A planner that knows of no former orders.
+    /// Creates a planner without a record of earlier orders.
     #[must_use]
     pub fn new(cfg: OrderSettings) -> Self {
         Self {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Notes that an order was sent, whether or not it was answered.
+    /// Records that an order was sent, whether or not it was answered.
     pub fn sent(&mut self, now: Instant, state: &EngineState) {
         let sent = Sent {
             at: now,
@@ -54,14 +55,16 @@
         }
     }
 
-    /// Notes that an engine refused its last order: it loads nothing for it, and holds up no other.
+    /// Records that an engine rejected its last order: the engine is not counted as loading for
+    /// that order, so it does not delay other engines.
     pub fn refused(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.place(upstream) {
             self.sent[i].1.refused = true;
         }
     }
 
-    /// The orders that are due now. `reports` holds the last one of each engine, sorted.
+    /// Returns the orders that are due now. `reports` has the last report of each engine, sorted by
+    /// engine.
     pub fn plan(
         &mut self,
         now: Instant,
@@ -102,7 +105,7 @@
         };
         view.loading = match (report.and_then(|report| report.loading.clone()), fresh) {
             (Some(loading), Some(_)) => loading,
-            // It doesn't say, or cannot be asked: what was ordered is taken to be loading.
+            // Without a report of loads in progress, the ordered models are assumed to be loading.
             _ => self.ordered_loads(now, &view, report),
         };
         view
@@ -125,8 +128,8 @@
         sent.models.iter().filter(absent).cloned().collect()
     }
 
-    /// Notes which models that no engine shall hold any more are still in use. An engine that cannot
-    /// be asked may run streams on all that it held.
+    /// Updates when models that are no longer wanted on any engine were last in use. An engine that
+    /// is unreachable may run streams on all the models that it held.
     fn note_use(
         &mut self,
         now: Instant,
@@ -159,7 +162,8 @@
             .collect()
     }
 
-    /// The state that an engine shall take next; `None` if it cannot be asked or has nothing to do.
+    /// Next target state of an engine; `None` if the engine is unreachable or already in that
+    /// state.
     fn next_state(
         &self,
         i: usize,
@@ -197,7 +201,7 @@
         })
     }
 
-    /// Whether an order is to be sent now, or the same one is being carried out.
+    /// Whether to send an order now. An order that is being carried out is not repeated.
     fn is_due(&self, now: Instant, view: &EngineView, state: &EngineState) -> bool {
         let Ok(i) = self.place(&state.upstream) else {
             return true;
--- a/crates/decisions/src/order_scope.rs
+++ b/crates/decisions/src/order_scope.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// An engine and the models that the bundle in force wants on it.
+/// An engine and the models that the bundle in force assigns to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineGoal {
-    /// The engine.
+    /// Upstream id of the engine.
     pub upstream: UpstreamId,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: AvailabilityZone,
-    /// Wanted models, sorted.
+    /// Assigned models, sorted.
     pub models: Vec<Model>,
 }
 
-/// Engines that one lease gives orders to: those of a generation service, and of all services that
-/// share engines with it. With one lease for each service two holders would order a shared engine,
-/// under terms that cannot be compared.
+/// Engines that receive orders under one lease: those of a generation service and of all services
+/// that share engines with it. With one lease per service, two holders would send orders to a
+/// shared engine under terms that cannot be compared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrderScope {
     /// Name of the lease.
     pub name: Arc<str>,
-    /// The engines, sorted.
+    /// Engines with their assigned models, sorted by engine.
     pub goals: Vec<EngineGoal>,
 }
 
-/// The scopes of a bundle, sorted by name.
+/// Returns the order scopes of a bundle, sorted by name.
 #[must_use]
 pub fn order_scopes(bundle: &Bundle) -> Vec<OrderScope> {
     let mut groups: Vec<(Vec<&ServiceId>, Vec<EngineGoal>)> = Vec::new();
--- a/crates/decisions/src/order_settings.rs
+++ b/crates/decisions/src/order_settings.rs
@@ -3,22 +3,23 @@
 /// Settings of an [`OrderPlanner`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrderSettings {
-    /// How often the holder reads its engines' states back.
+    /// How often the lease holder reads the state of its engines.
     pub read_period: Duration,
-    /// Engines of the scope that load at once; from the weight store's limit.
+    /// Number of engines of a scope that load at the same time; derived from the limit of the
+    /// weight store.
     pub loads_at_once: usize,
-    /// How old a report may be to be acted on.
+    /// Maximum age of a report that orders may be based on.
     pub report_bound: Duration,
-    /// How long no stream must have run on an old version before the last engines give it up. Longer
-    /// than reports lag, and than a request that was accepted under the old bundle waits for its
-    /// first engine.
+    /// How long no stream must have run on an old version before the last engines unload it. Longer
+    /// than the delay of reports, and longer than a request that was accepted under the old bundle
+    /// waits for its first engine.
     pub quiet: Duration,
-    /// How long a load may take, for engines that don't report it.
+    /// Timeout of a load, for engines that do not report loads in progress.
     pub load_timeout: Duration,
-    /// How long an engine that cannot be asked may have streams on what it held; after that they are
-    /// past every deadline.
+    /// How long an unreachable engine is assumed to run streams on the models that it held. After
+    /// this time the streams are past every deadline.
     pub lost_after: Duration,
-    /// Wait before an order is repeated whose effect is not seen.
+    /// Delay before an order without a visible effect is sent again.
     pub resend_after: Duration,
 }
 
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -1,46 +1,46 @@
-//! A rollout as one VM knows it.
+//! State of a rollout on one VM.
 
 use super::*;
 
-/// Time without a word of the owner after which another VM takes over.
+/// Time without contact with the owner after which another VM takes over.
 pub const OWNER_LOST: Duration = Duration::from_secs(2);
 
-/// Wait of each rank before it takes over, so that one VM after the other tries.
+/// Additional delay per rank before a takeover, so that the VMs try one after another.
 const RANK_WAIT: Duration = Duration::from_millis(400);
 
-/// Ranks that wait; the others try together with the last of these.
+/// Highest rank with a delay of its own; VMs of higher ranks use the same delay.
 const RANKS: u32 = 5;
 
-/// A rollout as one VM knows it.
+/// State of a rollout on one VM.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// The order.
+    /// The order that started the rollout.
     pub order: RolloutOrder,
-    /// Its deadline.
+    /// Time by which the new version takes over or is rolled back.
     pub deadline: Instant,
-    /// How far it is.
+    /// Progress as decided by the owner.
     pub progress: RolloutProgress,
-    /// Address of the owner.
+    /// Address of the owner, if there is one.
     pub owner: Option<SocketAddr>,
-    /// When the owner was last heard, by whomever; the begin of the rollout before that.
+    /// Last contact of any VM with the owner; the start of the rollout before the first contact.
     pub owner_heard: Instant,
-    /// Routes on which the new version has to be tried first.
+    /// Routes on which the new version still needs samples; empty if any route may be used.
     pub wanted: Vec<Arc<str>>,
-    /// This VM's part of the exposures.
+    /// Canary requests granted to this VM.
     pub grants: ExposureGrants,
-    /// What this VM has seen, sorted by route.
+    /// Responses that this VM has observed, sorted by route.
     evidence: Vec<SeenRoute>,
 }
 
 #[derive(Clone, Debug)]
 struct SeenRoute {
     counts: RouteEvidence,
-    /// Whether it has changed since it was reported.
+    /// Whether the counts have changed since they were last reported.
     changed: bool,
 }
 
 impl Rollout {
-    /// A rollout that has just become known.
+    /// Creates the state of a new rollout whose deadline is in `left`.
     #[must_use]
     pub fn new(order: RolloutOrder, left: Duration, now: Instant) -> Self {
         Self {
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Takes in what another VM knows of the same order; whether the progress is new.
+    /// Merges the state that another VM has of the same order. Returns whether the progress has
+    /// changed.
     pub fn take(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
         let heard = now.before(Duration::from_millis(notice.owner_age_ms.into()));
         let same_owner = notice.progress.term == self.progress.term;
@@ -75,7 +76,7 @@
         true
     }
 
-    /// What other VMs are told.
+    /// Returns the state to advertise to other VMs.
     #[must_use]
     pub fn notice(&self, now: Instant) -> RolloutNotice {
         let ms = |duration: Duration| u32::try_from(duration.as_millis()).unwrap_or(u32::MAX);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Whether it is time for the VM of a rank to take the rollout over.
+    /// Whether the VM of this rank should take over the rollout now.
     #[must_use]
     pub fn needs_owner(&self, rank: usize, now: Instant) -> bool {
         let rank = u32::try_from(rank).unwrap_or(RANKS).min(RANKS);
@@ -100,7 +101,7 @@
         !self.progress.is_settled() && now.since(self.owner_heard) >= silence + RANK_WAIT * rank
     }
 
-    /// Counts a request; leave for it to go to the new version, if it is one that should.
+    /// Counts a request, and returns a permit if the request should go to the new version.
     pub fn request(&mut self, route: &str, now: Instant) -> Option<Exposed> {
         self.grants.count_request();
         let wanted = self.wanted.is_empty() || self.wanted.iter().any(|w| w.as_ref() == route);
@@ -110,7 +111,7 @@
         self.grants.expose(now)
     }
 
-    /// Counts an answer of an upstream; whether it is a failure of the new version.
+    /// Counts a response of an upstream. Returns whether it is a failure of the new version.
     pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: AnswerOutcome) -> bool {
         let place = self
             .evidence
@@ -133,7 +134,7 @@
         is_new && outcome == AnswerOutcome::Failure
     }
 
-    /// At most so many routes with counts that were not reported yet.
+    /// Returns the counts that have not been reported yet, for at most `most` routes.
     pub fn to_report(&mut self, most: usize) -> Vec<RouteEvidence> {
         let changed = self.evidence.iter_mut().filter(|seen| seen.changed);
         let report = |seen: &mut SeenRoute| {
@@ -143,7 +144,7 @@
         changed.take(most).map(report).collect()
     }
 
-    /// Has all counts reported once more, as to a new owner.
+    /// Marks all counts as unreported, for a new owner.
     pub fn report_anew(&mut self) {
         for seen in &mut self.evidence {
             seen.changed = true;
--- a/crates/decisions/src/rollout_datagram.rs
+++ b/crates/decisions/src/rollout_datagram.rs
@@ -1,41 +1,41 @@
 use super::*;
 
-/// A VM's counts, to the owner of a rollout. All of them are cumulative.
+/// Counts of a VM, reported to the owner of a rollout. All of them are cumulative.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// The service.
+    /// Service of the rollout.
     #[serde(rename = "s")]
     pub service: ServiceId,
     /// Version of the store at which the order was written.
     #[serde(rename = "o")]
     pub written: u64,
-    /// Term of the owner that it is for.
+    /// Term of the owner that the report is addressed to.
     #[serde(rename = "t")]
     pub term: u64,
-    /// The VM.
+    /// The reporting VM.
     #[serde(rename = "v")]
     pub vm: VmLife,
-    /// Requests of the service since that owner became known.
+    /// Requests of the service since this VM attached to that owner.
     #[serde(rename = "n")]
     pub requests: u64,
     /// Grants of that owner that were spent.
     #[serde(rename = "u")]
     pub spent: u64,
-    /// Answers, of some routes.
+    /// Response counts of some of the routes.
     #[serde(rename = "e")]
     pub evidence: Vec<RouteEvidence>,
 }
 
-/// The owner's answer to a report.
+/// The owner's reply to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutGrant {
-    /// How far the rollout is.
+    /// State of the rollout.
     #[serde(rename = "n")]
     pub notice: RolloutNotice,
-    /// Exposures granted to the VM in all.
+    /// Total number of canary requests granted to the VM.
     #[serde(rename = "g")]
     pub granted: u64,
-    /// Routes on which the new version has to be tried first.
+    /// Routes on which the new version still needs samples; empty if any route may be used.
     #[serde(rename = "w")]
     pub wanted: Vec<Arc<str>>,
 }
--- a/crates/decisions/src/rollout_evidence.rs
+++ b/crates/decisions/src/rollout_evidence.rs
@@ -1,11 +1,11 @@
-//! What VMs have seen of the answers of an old and a new version, small enough for a datagram.
+//! Counts of the responses of an old and a new version, small enough for a datagram.
 
 use super::*;
 
-/// Answers of one version on one route.
+/// Responses of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AnswerCounts {
-    /// Failures of the upstream's own.
+    /// Failures caused by the upstream itself.
     #[serde(rename = "f")]
     pub failures: u32,
     /// Successes by latency bucket, sorted; see [`latency_bucket`].
@@ -13,33 +13,33 @@
     pub successes: Vec<(u8, u32)>,
 }
 
-/// Answers of both versions on one route.
+/// Responses of both versions on one route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// Name of the route.
     #[serde(rename = "r")]
     pub route: Arc<str>,
-    /// Of the versions in use.
+    /// Responses of the versions in use.
     #[serde(rename = "b")]
     pub old: AnswerCounts,
-    /// Of the version under trial.
+    /// Responses of the version under canary.
     #[serde(rename = "a")]
     pub new: AnswerCounts,
 }
 
-/// How an upstream answered.
+/// Outcome of a request to an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerOutcome {
-    /// With a success after this time; of a stream, its first event.
+    /// The request succeeded after this time; for a stream, the time to its first event.
     Success(Duration),
-    /// With a failure of its own.
+    /// The request failed, and the upstream itself caused the failure.
     Failure,
 }
 
-/// Buckets to an octave of latency.
+/// Latency buckets per octave.
 const PER_OCTAVE: f64 = 2.0;
 
-/// The latency bucket of a time: half octaves of milliseconds.
+/// Returns the bucket of a latency: half octaves of milliseconds.
 #[must_use]
 pub fn latency_bucket(latency: Duration) -> u8 {
     let ms = (latency.as_secs_f64() * 1000.0).max(1.0);
@@ -49,7 +49,7 @@
 }
 
 impl AnswerCounts {
-    /// Counts an answer.
+    /// Counts a response.
     pub fn count(&mut self, outcome: AnswerOutcome) {
         match outcome {
             AnswerOutcome::Failure => self.failures += 1,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// All answers.
+    /// Number of all responses.
     #[must_use]
     pub fn total(&self) -> u32 {
         self.failures + self.successes.iter().map(|(_, count)| count).sum::<u32>()
     }
 
-    /// Answers that failed or lie above a latency bucket.
+    /// Number of responses that failed or are in a bucket above `slowest`.
     #[must_use]
     pub fn bad(&self, slowest: u8) -> u32 {
         let slow = self.successes.iter().filter(|(b, _)| *b > slowest);
@@ -82,7 +82,7 @@
         middle.map(|(bucket, _)| *bucket)
     }
 
-    /// What was counted here beyond `before`; counts only grow.
+    /// Returns the counts added since `before`; counts never decrease.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         let count_before = |bucket: u8| match before.position(bucket) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Adds what was counted elsewhere.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.failures += other.failures;
         for (bucket, count) in &other.successes {
@@ -120,7 +120,7 @@
 }
 
 impl RouteEvidence {
-    /// A route of which nothing was seen yet.
+    /// Creates empty counts for a route.
     #[must_use]
     pub fn new(route: Arc<str>) -> Self {
         Self {
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -1,88 +1,96 @@
-//! Judges a version under trial by its answers, beside those of the versions in use at the same time.
+//! Judges a version under canary by its responses, compared with those of the versions in use at
+//! the same time.
 //!
-//! An answer is bad if it is a failure of the upstream's own, or comes several times later than the median of the
-//! old versions on its route. Some answers of the old versions are bad too; only a part that is larger by
-//! [`EXCESS`] tells against the new one. A cumulative sum over the answers finds a version that turns bad late as
-//! fast as one that is bad at once. Broken connections are not counted: engines of either version crash.
+//! A response is bad if it is a failure caused by the upstream itself, or if it arrives several
+//! times later than the median of the old versions on its route. Some responses of the old versions
+//! are bad too, so only a fraction that is larger by [`EXCESS`] counts against the new version. A
+//! cumulative sum (CUSUM) over the responses detects a version that turns bad late as fast as one
+//! that is bad from the start. Broken connections are not counted, since engines of either version
+//! crash.
 //!
-//! A VM that stands still for a moment answers late for both versions. So the answers of a report are held against
-//! those of the old versions in the same report, if these are worse than usual.
+//! A VM that stalls for a moment delays the responses of both versions. The responses in a report
+//! are therefore compared with those of the old versions in the same report if these are worse than
+//! the baseline.
 
 use super::*;
 
-/// Part of bad answers beyond that of the old versions, from which on a version is bad.
+/// Fraction of bad responses, above that of the old versions, from which a version is bad.
 const EXCESS: f64 = 0.2;
 
-/// Half octaves above the median from which on an answer is slow: 2.8 to 4 times as late.
+/// A response is slow if it is more than this many half octaves above the median, which is 2.8 to 4
+/// times the median latency.
 const SLOW_BUCKETS: u8 = 3;
 
-/// Latency up to which no answer is slow, whatever the median.
+/// Latency up to which no response is slow, whatever the median.
 const NEVER_SLOW: Duration = Duration::from_millis(20);
 
-/// Answers of the old versions in one report from which on they tell how the VM and its links do at the moment.
+/// Minimum number of responses of the old versions in one report for them to show the current
+/// condition of the VM and its links.
 const MOMENT: u32 = 4;
 
-/// Answers of the old versions on a route from which on those of the new one are judged.
+/// Minimum number of responses of the old versions on a route before the new version is judged on
+/// it.
 const BASELINE: u32 = 20;
 
-/// Answers of the new version on each route before it can be good.
+/// Minimum number of responses of the new version on each route before it can be judged good.
 pub const ROUTE_TRIES: u32 = 20;
 
-/// Sum of log-likelihood ratios at which a version is bad.
+/// Sum of log-likelihood ratios from which a version is bad.
 const ALARM: f64 = 7.0;
 
-/// Sum up to which a version can be good.
+/// Maximum sum of log-likelihood ratios of a good version.
 const ACCEPTED: f64 = 3.5;
 
-/// Least part of bad answers that is assumed of the old versions.
+/// Lower bound on the assumed fraction of bad responses of the old versions.
 const LEAST_BAD: f64 = 0.02;
 
-/// Most that is assumed.
+/// Upper bound on the assumed fraction of bad responses of the old versions.
 const MOST_BAD: f64 = 0.7;
 
-/// What is thought of a version under trial.
+/// Verdict on a version under canary.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutVerdict {
     /// There is too little evidence.
     Undecided,
-    /// It answers as the old versions do, on every route.
+    /// The version responds as the old versions do, on every route.
     Good,
-    /// It answers worse on a route; `None` if only over all routes.
+    /// The version responds worse than the old versions.
     Bad {
-        /// The route.
+        /// Route with the bad responses; `None` if the evidence suffices only over all routes
+        /// together.
         route: Option<Arc<str>>,
-        /// Its answers there.
+        /// Responses of the version on that route.
         answers: u32,
-        /// The bad ones among them.
+        /// Bad responses among them.
         bad: u32,
     },
 }
 
-/// What a report adds to the evidence on a route.
+/// Evidence that one report adds on a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JudgedReport {
-    /// Answers of the old versions in the report.
+    /// Responses of the old versions in the report.
     pub old: u32,
-    /// The bad ones among them.
+    /// Bad responses among them.
     pub old_bad: u32,
-    /// Answers of the new version that were judged with it.
+    /// Responses of the new version that were judged with the report.
     pub new: u32,
-    /// The bad ones among them.
+    /// Bad responses among them.
     pub new_bad: u32,
-    /// Part of bad answers that was expected of a good version.
+    /// Fraction of bad responses expected of a good version.
     pub usual: f64,
-    /// Latency bucket above which an answer is slow.
+    /// Latency bucket above which a response is slow.
     pub slowest: u8,
     /// Cumulative sum against the new version on the route.
     pub sum: f64,
 }
 
-/// The evidence of all VMs.
+/// Evidence reported by all VMs.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutJudge {
     /// Latest report of each VM on each route, sorted.
     reports: Vec<((VmLife, Arc<str>), RouteEvidence)>,
-    /// Sorted by route.
+    /// Evidence of all VMs by route, sorted.
     routes: Vec<JudgedRoute>,
     all: Suspected,
 }
@@ -90,7 +98,7 @@
 #[derive(Clone, Debug)]
 struct JudgedRoute {
     sum: RouteEvidence,
-    /// The answers of the new version that were judged.
+    /// Responses of the new version that have been judged.
     judged: AnswerCounts,
     suspected: Suspected,
 }
@@ -104,7 +112,8 @@
 }
 
 impl RolloutJudge {
-    /// Takes in a VM's counts of a route; returns what was judged, once the old versions have given enough answers.
+    /// Applies the counts of a VM on a route. Returns the evidence they added, once the old
+    /// versions have enough responses on the route.
     pub fn take(&mut self, vm: &VmLife, evidence: &RouteEvidence) -> Option<JudgedReport> {
         let key = (vm.clone(), evidence.route.clone());
         let place = self.reports.binary_search_by(|(other, _)| other.cmp(&key));
@@ -127,7 +136,7 @@
         route.judge(&old, &mut self.all)
     }
 
-    /// The verdict on what was taken in so far.
+    /// Verdict on the evidence so far.
     #[must_use]
     pub fn verdict(&self) -> RolloutVerdict {
         for route in &self.routes {
@@ -146,14 +155,14 @@
         RolloutVerdict::Undecided
     }
 
-    /// Routes on which the new version was tried too little.
+    /// Routes on which the new version has too few responses.
     #[must_use]
     pub fn wanted(&self) -> Vec<Arc<str>> {
         let short = self.routes.iter().filter(|route| route.is_short());
         short.map(|route| route.sum.route.clone()).collect()
     }
 
-    /// Answers of the new version, and the bad ones among them.
+    /// Number of responses of the new version, and of the bad ones among them.
     #[must_use]
     pub fn answers(&self) -> (u32, u32) {
         (self.all.answers, self.all.bad)
@@ -174,8 +183,8 @@
 }
 
 impl JudgedRoute {
-    /// Judges the answers that were not judged yet, once the old versions have given enough; `at_once` has those of the
-    /// old versions in the same report.
+    /// Judges the responses that have not been judged yet, once the old versions have enough
+    /// responses. `at_once` has the responses of the old versions in the same report.
     fn judge(&mut self, at_once: &AnswerCounts, all: &mut Suspected) -> Option<JudgedReport> {
         let old = &self.sum.old;
         let median = old.median().filter(|_| old.total() >= BASELINE)?;
@@ -207,7 +216,8 @@
 }
 
 impl Suspected {
-    /// Adds answers; the good ones first, so that those that came between bad ones do not hide them.
+    /// Adds responses to the sum. The good ones are added first, so that good responses between bad
+    /// ones do not mask them.
     fn add(&mut self, total: u32, bad: u32, usual: f64) {
         let expected = (usual + EXCESS).min(0.95);
         let good = total.saturating_sub(bad);
@@ -227,7 +237,8 @@
     }
 }
 
-/// Part of bad answers that the old versions have at most, as far as so many answers tell.
+/// Estimates the fraction of bad responses of the old versions: one standard error above the
+/// observed fraction, to allow for a small number of responses.
 fn usual_bad(bad: u32, total: u32) -> f64 {
     let (bad, total) = (f64::from(bad) + 0.5, f64::from(total) + 1.0);
     let part = bad / total;
--- a/crates/decisions/src/rollout_notice.rs
+++ b/crates/decisions/src/rollout_notice.rs
@@ -1,44 +1,44 @@
 use super::*;
 
-/// What VMs tell each other of a rollout.
+/// State of a rollout that VMs advertise to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutNotice {
-    /// The order.
+    /// The order that started the rollout.
     #[serde(rename = "o")]
     pub order: RolloutOrder,
-    /// Milliseconds until its deadline.
+    /// Milliseconds until the deadline.
     #[serde(rename = "l")]
     pub left_ms: u32,
-    /// How far it is.
+    /// Progress as decided by the owner.
     #[serde(rename = "p")]
     pub progress: RolloutProgress,
     /// Address of the owner, if there is one.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<SocketAddr>,
-    /// Milliseconds since the owner was last heard.
+    /// Milliseconds since the last contact with the owner.
     #[serde(rename = "g")]
     pub owner_age_ms: u32,
 }
 
-/// How far a rollout is, as its owner has decided.
+/// Progress of a rollout, as decided by its owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RolloutProgress {
-    /// Term of the owner: each owner has a higher one than that before.
+    /// Term of the owner; each owner has a higher one than its predecessor.
     #[serde(rename = "t")]
     pub term: u64,
-    /// Counts the owner's decisions.
+    /// Sequence number of the owner's decision.
     #[serde(rename = "n")]
     pub number: u32,
-    /// The phase.
+    /// Phase of the rollout.
     #[serde(rename = "p")]
     pub phase: RolloutPhase,
-    /// Whether the end is in the store.
+    /// Whether the end of the rollout has been written to the platform store.
     #[serde(rename = "e", default, skip_serializing_if = "std::ops::Not::not")]
     pub stored: bool,
 }
 
 impl RolloutProgress {
-    /// Before any owner.
+    /// Progress before the first owner.
     pub const UNOWNED: Self = Self {
         term: 0,
         number: 0,
@@ -46,14 +46,15 @@
         stored: false,
     };
 
-    /// Whether there is nothing left to do.
+    /// Whether the rollout has ended and its end is stored.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.phase.is_final() && self.stored
     }
 
-    /// Whether this takes the place of another one: the end of a rollout is never undone. Completion goes before a
-    /// rollback, since the upstreams of the old version have stopped then.
+    /// Whether this progress replaces another one. The end of a rollout is never undone. Completion
+    /// takes precedence over a rollback, since the upstreams of the old version have stopped by
+    /// then.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         let rank = |progress: &Self| {
--- a/crates/decisions/src/rollout_order.rs
+++ b/crates/decisions/src/rollout_order.rs
@@ -3,41 +3,41 @@
 /// An operator's order to move the traffic of a service to upstreams of another version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Service whose traffic moves.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// The version to move to.
+    /// Version to move to.
     #[serde(rename = "t")]
     pub to: SoftwareVersion,
     /// Time from the order to its deadline.
     #[serde(rename = "d")]
     pub duration: Duration,
-    /// Version of the store at which the order was written: a later order has a higher one.
+    /// Version of the store at which the order was written; later orders have higher ones.
     #[serde(rename = "o")]
     pub written: u64,
 }
 
-/// What is wrong with an order.
+/// Error of an invalid order.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RolloutFault {
-    /// No configuration names the service.
-    #[display("the configuration does not name the service")]
+    /// The configuration does not contain the service.
+    #[display("the configuration does not contain the service")]
     UnknownService,
-    /// It leaves no time.
-    #[display("the order leaves no time")]
+    /// The duration of the order is zero.
+    #[display("the duration of the order is zero")]
     NoTime,
-    /// All upstreams of the service have that version already.
-    #[display("the version is in use already")]
+    /// All upstreams of the service already have that version.
+    #[display("all upstreams of the service already run this version")]
     VersionInUse,
 }
 
 impl RolloutOrder {
-    /// Checks the order against the services that are configured and the versions of the service's upstreams.
+    /// Checks the order against the configured services and the versions of the upstreams.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Returns the first problem found.
     pub fn check(
         &self,
         service_is_known: bool,
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -1,47 +1,49 @@
-//! What the owner of a rollout decides.
+//! Decisions of the owner of a rollout.
 
 use super::*;
 
-/// Time before the deadline at which a good version takes over. Until then a version may still turn bad; afterwards
-/// there is none to go back to.
+/// Time before the deadline at which a good version takes over. Until then a version may still turn
+/// bad; afterwards there is no old version left to roll back to.
 pub const COMPLETE_AHEAD: Duration = Duration::from_millis(1500);
 
-/// How long requests wait for the new version to take over, in which those on the old one end.
+/// How long requests are delayed while the new version takes over, so that requests on the old
+/// version can end.
 pub const COMPLETING: Duration = Duration::from_millis(300);
 
-/// Least part of the old version's slots that the new one must have to take over.
+/// Minimum slots of the new version, as a fraction of those of the old one, for the new version to
+/// take over.
 const LEAST_CAPACITY: f64 = 0.5;
 
-/// Why a version is rolled back.
+/// Reason for a rollback.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RollbackReason {
-    /// It answers worse than the old one.
+    /// The version responds worse than the old one.
     Bad(RolloutVerdict),
     /// There was too little evidence at the deadline.
     Undecided,
-    /// Its upstreams are too few at the deadline.
+    /// The version had too few upstream slots at the deadline.
     TooFewUpstreams,
-    /// The order is wrong.
+    /// The order is invalid.
     Fault(RolloutFault),
 }
 
-/// What the owner does next.
+/// Next step of the owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerStep {
-    /// Goes on with the trial.
+    /// Continue the canary.
     Wait,
-    /// Has the new version take over.
+    /// Let the new version take over.
     Complete,
-    /// Rolls it back.
+    /// Roll the new version back.
     RollBack(RollbackReason),
 }
 
-/// Slots of a service's upstreams that take calls.
+/// Slots of those upstreams of a service that accept calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct VersionSlots {
-    /// Of other versions than the ordered one.
+    /// Slots of all versions except the ordered one.
     pub old: u32,
-    /// Of the ordered one.
+    /// Slots of the ordered version.
     pub new: u32,
 }
 
@@ -50,7 +52,7 @@
 pub struct RolloutOwner {
     /// Term of this owner.
     pub term: u64,
-    /// Version at which the durable record was last written.
+    /// Version of the last write of the durable record.
     pub version: u64,
     /// Deadline by the store's clock, in milliseconds.
     pub deadline_ms: u64,
@@ -61,7 +63,8 @@
 }
 
 impl RolloutOwner {
-    /// The owner of a term. The slack is granted in the first term alone, or several owners would grant it each.
+    /// Creates the owner of a term. Only the owner of the first term grants the slack; otherwise
+    /// each of several owners would grant it.
     #[must_use]
     pub fn new(term: u64, version: u64, deadline_ms: u64, limit: ExposureLimit) -> Self {
         let slack = if term == 1 { limit.slack } else { 0 };
@@ -74,7 +77,7 @@
         }
     }
 
-    /// What to do now.
+    /// Decides on the next step, `left` before the deadline.
     #[must_use]
     pub fn step(&self, left: Duration, slots: VersionSlots) -> OwnerStep {
         let verdict = self.judge.verdict();
--- a/crates/decisions/src/rollout_phase.rs
+++ b/crates/decisions/src/rollout_phase.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// How far a rollout is.
+/// Phase of a rollout.
 #[derive(
     Clone,
     Copy,
@@ -17,13 +17,14 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum RolloutPhase {
-    /// The new version gets the part of the requests that is granted to it.
+    /// The new version receives the fraction of the requests that is granted to it.
     Running,
-    /// The new version is about to take over: requests wait for that, so that none is cut off with the old one.
+    /// The new version is about to take over. Requests are delayed until then, so that none is
+    /// interrupted when the old version stops.
     Completing,
-    /// The new version does not get requests any more.
+    /// The new version receives no more requests.
     RolledBack,
-    /// The new version has taken over; the upstreams of others stop.
+    /// The new version has taken over; the upstreams of other versions stop.
     Completed,
 }
 
--- a/crates/decisions/src/rollout_record.rs
+++ b/crates/decisions/src/rollout_record.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The durable state of a rollout in the platform's store. It is only ever written on condition that it has not
-/// changed, so there is one history of it.
+/// Durable state of a rollout in the platform store. All writes are conditional on the previous
+/// version of the row, so the record has a single history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// Version of the store at which the order was written.
@@ -9,23 +9,23 @@
     pub written: u64,
     /// Version that the order names.
     pub to: SoftwareVersion,
-    /// How far it is.
+    /// Progress as decided by the owner.
     pub progress: RolloutProgress,
-    /// The VM that owns it.
+    /// VM of the owner.
     pub owner: Arc<str>,
-    /// Where the owner takes datagrams.
+    /// Address at which the owner receives datagrams.
     pub address: SocketAddr,
     /// Deadline by the store's steady clock, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// A row of the store that may be missing: version 0 then.
+/// Row of the platform store with its version; version 0 if the row does not exist.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredRecord {
-    /// The record, if there is one that can be read.
+    /// The record; `None` if the row does not exist or cannot be decoded.
     pub record: Option<RolloutRecord>,
-    /// Version at which the row was written.
+    /// Version of the last write of the row.
     pub version: u64,
-    /// The store's steady clock at the answer, in milliseconds.
+    /// Time of the response by the store's steady clock, in milliseconds.
     pub now_ms: u64,
 }
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -1,44 +1,47 @@
-//! Which versions of a service's upstreams one VM may send requests to.
+//! Decides which versions of a service's upstreams one VM may send requests to.
 //!
-//! A version under trial gets requests by grants of the rollout's owner alone, one that was rolled back none
-//! until a new order names it. A version that nobody ordered is one of the service's own, as after a release; but the
-//! order may still be on its way, so it is held back for [`ORDER_WAIT`].
+//! A version under canary receives requests only by grants of the rollout's owner, and a version
+//! that was rolled back receives none until a new order names it. A version without an order counts
+//! as in use by the service, as after a release. Its order may still be on the way, however, so the
+//! version is held back for [`ORDER_WAIT`].
 
 use super::*;
 
-/// How long a version that appears is held back, in which the order that brings it becomes known.
+/// How long a new version is held back, so that an order for it can arrive first.
 pub const ORDER_WAIT: Duration = Duration::from_secs(2);
 
-/// One upstream of so many of a new version is tried, so that each gets its usual load.
+/// One in this many upstreams of a new version receives canary requests, so that each of them gets
+/// a typical load.
 const FOCUS: usize = 10;
 
 /// Settings of rollouts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Bound on the requests that a version under trial gets.
+    /// Limit on the requests that a version under canary receives.
     pub limit: ExposureLimit,
 }
 
-/// What an upstream may get.
+/// Which requests an upstream may receive.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Any request.
+    /// All requests.
     Open,
-    /// Requests with leave to be exposed.
+    /// Only requests with a permit for the canary.
     Trial,
-    /// Requests that no other upstream takes: it stops with the end of a rollout.
+    /// Only requests that no other upstream accepts, since this upstream stops when the rollout
+    /// ends.
     Retired,
-    /// None.
+    /// No requests.
     Barred,
 }
 
-/// The rollouts that one VM knows, and the versions that it has seen.
+/// Rollouts tracked by one VM, and the versions that it has seen.
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
     settings: Option<RolloutSettings>,
-    /// Sorted by service.
+    /// Rollouts sorted by service.
     known: Vec<Rollout>,
-    /// Sorted by service and version, with the time since when a version may get requests.
+    /// Versions sorted by service and version, with the time from which each may receive requests.
     versions: Vec<(ServiceId, SoftwareVersion, Instant)>,
     /// Versions that were rolled back, sorted.
     rolled_back: Vec<(ServiceId, SoftwareVersion)>,
@@ -47,7 +50,7 @@
 }
 
 impl Rollouts {
-    /// No rollouts yet; without settings there are none.
+    /// Creates an empty set of rollouts; without settings, no rollout is accepted.
     #[must_use]
     pub fn new(settings: Option<RolloutSettings>) -> Self {
         Self {
@@ -56,14 +59,14 @@
         }
     }
 
-    /// Settings of rollouts, if there are any.
+    /// Settings of rollouts; `None` if rollouts are disabled.
     #[must_use]
     pub fn settings(&self) -> Option<RolloutSettings> {
         self.settings
     }
 
-    /// Notes the version of an upstream. `at_start` says that the upstreams are read for the first time: all of
-    /// their versions are in use then, but for those that an order names.
+    /// Records the version of an upstream. `at_start` is set when the upstreams are read for the
+    /// first time: all of their versions then count as in use, except those that an order names.
     pub fn version_seen(&mut self, entry: &UpstreamEntry, at_start: bool, now: Instant) {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
             return;
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Takes in what is known of a rollout, from the operator's table or from another VM; whether that is news.
+    /// Merges the state of a rollout, from the operator's table or from another VM. Returns whether
+    /// it changed anything.
     pub fn take(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
         if self.settings.is_none() {
             return false;
@@ -99,7 +103,8 @@
                 return news;
             }
             Ok(index) => {
-                // The order before is replaced; a version that it alone brought gets nothing any more.
+                // The new order replaces the previous one. The version of the previous order
+                // receives no more requests unless it had taken over.
                 let before = self.known.remove(index);
                 if before.progress.phase != RolloutPhase::Completed {
                     self.bar(&before.order);
@@ -115,7 +120,8 @@
         true
     }
 
-    /// Notes that an order was withdrawn at a version of the store; the rollout, if its end is not in the store yet.
+    /// Records that the order of a service was withdrawn at this version of the store. Returns its
+    /// rollout if the end is not stored yet.
     pub fn withdraw(&mut self, service: &ServiceId, at: u64) -> Option<Rollout> {
         match self.withdrawn.binary_search_by(|(s, _)| s.cmp(service)) {
             Ok(index) => self.withdrawn[index].1 = self.withdrawn[index].1.max(at),
@@ -133,24 +139,24 @@
         Some(rollout)
     }
 
-    /// The rollout of a service.
+    /// Returns the rollout of a service.
     pub fn get_mut(&mut self, service: &ServiceId) -> Option<&mut Rollout> {
         let index = self.position(service).ok()?;
         Some(&mut self.known[index])
     }
 
-    /// All rollouts.
+    /// Iterates over all rollouts.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
         self.known.iter_mut()
     }
 
-    /// What other VMs are told.
+    /// Returns the states to advertise to other VMs.
     #[must_use]
     pub fn notices(&self, now: Instant) -> Vec<RolloutNotice> {
         self.known.iter().map(|r| r.notice(now)).collect()
     }
 
-    /// Whether all upstreams of a service may get any request.
+    /// Whether all upstreams of a service may receive all requests.
     #[must_use]
     pub fn is_idle(&self, service: &ServiceId, now: Instant) -> bool {
         self.position(service).is_err()
@@ -161,7 +167,7 @@
                 .any(|(s, _, from)| s == service && now < *from)
     }
 
-    /// What an upstream may get.
+    /// Which requests an upstream may receive.
     #[must_use]
     pub fn admission(&self, entry: &UpstreamEntry, now: Instant) -> Admission {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
@@ -187,7 +193,8 @@
         Admission::Open
     }
 
-    /// The few upstreams of a new version that are tried, of all those that take calls: the same on all VMs.
+    /// Selects the upstreams of a new version that receive canary requests, out of those that
+    /// accept calls. The selection is the same on all VMs.
     #[must_use]
     pub fn focus<'a>(
         order: &RolloutOrder,
@@ -217,8 +224,8 @@
         place.is_ok_and(|index| self.withdrawn[index].1 > written)
     }
 
-    /// Keeps in mind how a rollout has ended: a version that was rolled back does not return without a new order,
-    /// and one that has taken over is in use.
+    /// Records how a rollout has ended: a version that was rolled back stays excluded until a new
+    /// order names it, and a version that has taken over is in use.
     fn note_end(&mut self, index: usize) {
         let Rollout {
             order, progress, ..
--- a/crates/decisions/src/term.rs
+++ b/crates/decisions/src/term.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 number_newtype!(
-    /// Fencing number of a lease; rises with each new holder.
+    /// Fencing number of a lease; it increases with each new holder.
     Term,
     "term"
 );
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Claims: one dispatch for each key, whatever becomes of the calls of the table service.
+//! Claims: each key is dispatched at most once, whatever happens to the calls to the platform
+//! store.
 
 use catkin_decisions::{
     ClaimChange, ClaimFate, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimRowKey,
@@ -43,17 +44,18 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// Two requests wait; another VM has the key of one. The other one must not suffer for it.
+/// Two claims are pending, and another VM has taken the key of one. The other claim must still
+/// succeed.
 #[gtest]
 fn a_taken_key_does_not_hold_up_its_group() {
     let mut queue = ClaimQueue::default();
     let theirs = change("a", 9, b"order");
     queue.claim(change("a", 1, b"order"), at(1000), "a");
     queue.claim(change("b", 2, b"order"), at(1000), "b");
-    queue.next_group().expect("two wait");
+    queue.next_group().expect("two claims are pending");
 
     let first = queue.answer(&GroupAnswer::Conflicts(vec![found(&theirs, 1)]));
-    let again = queue.next_group().expect("one is left");
+    let again = queue.next_group().expect("one claim is pending");
     let second = queue.answer(&GroupAnswer::Committed);
 
     expect_that!(
@@ -67,15 +69,16 @@
     );
 }
 
-/// The answer to a claim is lost. Sent again, it finds its own row, and its request may run.
+/// The result of a claim is lost. The claim is sent again, finds its own token in the row, and its
+/// request may run.
 #[gtest]
 fn a_lost_answer_is_settled_by_the_own_token() {
     let mut queue = ClaimQueue::default();
     let mine = change("a", 1, b"order");
     queue.claim(mine.clone(), at(1000), ());
-    queue.next_group().expect("one waits");
+    queue.next_group().expect("one claim is pending");
     expect_that!(queue.answer(&GroupAnswer::Unknown), is_empty());
-    queue.next_group().expect("it waits again");
+    queue.next_group().expect("the claim is pending again");
 
     let told = queue.answer(&GroupAnswer::Conflicts(vec![found(&mine, 1)]));
 
@@ -85,18 +88,18 @@
     );
 }
 
-/// The answer to a claim is lost and the table service goes out, so the caller hears that its order
-/// did not run. The claim may stand in the table all the same; left there, the caller's next try
-/// would hear that nobody knows, of an order that certainly never ran.
+/// The result of a claim is lost and the platform store fails, so the caller is told that its order
+/// did not run. The claim may have been committed, however. Without a release, a retry would be
+/// told that the outcome is unknown, although the order certainly did not run.
 #[gtest]
 fn a_doubtful_claim_that_is_given_up_is_released() {
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
-    queue.next_group().expect("one waits");
+    queue.next_group().expect("one claim is pending");
     queue.answer(&GroupAnswer::Unknown);
 
     let told = queue.give_up(at(1000));
-    let group = queue.next_group().expect("the release waits");
+    let group = queue.next_group().expect("the release is pending");
 
     expect_that!(told, elements_are![eq(&((), ClaimFate::GivenUp))]);
     expect_that!(group[0].record.stage, eq(&ClaimStage::Released));
@@ -107,7 +110,7 @@
 fn a_claim_that_never_left_is_given_up_without_a_write() {
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
-    queue.next_group().expect("one waits");
+    queue.next_group().expect("one claim is pending");
     queue.answer(&GroupAnswer::NotRun);
 
     let told = queue.give_up(at(1000));
@@ -116,17 +119,17 @@
     expect_that!(queue.next_group(), none());
 }
 
-/// An order was refused before its dispatch and its claim released. The caller's next try must run.
+/// An order was rejected before its dispatch and its claim released. A retry must run.
 #[gtest]
 fn a_released_key_can_be_claimed_again_by_the_same_request() {
     let mut queue = ClaimQueue::default();
     let mut theirs = change("a", 9, b"order");
     theirs.record.stage = ClaimStage::Released;
     queue.claim(change("a", 1, b"order"), at(1000), ());
-    queue.next_group().expect("one waits");
+    queue.next_group().expect("one claim is pending");
     queue.answer(&GroupAnswer::Conflicts(vec![found(&theirs, 4)]));
 
-    let again = queue.next_group().expect("it waits again");
+    let again = queue.next_group().expect("the claim is pending again");
 
     expect_that!(again[0].expected, eq(4));
 }
@@ -152,11 +155,15 @@
         case("another request", b"other", ClaimStage::Claimed, 0, |v| {
             *v == ClaimVerdict::Conflict
         }),
-        case("another request, ended", b"other", unknown(), 0, |v| {
-            *v == ClaimVerdict::Conflict
-        }),
         case(
-            "holder at work",
+            "another request, already ended",
+            b"other",
+            unknown(),
+            0,
+            |v| *v == ClaimVerdict::Conflict,
+        ),
+        case(
+            "holder still running",
             b"order",
             ClaimStage::Claimed,
             9_000,
@@ -169,17 +176,21 @@
             12_000,
             |v| matches!(v, ClaimVerdict::InProgress(_)),
         ),
-        case("holder gone", b"order", ClaimStage::Claimed, 16_000, |v| {
-            *v == ClaimVerdict::Done(ClaimOutcome::Unknown)
-        }),
-        case("unknown end", b"order", unknown(), 0, |v| {
+        case(
+            "holder past the deadline",
+            b"order",
+            ClaimStage::Claimed,
+            16_000,
+            |v| *v == ClaimVerdict::Done(ClaimOutcome::Unknown),
+        ),
+        case("unknown outcome", b"order", unknown(), 0, |v| {
             *v == ClaimVerdict::Done(ClaimOutcome::Unknown)
         }),
     ]
 }
 
-/// A caller sends its order again, in each state that the first one can be in. None of them leads to
-/// a second dispatch.
+/// A caller retries its order in each state that the first attempt can be in. No state allows a
+/// second dispatch.
 #[gtest]
 fn a_taken_key_never_leads_to_a_dispatch() {
     for case in verdict_cases() {
@@ -201,8 +212,8 @@
 const KEYS: [&str; 3] = ["a", "b", "c"];
 const VMS: usize = 3;
 
-/// A table, VMs with their queues, and a network that loses answers, delays calls beyond their
-/// timeout, and lets VMs crash or hold a claim for as long as it likes.
+/// Simulates a table, VMs with their queues, and a network that loses results, delays calls beyond
+/// their timeout, and lets VMs crash or hold a claim for any length of time.
 #[derive(Default)]
 struct World {
     now: u64,
@@ -275,7 +286,7 @@
         });
     }
 
-    /// A call arrives at the table service; its answer comes through or is lost.
+    /// Delivers a call to the table service; the result is returned or lost.
     fn deliver(&mut self, pick: usize, answered: bool) {
         let open = self.calls.iter().enumerate().filter(|(_, c)| !c.done);
         let open = open.map(|(i, _)| i).collect::<Vec<_>>();
@@ -391,7 +402,7 @@
         };
     }
 
-    /// All calls arrive and are answered until nothing is left to do.
+    /// Delivers and answers all calls until nothing is pending.
     fn settle(&mut self) {
         while self.calls.iter().any(|call| !call.done) {
             self.deliver(0, true);
@@ -409,9 +420,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// VMs claim the same keys while calls are lost before and after their effect, arrive after
-    /// their senders gave up, and processes die or pause between claim and dispatch. If any key were
-    /// dispatched twice, a press would print an order twice.
+    /// VMs claim the same keys while calls are lost before and after they take effect or arrive
+    /// after their senders gave up, and processes crash or pause between claim and dispatch. If a
+    /// key were dispatched twice, an order would be printed twice.
     #[test]
     fn no_key_is_dispatched_twice(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_usize..8), 0..120),
@@ -432,7 +443,7 @@
             prop_assert_eq!(record.map(|record| record.token), Some(*token));
         }
         for vm in &world.vms {
-            prop_assert!(vm.queue.is_empty(), "something is left: {:?}", vm.queue);
+            prop_assert!(vm.queue.is_empty(), "changes are still pending: {:?}", vm.queue);
         }
     }
 }
--- a/crates/decisions/tests/exposure.rs
+++ b/crates/decisions/tests/exposure.rs
@@ -1,4 +1,4 @@
-//! Exposures of a version under trial, summed over all VMs.
+//! Canary requests of a version, summed over all VMs.
 
 use catkin_decisions::{
     ExposureGrants, ExposureLedger, ExposureLimit, GRANT_LIFETIME, Instant, VmLife,
@@ -25,7 +25,8 @@
     }
 }
 
-/// A VM that has not heard of the owner for a while spends nothing: the version may have been rolled back.
+/// A VM without recent contact with the owner spends no grants, since the version may have been
+/// rolled back.
 #[gtest]
 fn grant_lapses() {
     let mut grants = ExposureGrants::default();
@@ -38,7 +39,7 @@
     expect_that!(later, none());
 }
 
-/// The answer of an owner that was replaced arrives late.
+/// A grant of a replaced owner arrives late.
 #[gtest]
 fn grant_of_an_earlier_owner_is_ignored() {
     let mut grants = ExposureGrants::default();
@@ -58,7 +59,8 @@
     expect_that!(granted, eq(0));
 }
 
-/// Exposures come in bursts, so that a version that is bad under load is loaded.
+/// Canary requests are granted in bursts, so that a version that is bad under load is exposed to
+/// load.
 #[gtest]
 fn exposures_are_gathered_before_they_are_granted() {
     let mut ledger = ExposureLedger::new(ExposureLimit { slack: 0, ..LIMIT });
@@ -76,15 +78,15 @@
     grants: ExposureGrants,
     term: u64,
     alive: bool,
-    /// Requests a step, in hundredths.
+    /// Requests per step, in hundredths.
     rate: u32,
 }
 
-/// VMs, owners one after the other, and messages on their way.
+/// Simulates VMs, successive owners, and messages in flight.
 struct Fleet {
     rng: Xoshiro256PlusPlus,
     vms: Vec<Vm>,
-    /// The ledger of each term; earlier owners may still answer.
+    /// The ledger of each term; earlier owners may still reply.
     ledgers: Vec<ExposureLedger>,
     reports: Vec<(VmLife, u64, u64, u64)>,
     answers: Vec<(VmLife, u64, u64)>,
@@ -150,7 +152,7 @@
         self.carry();
     }
 
-    /// Messages arrive late, twice, out of order or never.
+    /// Delivers messages late, twice, out of order or never.
     fn carry(&mut self) {
         for report in std::mem::take(&mut self.reports) {
             match self.rng.random_range(0..10) {
@@ -189,7 +191,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// With VMs that join, die and restart, owners that are replaced, and messages that are lost, late or doubled.
+    /// VMs join, crash and restart, owners are replaced, and messages are lost, late or duplicated.
     #[test]
     fn sum_of_exposures_stays_below_the_limit(
         vms in prop::sample::select(vec![8_usize, 60, 195, 400]),
@@ -201,13 +203,14 @@
             let allowed = fleet.requests / 10 + LIMIT.slack;
             prop_assert!(
                 fleet.exposures <= allowed,
-                "{} of {} requests", fleet.exposures, fleet.requests
+                "{} canary requests out of {} requests", fleet.exposures, fleet.requests
             );
         }
     }
 }
 
-/// The grants are of use: without faults nearly all that is allowed is spent.
+/// Guards against grants that mostly stay unused: more than half of the allowed canary requests are
+/// spent.
 #[gtest]
 fn most_exposures_are_spent() {
     for vms in [8, 60, 195] {
--- a/crates/decisions/tests/lease.rs
+++ b/crates/decisions/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Leases: one holder at a time by its own clock, and a term that tells old orders from new ones.
+//! Leases: at most one holder at a time by its own clock, and terms that distinguish outdated
+//! orders from current ones.
 
 use catkin_decisions::{
     Incarnation, Instant, Lease, LeaseAnswer, LeaseHolder, LeaseRecord, LeaseRow, LeaseSettings,
@@ -34,10 +35,10 @@
     }
 }
 
-/// Has the lease take a row that is absent or lapsed, with the write sent at `sent`.
+/// Lets the lease acquire a row that is absent or expired, with the write sent at `sent`.
 fn take(lease: &mut Lease, sent: u64, answered: u64, answer: LeaseAnswer) -> LeaseWrite {
     let LeaseStep::Write(write) = lease.step(at(sent)) else {
-        panic!("no write: {:?}", lease.step(at(sent)));
+        panic!("expected a write, got {:?}", lease.step(at(sent)));
     };
     lease.written(at(sent), at(answered), write.clone(), answer);
     write
@@ -58,8 +59,8 @@
     expect_that!(lease.held(at(10_000)), none());
 }
 
-/// Another VM sees a lease for the first time. It cannot know when it was written, and waits the
-/// whole duration and the margin before it takes it under the next term.
+/// Another VM sees a lease for the first time. It does not know when the lease was written, so it
+/// waits for the whole duration and the margin before it acquires the lease under the next term.
 #[gtest]
 fn a_lease_of_another_is_waited_out() {
     let mut lease = lease(2);
@@ -84,8 +85,8 @@
     expect_that!(step, matches_pattern!(LeaseStep::Wait(_)));
 }
 
-/// The answer to a holder's renewal is lost. It reads its own row back and counts the lease from
-/// when it sent the write, not from when it read it.
+/// The result of a renewal is lost. The holder reads its own row back, and counts the lease from
+/// when it sent the write, not from when it read the row.
 #[gtest]
 fn a_lost_answer_is_settled_by_reading_back() {
     let mut lease = held_lease();
@@ -99,9 +100,9 @@
     expect_that!(lease.held(at(13_000)), none());
 }
 
-/// The answers to two writes are lost. The first one was long under way and took effect after the
-/// read in between. Counted from the second one, the lease would outlast the wait of another VM that
-/// saw the row at once, and both would hold it.
+/// The results of two writes are lost. The first write was delayed and took effect after the read
+/// in between. If the lease were counted from the second write, it would outlast the wait of
+/// another VM that saw the row at once, and both VMs would hold it.
 #[gtest]
 fn a_late_write_counts_from_when_it_was_sent() {
     let mut lease = lease(1);
@@ -116,8 +117,8 @@
     expect_that!(lease.held(at(10_000)), none());
 }
 
-/// A holder is paused for 7 s and comes back while its lease still runs by its own reckoning. Its
-/// orders must wait until it has looked at the row.
+/// A holder is paused for 7 s and resumes while its lease is still valid by its own clock. It must
+/// read the row before it sends orders.
 #[gtest]
 fn a_paused_holder_looks_at_the_row_before_it_orders() {
     let mut lease = held_lease();
@@ -130,7 +131,8 @@
     expect_that!(looked.map(|permit| permit.term()), some(eq(Term(1))));
 }
 
-/// An order that is still under way when the lease lapses could arrive after the next holder's.
+/// An order that is still in flight when the lease expires could arrive after an order of the next
+/// holder.
 #[gtest]
 fn no_order_outlasts_the_lease() {
     let mut lease = held_lease();
@@ -143,7 +145,7 @@
     expect_that!(too_late, none());
 }
 
-/// A paused holder comes back, and another VM has the lease.
+/// A paused holder resumes after another VM has acquired the lease.
 #[gtest]
 fn a_holder_that_reads_another_ones_row_holds_nothing() {
     let mut lease = held_lease();
@@ -154,8 +156,8 @@
     expect_that!(lease.permit(at(5_000)), none());
 }
 
-/// The lease's row was lost with its table, so terms begin anew; engines remember larger ones and
-/// would refuse every order.
+/// The row of the lease was lost with its table, so terms start again at 1. Engines have seen
+/// greater terms and would reject every order.
 #[gtest]
 fn terms_rise_above_what_an_engine_knows() {
     let mut lease = held_lease();
@@ -191,8 +193,8 @@
 
 const VMS: usize = 3;
 
-/// VMs whose clocks run at different speeds, a table service that delays and loses calls, and an
-/// engine that refuses old terms.
+/// Simulates VMs whose clocks run at different speeds, a platform store that delays and loses
+/// calls, and an engine that rejects outdated terms.
 struct World {
     now: u64,
     row: LeaseRow,
@@ -205,7 +207,7 @@
 
 struct Vm {
     me: LeaseHolder,
-    /// Speed of its clock in percent.
+    /// Speed of the VM's clock in percent.
     speed: u64,
     lease: Lease,
     paused_until: u64,
@@ -325,7 +327,7 @@
         self.vms[vm].lease.written(sent, now, write, answer);
     }
 
-    /// A holder sends the engine an order. The message may arrive at any time.
+    /// A holder sends an order to the engine. The message may arrive at any time.
     fn order(&mut self, vm: usize) {
         let now = self.clock(vm);
         if self.vms[vm].paused_until > self.now {
@@ -372,7 +374,7 @@
         }
     }
 
-    /// Faults end, and some VM comes to hold the lease.
+    /// Runs without faults until some VM holds the lease.
     fn settle(&mut self) -> Option<Term> {
         for _ in 0..600 {
             self.now += 100;
@@ -391,9 +393,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
 
-    /// Holders crash, are paused and come back, and lose answers, while calls arrive late. Two
-    /// holders at once would order an engine back and forth, and with one term they could not be
-    /// told apart.
+    /// Holders crash, are paused and resume, and lose results, while calls arrive late. Two holders
+    /// at once would send conflicting orders to an engine, and with the same term their orders
+    /// could not be told apart.
     #[test]
     fn there_is_never_more_than_one_holder_nor_one_term_twice(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_u64..12), 0..300),
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: a rollout keeps serving, keeps what runs resumable, and spares the weight store.
+//! Orders to engines: a rollout keeps serving requests, keeps running streams resumable, and limits
+//! the load on the weight store.
 
 use catkin_decisions::{
     AvailabilityZone, EngineGoal, EngineReport, EngineState, Instant, Model, OrderPlanner,
@@ -26,7 +27,7 @@
     format!("zone-{}", i / 2).parse().expect("a valid name")
 }
 
-/// Engines that carry out orders: loading takes 20 s, and giving a model up is at once.
+/// Simulates engines that carry out orders: a load takes 20 s, and an unload is immediate.
 struct World {
     now: u64,
     goals: Vec<EngineGoal>,
@@ -72,7 +73,8 @@
         Instant(Duration::from_millis(self.now))
     }
 
-    /// A second passes: the engines report, and are ordered what the planner says.
+    /// Advances the simulation by one second: the engines report, and receive the orders that the
+    /// planner returns.
     fn second(&mut self) {
         self.now += 1000;
         let (now, instant) = (self.now, self.instant());
@@ -102,7 +104,7 @@
     fn obey(&mut self, state: &EngineState) {
         let (now, id) = (self.now, &state.upstream);
         let i = (0..self.engines.len()).find(|i| engine_id(*i) == *id);
-        let engine = &mut self.engines[i.expect("an engine")];
+        let engine = &mut self.engines[i.expect("an engine with this id")];
         if engine.refuses {
             self.planner.refused(id);
         } else {
@@ -203,8 +205,9 @@
     expect_that!(world.plan(), is_empty());
 }
 
-/// A new version is rolled out to six engines. If they all loaded at once, no engine would serve
-/// for as long, and the weight store would be asked for six copies in one moment.
+/// A new version is rolled out to six engines. If all of them loaded at once, no engine would serve
+/// requests during the load, and the weight store would have to serve six copies at the same
+/// moment.
 #[gtest]
 fn a_rollout_loads_few_engines_at_once_and_keeps_serving() {
     for says_loading in [true, false] {
@@ -223,8 +226,8 @@
     }
 }
 
-/// The weight store would allow more loads at once than there are engines. One engine still is left
-/// out each time, to serve.
+/// The weight store allows more simultaneous loads than there are engines. One engine must still
+/// keep serving while the others load.
 #[gtest]
 fn never_all_replicas_load_at_once() {
     let mut world = World::new(
@@ -252,8 +255,8 @@
     expect_that!(world.holders("2"), eq(&[0]));
 }
 
-/// A long generation runs on the old version while the new one is rolled out. If that version were
-/// gone everywhere else, the generation could not go on when its engine dies.
+/// A long generation runs on the old version while the new one is rolled out. If no other engine
+/// kept that version, the generation could not be resumed after its engine crashed.
 #[gtest]
 fn an_old_version_in_use_stays_on_two_engines_in_two_zones() {
     let mut world = World::new(6, OrderSettings::default());
@@ -274,7 +277,8 @@
     expect_that!(world.holders("1"), is_empty());
 }
 
-/// Generations run on the old version on three engines. None of them may give it up under a stream.
+/// Generations run on the old version on three engines. None of the engines may unload it while a
+/// stream runs on it.
 #[gtest]
 fn an_old_version_stays_wherever_it_runs() {
     let mut world = World::new(6, OrderSettings::default());
@@ -288,8 +292,8 @@
     expect_that!(world.holders("1"), eq(&[0, 3, 5]));
 }
 
-/// One of the two engines that keep an old version in use restarts without it. A second copy is
-/// loaded elsewhere, or the next death would end the generation.
+/// One of the two engines that keep an old version in use restarts without it. A second copy must
+/// be loaded elsewhere, or the next crash would end the generation.
 #[gtest]
 fn a_lost_copy_of_an_old_version_in_use_is_replaced() {
     let mut world = World::new(6, OrderSettings::default());
@@ -297,7 +301,7 @@
     world.want("2");
     world.seconds(6 * 22 + 100);
     let other = world.holders("1").into_iter().find(|i| *i != 4);
-    let other = other.expect("two keep it");
+    let other = other.expect("two engines keep the old version");
     world.engines[other]
         .loaded
         .retain(|(m, _)| *m != model("1"));
@@ -308,7 +312,7 @@
     expect_that!(world.zones_holding("1"), eq(2));
 }
 
-/// An engine cannot be asked, and may run streams on the old version.
+/// An engine is unreachable, and may run streams on the old version.
 #[gtest]
 fn an_old_version_on_an_engine_out_of_reach_counts_as_in_use() {
     let mut world = World::new(4, OrderSettings::default());
@@ -322,8 +326,8 @@
     expect_that!(world.zones_holding("1"), ge(2));
 }
 
-/// A former holder of the lease, paused for long, wakes up and orders an engine that ignores terms
-/// back to the old version. The state read back differs, and the holder orders it again.
+/// A former lease holder resumes after a long pause and orders an engine that ignores terms back to
+/// the old version. The current holder reads the changed state back and orders the engine again.
 #[gtest]
 fn a_state_changed_by_a_stale_order_is_corrected() {
     let mut world = World::new(3, OrderSettings::default());
@@ -340,8 +344,8 @@
     expect_that!(world.holders("1"), is_empty());
 }
 
-/// An engine that doesn't report loads refuses its orders, since this VM may not give it any. The
-/// others must not wait until its load, which never began, has timed out.
+/// An engine that does not report loads in progress rejects its orders, since this VM is not
+/// allowed to order it. Other engines must not wait for the timeout of a load that never started.
 #[gtest]
 fn a_refused_order_holds_up_no_other_engine() {
     let mut world = World::new(3, OrderSettings::default());
@@ -354,7 +358,7 @@
     expect_that!(world.holders("2"), eq(&[1, 2]));
 }
 
-/// An order is lost on its way.
+/// The engine never receives its first order.
 #[gtest]
 fn a_lost_order_is_sent_again() {
     let mut world = World::new(1, OrderSettings::default());
@@ -367,8 +371,8 @@
     expect_that!(world.holders("2"), eq(&[0]));
 }
 
-/// A version is rolled out to four engines; requests come all the while. Each gets a version that
-/// some engine holds, and the first engine with the new one is not flooded.
+/// A version is rolled out to four engines while requests arrive. Each request gets a version that
+/// some engine holds, and the first engine with the new version is not overloaded.
 #[gtest]
 fn new_requests_move_over_with_the_engines() {
     let share = |ready: usize| {
@@ -387,10 +391,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Bundles change, streams come and go, engines restart empty or go out of reach, orders are
-    /// lost, old orders arrive late, and the lease changes hands. In the end every engine holds what
-    /// the last bundle wants, and no more; on the way an old version with a stream on it stays where
-    /// the stream is.
+    /// Bundles change, streams start and end, engines restart empty or become unreachable, orders
+    /// are lost, outdated orders arrive late, and the lease changes hands. In the end every engine
+    /// holds exactly the models of the last bundle. Until then an old version with a stream on it
+    /// stays on the engine of the stream.
     #[test]
     fn the_last_bundle_wins(
         steps in prop::collection::vec((0_u8..9, 0_usize..4, 0_u32..3), 0..60),
--- a/crates/decisions/tests/rollout_judge.rs
+++ b/crates/decisions/tests/rollout_judge.rs
@@ -1,4 +1,4 @@
-//! How often a version under trial is judged rightly, by simulation over many seeds.
+//! Error rates of the verdicts on a version under canary, by simulation over many seeds.
 
 use catkin_decisions::{
     AnswerCounts, AnswerOutcome, RolloutJudge, RolloutVerdict, RouteEvidence, VmLife,
@@ -8,27 +8,27 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-/// Trials of each kind.
+/// Simulated rollouts per scenario.
 const SEEDS: u64 = 400;
 
-/// Answers of the new version in a trial, on each of two routes.
+/// Responses of the new version in a simulated rollout, on each of two routes.
 const TRIED: usize = 45;
 
-/// Answers of the old version meanwhile.
+/// Responses of the old version during the same time.
 const OLD: usize = 600;
 
-/// How a version answers on a route.
+/// Behaviour of a version on a route.
 #[derive(Clone, Copy)]
 struct Behaviour {
-    /// Part of failures.
+    /// Fraction of failed responses.
     failures: f64,
-    /// Part of slow answers, and how many times as late they come.
+    /// Fraction of slow responses, and the factor by which they are slower.
     slow: (f64, f64),
-    /// The answer from which on it behaves so; before, as the usual one.
+    /// Index of the first response with this behaviour; earlier ones follow the baseline.
     from: usize,
 }
 
-/// Some answers fail on any version, as on the routes that this plays.
+/// Baseline behaviour: some responses fail on any version, as on the simulated routes.
 const USUAL: Behaviour = Behaviour {
     failures: 0.07,
     slow: (0.01, 5.0),
@@ -49,7 +49,8 @@
     AnswerOutcome::Success(Duration::from_millis(20).mul_f64(spread * times))
 }
 
-/// Has a version tried on two routes by some VMs; the verdict, and the bad answers until it was bad.
+/// Simulates a canary on two routes across several VMs. Returns the verdict, and the number of bad
+/// responses until then.
 fn trial(routes: [Behaviour; 2], seed: u64) -> (RolloutVerdict, u32) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut judge = RolloutJudge::default();
@@ -85,7 +86,7 @@
     (judge.verdict(), judge.answers().1)
 }
 
-/// Parts of the trials that end good, undecided and bad.
+/// Fractions of the simulated rollouts that end good, undecided and bad.
 fn rates(routes: [Behaviour; 2]) -> (f64, f64, f64) {
     let verdicts = (0..SEEDS).map(|seed| trial(routes, seed).0);
     let (mut good, mut undecided, mut bad) = (0.0, 0.0, 0.0);
@@ -112,7 +113,7 @@
     expect_that!(rates.0, ge(0.9));
 }
 
-/// Each kind of badness, on both routes or on one, at once or late.
+/// Failures or slow responses, on both routes or on one, from the start or later.
 #[gtest]
 fn bad_version_is_seldom_taken_for_good() {
     let bad = |failures, slow, from| Behaviour {
@@ -121,12 +122,12 @@
         from,
     };
     let cases = [
-        ("fails at once", [bad(0.4, (0.01, 5.0), 0); 2]),
-        ("fails all", [bad(1.0, (0.0, 1.0), 0); 2]),
-        ("fails late", [bad(0.5, (0.01, 5.0), 25); 2]),
+        ("fails from the start", [bad(0.4, (0.01, 5.0), 0); 2]),
+        ("all requests fail", [bad(1.0, (0.0, 1.0), 0); 2]),
+        ("fails after 25 responses", [bad(0.5, (0.01, 5.0), 25); 2]),
         ("fails on one route", [USUAL, bad(0.45, (0.01, 5.0), 0)]),
-        ("slow at once", [bad(0.07, (0.5, 5.0), 0); 2]),
-        ("slow late", [bad(0.07, (0.6, 6.0), 25); 2]),
+        ("slow from the start", [bad(0.07, (0.5, 5.0), 0); 2]),
+        ("slow after 25 responses", [bad(0.07, (0.6, 6.0), 25); 2]),
         ("slow on one route", [bad(0.07, (0.6, 5.0), 0), USUAL]),
     ];
     for (kind, routes) in cases {
@@ -138,7 +139,8 @@
     }
 }
 
-/// The time in which a rollback reaches all VMs counts from the fiftieth bad answer; ten may be on their way.
+/// The time limit for a rollback to reach all VMs starts at the fiftieth bad response; ten more may
+/// be in flight when the version is found bad.
 #[gtest]
 fn bad_version_is_found_by_its_fortieth_bad_answer() {
     for failures in [0.3, 0.5, 1.0] {
@@ -149,7 +151,7 @@
     }
 }
 
-/// Counts are cumulative: a report that comes twice, or late, adds nothing.
+/// Counts are cumulative: a report that arrives twice or late adds nothing.
 #[gtest]
 fn repeated_and_late_reports_add_nothing() {
     let mut judge = RolloutJudge::default();
@@ -174,7 +176,7 @@
     expect_that!(judge.answers(), eq((2, 2)));
 }
 
-/// The last answers before the deadline are bad, too few to be sure.
+/// The last responses before the deadline are bad, but too few for a verdict.
 #[gtest]
 fn version_under_suspicion_is_not_good() {
     let life = VmLife {
@@ -218,7 +220,8 @@
     expect_that!(counts.bad(median + 3), eq(2));
 }
 
-/// Evidence of one VM: answers of both versions, so many of them after 200 ms and the others after 2 ms.
+/// Evidence of one VM. Each pair has the number of responses and how many of them took 200 ms; the
+/// others took 2 ms.
 fn moment(old: (u32, u32), new: (u32, u32)) -> RouteEvidence {
     let mut evidence = RouteEvidence::new("/quick/".into());
     let mut count = |(answers, late): (u32, u32), is_new: bool| {
@@ -252,7 +255,7 @@
     judge.verdict()
 }
 
-/// Guards against rolling a good version back because the VM stood still for a moment.
+/// Guards against rolling back a good version because the VM stalled for a moment.
 #[gtest]
 fn late_answers_of_a_moment_count_against_both_versions() {
     let usual = moment((400, 0), (60, 0));
@@ -264,7 +267,7 @@
     expect_that!(only_new, matches_pattern!(RolloutVerdict::Bad { .. }));
 }
 
-/// Guards against taking the noise of answers within a few milliseconds for slowness.
+/// Guards against treating variations of a few milliseconds as slow responses.
 #[gtest]
 fn answers_within_milliseconds_are_not_slow() {
     let mut evidence = moment((400, 0), (0, 0));
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service get requests, as one VM knows its rollout.
+//! Which versions of a service receive requests, given the state of its rollout on one VM.
 
 use catkin_decisions::{
     Admission, ExposureLimit, Instant, ORDER_WAIT, OWNER_LOST, OwnerStep, RollbackReason, Rollout,
@@ -35,7 +35,7 @@
     }
 }
 
-/// An order to move to a version, written at a version of the store.
+/// Creates an order to move to a version, written at a version of the store.
 fn order(to: &str, written: u64) -> RolloutOrder {
     RolloutOrder {
         service: "shop".parse().unwrap(),
@@ -60,7 +60,7 @@
     }
 }
 
-/// A VM that has read upstreams of version v1, and of v2 some time later.
+/// State of a VM that has read an upstream of version v1, and one of v2 some time later.
 fn rollouts() -> Rollouts {
     let mut rollouts = Rollouts::new(Some(SETTINGS));
     rollouts.version_seen(&entry("u1", "v1"), true, at(0));
@@ -68,7 +68,7 @@
     rollouts
 }
 
-/// What upstreams of v1 and v2 may get.
+/// Admission of an upstream of v1 and one of v2.
 fn admissions(rollouts: &Rollouts, now: Instant) -> [Admission; 2] {
     [("u1", "v1"), ("u2", "v2")].map(|(id, v)| rollouts.admission(&entry(id, v), now))
 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Upstreams of an ordered version appear before their order is known.
+/// Upstreams of an ordered version appear before their order has arrived.
 #[gtest]
 fn version_that_appears_is_held_back_until_its_order_may_be_known() {
     let rollouts = rollouts();
@@ -103,7 +103,7 @@
     expect_that!(later, eq([Admission::Open, Admission::Open]));
 }
 
-/// A version that was rolled back returns with a new order alone.
+/// A version that was rolled back returns only with a new order.
 #[gtest]
 fn version_that_was_rolled_back_stays_out_until_a_new_order() {
     let mut rollouts = rollouts();
@@ -125,7 +125,7 @@
     );
 }
 
-/// An order that is withdrawn, or replaced, while it runs: its version gets nothing more.
+/// An order is withdrawn or replaced while its rollout runs: its version receives no more requests.
 #[gtest]
 fn version_of_a_withdrawn_order_gets_nothing() {
     for withdrawn in [true, false] {
@@ -143,7 +143,8 @@
     }
 }
 
-/// Guards against an end that nobody writes, as its notice arrived before the withdrawal of the order.
+/// Guards against an end that nobody stores, because its notice arrived before the withdrawal of
+/// the order.
 #[gtest]
 fn withdrawal_leaves_an_end_that_is_not_stored_to_the_owner() {
     for (stored, left) in [(false, true), (true, false)] {
@@ -172,7 +173,7 @@
     expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Barred));
 }
 
-/// Notices overtake each other.
+/// Notices arrive out of order.
 #[gtest]
 fn end_of_a_rollout_is_never_undone() {
     for end in [RolloutPhase::RolledBack, RolloutPhase::Completed] {
@@ -188,7 +189,7 @@
     }
 }
 
-/// The owner before decided to roll back; the one after it must not have the version take over.
+/// The previous owner decided to roll back; the next one must not complete the rollout.
 #[gtest]
 fn rollback_reaches_a_later_owner() {
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
@@ -201,7 +202,7 @@
     expect_that!(rollout.progress.phase, eq(RolloutPhase::RolledBack));
 }
 
-/// Without settings of rollouts nothing is held back or counted.
+/// Without settings of rollouts, no version is held back and no request is counted.
 #[gtest]
 fn without_settings_all_versions_are_open() {
     let mut rollouts = Rollouts::new(None);
@@ -217,7 +218,7 @@
     expect_that!(admissions(&rollouts, at(1000)), eq([Admission::Open; 2]));
 }
 
-/// Each VM tries the same few upstreams, so that these are loaded.
+/// All VMs select the same few upstreams for the canary, so that these receive a typical load.
 #[gtest]
 fn few_upstreams_of_a_new_version_are_tried() {
     for (count, tried) in [(1_usize, 1), (3, 1), (10, 1), (48, 5), (144, 15)] {
@@ -235,7 +236,7 @@
     }
 }
 
-/// One VM after the other takes a rollout over whose owner is silent.
+/// VMs take over a rollout from an unresponsive owner one after another, by rank.
 #[gtest]
 fn silent_owner_is_replaced_rank_by_rank() {
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
@@ -248,7 +249,7 @@
     expect_that!((early, first, second), eq((false, true, false)));
 }
 
-/// An end that its owner did not come to write is written by another VM.
+/// An end that its owner did not store is stored by another VM.
 #[gtest]
 fn end_that_is_not_stored_needs_an_owner() {
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
@@ -295,7 +296,7 @@
     }
 }
 
-/// Owners are replaced, and each of them grants out of its own account.
+/// Owners are replaced, and each grants from its own ledger.
 #[gtest]
 fn slack_is_granted_by_the_first_owner_alone() {
     let [first, second] = [1, 2].map(|term| RolloutOwner::new(term, 1, 0, SETTINGS.limit));
