--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -43,7 +43,7 @@
     }
 
     pub(crate) fn end(&self, change: ClaimChange) {
-        self.add(|queue| queue.end(change));
+        self.add(|queue| queue.record_end(change));
     }
 
     /// Waits until nothing waits or is under way.
@@ -73,7 +73,7 @@
             let now = self.timer.now();
             let (given_up, group) = {
                 let mut queue = self.queue.lock();
-                (queue.give_up(now), queue.next_group())
+                (queue.abandon_expired(now), queue.next_group())
             };
             self.tell(given_up);
             let Some(group) = group else {
@@ -83,7 +83,7 @@
                 continue;
             };
             let answer = self.transact(&group).await;
-            let settled = self.queue.lock().answer(&answer);
+            let settled = self.queue.lock().apply_result(&answer);
             self.tell(settled);
             if matches!(answer, GroupAnswer::NotRun | GroupAnswer::Unknown) {
                 tokio::time::sleep(self.cfg.retry_pause).await;
@@ -102,10 +102,10 @@
     /// Gives back a claim that was settled after its caller had been told that it did not run.
     fn give_back(&self, claimed: Claimed) {
         let expires = claims::wall_now().after(self.cfg.retention);
-        let held = claimed.give_back();
+        let held = claimed.release();
         self.queue
             .lock()
-            .end(held.end(ClaimStage::Released, expires));
+            .record_end(held.end(ClaimStage::Released, expires));
     }
 
     async fn transact(&self, group: &[ClaimChange]) -> GroupAnswer {
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -204,7 +204,7 @@
         match tokio::time::timeout(req.time_left, rx).await {
             Ok(Ok(ClaimFate::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
             Ok(Ok(ClaimFate::Taken(found))) => self.verdict(&req.digest, found),
-            Ok(Ok(ClaimFate::GivenUp) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
+            Ok(Ok(ClaimFate::Abandoned) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
         }
     }
 
@@ -263,7 +263,7 @@
     }
 
     fn verdict(&self, digest: &RequestDigest, found: FoundClaim) -> ClaimVerdict {
-        ClaimVerdict::of_row(digest, found, wall_now(), self.cfg.clocks_differ)
+        ClaimVerdict::from_row(digest, found, wall_now(), self.cfg.clocks_differ)
     }
 }
 
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -45,7 +45,8 @@
                     request: Some(call.id.clone()),
                     ..Event::new(EventKind::Claimed)
                 });
-                self.dispatch_claimed(claims, claimed.with(call)).await
+                self.dispatch_claimed(claims, claimed.with_request(call))
+                    .await
             }
             ClaimVerdict::Done(ClaimOutcome::Answered(answer)) => replay(&claims, answer).await,
             ClaimVerdict::Done(ClaimOutcome::Unknown) => Err(ProblemKind::AnswerLost.into()),
@@ -87,7 +88,7 @@
             Ok(place) => place,
             Err(refusal) => {
                 let queued = Queued::new(claimed.request().clone());
-                claims.release(claimed.give_back());
+                claims.release(claimed.release());
                 return Err(refused(queued, refusal));
             }
         };
--- a/crates/decisions/src/claim_change.rs
+++ b/crates/decisions/src/claim_change.rs
@@ -49,11 +49,11 @@
 
 /// What a row with an unexpected version means for a change.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Judged {
+pub(crate) enum ConflictOutcome {
     /// The change was committed at this version, although its result was lost.
-    Made(u64),
+    Committed(u64),
     /// The change may be retried against this version.
-    Again(u64),
+    Retry(u64),
     /// The row belongs to another claim.
     Lost,
 }
@@ -61,21 +61,21 @@
 impl ClaimChange {
     /// Decides how to proceed with this change, given the row that the platform store returned as a
     /// conflict.
-    pub(crate) fn judge(&self, found: &FoundClaim) -> Judged {
+    pub(crate) fn resolve_conflict(&self, found: &FoundClaim) -> ConflictOutcome {
         let Some(record) = &found.record else {
-            return Judged::Lost;
+            return ConflictOutcome::Lost;
         };
         if record.token == self.record.token {
             return match (record.stage.is_final(), self.record.stage.is_final()) {
-                (false, false) | (true, true) => Judged::Made(found.version),
-                (false, true) => Judged::Again(found.version),
-                (true, false) => Judged::Lost,
+                (false, false) | (true, true) => ConflictOutcome::Committed(found.version),
+                (false, true) => ConflictOutcome::Retry(found.version),
+                (true, false) => ConflictOutcome::Lost,
             };
         }
         let released = record.stage == ClaimStage::Released && record.digest == self.record.digest;
         if released && self.record.stage == ClaimStage::Claimed {
-            return Judged::Again(found.version);
+            return ConflictOutcome::Retry(found.version);
         }
-        Judged::Lost
+        ConflictOutcome::Lost
     }
 }
--- a/crates/decisions/src/claim_queue.rs
+++ b/crates/decisions/src/claim_queue.rs
@@ -22,21 +22,21 @@
 /// Pending claims and pending final records of claims. `W` receives the result of a claim.
 #[derive(Debug)]
 pub struct ClaimQueue<W> {
-    waiting: std::collections::VecDeque<Entry<W>>,
-    in_flight: Vec<Entry<W>>,
+    pending: std::collections::VecDeque<QueuedChange<W>>,
+    in_flight: Vec<QueuedChange<W>>,
     group_max: usize,
 }
 
 /// A change in the queue.
 #[derive(Debug)]
-struct Entry<W> {
+struct QueuedChange<W> {
     change: ClaimChange,
     /// Receives the result; `None` for the final record of a claim.
     waiter: Option<W>,
     /// When the claim is abandoned.
     deadline: Instant,
     /// Whether a transaction that contains this change may have been committed.
-    doubtful: bool,
+    may_have_committed: bool,
 }
 
 /// Result of a group transaction.
@@ -60,7 +60,7 @@
     /// Another attempt has claimed the key.
     Taken(FoundClaim),
     /// The claim was abandoned at its deadline, and its request was not dispatched.
-    GivenUp,
+    Abandoned,
 }
 
 impl<W> Default for ClaimQueue<W> {
@@ -74,7 +74,7 @@
     #[must_use]
     pub fn new(group_max: usize) -> Self {
         Self {
-            waiting: std::collections::VecDeque::new(),
+            pending: std::collections::VecDeque::new(),
             in_flight: Vec::new(),
             group_max: group_max.max(1),
         }
@@ -82,28 +82,28 @@
 
     /// Enqueues a claim, which is abandoned if it is not resolved by `deadline`.
     pub fn claim(&mut self, change: ClaimChange, deadline: Instant, waiter: W) {
-        self.waiting.push_back(Entry {
+        self.pending.push_back(QueuedChange {
             change,
             waiter: Some(waiter),
             deadline,
-            doubtful: false,
+            may_have_committed: false,
         });
     }
 
     /// Enqueues the final record of a claim, which is never abandoned.
-    pub fn end(&mut self, change: ClaimChange) {
-        self.waiting.push_back(Entry {
+    pub fn record_end(&mut self, change: ClaimChange) {
+        self.pending.push_back(QueuedChange {
             change,
             waiter: None,
             deadline: Instant(Duration::MAX),
-            doubtful: false,
+            may_have_committed: false,
         });
     }
 
     /// Number of changes that are pending or in flight.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.waiting.len() + self.in_flight.len()
+        self.pending.len() + self.in_flight.len()
     }
 
     /// Whether no change is pending or in flight.
@@ -116,38 +116,38 @@
     ///
     /// A claim that may have been committed is then released under its own token. Otherwise its key
     /// would count as claimed until the row expires.
-    pub fn give_up(&mut self, now: Instant) -> Vec<(W, ClaimFate)> {
-        let mut told = Vec::new();
-        for mut entry in std::mem::take(&mut self.waiting) {
+    pub fn abandon_expired(&mut self, now: Instant) -> Vec<(W, ClaimFate)> {
+        let mut results = Vec::new();
+        for mut entry in std::mem::take(&mut self.pending) {
             if now < entry.deadline {
-                self.waiting.push_back(entry);
+                self.pending.push_back(entry);
                 continue;
             }
-            told.extend(entry.waiter.take().map(|w| (w, ClaimFate::GivenUp)));
-            if entry.doubtful {
+            results.extend(entry.waiter.take().map(|w| (w, ClaimFate::Abandoned)));
+            if entry.may_have_committed {
                 entry.change.record.stage = ClaimStage::Released;
                 entry.deadline = Instant(Duration::MAX);
-                self.waiting.push_back(entry);
+                self.pending.push_back(entry);
             }
         }
-        told
+        results
     }
 
     /// Returns the next transaction, unless one is in flight or nothing is pending. It contains one
     /// change per row, the oldest first.
     pub fn next_group(&mut self) -> Option<Vec<ClaimChange>> {
-        if !self.in_flight.is_empty() || self.waiting.is_empty() {
+        if !self.in_flight.is_empty() || self.pending.is_empty() {
             return None;
         }
         let mut keys: Vec<ClaimRowKey> = Vec::new();
-        for entry in std::mem::take(&mut self.waiting) {
-            let place = keys.binary_search(&entry.change.key);
-            match place {
+        for entry in std::mem::take(&mut self.pending) {
+            let position = keys.binary_search(&entry.change.key);
+            match position {
                 Err(i) if self.in_flight.len() < self.group_max => {
                     keys.insert(i, entry.change.key.clone());
                     self.in_flight.push(entry);
                 }
-                _ => self.waiting.push_back(entry),
+                _ => self.pending.push_back(entry),
             }
         }
         let changes = self.in_flight.iter().map(|entry| entry.change.clone());
@@ -156,55 +156,55 @@
 
     /// Applies the result of the transaction in flight. Changes that it does not resolve are queued
     /// again, ahead of all others.
-    pub fn answer(&mut self, answer: &GroupAnswer) -> Vec<(W, ClaimFate)> {
-        let mut told = Vec::new();
+    pub fn apply_result(&mut self, result: &GroupAnswer) -> Vec<(W, ClaimFate)> {
+        let mut results = Vec::new();
         for entry in std::mem::take(&mut self.in_flight).into_iter().rev() {
-            match answer {
+            match result {
                 GroupAnswer::Committed => {
                     let version = entry.change.expected + 1;
-                    told.extend(entry.made(version));
+                    results.extend(entry.committed(version));
                 }
                 GroupAnswer::Conflicts(found) => {
                     let found = found.iter().find(|found| found.key == entry.change.key);
-                    self.settle(entry, found, &mut told);
+                    self.resolve(entry, found, &mut results);
                 }
-                GroupAnswer::NotRun => self.waiting.push_front(entry),
-                GroupAnswer::Unknown => self.waiting.push_front(Entry {
-                    doubtful: true,
+                GroupAnswer::NotRun => self.pending.push_front(entry),
+                GroupAnswer::Unknown => self.pending.push_front(QueuedChange {
+                    may_have_committed: true,
                     ..entry
                 }),
             }
         }
-        told.reverse();
-        told
+        results.reverse();
+        results
     }
 
-    fn settle(
+    fn resolve(
         &mut self,
-        mut entry: Entry<W>,
+        mut entry: QueuedChange<W>,
         found: Option<&FoundClaim>,
-        told: &mut Vec<(W, ClaimFate)>,
+        results: &mut Vec<(W, ClaimFate)>,
     ) {
         let Some(found) = found else {
-            self.waiting.push_front(entry);
+            self.pending.push_front(entry);
             return;
         };
-        match entry.change.judge(found) {
-            Judged::Made(version) => told.extend(entry.made(version)),
-            Judged::Again(version) => {
+        match entry.change.resolve_conflict(found) {
+            ConflictOutcome::Committed(version) => results.extend(entry.committed(version)),
+            ConflictOutcome::Retry(version) => {
                 entry.change.expected = version;
-                self.waiting.push_front(entry);
+                self.pending.push_front(entry);
             }
-            Judged::Lost => {
+            ConflictOutcome::Lost => {
                 let taken = ClaimFate::Taken(found.clone());
-                told.extend(entry.waiter.map(|waiter| (waiter, taken)));
+                results.extend(entry.waiter.map(|waiter| (waiter, taken)));
             }
         }
     }
 }
 
-impl<W> Entry<W> {
-    fn made(self, version: u64) -> Option<(W, ClaimFate)> {
+impl<W> QueuedChange<W> {
+    fn committed(self, version: u64) -> Option<(W, ClaimFate)> {
         let waiter = self.waiter?;
         let claimed = Claimed::new(self.change, version);
         Some((waiter, ClaimFate::Claimed(claimed)))
--- a/crates/decisions/src/claim_verdict.rs
+++ b/crates/decisions/src/claim_verdict.rs
@@ -17,17 +17,17 @@
 }
 
 impl ClaimVerdict {
-    /// Verdict on a request with this digest, given the row that holds its key. `clocks_differ` is
+    /// Verdict on a request with this digest, given the row that holds its key. `max_clock_skew` is
     /// the maximum by which the clock of the holder may lag this VM's clock.
     ///
     /// A holder past the deadline of the request has crashed or is paused, and records no outcome.
     /// Whether the request ran is then unknown, and dispatching it again could run it twice.
     #[must_use]
-    pub fn of_row(
+    pub fn from_row(
         digest: &RequestDigest,
         found: FoundClaim,
         now: WallTime,
-        clocks_differ: Duration,
+        max_clock_skew: Duration,
     ) -> Self {
         let Some(record) = &found.record else {
             // This version cannot decode the record. Whatever the record contains, the key is
@@ -40,7 +40,8 @@
         match &record.stage {
             ClaimStage::Done(outcome) => Self::Done(outcome.clone()),
             ClaimStage::Claimed
-                if record.kind == ClaimKind::Call && record.deadline.after(clocks_differ) < now =>
+                if record.kind == ClaimKind::Call
+                    && record.deadline.after(max_clock_skew) < now =>
             {
                 Self::Done(ClaimOutcome::Unknown)
             }
--- a/crates/decisions/src/claimed.rs
+++ b/crates/decisions/src/claimed.rs
@@ -33,7 +33,7 @@
 
     /// Attaches the request that claimed the key.
     #[must_use]
-    pub fn with<T>(self, request: T) -> Claimed<T> {
+    pub fn with_request<T>(self, request: T) -> Claimed<T> {
         Claimed {
             held: self.held,
             request,
@@ -53,7 +53,7 @@
     }
 
     /// Returns the claim to be released, and drops the request without a dispatch.
-    pub fn give_back(self) -> HeldClaim {
+    pub fn release(self) -> HeldClaim {
         self.held
     }
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,7 +4,7 @@
 //! and tested by itself. The daemon feeds events in and obeys what comes out.
 
 pub(crate) use {
-    crate::claim_change::Judged,
+    crate::claim_change::ConflictOutcome,
     crate::{
         address_index::AddressIndex, call_table::CallTable, comparisons::Comparisons,
         lane_queue::LaneQueue,
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -47,20 +47,20 @@
 /// Two claims are pending, and another VM has taken the key of one. The other claim must still
 /// succeed.
 #[gtest]
-fn a_taken_key_does_not_hold_up_its_group() {
+fn taken_key_does_not_block_its_group() {
     let mut queue = ClaimQueue::default();
-    let theirs = change("a", 9, b"order");
+    let other = change("a", 9, b"order");
     queue.claim(change("a", 1, b"order"), at(1000), "a");
     queue.claim(change("b", 2, b"order"), at(1000), "b");
     queue.next_group().expect("two claims are pending");
 
-    let first = queue.answer(&GroupAnswer::Conflicts(vec![found(&theirs, 1)]));
+    let first = queue.apply_result(&GroupAnswer::Conflicts(vec![found(&other, 1)]));
     let again = queue.next_group().expect("one claim is pending");
-    let second = queue.answer(&GroupAnswer::Committed);
+    let second = queue.apply_result(&GroupAnswer::Committed);
 
     expect_that!(
         first,
-        elements_are![(eq(&"a"), eq(&ClaimFate::Taken(found(&theirs, 1))))]
+        elements_are![(eq(&"a"), eq(&ClaimFate::Taken(found(&other, 1))))]
     );
     expect_that!(again, eq(&[change("b", 2, b"order")]));
     expect_that!(
@@ -72,18 +72,18 @@
 /// The result of a claim is lost. The claim is sent again, finds its own token in the row, and its
 /// request may run.
 #[gtest]
-fn a_lost_answer_is_settled_by_the_own_token() {
+fn lost_result_is_resolved_by_own_token() {
     let mut queue = ClaimQueue::default();
-    let mine = change("a", 1, b"order");
-    queue.claim(mine.clone(), at(1000), ());
+    let own = change("a", 1, b"order");
+    queue.claim(own.clone(), at(1000), ());
     queue.next_group().expect("one claim is pending");
-    expect_that!(queue.answer(&GroupAnswer::Unknown), is_empty());
+    expect_that!(queue.apply_result(&GroupAnswer::Unknown), is_empty());
     queue.next_group().expect("the claim is pending again");
 
-    let told = queue.answer(&GroupAnswer::Conflicts(vec![found(&mine, 1)]));
+    let results = queue.apply_result(&GroupAnswer::Conflicts(vec![found(&own, 1)]));
 
     expect_that!(
-        told,
+        results,
         elements_are![(eq(&()), matches_pattern!(ClaimFate::Claimed(_)))]
     );
 }
@@ -92,42 +92,42 @@
 /// did not run. The claim may have been committed, however. Without a release, a retry would be
 /// told that the outcome is unknown, although the order certainly did not run.
 #[gtest]
-fn a_doubtful_claim_that_is_given_up_is_released() {
+fn abandoned_claim_that_may_have_committed_is_released() {
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
     queue.next_group().expect("one claim is pending");
-    queue.answer(&GroupAnswer::Unknown);
+    queue.apply_result(&GroupAnswer::Unknown);
 
-    let told = queue.give_up(at(1000));
+    let results = queue.abandon_expired(at(1000));
     let group = queue.next_group().expect("the release is pending");
 
-    expect_that!(told, elements_are![eq(&((), ClaimFate::GivenUp))]);
+    expect_that!(results, elements_are![eq(&((), ClaimFate::Abandoned))]);
     expect_that!(group[0].record.stage, eq(&ClaimStage::Released));
     expect_that!(group[0].record.token, eq(ClaimToken(1)));
 }
 
 #[gtest]
-fn a_claim_that_never_left_is_given_up_without_a_write() {
+fn claim_that_was_not_run_is_abandoned_without_a_write() {
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
     queue.next_group().expect("one claim is pending");
-    queue.answer(&GroupAnswer::NotRun);
+    queue.apply_result(&GroupAnswer::NotRun);
 
-    let told = queue.give_up(at(1000));
+    let results = queue.abandon_expired(at(1000));
 
-    expect_that!(told, elements_are![eq(&((), ClaimFate::GivenUp))]);
+    expect_that!(results, elements_are![eq(&((), ClaimFate::Abandoned))]);
     expect_that!(queue.next_group(), none());
 }
 
 /// An order was rejected before its dispatch and its claim released. A retry must run.
 #[gtest]
-fn a_released_key_can_be_claimed_again_by_the_same_request() {
+fn released_key_can_be_claimed_again_by_the_same_request() {
     let mut queue = ClaimQueue::default();
-    let mut theirs = change("a", 9, b"order");
-    theirs.record.stage = ClaimStage::Released;
+    let mut other = change("a", 9, b"order");
+    other.record.stage = ClaimStage::Released;
     queue.claim(change("a", 1, b"order"), at(1000), ());
     queue.next_group().expect("one claim is pending");
-    queue.answer(&GroupAnswer::Conflicts(vec![found(&theirs, 4)]));
+    queue.apply_result(&GroupAnswer::Conflicts(vec![found(&other, 4)]));
 
     let again = queue.next_group().expect("the claim is pending again");
 
@@ -192,15 +192,15 @@
 /// A caller retries its order in each state that the first attempt can be in. No state allows a
 /// second dispatch.
 #[gtest]
-fn a_taken_key_never_leads_to_a_dispatch() {
+fn taken_key_never_leads_to_a_dispatch() {
     for case in verdict_cases() {
-        let mut theirs = change("a", 9, b"order");
-        theirs.record.stage = case.stage;
+        let mut other = change("a", 9, b"order");
+        other.record.stage = case.stage;
         let digest = RequestDigest::of(&team(), case.digest);
 
-        let verdict = ClaimVerdict::of_row(
+        let verdict = ClaimVerdict::from_row(
             &digest,
-            found(&theirs, 1),
+            found(&other, 1),
             WallTime(case.now),
             Duration::from_secs(5),
         );
@@ -215,7 +215,7 @@
 /// Simulates a table, VMs with their queues, and a network that loses results, delays calls beyond
 /// their timeout, and lets VMs crash or hold a claim for any length of time.
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: u64,
     tokens: u128,
     rows: Vec<FoundClaim>,
@@ -228,7 +228,7 @@
 struct Vm {
     epoch: u32,
     queue: ClaimQueue<()>,
-    waits_for: Option<usize>,
+    awaited_call: Option<usize>,
     claimed: Vec<Claimed>,
     running: Vec<HeldClaim>,
 }
@@ -240,7 +240,7 @@
     done: bool,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             vms: (0..VMS).map(|_| Vm::default()).collect(),
@@ -251,17 +251,17 @@
     fn step(&mut self, action: u8, vm: usize, pick: usize) {
         match action {
             0 | 1 => self.submit(vm, pick),
-            2 | 3 => self.send(vm),
+            2 | 3 => self.send_group(vm),
             4 | 5 => self.deliver(pick, true),
             6 => self.deliver(pick, false),
-            7 => self.answer(vm, &GroupAnswer::Unknown),
-            8 => self.lose(pick),
-            9 => self.give_up(vm),
+            7 => self.return_result(vm, &GroupAnswer::Unknown),
+            8 => self.lose_call(pick),
+            9 => self.abandon_expired(vm),
             10 | 11 => self.dispatch(vm),
-            12 => self.end(vm),
+            12 => self.record_end(vm),
             13 => self.release(vm),
             14 => self.crash(vm),
-            _ => self.refuse(vm),
+            _ => self.reject_call(vm),
         }
     }
 
@@ -273,11 +273,11 @@
         self.vms[vm].queue.claim(change, deadline, ());
     }
 
-    fn send(&mut self, vm: usize) {
+    fn send_group(&mut self, vm: usize) {
         let Some(group) = self.vms[vm].queue.next_group() else {
             return;
         };
-        self.vms[vm].waits_for = Some(self.calls.len());
+        self.vms[vm].awaited_call = Some(self.calls.len());
         self.calls.push(Call {
             vm,
             epoch: self.vms[vm].epoch,
@@ -287,7 +287,7 @@
     }
 
     /// Delivers a call to the table service; the result is returned or lost.
-    fn deliver(&mut self, pick: usize, answered: bool) {
+    fn deliver(&mut self, pick: usize, result_returned: bool) {
         let open = self.calls.iter().enumerate().filter(|(_, c)| !c.done);
         let open = open.map(|(i, _)| i).collect::<Vec<_>>();
         if open.is_empty() {
@@ -299,11 +299,11 @@
         let answer = self.transact(&group);
         let call = &self.calls[i];
         let vm = call.vm;
-        let waits = self.vms[vm].epoch == call.epoch && self.vms[vm].waits_for == Some(i);
-        if waits {
-            self.answer(
+        let is_awaited = self.vms[vm].epoch == call.epoch && self.vms[vm].awaited_call == Some(i);
+        if is_awaited {
+            self.return_result(
                 vm,
-                if answered {
+                if result_returned {
                     &answer
                 } else {
                     &GroupAnswer::Unknown
@@ -312,20 +312,20 @@
         }
     }
 
-    fn lose(&mut self, pick: usize) {
+    fn lose_call(&mut self, pick: usize) {
         let count = self.calls.len();
         if let Some(call) = self.calls.get_mut(pick % count.max(1)) {
             call.done = true;
         }
     }
 
-    fn refuse(&mut self, vm: usize) {
-        let Some(i) = self.vms[vm].waits_for else {
+    fn reject_call(&mut self, vm: usize) {
+        let Some(i) = self.vms[vm].awaited_call else {
             return;
         };
         if !self.calls[i].done {
             self.calls[i].done = true;
-            self.answer(vm, &GroupAnswer::NotRun);
+            self.return_result(vm, &GroupAnswer::NotRun);
         }
     }
 
@@ -352,21 +352,21 @@
         GroupAnswer::Committed
     }
 
-    fn answer(&mut self, vm: usize, answer: &GroupAnswer) {
+    fn return_result(&mut self, vm: usize, result: &GroupAnswer) {
         let vm = &mut self.vms[vm];
-        if vm.waits_for.take().is_none() {
+        if vm.awaited_call.take().is_none() {
             return;
         }
-        for ((), fate) in vm.queue.answer(answer) {
-            if let ClaimFate::Claimed(claimed) = fate {
+        for ((), result) in vm.queue.apply_result(result) {
+            if let ClaimFate::Claimed(claimed) = result {
                 vm.claimed.push(claimed);
             }
         }
     }
 
-    fn give_up(&mut self, vm: usize) {
+    fn abandon_expired(&mut self, vm: usize) {
         self.now += 1;
-        self.vms[vm].queue.give_up(at(self.now));
+        self.vms[vm].queue.abandon_expired(at(self.now));
     }
 
     fn dispatch(&mut self, vm: usize) {
@@ -379,18 +379,18 @@
         self.vms[vm].running.push(held);
     }
 
-    fn end(&mut self, vm: usize) {
+    fn record_end(&mut self, vm: usize) {
         if let Some(held) = self.vms[vm].running.pop() {
             let stage = ClaimStage::Done(ClaimOutcome::Unknown);
-            self.vms[vm].queue.end(held.end(stage, WallTime(1)));
+            self.vms[vm].queue.record_end(held.end(stage, WallTime(1)));
         }
     }
 
     fn release(&mut self, vm: usize) {
         if let Some(claimed) = self.vms[vm].claimed.pop() {
-            let held = claimed.give_back();
+            let held = claimed.release();
             let change = held.end(ClaimStage::Released, WallTime(1));
-            self.vms[vm].queue.end(change);
+            self.vms[vm].queue.record_end(change);
         }
     }
 
@@ -403,14 +403,14 @@
     }
 
     /// Delivers and answers all calls until nothing is pending.
-    fn settle(&mut self) {
+    fn run_to_completion(&mut self) {
         while self.calls.iter().any(|call| !call.done) {
             self.deliver(0, true);
         }
         for _ in 0..20 {
             for vm in 0..VMS {
-                self.answer(vm, &GroupAnswer::Unknown);
-                self.send(vm);
+                self.return_result(vm, &GroupAnswer::Unknown);
+                self.send_group(vm);
                 self.deliver(0, true);
             }
         }
@@ -427,22 +427,22 @@
     fn no_key_is_dispatched_twice(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_usize..8), 0..120),
     ) {
-        let mut world = World::new();
+        let mut sim = Simulation::new();
 
         for (action, vm, pick) in steps {
-            world.step(action, vm, pick);
+            sim.step(action, vm, pick);
         }
-        world.settle();
+        sim.run_to_completion();
 
-        let mut keys = world.dispatched.iter().map(|(key, _)| key).collect::<Vec<_>>();
+        let mut keys = sim.dispatched.iter().map(|(key, _)| key).collect::<Vec<_>>();
         keys.sort();
-        prop_assert!(keys.windows(2).all(|pair| pair[0] != pair[1]), "{:?}", world.dispatched);
-        for (key, token) in &world.dispatched {
-            let row = world.rows.iter().find(|row| row.key == *key);
+        prop_assert!(keys.windows(2).all(|pair| pair[0] != pair[1]), "{:?}", sim.dispatched);
+        for (key, token) in &sim.dispatched {
+            let row = sim.rows.iter().find(|row| row.key == *key);
             let record = row.and_then(|row| row.record.as_ref());
             prop_assert_eq!(record.map(|record| record.token), Some(*token));
         }
-        for vm in &world.vms {
+        for vm in &sim.vms {
             prop_assert!(vm.queue.is_empty(), "changes are still pending: {:?}", vm.queue);
         }
     }
