--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -75,7 +75,7 @@
             method: Method::POST,
             path: "/v1/orders".to_owned(),
             body: json_bytes(&order),
-            bound: permit.until().since(self.timer.now()),
+            bound: permit.deadline().since(self.timer.now()),
             fresh: true,
             ..HttpCall::default()
         };
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -145,12 +145,12 @@
     /// The term held, if the lease has not lapsed.
     #[must_use]
     pub fn held(&self) -> Option<Term> {
-        self.lease.lock().held(self.timer.now())
+        self.lease.lock().held_term(self.timer.now())
     }
 
     /// Has the term rise above one that an engine knows.
     pub fn exceed(&self, term: Term) {
-        self.lease.lock().exceed(term);
+        self.lease.lock().observe_term(term);
         self.woken.notify_one();
     }
 
@@ -170,7 +170,7 @@
     }
 
     fn want(&self, wanted: bool) {
-        self.lease.lock().want(wanted);
+        self.lease.lock().set_wanted(wanted);
     }
 
     async fn run(self: Arc<Self>) {
@@ -186,7 +186,7 @@
     /// Does what is to be done now, and returns how long there is nothing more.
     async fn step(&self) -> Duration {
         let _calling = self.calling.lock().await;
-        let step = self.lease.lock().step(self.timer.now());
+        let step = self.lease.lock().next_step(self.timer.now());
         let done = match step {
             LeaseStep::Wait(wait) => return wait,
             LeaseStep::Read => self.read().await,
@@ -207,8 +207,8 @@
         let _calling = self.calling.lock().await;
         let step = {
             let mut lease = self.lease.lock();
-            lease.want(false);
-            lease.step(self.timer.now())
+            lease.set_wanted(false);
+            lease.next_step(self.timer.now())
         };
         if let LeaseStep::Write(write) = step {
             // Lost or refused, the lease lapses by itself.
@@ -223,7 +223,7 @@
         };
         let rows = (self.platform.read)(vec![key]).await?;
         let row = rows.first().map(lease_row).unwrap_or_default();
-        self.lease.lock().read(self.timer.now(), row);
+        self.lease.lock().apply_row(self.timer.now(), row);
         Ok(())
     }
 
@@ -241,7 +241,7 @@
         };
         self.lease
             .lock()
-            .written(sent, self.timer.now(), write, answer);
+            .apply_write_result(sent, self.timer.now(), write, answer);
         fault.map_or(Ok(()), Err)
     }
 
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -80,7 +80,7 @@
     /// Competes for one scope and gives its orders, while the bundle in force has it.
     async fn serve(self: Arc<Self>, name: Arc<str>) {
         let lease = self.leases.compete(&name);
-        let mut ticks = self.timer.subscribe(self.cfg.read_period);
+        let mut ticks = self.timer.subscribe(self.cfg.poll_interval);
         let mut holding = None;
         while let Some(scope) = self.scope(&name) {
             let held = lease.held();
--- a/crates/decisions/src/lease.rs
+++ b/crates/decisions/src/lease.rs
@@ -15,23 +15,23 @@
 #[derive(Clone, Debug)]
 pub struct Lease {
     cfg: LeaseSettings,
-    me: LeaseHolder,
+    holder: LeaseHolder,
     row: LeaseRow,
     /// When this version of the row was first seen.
-    seen: Option<Instant>,
+    version_seen_at: Option<Instant>,
     /// When the row was last read or written.
-    looked: Option<Instant>,
+    last_contact: Option<Instant>,
     /// Term held, and the time from which its duration counts.
     held: Option<(Term, Instant)>,
     /// When the first write on this version of the row was sent whose result was lost. It may take
     /// effect as long as the version stays the same. If it were cleared earlier, a lease acquired
     /// by that write would be counted from a later write, and a second VM would hold the lease
     /// before it expires here.
-    doubt: Option<Instant>,
+    unresolved_write: Option<Instant>,
     /// Whether the row has to be read to resolve a write whose result was lost.
-    unsettled: bool,
+    needs_read: bool,
     /// The next term must be greater than this one.
-    floor: Term,
+    highest_seen_term: Term,
     /// Whether this process should hold the lease.
     wanted: bool,
 }
@@ -39,35 +39,35 @@
 impl Lease {
     /// Creates a lease that is not held.
     #[must_use]
-    pub fn new(me: LeaseHolder, cfg: LeaseSettings) -> Self {
+    pub fn new(holder: LeaseHolder, cfg: LeaseSettings) -> Self {
         Self {
             cfg,
-            me,
+            holder,
             row: LeaseRow::default(),
-            seen: None,
-            looked: None,
+            version_seen_at: None,
+            last_contact: None,
             held: None,
-            doubt: None,
-            unsettled: false,
-            floor: Term::default(),
+            unresolved_write: None,
+            needs_read: false,
+            highest_seen_term: Term::default(),
             wanted: true,
         }
     }
 
     /// Sets whether this process should hold the lease. If it should not, a held lease is released.
-    pub fn want(&mut self, wanted: bool) {
+    pub fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
     }
 
     /// Records that an engine has seen this term, from a lease whose row is lost. The next write
     /// uses a greater term; otherwise the engine would reject all orders.
-    pub fn exceed(&mut self, term: Term) {
-        self.floor = self.floor.max(term);
+    pub fn observe_term(&mut self, term: Term) {
+        self.highest_seen_term = self.highest_seen_term.max(term);
     }
 
     /// The term held, unless the lease has expired.
     #[must_use]
-    pub fn held(&self, now: Instant) -> Option<Term> {
+    pub fn held_term(&self, now: Instant) -> Option<Term> {
         let (term, since) = self.held?;
         (now < since.after(self.cfg.duration)).then_some(term)
     }
@@ -79,47 +79,49 @@
     /// to read the row first, since another VM may have acquired the lease.
     #[must_use]
     pub fn permit(&self, now: Instant) -> Option<OrderPermit> {
-        let term = self.held(now)?;
+        let term = self.held_term(now)?;
         let (_, since) = self.held?;
-        let until = now.after(self.cfg.order_timeout);
-        let in_time = until < since.after(self.cfg.duration);
-        let paused = now.since(self.looked?) > self.cfg.renew_after * 2;
-        (in_time && !paused && term > self.floor).then_some(OrderPermit { term, until })
+        let deadline = now.after(self.cfg.order_timeout);
+        let ends_before_expiry = deadline < since.after(self.cfg.duration);
+        let was_paused = now.since(self.last_contact?) > self.cfg.renew_after * 2;
+        (ends_before_expiry && !was_paused && term > self.highest_seen_term)
+            .then_some(OrderPermit { term, deadline })
     }
 
     /// The next action for this lease.
     #[must_use]
-    pub fn step(&self, now: Instant) -> LeaseStep {
-        let Some((seen, looked)) = self.seen.zip(self.looked) else {
+    pub fn next_step(&self, now: Instant) -> LeaseStep {
+        let Some((version_seen_at, last_contact)) = self.version_seen_at.zip(self.last_contact)
+        else {
             return LeaseStep::Read;
         };
-        if self.unsettled {
+        if self.needs_read {
             return LeaseStep::Read;
         }
-        if let Some(term) = self.held(now) {
-            return self.step_of_holder(now, term);
+        if let Some(term) = self.held_term(now) {
+            return self.holder_step(now, term);
         }
         if !self.wanted {
-            return LeaseStep::Wait(self.cfg.read_period);
+            return LeaseStep::Wait(self.cfg.poll_interval);
         }
-        let lapses = self.lapses(seen);
-        if lapses <= now {
+        let expires_at = self.expires_at(version_seen_at);
+        if expires_at <= now {
             return self.write(self.next_term(), self.cfg.duration);
         }
-        let read = looked.after(self.cfg.read_period);
+        let read = last_contact.after(self.cfg.poll_interval);
         if read <= now {
             return LeaseStep::Read;
         }
-        LeaseStep::Wait(read.min(lapses).since(now))
+        LeaseStep::Wait(read.min(expires_at).since(now))
     }
 
-    fn step_of_holder(&self, now: Instant, term: Term) -> LeaseStep {
+    fn holder_step(&self, now: Instant, term: Term) -> LeaseStep {
         let (_, since) = self.held.expect("only called while the lease is held");
         if !self.wanted {
             return self.write(term, Duration::ZERO);
         }
-        if term <= self.floor {
-            return self.write(self.floor.next(), self.cfg.duration);
+        if term <= self.highest_seen_term {
+            return self.write(self.highest_seen_term.next(), self.cfg.duration);
         }
         let due = since.after(self.cfg.renew_after);
         if due <= now {
@@ -129,17 +131,21 @@
     }
 
     /// Applies the row as read; `now` is the time after the response arrived.
-    pub fn read(&mut self, now: Instant, row: LeaseRow) {
-        if self.seen.is_none() || row.version != self.row.version {
-            self.seen = Some(now);
+    pub fn apply_row(&mut self, now: Instant, row: LeaseRow) {
+        if self.version_seen_at.is_none() || row.version != self.row.version {
+            self.version_seen_at = Some(now);
         }
-        self.looked = Some(now);
-        self.unsettled = false;
+        self.last_contact = Some(now);
+        self.needs_read = false;
         let changed = row.version != self.row.version;
-        let doubt = if changed { self.doubt.take() } else { None };
+        let unresolved_write = if changed {
+            self.unresolved_write.take()
+        } else {
+            None
+        };
         self.row = row;
-        let mine = self.row.record.as_ref().filter(|r| r.holder == self.me);
-        self.held = match (mine, self.held, doubt) {
+        let own_record = self.row.record.as_ref().filter(|r| r.holder == self.holder);
+        self.held = match (own_record, self.held, unresolved_write) {
             (Some(record), _, Some(sent)) if changed && !record.duration.is_zero() => {
                 // The write whose result was lost took effect at some time after it was sent.
                 Some((record.term, sent))
@@ -150,48 +156,54 @@
     }
 
     /// Applies the result of a write that was sent at `sent`.
-    pub fn written(&mut self, sent: Instant, now: Instant, write: LeaseWrite, answer: LeaseAnswer) {
-        match answer {
+    pub fn apply_write_result(
+        &mut self,
+        sent: Instant,
+        now: Instant,
+        write: LeaseWrite,
+        result: LeaseAnswer,
+    ) {
+        match result {
             LeaseAnswer::Written => {
-                self.doubt = None;
-                self.unsettled = false;
-                self.seen = Some(now);
-                self.looked = Some(now);
+                self.unresolved_write = None;
+                self.needs_read = false;
+                self.version_seen_at = Some(now);
+                self.last_contact = Some(now);
                 self.held = (!write.record.duration.is_zero()).then_some((write.record.term, sent));
                 self.row = LeaseRow {
                     version: write.expected + 1,
                     record: Some(write.record),
                 };
             }
-            LeaseAnswer::Conflict(row) => self.read(now, row),
+            LeaseAnswer::Conflict(row) => self.apply_row(now, row),
             LeaseAnswer::NotRun => {}
             LeaseAnswer::Unknown => {
-                self.doubt = self.doubt.or(Some(sent));
-                self.unsettled = true;
+                self.unresolved_write = self.unresolved_write.or(Some(sent));
+                self.needs_read = true;
             }
         }
     }
 
     /// When a lease whose row was first seen at `seen` may be acquired.
-    fn lapses(&self, seen: Instant) -> Instant {
+    fn expires_at(&self, version_seen_at: Instant) -> Instant {
         match &self.row.record {
-            Some(record) if record.duration.is_zero() => seen,
-            Some(record) => seen.after(record.duration + self.cfg.margin),
-            None if self.row.version == 0 => seen,
-            None => seen.after(self.cfg.duration + self.cfg.margin),
+            Some(record) if record.duration.is_zero() => version_seen_at,
+            Some(record) => version_seen_at.after(record.duration + self.cfg.margin),
+            None if self.row.version == 0 => version_seen_at,
+            None => version_seen_at.after(self.cfg.duration + self.cfg.margin),
         }
     }
 
     fn next_term(&self) -> Term {
         let last = self.row.record.as_ref().map(|record| record.term);
-        last.unwrap_or_default().max(self.floor).next()
+        last.unwrap_or_default().max(self.highest_seen_term).next()
     }
 
     fn write(&self, term: Term, duration: Duration) -> LeaseStep {
         LeaseStep::Write(LeaseWrite {
             expected: self.row.version,
             record: LeaseRecord {
-                holder: self.me.clone(),
+                holder: self.holder.clone(),
                 term,
                 duration,
             },
--- a/crates/decisions/src/lease_settings.rs
+++ b/crates/decisions/src/lease_settings.rs
@@ -13,7 +13,7 @@
     /// so that the lease survives two lost writes.
     pub renew_after: Duration,
     /// How often a VM that does not hold the lease reads the row.
-    pub read_period: Duration,
+    pub poll_interval: Duration,
     /// Timeout of an order.
     pub order_timeout: Duration,
 }
@@ -24,7 +24,7 @@
             duration: Duration::from_secs(10),
             margin: Duration::from_secs(2),
             renew_after: Duration::from_secs(3),
-            read_period: Duration::from_secs(3),
+            poll_interval: Duration::from_secs(3),
             order_timeout: Duration::from_secs(2),
         }
     }
--- a/crates/decisions/src/order_permit.rs
+++ b/crates/decisions/src/order_permit.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, PartialEq)]
 pub struct OrderPermit {
     pub(crate) term: Term,
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 impl OrderPermit {
@@ -19,7 +19,7 @@
 
     /// Time by which the order must be answered; it is abandoned afterwards.
     #[must_use]
-    pub fn until(&self) -> Instant {
-        self.until
+    pub fn deadline(&self) -> Instant {
+        self.deadline
     }
 }
--- a/crates/decisions/src/order_settings.rs
+++ b/crates/decisions/src/order_settings.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrderSettings {
     /// How often the lease holder reads the state of its engines.
-    pub read_period: Duration,
+    pub poll_interval: Duration,
     /// Number of engines of a scope that load at the same time; derived from the limit of the
     /// weight store.
     pub loads_at_once: usize,
@@ -26,7 +26,7 @@
 impl Default for OrderSettings {
     fn default() -> Self {
         Self {
-            read_period: Duration::from_secs(1),
+            poll_interval: Duration::from_secs(1),
             loads_at_once: 1,
             report_bound: Duration::from_secs(3),
             quiet: Duration::from_secs(15),
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -171,7 +171,7 @@
         let now = self.instant();
         let until = self.now + 1_000 + 200 * pick;
         for vm in &mut self.vms {
-            if vm.lease.held(now).is_some() {
+            if vm.lease.held_term(now).is_some() {
                 vm.paused_until = until;
             }
         }
@@ -188,11 +188,11 @@
             let answer = self.write(vm);
             return self.answer(vm, answer);
         }
-        match self.vms[vm].lease.step(now) {
+        match self.vms[vm].lease.next_step(now) {
             LeaseStep::Wait(_) => {}
             LeaseStep::Read => {
                 let row = self.row.clone();
-                self.vms[vm].lease.read(now, row);
+                self.vms[vm].lease.apply_row(now, row);
             }
             LeaseStep::Write(write) => self.vms[vm].write = Some((now, write)),
         }
@@ -216,7 +216,9 @@
     fn answer(&mut self, vm: usize, answer: LeaseAnswer) {
         let now = self.instant();
         if let Some((sent, write)) = self.vms[vm].write.take() {
-            self.vms[vm].lease.written(sent, now, write, answer);
+            self.vms[vm]
+                .lease
+                .apply_write_result(sent, now, write, answer);
         }
     }
 
@@ -228,7 +230,7 @@
         }
         let row = self.row.clone();
         let vm = &mut self.vms[vm];
-        vm.lease.read(instant, row);
+        vm.lease.apply_row(instant, row);
         let Some(permit) = vm.lease.permit(instant) else {
             return;
         };
@@ -240,7 +242,7 @@
         let fresh = || (permit.term(), OrderPlanner::new(settings()));
         let (term, mut planner) = known.unwrap_or_else(fresh);
         for (_, report) in vm.reports.iter().filter(|(_, r)| r.highest_term > term) {
-            vm.lease.exceed(report.highest_term);
+            vm.lease.observe_term(report.highest_term);
         }
         for state in planner.plan(instant, &goals(vm.wants), &vm.reports) {
             planner.sent(instant, &state);
@@ -303,7 +305,7 @@
         duration: ms(1_000),
         margin: ms(200),
         renew_after: ms(300),
-        read_period: ms(300),
+        poll_interval: ms(300),
         order_timeout: ms(200),
     }
 }
--- a/crates/decisions/tests/lease.rs
+++ b/crates/decisions/tests/lease.rs
@@ -36,51 +36,51 @@
 }
 
 /// Lets the lease acquire a row that is absent or expired, with the write sent at `sent`.
-fn take(lease: &mut Lease, sent: u64, answered: u64, answer: LeaseAnswer) -> LeaseWrite {
-    let LeaseStep::Write(write) = lease.step(at(sent)) else {
-        panic!("expected a write, got {:?}", lease.step(at(sent)));
+fn acquire(lease: &mut Lease, sent: u64, received: u64, result: LeaseAnswer) -> LeaseWrite {
+    let LeaseStep::Write(write) = lease.next_step(at(sent)) else {
+        panic!("expected a write, got {:?}", lease.next_step(at(sent)));
     };
-    lease.written(at(sent), at(answered), write.clone(), answer);
+    lease.apply_write_result(at(sent), at(received), write.clone(), result);
     write
 }
 
 fn held_lease() -> Lease {
     let mut lease = lease(1);
-    lease.read(at(0), LeaseRow::default());
-    take(&mut lease, 0, 500, LeaseAnswer::Written);
+    lease.apply_row(at(0), LeaseRow::default());
+    acquire(&mut lease, 0, 500, LeaseAnswer::Written);
     lease
 }
 
 #[gtest]
-fn a_free_lease_is_taken_and_counts_from_before_its_write() {
+fn free_lease_is_acquired_and_counts_from_before_its_write() {
     let lease = held_lease();
 
-    expect_that!(lease.held(at(9_999)), some(eq(Term(1))));
-    expect_that!(lease.held(at(10_000)), none());
+    expect_that!(lease.held_term(at(9_999)), some(eq(Term(1))));
+    expect_that!(lease.held_term(at(10_000)), none());
 }
 
 /// Another VM sees a lease for the first time. It does not know when the lease was written, so it
 /// waits for the whole duration and the margin before it acquires the lease under the next term.
 #[gtest]
-fn a_lease_of_another_is_waited_out() {
+fn lease_of_another_holder_must_expire_before_it_is_acquired() {
     let mut lease = lease(2);
-    lease.read(at(1_000), row(5, 1, 3));
+    lease.apply_row(at(1_000), row(5, 1, 3));
 
-    let before = lease.step(at(3_000));
-    lease.read(at(12_900), row(5, 1, 3));
-    let after = take(&mut lease, 13_000, 13_001, LeaseAnswer::Written);
+    let before = lease.next_step(at(3_000));
+    lease.apply_row(at(12_900), row(5, 1, 3));
+    let after = acquire(&mut lease, 13_000, 13_001, LeaseAnswer::Written);
 
     expect_that!(before, eq(&LeaseStep::Wait(Duration::from_secs(1))));
     expect_that!((after.expected, after.record.term), eq((5, Term(4))));
 }
 
 #[gtest]
-fn a_renewed_lease_is_waited_out_anew() {
+fn renewal_restarts_the_wait_for_expiry() {
     let mut lease = lease(2);
-    lease.read(at(1_000), row(5, 1, 3));
-    lease.read(at(12_900), row(6, 1, 3));
+    lease.apply_row(at(1_000), row(5, 1, 3));
+    lease.apply_row(at(12_900), row(6, 1, 3));
 
-    let step = lease.step(at(13_000));
+    let step = lease.next_step(at(13_000));
 
     expect_that!(step, matches_pattern!(LeaseStep::Wait(_)));
 }
@@ -88,47 +88,47 @@
 /// The result of a renewal is lost. The holder reads its own row back, and counts the lease from
 /// when it sent the write, not from when it read the row.
 #[gtest]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn lost_write_result_is_resolved_by_reading_back() {
     let mut lease = held_lease();
-    take(&mut lease, 3_000, 5_000, LeaseAnswer::Unknown);
+    acquire(&mut lease, 3_000, 5_000, LeaseAnswer::Unknown);
 
-    let step = lease.step(at(5_000));
-    lease.read(at(5_500), row(2, 1, 1));
+    let step = lease.next_step(at(5_000));
+    lease.apply_row(at(5_500), row(2, 1, 1));
 
     expect_that!(step, eq(&LeaseStep::Read));
-    expect_that!(lease.held(at(12_999)), some(eq(Term(1))));
-    expect_that!(lease.held(at(13_000)), none());
+    expect_that!(lease.held_term(at(12_999)), some(eq(Term(1))));
+    expect_that!(lease.held_term(at(13_000)), none());
 }
 
 /// The results of two writes are lost. The first write was delayed and took effect after the read
 /// in between. If the lease were counted from the second write, it would outlast the wait of
 /// another VM that saw the row at once, and both VMs would hold it.
 #[gtest]
-fn a_late_write_counts_from_when_it_was_sent() {
+fn late_write_counts_from_when_it_was_sent() {
     let mut lease = lease(1);
-    lease.read(at(0), LeaseRow::default());
-    take(&mut lease, 0, 1_000, LeaseAnswer::Unknown);
-    lease.read(at(1_000), LeaseRow::default());
-    take(&mut lease, 2_000, 3_000, LeaseAnswer::Unknown);
+    lease.apply_row(at(0), LeaseRow::default());
+    acquire(&mut lease, 0, 1_000, LeaseAnswer::Unknown);
+    lease.apply_row(at(1_000), LeaseRow::default());
+    acquire(&mut lease, 2_000, 3_000, LeaseAnswer::Unknown);
 
-    lease.read(at(3_000), row(1, 1, 1));
+    lease.apply_row(at(3_000), row(1, 1, 1));
 
-    expect_that!(lease.held(at(9_999)), some(eq(Term(1))));
-    expect_that!(lease.held(at(10_000)), none());
+    expect_that!(lease.held_term(at(9_999)), some(eq(Term(1))));
+    expect_that!(lease.held_term(at(10_000)), none());
 }
 
 /// A holder is paused for 7 s and resumes while its lease is still valid by its own clock. It must
 /// read the row before it sends orders.
 #[gtest]
-fn a_paused_holder_looks_at_the_row_before_it_orders() {
+fn paused_holder_reads_the_row_before_it_sends_orders() {
     let mut lease = held_lease();
 
-    let paused = lease.permit(at(7_500));
-    lease.read(at(7_600), row(1, 1, 1));
-    let looked = lease.permit(at(7_700));
+    let without_read = lease.permit(at(7_500));
+    lease.apply_row(at(7_600), row(1, 1, 1));
+    let after_read = lease.permit(at(7_700));
 
-    expect_that!(paused, none());
-    expect_that!(looked.map(|permit| permit.term()), some(eq(Term(1))));
+    expect_that!(without_read, none());
+    expect_that!(after_read.map(|permit| permit.term()), some(eq(Term(1))));
 }
 
 /// An order that is still in flight when the lease expires could arrive after an order of the next
@@ -136,35 +136,35 @@
 #[gtest]
 fn no_order_outlasts_the_lease() {
     let mut lease = held_lease();
-    lease.read(at(7_900), row(1, 1, 1));
+    lease.apply_row(at(7_900), row(1, 1, 1));
 
     let in_time = lease.permit(at(7_999));
     let too_late = lease.permit(at(8_000));
 
-    expect_that!(in_time.map(|p| p.until()), some(eq(at(9_999))));
+    expect_that!(in_time.map(|p| p.deadline()), some(eq(at(9_999))));
     expect_that!(too_late, none());
 }
 
 /// A paused holder resumes after another VM has acquired the lease.
 #[gtest]
-fn a_holder_that_reads_another_ones_row_holds_nothing() {
+fn holder_that_reads_the_row_of_another_holds_nothing() {
     let mut lease = held_lease();
 
-    lease.read(at(5_000), row(2, 2, 2));
+    lease.apply_row(at(5_000), row(2, 2, 2));
 
-    expect_that!(lease.held(at(5_000)), none());
+    expect_that!(lease.held_term(at(5_000)), none());
     expect_that!(lease.permit(at(5_000)), none());
 }
 
 /// The row of the lease was lost with its table, so terms start again at 1. Engines have seen
 /// greater terms and would reject every order.
 #[gtest]
-fn terms_rise_above_what_an_engine_knows() {
+fn terms_exceed_those_that_an_engine_has_seen() {
     let mut lease = held_lease();
-    lease.exceed(Term(41));
+    lease.observe_term(Term(41));
 
     let permit = lease.permit(at(600));
-    let write = take(&mut lease, 700, 701, LeaseAnswer::Written);
+    let write = acquire(&mut lease, 700, 701, LeaseAnswer::Written);
 
     expect_that!(permit, none());
     expect_that!(write.record.term, eq(Term(42)));
@@ -172,46 +172,46 @@
 }
 
 #[gtest]
-fn a_lease_given_back_is_free_at_once() {
+fn released_lease_can_be_acquired_at_once() {
     let mut first = held_lease();
-    first.want(false);
-    let given_back = take(&mut first, 1_000, 1_001, LeaseAnswer::Written);
+    first.set_wanted(false);
+    let released = acquire(&mut first, 1_000, 1_001, LeaseAnswer::Written);
     let mut second = lease(2);
-    second.read(
+    second.apply_row(
         at(1_100),
         LeaseRow {
             version: 2,
-            record: Some(given_back.record),
+            record: Some(released.record),
         },
     );
 
-    let taken = take(&mut second, 1_100, 1_101, LeaseAnswer::Written);
+    let acquired = acquire(&mut second, 1_100, 1_101, LeaseAnswer::Written);
 
-    expect_that!(first.held(at(1_002)), none());
-    expect_that!(taken.record.term, eq(Term(2)));
+    expect_that!(first.held_term(at(1_002)), none());
+    expect_that!(acquired.record.term, eq(Term(2)));
 }
 
 const VMS: usize = 3;
 
 /// Simulates VMs whose clocks run at different speeds, a platform store that delays and loses
 /// calls, and an engine that rejects outdated terms.
-struct World {
+struct Simulation {
     now: u64,
     row: LeaseRow,
     vms: Vec<Vm>,
     calls: Vec<Call>,
     orders: Vec<Term>,
-    holders: Vec<(Term, LeaseHolder)>,
+    holders_by_term: Vec<(Term, LeaseHolder)>,
     applied: Vec<Term>,
 }
 
 struct Vm {
-    me: LeaseHolder,
+    holder: LeaseHolder,
     /// Speed of the VM's clock in percent.
     speed: u64,
     lease: Lease,
     paused_until: u64,
-    waits_for: Option<usize>,
+    awaited_call: Option<usize>,
 }
 
 struct Call {
@@ -222,14 +222,14 @@
     done: bool,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let vm = |i: usize| Vm {
-            me: holder(i, 1),
+            holder: holder(i, 1),
             speed: [95, 100, 105][i % 3],
             lease: lease(i),
             paused_until: 0,
-            waits_for: None,
+            awaited_call: None,
         };
         Self {
             now: 0,
@@ -237,7 +237,7 @@
             vms: (0..VMS).map(vm).collect(),
             calls: Vec::new(),
             orders: Vec::new(),
-            holders: Vec::new(),
+            holders_by_term: Vec::new(),
             applied: Vec::new(),
         }
     }
@@ -249,12 +249,12 @@
     fn step(&mut self, action: u8, vm: usize, pick: u64) {
         self.now += 50 * (pick % 8);
         match action {
-            0..=4 => self.act(vm),
+            0..=4 => self.run_vm(vm),
             5 | 6 => self.deliver(pick, true),
             7 => self.deliver(pick, false),
-            8 => self.hear(vm, LeaseAnswer::Unknown),
-            9 | 10 => self.order(vm),
-            11 => self.arrive(pick),
+            8 => self.return_result(vm, LeaseAnswer::Unknown),
+            9 | 10 => self.send_order(vm),
+            11 => self.deliver_order(pick),
             12 => self.now += 400 * pick,
             13 => self.vms[vm].paused_until = self.now + 3_000 * pick,
             _ => self.crash(vm),
@@ -262,22 +262,22 @@
         self.check();
     }
 
-    fn act(&mut self, vm: usize) {
+    fn run_vm(&mut self, vm: usize) {
         let now = self.clock(vm);
-        if self.vms[vm].paused_until > self.now || self.vms[vm].waits_for.is_some() {
+        if self.vms[vm].paused_until > self.now || self.vms[vm].awaited_call.is_some() {
             return;
         }
-        match self.vms[vm].lease.step(now) {
+        match self.vms[vm].lease.next_step(now) {
             LeaseStep::Wait(_) => {}
             LeaseStep::Read => {
                 let row = self.row.clone();
-                self.vms[vm].lease.read(now, row);
+                self.vms[vm].lease.apply_row(now, row);
             }
             LeaseStep::Write(write) => {
-                self.vms[vm].waits_for = Some(self.calls.len());
+                self.vms[vm].awaited_call = Some(self.calls.len());
                 self.calls.push(Call {
                     vm,
-                    holder: self.vms[vm].me.clone(),
+                    holder: self.vms[vm].holder.clone(),
                     sent: now,
                     write,
                     done: false,
@@ -286,7 +286,7 @@
         }
     }
 
-    fn deliver(&mut self, pick: u64, answered: bool) {
+    fn deliver(&mut self, pick: u64, result_returned: bool) {
         let open = (0..self.calls.len()).filter(|i| !self.calls[*i].done);
         let open = open.collect::<Vec<_>>();
         if open.is_empty() {
@@ -295,7 +295,7 @@
         let i = open[usize::try_from(pick).expect("small") % open.len()];
         self.calls[i].done = true;
         let write = self.calls[i].write.clone();
-        let answer = if write.expected == self.row.version {
+        let result = if write.expected == self.row.version {
             self.row = LeaseRow {
                 version: write.expected + 1,
                 record: Some(write.record),
@@ -305,12 +305,13 @@
             LeaseAnswer::Conflict(self.row.clone())
         };
         let vm = self.calls[i].vm;
-        let waits = self.vms[vm].waits_for == Some(i) && self.vms[vm].me == self.calls[i].holder;
-        if waits {
-            self.hear(
+        let is_awaited =
+            self.vms[vm].awaited_call == Some(i) && self.vms[vm].holder == self.calls[i].holder;
+        if is_awaited {
+            self.return_result(
                 vm,
-                if answered {
-                    answer
+                if result_returned {
+                    result
                 } else {
                     LeaseAnswer::Unknown
                 },
@@ -318,17 +319,19 @@
         }
     }
 
-    fn hear(&mut self, vm: usize, answer: LeaseAnswer) {
+    fn return_result(&mut self, vm: usize, result: LeaseAnswer) {
         let now = self.clock(vm);
-        let Some(i) = self.vms[vm].waits_for.take() else {
+        let Some(i) = self.vms[vm].awaited_call.take() else {
             return;
         };
         let (sent, write) = (self.calls[i].sent, self.calls[i].write.clone());
-        self.vms[vm].lease.written(sent, now, write, answer);
+        self.vms[vm]
+            .lease
+            .apply_write_result(sent, now, write, result);
     }
 
     /// A holder sends an order to the engine. The message may arrive at any time.
-    fn order(&mut self, vm: usize) {
+    fn send_order(&mut self, vm: usize) {
         let now = self.clock(vm);
         if self.vms[vm].paused_until > self.now {
             return;
@@ -338,7 +341,7 @@
         }
     }
 
-    fn arrive(&mut self, pick: u64) {
+    fn deliver_order(&mut self, pick: u64) {
         if self.orders.is_empty() {
             return;
         }
@@ -350,38 +353,42 @@
     }
 
     fn crash(&mut self, vm: usize) {
-        let me = LeaseHolder {
-            incarnation: Incarnation(self.vms[vm].me.incarnation.0 + 1),
-            ..self.vms[vm].me.clone()
+        let holder = LeaseHolder {
+            incarnation: Incarnation(self.vms[vm].holder.incarnation.0 + 1),
+            ..self.vms[vm].holder.clone()
         };
-        self.vms[vm].lease = Lease::new(me.clone(), LeaseSettings::default());
-        self.vms[vm].me = me;
-        self.vms[vm].waits_for = None;
+        self.vms[vm].lease = Lease::new(holder.clone(), LeaseSettings::default());
+        self.vms[vm].holder = holder;
+        self.vms[vm].awaited_call = None;
     }
 
     fn check(&mut self) {
         let held = (0..VMS).filter_map(|vm| {
-            let term = self.vms[vm].lease.held(self.clock(vm))?;
-            Some((term, self.vms[vm].me.clone()))
+            let term = self.vms[vm].lease.held_term(self.clock(vm))?;
+            Some((term, self.vms[vm].holder.clone()))
         });
         let held = held.collect::<Vec<_>>();
         assert!(held.len() <= 1, "two holders at {}: {held:?}", self.now);
         for (term, holder) in held {
-            match self.holders.iter().find(|(known, _)| *known == term) {
-                Some((_, known)) => assert_eq!(*known, holder, "term {term} has two holders"),
-                None => self.holders.push((term, holder)),
+            match self
+                .holders_by_term
+                .iter()
+                .find(|(recorded, _)| *recorded == term)
+            {
+                Some((_, recorded)) => assert_eq!(*recorded, holder, "term {term} has two holders"),
+                None => self.holders_by_term.push((term, holder)),
             }
         }
     }
 
     /// Runs without faults until some VM holds the lease.
-    fn settle(&mut self) -> Option<Term> {
+    fn run_without_faults(&mut self) -> Option<Term> {
         for _ in 0..600 {
             self.now += 100;
             for vm in 0..VMS {
-                self.act(vm);
+                self.run_vm(vm);
                 self.deliver(0, true);
-                self.hear(vm, LeaseAnswer::Unknown);
+                self.return_result(vm, LeaseAnswer::Unknown);
             }
             self.check();
         }
@@ -397,19 +404,19 @@
     /// at once would send conflicting orders to an engine, and with the same term their orders
     /// could not be told apart.
     #[test]
-    fn there_is_never_more_than_one_holder_nor_one_term_twice(
+    fn at_most_one_holder_and_no_term_is_reused(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_u64..12), 0..300),
     ) {
-        let mut world = World::new();
+        let mut sim = Simulation::new();
 
         for (action, vm, pick) in steps {
-            world.step(action, vm, pick);
+            sim.step(action, vm, pick);
         }
-        let term = world.settle();
+        let term = sim.run_without_faults();
 
-        let largest = world.holders.iter().map(|(term, _)| *term).max();
+        let largest = sim.holders_by_term.iter().map(|(term, _)| *term).max();
         prop_assert!(term.is_some());
         prop_assert_eq!(term, largest);
-        prop_assert!(world.applied.last() <= term.as_ref());
+        prop_assert!(sim.applied.last() <= term.as_ref());
     }
 }
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -38,14 +38,14 @@
         duration: Duration::from_millis(600),
         margin: Duration::from_millis(100),
         renew_after: Duration::from_millis(150),
-        read_period: Duration::from_millis(50),
+        poll_interval: Duration::from_millis(50),
         order_timeout: Duration::from_millis(200),
     }
 }
 
 fn order_settings() -> OrderSettings {
     OrderSettings {
-        read_period: Duration::from_millis(20),
+        poll_interval: Duration::from_millis(20),
         report_bound: Duration::from_millis(500),
         quiet: Duration::from_millis(100),
         resend_after: Duration::from_millis(100),
