--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -105,12 +105,12 @@
     /// a VM that may.
     fn allowed_scopes(&self) -> Vec<OrderScope> {
         let bundle = self.bundle.current();
-        let checked = |goal: &EngineGoal| {
-            let upstream = bundle.upstream(&goal.upstream);
+        let checked = |target: &EngineGoal| {
+            let upstream = bundle.upstream(&target.upstream);
             upstream.is_some_and(|upstream| upstream.checks_orderer)
         };
         let mut scopes = order_scopes(&bundle);
-        scopes.retain(|scope| self.right == OrderRight::All || scope.goals.iter().all(checked));
+        scopes.retain(|scope| self.right == OrderRight::All || scope.targets.iter().all(checked));
         scopes
     }
 
@@ -139,9 +139,9 @@
     async fn round(&self, lease: &LeaseHandle, scope: &OrderScope, holding: &mut Holding) {
         let bundle = self.bundle.current();
         let upstreams = scope
-            .goals
+            .targets
             .iter()
-            .filter_map(|goal| bundle.upstream(&goal.upstream))
+            .filter_map(|target| bundle.upstream(&target.upstream))
             .collect::<Vec<_>>();
         let reads = upstreams
             .iter()
@@ -160,7 +160,7 @@
             }
         }
         let now = self.timer.now();
-        let states = holding.planner.plan(now, &scope.goals, &holding.reports);
+        let states = holding.planner.plan(now, &scope.targets, &holding.reports);
         for state in states {
             if !self.order(lease, holding, &state).await {
                 return;
@@ -182,7 +182,7 @@
                 return false;
             }
         };
-        holding.planner.sent(self.timer.now(), state);
+        holding.planner.record_sent(self.timer.now(), state);
         self.timeline.record(Event {
             upstream: Some(state.upstream.clone()),
             term: Some(permit.term()),
@@ -197,7 +197,7 @@
             Ok(()) => {}
             Err(OrderFault::StaleTerm(highest)) => lease.exceed(highest),
             Err(OrderFault::Refused(kind)) => {
-                holding.planner.refused(&state.upstream);
+                holding.planner.record_refused(&state.upstream);
                 tracing::warn!(upstream = %state.upstream, %kind, "order refused");
             }
             // What became of it is seen in the engine's next report.
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -5,7 +5,7 @@
 
 /// An engine as the planner sees it; `report` is `None` if there is none that may be acted on.
 pub(crate) struct EngineView<'a> {
-    pub(crate) goal: &'a EngineGoal,
+    pub(crate) target: &'a EngineGoal,
     pub(crate) report: Option<&'a EngineReport>,
     /// Models that are being loaded there.
     pub(crate) loading: Vec<Model>,
@@ -19,7 +19,7 @@
 
 /// Whether an engine shall hold some version of a model.
 fn has_name(view: &EngineView, model: &Model) -> bool {
-    view.goal.models.iter().any(|m| m.name == model.name)
+    view.target.models.iter().any(|m| m.name == model.name)
 }
 
 /// Whether one more engine may load a model now.
@@ -27,7 +27,7 @@
     i: usize,
     model: &Model,
     views: &[EngineView],
-    loads_at_once: usize,
+    max_concurrent_loads: usize,
 ) -> bool {
     if views[i].loading.contains(model) {
         return true;
@@ -41,7 +41,7 @@
         .filter(|(_, view)| replicas(view) && view.loading.is_empty())
         .count();
     let alone = !others().any(|(_, view)| replicas(view));
-    busy < loads_at_once.max(1) && (alone || serving > 0)
+    busy < max_concurrent_loads.max(1) && (alone || serving > 0)
 }
 
 /// The engines that keep an old model: those that have it first, then those with most streams on it,
@@ -59,11 +59,11 @@
     };
     let second = able[1..]
         .iter()
-        .find(|view| view.goal.zone != first.goal.zone)
+        .find(|view| view.target.zone != first.target.zone)
         .or(able.get(1));
     let chosen = std::iter::once(first).chain(second.copied());
     chosen
         .take(KEEPERS)
-        .map(|view| view.goal.upstream.clone())
+        .map(|view| view.target.upstream.clone())
         .collect()
 }
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -19,13 +19,13 @@
 pub struct OrderPlanner {
     cfg: OrderSettings,
     /// Old models, sorted, and when each was last in use.
-    old: Vec<(Model, Instant)>,
+    old_models: Vec<(Model, Instant)>,
     /// Last order sent to each engine, sorted.
-    sent: Vec<(UpstreamId, Sent)>,
+    last_orders: Vec<(UpstreamId, SentOrder)>,
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentOrder {
     at: Instant,
     models: Vec<Model>,
     refused: bool,
@@ -37,29 +37,29 @@
     pub fn new(cfg: OrderSettings) -> Self {
         Self {
             cfg,
-            old: Vec::new(),
-            sent: Vec::new(),
+            old_models: Vec::new(),
+            last_orders: Vec::new(),
         }
     }
 
     /// Records that an order was sent, whether or not it was answered.
-    pub fn sent(&mut self, now: Instant, state: &EngineState) {
-        let sent = Sent {
+    pub fn record_sent(&mut self, now: Instant, state: &EngineState) {
+        let sent = SentOrder {
             at: now,
             models: state.models.clone(),
             refused: false,
         };
-        match self.place(&state.upstream) {
-            Ok(i) => self.sent[i].1 = sent,
-            Err(i) => self.sent.insert(i, (state.upstream.clone(), sent)),
+        match self.position(&state.upstream) {
+            Ok(i) => self.last_orders[i].1 = sent,
+            Err(i) => self.last_orders.insert(i, (state.upstream.clone(), sent)),
         }
     }
 
     /// Records that an engine rejected its last order: the engine is not counted as loading for
     /// that order, so it does not delay other engines.
-    pub fn refused(&mut self, upstream: &UpstreamId) {
-        if let Ok(i) = self.place(upstream) {
-            self.sent[i].1.refused = true;
+    pub fn record_refused(&mut self, upstream: &UpstreamId) {
+        if let Ok(i) = self.position(upstream) {
+            self.last_orders[i].1.refused = true;
         }
     }
 
@@ -68,18 +68,18 @@
     pub fn plan(
         &mut self,
         now: Instant,
-        goals: &[EngineGoal],
+        targets: &[EngineGoal],
         reports: &[(UpstreamId, EngineReport)],
     ) -> Vec<EngineState> {
-        let mut views = goals
+        let mut views = targets
             .iter()
-            .map(|goal| self.view(now, goal, reports))
+            .map(|target| self.view(now, target, reports))
             .collect::<Vec<_>>();
-        self.note_use(now, goals, reports);
-        let kept = self.kept(now, &views);
+        self.update_last_use(now, targets, reports);
+        let retained = self.retained_models(now, &views);
         let mut orders = Vec::new();
         for i in 0..views.len() {
-            let Some(state) = self.next_state(i, &views, &kept) else {
+            let Some(state) = self.target_state(i, &views, &retained) else {
                 continue;
             };
             if self.is_due(now, &views[i], &state) {
@@ -93,34 +93,34 @@
     fn view<'a>(
         &self,
         now: Instant,
-        goal: &'a EngineGoal,
+        target: &'a EngineGoal,
         reports: &'a [(UpstreamId, EngineReport)],
     ) -> EngineView<'a> {
-        let report = find(reports, &goal.upstream);
-        let fresh = report.filter(|report| now.since(report.at) <= self.cfg.report_bound);
+        let report = find(reports, &target.upstream);
+        let fresh = report.filter(|report| now.since(report.at) <= self.cfg.report_max_age);
         let mut view = EngineView {
-            goal,
+            target,
             report: fresh,
             loading: Vec::new(),
         };
         view.loading = match (report.and_then(|report| report.loading.clone()), fresh) {
             (Some(loading), Some(_)) => loading,
             // Without a report of loads in progress, the ordered models are assumed to be loading.
-            _ => self.ordered_loads(now, &view, report),
+            _ => self.assumed_loads(now, &view, report),
         };
         view
     }
 
-    fn ordered_loads(
+    fn assumed_loads(
         &self,
         now: Instant,
         view: &EngineView,
         report: Option<&EngineReport>,
     ) -> Vec<Model> {
-        let Ok(i) = self.place(&view.goal.upstream) else {
+        let Ok(i) = self.position(&view.target.upstream) else {
             return Vec::new();
         };
-        let sent = &self.sent[i].1;
+        let sent = &self.last_orders[i].1;
         if sent.refused || now.since(sent.at) > self.cfg.load_timeout {
             return Vec::new();
         }
@@ -130,72 +130,76 @@
 
     /// Updates when models that are no longer wanted on any engine were last in use. An engine that
     /// is unreachable may run streams on all the models that it held.
-    fn note_use(
+    fn update_last_use(
         &mut self,
         now: Instant,
-        goals: &[EngineGoal],
+        targets: &[EngineGoal],
         reports: &[(UpstreamId, EngineReport)],
     ) {
-        let wanted = |model: &Model| goals.iter().any(|g| g.models.binary_search(model).is_ok());
-        let in_scope = |id: &UpstreamId| goals.iter().any(|goal| goal.upstream == *id);
+        let wanted = |model: &Model| {
+            targets
+                .iter()
+                .any(|t| t.models.binary_search(model).is_ok())
+        };
+        let in_scope = |id: &UpstreamId| targets.iter().any(|target| target.upstream == *id);
         let cfg = self.cfg;
-        self.old.retain(|(model, _)| !wanted(model));
+        self.old_models.retain(|(model, _)| !wanted(model));
         for (_, report) in reports.iter().filter(|(id, _)| in_scope(id)) {
             let age = now.since(report.at);
-            let stale = age > cfg.report_bound && age < cfg.lost_after;
+            let stale = age > cfg.report_max_age && age < cfg.unreachable_timeout;
             for (model, streams) in report.loaded.iter().filter(|(model, _)| !wanted(model)) {
-                match self.old.binary_search_by(|(old, _)| old.cmp(model)) {
-                    Ok(i) if *streams > 0 || stale => self.old[i].1 = now,
+                match self.old_models.binary_search_by(|(old, _)| old.cmp(model)) {
+                    Ok(i) if *streams > 0 || stale => self.old_models[i].1 = now,
                     Ok(_) => {}
-                    Err(i) => self.old.insert(i, (model.clone(), now)),
+                    Err(i) => self.old_models.insert(i, (model.clone(), now)),
                 }
             }
         }
     }
 
     /// Old models in use, each with the engines that keep it.
-    fn kept(&self, now: Instant, views: &[EngineView]) -> Vec<(Model, Vec<UpstreamId>)> {
-        self.old
+    fn retained_models(&self, now: Instant, views: &[EngineView]) -> Vec<(Model, Vec<UpstreamId>)> {
+        self.old_models
             .iter()
-            .filter(|(_, used)| now.since(*used) < self.cfg.quiet)
+            .filter(|(_, used)| now.since(*used) < self.cfg.idle_before_unload)
             .map(|(model, _)| (model.clone(), keepers(model, views)))
             .collect()
     }
 
     /// Next target state of an engine; `None` if the engine is unreachable or already in that
     /// state.
-    fn next_state(
+    fn target_state(
         &self,
         i: usize,
         views: &[EngineView],
-        kept: &[(Model, Vec<UpstreamId>)],
+        retained: &[(Model, Vec<UpstreamId>)],
     ) -> Option<EngineState> {
         let view = &views[i];
         let report = view.report?;
-        let id = &view.goal.upstream;
-        let complete = view.goal.models.iter().all(|model| report.has(model));
+        let id = &view.target.upstream;
+        let complete = view.target.models.iter().all(|model| report.has(model));
         let held = report.loaded.iter().filter(|(model, streams)| {
-            let keeps = kept
+            let keeps = retained
                 .iter()
                 .any(|(old, keepers)| old == model && (*streams > 0 || keepers.contains(id)));
-            !complete || keeps || view.goal.models.binary_search(model).is_ok()
+            !complete || keeps || view.target.models.binary_search(model).is_ok()
         });
         let mut models = held.map(|(model, _)| model.clone()).collect::<Vec<_>>();
-        let kept_here = kept.iter().filter(|(_, keepers)| keepers.contains(id));
+        let retained_here = retained.iter().filter(|(_, keepers)| keepers.contains(id));
         let wanted = view
-            .goal
+            .target
             .models
             .iter()
-            .chain(kept_here.map(|(model, _)| model));
+            .chain(retained_here.map(|(model, _)| model));
         for model in wanted.filter(|model| !report.has(model)) {
-            if may_load(i, model, views, self.cfg.loads_at_once) {
+            if may_load(i, model, views, self.cfg.max_concurrent_loads) {
                 models.push(model.clone());
             }
         }
         models.sort();
         models.dedup();
-        let settled = report.serves && models.iter().eq(report.loaded.iter().map(|(m, _)| m));
-        (!settled).then(|| EngineState {
+        let up_to_date = report.serves && models.iter().eq(report.loaded.iter().map(|(m, _)| m));
+        (!up_to_date).then(|| EngineState {
             upstream: id.clone(),
             models,
         })
@@ -203,20 +207,20 @@
 
     /// Whether to send an order now. An order that is being carried out is not repeated.
     fn is_due(&self, now: Instant, view: &EngineView, state: &EngineState) -> bool {
-        let Ok(i) = self.place(&state.upstream) else {
+        let Ok(i) = self.position(&state.upstream) else {
             return true;
         };
-        let sent = &self.sent[i].1;
+        let sent = &self.last_orders[i].1;
         if sent.models != state.models {
             return true;
         }
         let missing = missing(&state.models, view);
-        let carried_out = !missing.is_empty() && missing.iter().all(|m| view.loading.contains(m));
-        !carried_out && now.since(sent.at) >= self.cfg.resend_after
+        let in_progress = !missing.is_empty() && missing.iter().all(|m| view.loading.contains(m));
+        !in_progress && now.since(sent.at) >= self.cfg.resend_after
     }
 
-    fn place(&self, id: &UpstreamId) -> Result<usize, usize> {
-        self.sent.binary_search_by(|(sent, _)| sent.cmp(id))
+    fn position(&self, id: &UpstreamId) -> Result<usize, usize> {
+        self.last_orders.binary_search_by(|(sent, _)| sent.cmp(id))
     }
 }
 
--- a/crates/decisions/src/order_scope.rs
+++ b/crates/decisions/src/order_scope.rs
@@ -19,7 +19,7 @@
     /// Name of the lease.
     pub name: Arc<str>,
     /// Engines with their assigned models, sorted by engine.
-    pub goals: Vec<EngineGoal>,
+    pub targets: Vec<EngineGoal>,
 }
 
 /// Returns the order scopes of a bundle, sorted by name.
@@ -31,7 +31,7 @@
         if services.is_empty() {
             continue;
         }
-        let mut goals = vec![EngineGoal {
+        let mut targets = vec![EngineGoal {
             upstream: upstream.id.clone(),
             zone: upstream.zone.clone(),
             models,
@@ -39,25 +39,25 @@
         for (other, members) in std::mem::take(&mut groups) {
             if other.iter().any(|service| services.contains(service)) {
                 services.extend(other);
-                goals.extend(members);
+                targets.extend(members);
             } else {
                 groups.push((other, members));
             }
         }
         services.sort_unstable();
         services.dedup();
-        groups.push((services, goals));
+        groups.push((services, targets));
     }
     let mut scopes = groups.into_iter().map(scope).collect::<Vec<_>>();
     scopes.sort_by(|a, b| a.name.cmp(&b.name));
     scopes
 }
 
-fn scope((services, mut goals): (Vec<&ServiceId>, Vec<EngineGoal>)) -> OrderScope {
-    goals.sort_by(|a, b| a.upstream.cmp(&b.upstream));
+fn scope((services, mut targets): (Vec<&ServiceId>, Vec<EngineGoal>)) -> OrderScope {
+    targets.sort_by(|a, b| a.upstream.cmp(&b.upstream));
     OrderScope {
         name: format!("orders/{}", services[0]).into(),
-        goals,
+        targets,
     }
 }
 
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -244,8 +244,8 @@
         for (_, report) in vm.reports.iter().filter(|(_, r)| r.highest_term > term) {
             vm.lease.observe_term(report.highest_term);
         }
-        for state in planner.plan(instant, &goals(vm.wants), &vm.reports) {
-            planner.sent(instant, &state);
+        for state in planner.plan(instant, &targets(vm.wants), &vm.reports) {
+            planner.record_sent(instant, &state);
             let engine = (0..ENGINES).find(|i| engine_id(*i) == state.upstream);
             self.orders.push(Order {
                 engine: engine.expect("an engine of the goals"),
@@ -312,19 +312,19 @@
 
 fn settings() -> OrderSettings {
     OrderSettings {
-        quiet: Duration::from_millis(200),
+        idle_before_unload: Duration::from_millis(200),
         resend_after: Duration::from_millis(300),
         ..OrderSettings::default()
     }
 }
 
-fn goals(version: usize) -> Vec<EngineGoal> {
-    let goal = |i| EngineGoal {
+fn targets(version: usize) -> Vec<EngineGoal> {
+    let target = |i| EngineGoal {
         upstream: engine_id(i),
         zone: format!("zone-{}", i % 2).parse().expect("a valid name"),
         models: vec![model(version)],
     };
-    (0..ENGINES).map(goal).collect()
+    (0..ENGINES).map(target).collect()
 }
 
 proptest! {
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -28,45 +28,45 @@
 }
 
 /// Simulates engines that carry out orders: a load takes 20 s, and an unload is immediate.
-struct World {
+struct Simulation {
     now: u64,
-    goals: Vec<EngineGoal>,
+    targets: Vec<EngineGoal>,
     engines: Vec<Engine>,
     planner: OrderPlanner,
-    most_loading: usize,
-    fewest_serving: usize,
+    max_loading: usize,
+    min_serving: usize,
 }
 
 struct Engine {
     loaded: Vec<(Model, u32)>,
     loading: Vec<(Model, u64)>,
-    says_loading: bool,
-    reached: bool,
-    refuses: bool,
+    reports_loading: bool,
+    reachable: bool,
+    rejects_orders: bool,
     report: EngineReport,
 }
 
-impl World {
+impl Simulation {
     fn new(engines: usize, cfg: OrderSettings) -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: 0,
-            goals: Vec::new(),
+            targets: Vec::new(),
             engines: (0..engines).map(|_| Engine::new()).collect(),
             planner: OrderPlanner::new(cfg),
-            most_loading: 0,
-            fewest_serving: engines,
+            max_loading: 0,
+            min_serving: engines,
         };
-        world.want("1");
-        world
+        sim.set_wanted_version("1");
+        sim
     }
 
-    fn want(&mut self, version: &str) {
-        let goal = |i| EngineGoal {
+    fn set_wanted_version(&mut self, version: &str) {
+        let target = |i| EngineGoal {
             upstream: engine_id(i),
             zone: zone(i),
             models: vec![model(version)],
         };
-        self.goals = (0..self.engines.len()).map(goal).collect();
+        self.targets = (0..self.engines.len()).map(target).collect();
     }
 
     fn instant(&self) -> Instant {
@@ -75,45 +75,45 @@
 
     /// Advances the simulation by one second: the engines report, and receive the orders that the
     /// planner returns.
-    fn second(&mut self) {
+    fn run_second(&mut self) {
         self.now += 1000;
         let (now, instant) = (self.now, self.instant());
         for engine in &mut self.engines {
-            engine.pass(now);
-            if engine.reached {
+            engine.finish_loads(now);
+            if engine.reachable {
                 engine.report = engine.report_at(instant);
             }
         }
         for state in self.plan() {
-            self.planner.sent(instant, &state);
-            self.obey(&state);
+            self.planner.record_sent(instant, &state);
+            self.apply_order(&state);
         }
         let loading = self.engines.iter().filter(|e| !e.loading.is_empty());
-        self.most_loading = self.most_loading.max(loading.count());
+        self.max_loading = self.max_loading.max(loading.count());
         let serving = self.engines.iter().filter(|e| !e.loaded.is_empty());
-        self.fewest_serving = self.fewest_serving.min(serving.count());
+        self.min_serving = self.min_serving.min(serving.count());
     }
 
     fn plan(&mut self) -> Vec<EngineState> {
         let reports = self.engines.iter().enumerate();
         let reports = reports.map(|(i, engine)| (engine_id(i), engine.report.clone()));
         let reports = reports.collect::<Vec<_>>();
-        self.planner.plan(self.instant(), &self.goals, &reports)
+        self.planner.plan(self.instant(), &self.targets, &reports)
     }
 
-    fn obey(&mut self, state: &EngineState) {
+    fn apply_order(&mut self, state: &EngineState) {
         let (now, id) = (self.now, &state.upstream);
         let i = (0..self.engines.len()).find(|i| engine_id(*i) == *id);
         let engine = &mut self.engines[i.expect("an engine with this id")];
-        if engine.refuses {
-            self.planner.refused(id);
+        if engine.rejects_orders {
+            self.planner.record_refused(id);
         } else {
-            engine.obey(now, &state.models);
+            engine.apply_order(now, &state.models);
         }
     }
 
-    fn seconds(&mut self, seconds: usize) {
-        (0..seconds).for_each(|_| self.second());
+    fn run_seconds(&mut self, count: usize) {
+        (0..count).for_each(|_| self.run_second());
     }
 
     /// Indices of the engines that hold a version.
@@ -158,13 +158,13 @@
             },
             loaded,
             loading: Vec::new(),
-            says_loading: true,
-            reached: true,
-            refuses: false,
+            reports_loading: true,
+            reachable: true,
+            rejects_orders: false,
         }
     }
 
-    fn pass(&mut self, now: u64) {
+    fn finish_loads(&mut self, now: u64) {
         let (ready, loading) = std::mem::take(&mut self.loading)
             .into_iter()
             .partition::<Vec<_>, _>(|(_, at)| *at <= now);
@@ -173,13 +173,13 @@
         self.loaded.sort();
     }
 
-    fn obey(&mut self, now: u64, models: &[Model]) {
+    fn apply_order(&mut self, now: u64, models: &[Model]) {
         self.loaded.retain(|(model, _)| models.contains(model));
         self.loading.retain(|(model, _)| models.contains(model));
         for model in models {
-            let known = self.loaded.iter().any(|(m, _)| m == model)
+            let present = self.loaded.iter().any(|(m, _)| m == model)
                 || self.loading.iter().any(|(m, _)| m == model);
-            if !known {
+            if !present {
                 self.loading.push((model.clone(), now + LOAD_MS));
             }
         }
@@ -190,7 +190,7 @@
         EngineReport {
             at,
             loaded: self.loaded.clone(),
-            loading: self.says_loading.then(|| loading.collect()),
+            loading: self.reports_loading.then(|| loading.collect()),
             serves: true,
             highest_term: Term(0),
         }
@@ -198,183 +198,181 @@
 }
 
 #[gtest]
-fn nothing_is_ordered_where_all_is_as_wanted() {
-    let mut world = World::new(3, OrderSettings::default());
-    world.second();
+fn no_orders_when_engines_are_in_their_target_state() {
+    let mut sim = Simulation::new(3, OrderSettings::default());
+    sim.run_second();
 
-    expect_that!(world.plan(), is_empty());
+    expect_that!(sim.plan(), is_empty());
 }
 
 /// A new version is rolled out to six engines. If all of them loaded at once, no engine would serve
 /// requests during the load, and the weight store would have to serve six copies at the same
 /// moment.
 #[gtest]
-fn a_rollout_loads_few_engines_at_once_and_keeps_serving() {
-    for says_loading in [true, false] {
-        let mut world = World::new(6, OrderSettings::default());
-        for engine in &mut world.engines {
-            engine.says_loading = says_loading;
+fn rollout_loads_one_engine_at_a_time_and_keeps_serving() {
+    for reports_loading in [true, false] {
+        let mut sim = Simulation::new(6, OrderSettings::default());
+        for engine in &mut sim.engines {
+            engine.reports_loading = reports_loading;
         }
-        world.want("2");
+        sim.set_wanted_version("2");
 
-        world.seconds(6 * 22 + 30);
+        sim.run_seconds(6 * 22 + 30);
 
-        expect_that!(world.holders("2").len(), eq(6));
-        expect_that!(world.holders("1"), is_empty());
-        expect_that!(world.most_loading, eq(1));
-        expect_that!(world.fewest_serving, eq(6));
+        expect_that!(sim.holders("2").len(), eq(6));
+        expect_that!(sim.holders("1"), is_empty());
+        expect_that!(sim.max_loading, eq(1));
+        expect_that!(sim.min_serving, eq(6));
     }
 }
 
 /// The weight store allows more simultaneous loads than there are engines. One engine must still
 /// keep serving while the others load.
 #[gtest]
-fn never_all_replicas_load_at_once() {
-    let mut world = World::new(
+fn replicas_never_all_load_at_once() {
+    let mut sim = Simulation::new(
         3,
         OrderSettings {
-            loads_at_once: 10,
+            max_concurrent_loads: 10,
             ..OrderSettings::default()
         },
     );
-    world.want("2");
+    sim.set_wanted_version("2");
 
-    world.seconds(70);
+    sim.run_seconds(70);
 
-    expect_that!(world.most_loading, eq(2));
-    expect_that!(world.holders("2").len(), eq(3));
+    expect_that!(sim.max_loading, eq(2));
+    expect_that!(sim.holders("2").len(), eq(3));
 }
 
 #[gtest]
-fn a_single_engine_loads_too() {
-    let mut world = World::new(1, OrderSettings::default());
-    world.want("2");
+fn single_engine_loads_too() {
+    let mut sim = Simulation::new(1, OrderSettings::default());
+    sim.set_wanted_version("2");
 
-    world.seconds(60);
+    sim.run_seconds(60);
 
-    expect_that!(world.holders("2"), eq(&[0]));
+    expect_that!(sim.holders("2"), eq(&[0]));
 }
 
 /// A long generation runs on the old version while the new one is rolled out. If no other engine
 /// kept that version, the generation could not be resumed after its engine crashed.
 #[gtest]
-fn an_old_version_in_use_stays_on_two_engines_in_two_zones() {
-    let mut world = World::new(6, OrderSettings::default());
-    world.set_streams(0, "1", 1);
-    world.want("2");
-
-    world.seconds(6 * 22 + 100);
-    let in_use = (world.holders("1"), world.zones_holding("1"));
-    world.set_streams(0, "1", 0);
-    world.seconds(10);
-    let quiet_for_10_s = world.holders("1").len();
-    world.seconds(10);
-
-    expect_that!(in_use.0.len(), eq(2));
-    expect_that!(in_use.0, contains(eq(&0)));
-    expect_that!(in_use.1, eq(2));
-    expect_that!(quiet_for_10_s, eq(2));
-    expect_that!(world.holders("1"), is_empty());
+fn old_version_in_use_stays_on_two_engines_in_two_zones() {
+    let mut sim = Simulation::new(6, OrderSettings::default());
+    sim.set_streams(0, "1", 1);
+    sim.set_wanted_version("2");
+
+    sim.run_seconds(6 * 22 + 100);
+    let while_in_use = (sim.holders("1"), sim.zones_holding("1"));
+    sim.set_streams(0, "1", 0);
+    sim.run_seconds(10);
+    let after_10_s_idle = sim.holders("1").len();
+    sim.run_seconds(10);
+
+    expect_that!(while_in_use.0.len(), eq(2));
+    expect_that!(while_in_use.0, contains(eq(&0)));
+    expect_that!(while_in_use.1, eq(2));
+    expect_that!(after_10_s_idle, eq(2));
+    expect_that!(sim.holders("1"), is_empty());
 }
 
 /// Generations run on the old version on three engines. None of the engines may unload it while a
 /// stream runs on it.
 #[gtest]
-fn an_old_version_stays_wherever_it_runs() {
-    let mut world = World::new(6, OrderSettings::default());
+fn old_version_stays_on_all_engines_with_its_streams() {
+    let mut sim = Simulation::new(6, OrderSettings::default());
     for i in [0, 3, 5] {
-        world.set_streams(i, "1", 2);
+        sim.set_streams(i, "1", 2);
     }
-    world.want("2");
+    sim.set_wanted_version("2");
 
-    world.seconds(6 * 22 + 100);
+    sim.run_seconds(6 * 22 + 100);
 
-    expect_that!(world.holders("1"), eq(&[0, 3, 5]));
+    expect_that!(sim.holders("1"), eq(&[0, 3, 5]));
 }
 
 /// One of the two engines that keep an old version in use restarts without it. A second copy must
 /// be loaded elsewhere, or the next crash would end the generation.
 #[gtest]
-fn a_lost_copy_of_an_old_version_in_use_is_replaced() {
-    let mut world = World::new(6, OrderSettings::default());
-    world.set_streams(4, "1", 1);
-    world.want("2");
-    world.seconds(6 * 22 + 100);
-    let other = world.holders("1").into_iter().find(|i| *i != 4);
+fn lost_copy_of_an_old_version_in_use_is_replaced() {
+    let mut sim = Simulation::new(6, OrderSettings::default());
+    sim.set_streams(4, "1", 1);
+    sim.set_wanted_version("2");
+    sim.run_seconds(6 * 22 + 100);
+    let other = sim.holders("1").into_iter().find(|i| *i != 4);
     let other = other.expect("two engines keep the old version");
-    world.engines[other]
-        .loaded
-        .retain(|(m, _)| *m != model("1"));
+    sim.engines[other].loaded.retain(|(m, _)| *m != model("1"));
 
-    world.seconds(30);
+    sim.run_seconds(30);
 
-    expect_that!(world.holders("1").len(), eq(2));
-    expect_that!(world.zones_holding("1"), eq(2));
+    expect_that!(sim.holders("1").len(), eq(2));
+    expect_that!(sim.zones_holding("1"), eq(2));
 }
 
 /// An engine is unreachable, and may run streams on the old version.
 #[gtest]
-fn an_old_version_on_an_engine_out_of_reach_counts_as_in_use() {
-    let mut world = World::new(4, OrderSettings::default());
-    world.seconds(1);
-    world.engines[3].reached = false;
-    world.want("2");
+fn old_version_on_an_unreachable_engine_counts_as_in_use() {
+    let mut sim = Simulation::new(4, OrderSettings::default());
+    sim.run_seconds(1);
+    sim.engines[3].reachable = false;
+    sim.set_wanted_version("2");
 
-    world.seconds(4 * 22 + 60);
+    sim.run_seconds(4 * 22 + 60);
 
-    expect_that!(world.holders("2"), eq(&[0, 1, 2]));
-    expect_that!(world.zones_holding("1"), ge(2));
+    expect_that!(sim.holders("2"), eq(&[0, 1, 2]));
+    expect_that!(sim.zones_holding("1"), ge(2));
 }
 
 /// A former lease holder resumes after a long pause and orders an engine that ignores terms back to
 /// the old version. The current holder reads the changed state back and orders the engine again.
 #[gtest]
-fn a_state_changed_by_a_stale_order_is_corrected() {
-    let mut world = World::new(3, OrderSettings::default());
-    world.want("2");
-    world.seconds(120);
-    world.obey(&EngineState {
+fn state_changed_by_a_stale_order_is_corrected() {
+    let mut sim = Simulation::new(3, OrderSettings::default());
+    sim.set_wanted_version("2");
+    sim.run_seconds(120);
+    sim.apply_order(&EngineState {
         upstream: engine_id(1),
         models: vec![model("1")],
     });
 
-    world.seconds(60);
+    sim.run_seconds(60);
 
-    expect_that!(world.holders("2").len(), eq(3));
-    expect_that!(world.holders("1"), is_empty());
+    expect_that!(sim.holders("2").len(), eq(3));
+    expect_that!(sim.holders("1"), is_empty());
 }
 
 /// An engine that does not report loads in progress rejects its orders, since this VM is not
 /// allowed to order it. Other engines must not wait for the timeout of a load that never started.
 #[gtest]
-fn a_refused_order_holds_up_no_other_engine() {
-    let mut world = World::new(3, OrderSettings::default());
-    world.engines[0].says_loading = false;
-    world.engines[0].refuses = true;
-    world.want("2");
+fn rejected_order_does_not_delay_other_engines() {
+    let mut sim = Simulation::new(3, OrderSettings::default());
+    sim.engines[0].reports_loading = false;
+    sim.engines[0].rejects_orders = true;
+    sim.set_wanted_version("2");
 
-    world.seconds(60);
+    sim.run_seconds(60);
 
-    expect_that!(world.holders("2"), eq(&[1, 2]));
+    expect_that!(sim.holders("2"), eq(&[1, 2]));
 }
 
 /// The engine never receives its first order.
 #[gtest]
-fn a_lost_order_is_sent_again() {
-    let mut world = World::new(1, OrderSettings::default());
-    world.want("2");
-    world.second();
-    world.engines[0].loading.clear();
+fn lost_order_is_sent_again() {
+    let mut sim = Simulation::new(1, OrderSettings::default());
+    sim.set_wanted_version("2");
+    sim.run_second();
+    sim.engines[0].loading.clear();
 
-    world.seconds(30);
+    sim.run_seconds(30);
 
-    expect_that!(world.holders("2"), eq(&[0]));
+    expect_that!(sim.holders("2"), eq(&[0]));
 }
 
 /// A version is rolled out to four engines while requests arrive. Each request gets a version that
 /// some engine holds, and the first engine with the new version is not overloaded.
 #[gtest]
-fn new_requests_move_over_with_the_engines() {
+fn new_requests_follow_the_engines_that_have_loaded() {
     let share = |ready: usize| {
         let engines = (0..4).map(|i| vec![model(if i < ready { "2" } else { "1" })]);
         let engines = engines.collect::<Vec<_>>();
@@ -396,35 +394,35 @@
     /// holds exactly the models of the last bundle. Until then an old version with a stream on it
     /// stays on the engine of the stream.
     #[test]
-    fn the_last_bundle_wins(
+    fn engines_converge_to_the_last_bundle(
         steps in prop::collection::vec((0_u8..9, 0_usize..4, 0_u32..3), 0..60),
     ) {
-        let mut world = World::new(4, OrderSettings::default());
+        let mut sim = Simulation::new(4, OrderSettings::default());
         let mut version = "1";
 
         for (action, i, pick) in steps {
             match action {
                 0 => {
                     version = ["1", "2", "3"][i % 3];
-                    world.want(version);
+                    sim.set_wanted_version(version);
                 }
-                1 => world.set_streams(i, ["1", "2", "3"][i % 3], pick),
+                1 => sim.set_streams(i, ["1", "2", "3"][i % 3], pick),
                 2 => {
-                    world.engines[i].loaded.clear();
-                    world.engines[i].loading.clear();
+                    sim.engines[i].loaded.clear();
+                    sim.engines[i].loading.clear();
                 }
-                3 => world.engines[i].reached = !world.engines[i].reached,
-                4 => world.engines[i].loading.clear(),
-                5 => world.planner = OrderPlanner::new(OrderSettings::default()),
+                3 => sim.engines[i].reachable = !sim.engines[i].reachable,
+                4 => sim.engines[i].loading.clear(),
+                5 => sim.planner = OrderPlanner::new(OrderSettings::default()),
                 6 => {
-                    let now = world.now;
-                    world.engines[i].obey(now, &[model(["1", "2", "3"][pick as usize])]);
+                    let now = sim.now;
+                    sim.engines[i].apply_order(now, &[model(["1", "2", "3"][pick as usize])]);
                 }
                 _ => {
-                    let before = world.engines.iter().map(|e| e.loaded.clone());
+                    let before = sim.engines.iter().map(|e| e.loaded.clone());
                     let before = before.collect::<Vec<_>>();
-                    world.seconds(pick as usize + 1);
-                    for (engine, before) in world.engines.iter().zip(before) {
+                    sim.run_seconds(pick as usize + 1);
+                    for (engine, before) in sim.engines.iter().zip(before) {
                         let running = before.iter().filter(|(_, streams)| *streams > 0);
                         for (model, _) in running {
                             prop_assert!(engine.loaded.iter().any(|(m, _)| m == model));
@@ -434,12 +432,12 @@
             }
         }
         for i in 0..4 {
-            world.engines[i].reached = true;
-            world.engines[i].loaded.iter_mut().for_each(|(_, streams)| *streams = 0);
+            sim.engines[i].reachable = true;
+            sim.engines[i].loaded.iter_mut().for_each(|(_, streams)| *streams = 0);
         }
-        world.seconds(300);
+        sim.run_seconds(300);
 
-        for engine in &world.engines {
+        for engine in &sim.engines {
             prop_assert_eq!(&engine.loaded, &vec![(model(version), 0)]);
         }
     }
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -46,8 +46,8 @@
 fn order_settings() -> OrderSettings {
     OrderSettings {
         poll_interval: Duration::from_millis(20),
-        report_bound: Duration::from_millis(500),
-        quiet: Duration::from_millis(100),
+        report_max_age: Duration::from_millis(500),
+        idle_before_unload: Duration::from_millis(100),
         resend_after: Duration::from_millis(100),
         ..OrderSettings::default()
     }
