--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -237,7 +237,7 @@
         let mut state = self.state.lock();
         let at_start = state.directory_read < DirectoryRead::Whole;
         for entry in &entries {
-            state.rollouts.version_seen(entry, at_start, now);
+            state.rollouts.observe_version(entry, at_start, now);
         }
         state.directory_read = DirectoryRead::Whole;
         self.known.send_replace(state.is_current());
@@ -256,7 +256,7 @@
         let now = self.timer.now();
         let mut changes = Vec::new();
         for entry in rows.into_iter().filter_map(|row| row.entry) {
-            state.rollouts.version_seen(&entry, true, now);
+            state.rollouts.observe_version(&entry, true, now);
             changes.extend(state.directory.heard(entry));
         }
         state.directory_read = DirectoryRead::FirstRows;
@@ -269,7 +269,7 @@
     pub fn upstream_heard(&self, entry: UpstreamEntry) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        state.rollouts.version_seen(&entry, false, now);
+        state.rollouts.observe_version(&entry, false, now);
         let changes = state.directory.heard(entry);
         drop(state);
         self.presence_changed(&changes);
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -102,7 +102,7 @@
             .map(|r| r.clone())
             .collect::<Vec<_>>();
         drop(state);
-        rollouts.retain(|r| !r.progress.is_settled() || self.gateway.owns(&r.order.service));
+        rollouts.retain(|r| !r.progress.is_end_stored() || self.gateway.owns(&r.order.service));
         rollouts
     }
 
@@ -198,7 +198,7 @@
         });
         let mut state = self.gateway.state.lock();
         if let Some(rollout) = state.rollouts.get_mut(&rollout.order.service) {
-            rollout.owner_heard = now;
+            rollout.owner_last_seen = now;
         }
         true
     }
@@ -556,11 +556,11 @@
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
         if let Some(rollout) = state.rollouts.get_mut(service) {
-            rollout.owner_heard = rollout
-                .owner_heard
+            rollout.owner_last_seen = rollout
+                .owner_last_seen
                 .max(now.before(OWNER_LOST).after(STORE_RETRY));
             if rollout.progress.term == 0 {
-                rollout.owner_heard = now;
+                rollout.owner_last_seen = now;
             }
         }
     }
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -46,7 +46,7 @@
             Some(fault) => OwnerStep::RollBack(RollbackReason::Fault(fault)),
             None => self.owner.step(rollout.deadline.since(now), slots),
         };
-        let (answers, bad) = self.owner.judge.answers();
+        let (answers, bad) = self.owner.judge.totals();
         let RolloutOrder {
             service,
             to,
@@ -129,7 +129,7 @@
     /// Takes in what another VM knows of a rollout; whether that is news.
     pub(crate) fn take_rollout(&self, notice: &RolloutNotice) -> bool {
         let now = self.timer.now();
-        let news = self.state.lock().rollouts.take(notice, now);
+        let news = self.state.lock().rollouts.merge(notice, now);
         if news {
             let phase: &str = notice.progress.phase.into();
             tracing::info!(service = %notice.order.service, to = %notice.order.to, phase,
@@ -176,11 +176,11 @@
         if rollout.progress.phase.is_final() {
             return None;
         }
-        let exposed = rollout.request(&accepted.route.name, now)?;
+        let exposed = rollout.count_request(&accepted.route.name, now)?;
         let order = rollout.order.clone();
         let usable = state.directory.usable(&accepted.service, now);
         let new = usable.filter(|entry| entry.version.as_ref() == Some(&order.to));
-        let focus = Rollouts::focus(&order, new.collect());
+        let focus = Rollouts::canary_upstreams(&order, new.collect());
         let focus = focus
             .into_iter()
             .map(|entry| entry.id.clone())
@@ -199,7 +199,7 @@
         if entry.is_none()
             && let Some(rollout) = self.state.lock().rollouts.get_mut(&accepted.service)
         {
-            rollout.grants.give_back(exposed);
+            rollout.grants.return_grant(exposed);
         }
         entry
     }
@@ -219,7 +219,7 @@
             return;
         }
         let is_new = entry.version.as_ref() == Some(&rollout.order.to);
-        let is_bad = rollout.answered(&accepted.route.name, is_new, outcome);
+        let is_bad = rollout.count_response(&accepted.route.name, is_new, outcome);
         drop(state);
         let version: &str = if is_new { "new" } else { "old" };
         let result = match outcome {
@@ -250,7 +250,7 @@
                     vm: self.life.clone(),
                     requests: rollout.grants.requests(),
                     spent: rollout.grants.spent(),
-                    evidence: rollout.to_report(ROUTES_REPORTED),
+                    evidence: rollout.take_unreported(ROUTES_REPORTED),
                 },
             ));
         }
@@ -293,7 +293,7 @@
             return None;
         }
         for evidence in &report.evidence {
-            let judged = owned.owner.judge.take(&report.vm, evidence);
+            let judged = owned.owner.judge.add_report(&report.vm, evidence);
             if let Some(judged) = judged.filter(|judged| judged.new_bad > 0) {
                 log_bad_answers(report, &evidence.route, &judged);
             }
@@ -308,15 +308,15 @@
             let (requests, spent) = (report.requests, report.spent);
             owned.owner.ledger.report(&report.vm, requests, spent)
         };
-        let mut wanted = owned.owner.judge.wanted();
-        wanted.truncate(ROUTES_WANTED);
+        let mut undersampled_routes = owned.owner.judge.undersampled_routes();
+        undersampled_routes.truncate(ROUTES_WANTED);
         let mut state = self.state.lock();
         let rollout = state.rollouts.get_mut(&report.service)?;
-        rollout.owner_heard = now;
+        rollout.owner_last_seen = now;
         Some(RolloutGrant {
             notice: rollout.notice(now),
             granted,
-            wanted,
+            undersampled_routes,
         })
     }
 
@@ -333,8 +333,10 @@
         let same = rollout.order.written == grant.notice.order.written
             && rollout.progress.term == grant.notice.progress.term;
         if same && rollout.progress.phase == RolloutPhase::Running {
-            rollout.owner_heard = now;
-            rollout.wanted.clone_from(&grant.wanted);
+            rollout.owner_last_seen = now;
+            rollout
+                .undersampled_routes
+                .clone_from(&grant.undersampled_routes);
             let term = rollout.progress.term;
             rollout.grants.renew(term, grant.granted, now);
         }
@@ -350,6 +352,6 @@
 /// Logs a report with bad answers of a version under trial, and what they were held against.
 fn log_bad_answers(report: &RolloutReport, route: &str, judged: &JudgedReport) {
     tracing::info!(service = %report.service, route, vm = %report.vm.vm, new = judged.new, new_bad = judged.new_bad,
-        old = judged.old, old_bad = judged.old_bad, usual = judged.usual, slowest = judged.slowest, sum = judged.sum,
+        old = judged.old, old_bad = judged.old_bad, usual = judged.expected_bad, slowest = judged.max_good_bucket, sum = judged.sum,
         "rollout: bad answers reported");
 }
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -211,7 +211,7 @@
             Among::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
-            Among::Open if self.rollouts.is_idle(service, now) => return usable.collect(),
+            Among::Open if self.rollouts.admits_all(service, now) => return usable.collect(),
             Among::Open => [Admission::Open, Admission::Retired],
         };
         let (usable, admission) = (usable.collect::<Vec<_>>(), |entry: &Arc<UpstreamEntry>| {
--- a/crates/decisions/src/exposure.rs
+++ b/crates/decisions/src/exposure.rs
@@ -14,10 +14,10 @@
 
 /// Number of canary requests that accumulate before any are granted, so that they arrive as a load
 /// instead of one by one.
-const BURST: u64 = 24;
+const GRANT_BURST: u64 = 24;
 
 /// Maximum number of unspent canary requests granted to one VM.
-const MOST_GRANTED: u64 = 2;
+const MAX_UNSPENT_GRANTS: u64 = 2;
 
 /// Limit on the canary requests of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
     /// Accounts of all VMs, sorted by VM.
     accounts: Vec<(VmLife, Account)>,
     /// Whether accumulated canary requests are being granted.
-    open: bool,
+    granting: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -68,7 +68,7 @@
         Self {
             limit,
             accounts: Vec::new(),
-            open: false,
+            granting: false,
         }
     }
 
@@ -86,10 +86,10 @@
         account.requests = account.requests.max(requests);
         let unspent = account.granted.saturating_sub(spent);
         let balance = self.balance();
-        self.open = balance >= BURST || (self.open && balance > 0);
+        self.granting = balance >= GRANT_BURST || (self.granting && balance > 0);
         let account = &mut self.accounts[index].1;
-        if self.open {
-            account.granted += balance.min(MOST_GRANTED.saturating_sub(unspent));
+        if self.granting {
+            account.granted += balance.min(MAX_UNSPENT_GRANTS.saturating_sub(unspent));
         }
         account.granted
     }
@@ -118,7 +118,7 @@
     requests: u64,
     granted: u64,
     spent: u64,
-    renewed: Option<Instant>,
+    renewed_at: Option<Instant>,
 }
 
 /// Permit to send one request to a version under canary. Only a grant creates permits.
@@ -148,14 +148,14 @@
         self.attach(term);
         if term == self.term {
             self.granted = self.granted.max(granted);
-            self.renewed = Some(now);
+            self.renewed_at = Some(now);
         }
     }
 
     /// Spends a grant; `None` if none is left or the grants have expired.
-    pub fn expose(&mut self, now: Instant) -> Option<Exposed> {
-        let renewed = self.renewed?;
-        if now.since(renewed) >= GRANT_LIFETIME || self.spent >= self.granted {
+    pub fn spend_grant(&mut self, now: Instant) -> Option<Exposed> {
+        let renewed_at = self.renewed_at?;
+        if now.since(renewed_at) >= GRANT_LIFETIME || self.spent >= self.granted {
             return None;
         }
         self.spent += 1;
@@ -163,7 +163,7 @@
     }
 
     /// Returns a grant for which no upstream was available.
-    pub fn give_back(&mut self, _exposed: Exposed) {
+    pub fn return_grant(&mut self, _permit: Exposed) {
         self.spent = self.spent.saturating_sub(1);
     }
 
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -6,10 +6,10 @@
 pub const OWNER_LOST: Duration = Duration::from_secs(2);
 
 /// Additional delay per rank before a takeover, so that the VMs try one after another.
-const RANK_WAIT: Duration = Duration::from_millis(400);
+const RANK_DELAY: Duration = Duration::from_millis(400);
 
 /// Highest rank with a delay of its own; VMs of higher ranks use the same delay.
-const RANKS: u32 = 5;
+const MAX_DELAYED_RANK: u32 = 5;
 
 /// State of a rollout on one VM.
 #[derive(Clone, Debug)]
@@ -23,17 +23,17 @@
     /// Address of the owner, if there is one.
     pub owner: Option<SocketAddr>,
     /// Last contact of any VM with the owner; the start of the rollout before the first contact.
-    pub owner_heard: Instant,
+    pub owner_last_seen: Instant,
     /// Routes on which the new version still needs samples; empty if any route may be used.
-    pub wanted: Vec<Arc<str>>,
+    pub undersampled_routes: Vec<Arc<str>>,
     /// Canary requests granted to this VM.
     pub grants: ExposureGrants,
     /// Responses that this VM has observed, sorted by route.
-    evidence: Vec<SeenRoute>,
+    evidence: Vec<ObservedRoute>,
 }
 
 #[derive(Clone, Debug)]
-struct SeenRoute {
+struct ObservedRoute {
     counts: RouteEvidence,
     /// Whether the counts have changed since they were last reported.
     changed: bool,
@@ -48,8 +48,8 @@
             deadline: now.after(left),
             progress: RolloutProgress::UNOWNED,
             owner: None,
-            owner_heard: now,
-            wanted: Vec::new(),
+            owner_last_seen: now,
+            undersampled_routes: Vec::new(),
             grants: ExposureGrants::default(),
             evidence: Vec::new(),
         }
@@ -57,18 +57,18 @@
 
     /// Merges the state that another VM has of the same order. Returns whether the progress has
     /// changed.
-    pub fn take(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
-        let heard = now.before(Duration::from_millis(notice.owner_age_ms.into()));
+    pub fn merge(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
+        let last_seen = now.before(Duration::from_millis(notice.owner_age_ms.into()));
         let same_owner = notice.progress.term == self.progress.term;
         if notice.owner.is_some() && same_owner {
-            self.owner_heard = self.owner_heard.max(heard);
+            self.owner_last_seen = self.owner_last_seen.max(last_seen);
         }
-        self.deadline = self.deadline.min(now.after(notice.left()));
+        self.deadline = self.deadline.min(now.after(notice.time_left()));
         if !notice.progress.supersedes(&self.progress) {
             return false;
         }
         if notice.progress.term > self.progress.term {
-            self.owner_heard = heard;
+            self.owner_last_seen = last_seen;
             self.grants.attach(notice.progress.term);
         }
         self.progress = notice.progress;
@@ -85,69 +85,78 @@
             left_ms: ms(self.deadline.since(now)),
             progress: self.progress,
             owner: self.owner,
-            owner_age_ms: ms(now.since(self.owner_heard)),
+            owner_age_ms: ms(now.since(self.owner_last_seen)),
         }
     }
 
     /// Whether the VM of this rank should take over the rollout now.
     #[must_use]
     pub fn needs_owner(&self, rank: usize, now: Instant) -> bool {
-        let rank = u32::try_from(rank).unwrap_or(RANKS).min(RANKS);
-        let silence = if self.progress.term == 0 {
+        let rank = u32::try_from(rank)
+            .unwrap_or(MAX_DELAYED_RANK)
+            .min(MAX_DELAYED_RANK);
+        let timeout = if self.progress.term == 0 {
             Duration::ZERO
         } else {
             OWNER_LOST
         };
-        !self.progress.is_settled() && now.since(self.owner_heard) >= silence + RANK_WAIT * rank
+        !self.progress.is_end_stored()
+            && now.since(self.owner_last_seen) >= timeout + RANK_DELAY * rank
     }
 
     /// Counts a request, and returns a permit if the request should go to the new version.
-    pub fn request(&mut self, route: &str, now: Instant) -> Option<Exposed> {
+    pub fn count_request(&mut self, route: &str, now: Instant) -> Option<Exposed> {
         self.grants.count_request();
-        let wanted = self.wanted.is_empty() || self.wanted.iter().any(|w| w.as_ref() == route);
-        if self.progress.phase != RolloutPhase::Running || !wanted {
+        let is_eligible_route = self.undersampled_routes.is_empty()
+            || self.undersampled_routes.iter().any(|r| r.as_ref() == route);
+        if self.progress.phase != RolloutPhase::Running || !is_eligible_route {
             return None;
         }
-        self.grants.expose(now)
+        self.grants.spend_grant(now)
     }
 
     /// Counts a response of an upstream. Returns whether it is a failure of the new version.
-    pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: AnswerOutcome) -> bool {
-        let place = self
+    pub fn count_response(
+        &mut self,
+        route: &Arc<str>,
+        is_new: bool,
+        outcome: AnswerOutcome,
+    ) -> bool {
+        let position = self
             .evidence
-            .binary_search_by(|seen| seen.counts.route.cmp(route));
-        let index = place.unwrap_or_else(|index| {
-            let seen = SeenRoute {
+            .binary_search_by(|observed| observed.counts.route.cmp(route));
+        let index = position.unwrap_or_else(|index| {
+            let observed = ObservedRoute {
                 counts: RouteEvidence::new(route.clone()),
                 changed: true,
             };
-            self.evidence.insert(index, seen);
+            self.evidence.insert(index, observed);
             index
         });
-        let seen = &mut self.evidence[index];
-        seen.changed = true;
+        let observed = &mut self.evidence[index];
+        observed.changed = true;
         if is_new {
-            seen.counts.new.count(outcome);
+            observed.counts.new.count(outcome);
         } else {
-            seen.counts.old.count(outcome);
+            observed.counts.old.count(outcome);
         }
         is_new && outcome == AnswerOutcome::Failure
     }
 
-    /// Returns the counts that have not been reported yet, for at most `most` routes.
-    pub fn to_report(&mut self, most: usize) -> Vec<RouteEvidence> {
-        let changed = self.evidence.iter_mut().filter(|seen| seen.changed);
-        let report = |seen: &mut SeenRoute| {
-            seen.changed = false;
-            seen.counts.clone()
+    /// Returns the counts that have not been reported yet, for at most `max_routes` routes.
+    pub fn take_unreported(&mut self, max_routes: usize) -> Vec<RouteEvidence> {
+        let changed = self.evidence.iter_mut().filter(|observed| observed.changed);
+        let report = |observed: &mut ObservedRoute| {
+            observed.changed = false;
+            observed.counts.clone()
         };
-        changed.take(most).map(report).collect()
+        changed.take(max_routes).map(report).collect()
     }
 
     /// Marks all counts as unreported, for a new owner.
-    pub fn report_anew(&mut self) {
-        for seen in &mut self.evidence {
-            seen.changed = true;
+    pub fn mark_unreported(&mut self) {
+        for observed in &mut self.evidence {
+            observed.changed = true;
         }
     }
 }
@@ -155,7 +164,7 @@
 impl RolloutNotice {
     /// Time until the deadline.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         Duration::from_millis(self.left_ms.into())
     }
 }
--- a/crates/decisions/src/rollout_datagram.rs
+++ b/crates/decisions/src/rollout_datagram.rs
@@ -37,5 +37,5 @@
     pub granted: u64,
     /// Routes on which the new version still needs samples; empty if any route may be used.
     #[serde(rename = "w")]
-    pub wanted: Vec<Arc<str>>,
+    pub undersampled_routes: Vec<Arc<str>>,
 }
--- a/crates/decisions/src/rollout_evidence.rs
+++ b/crates/decisions/src/rollout_evidence.rs
@@ -37,14 +37,14 @@
 }
 
 /// Latency buckets per octave.
-const PER_OCTAVE: f64 = 2.0;
+const BUCKETS_PER_OCTAVE: f64 = 2.0;
 
 /// Returns the bucket of a latency: half octaves of milliseconds.
 #[must_use]
 pub fn latency_bucket(latency: Duration) -> u8 {
     let ms = (latency.as_secs_f64() * 1000.0).max(1.0);
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let bucket = (ms.log2() * PER_OCTAVE) as u8;
+    let bucket = (ms.log2() * BUCKETS_PER_OCTAVE) as u8;
     bucket
 }
 
@@ -63,10 +63,10 @@
         self.failures + self.successes.iter().map(|(_, count)| count).sum::<u32>()
     }
 
-    /// Number of responses that failed or are in a bucket above `slowest`.
+    /// Number of responses that failed or are in a bucket above `max_good_bucket`.
     #[must_use]
-    pub fn bad(&self, slowest: u8) -> u32 {
-        let slow = self.successes.iter().filter(|(b, _)| *b > slowest);
+    pub fn bad(&self, max_good_bucket: u8) -> u32 {
+        let slow = self.successes.iter().filter(|(b, _)| *b > max_good_bucket);
         self.failures + slow.map(|(_, count)| count).sum::<u32>()
     }
 
--- a/crates/decisions/src/rollout_notice.rs
+++ b/crates/decisions/src/rollout_notice.rs
@@ -48,7 +48,7 @@
 
     /// Whether the rollout has ended and its end is stored.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
+    pub fn is_end_stored(&self) -> bool {
         self.phase.is_final() && self.stored
     }
 
--- a/crates/decisions/src/rollout_order.rs
+++ b/crates/decisions/src/rollout_order.rs
@@ -40,10 +40,10 @@
     /// Returns the first problem found.
     pub fn check(
         &self,
-        service_is_known: bool,
+        service_is_configured: bool,
         versions: &[SoftwareVersion],
     ) -> Result<(), RolloutFault> {
-        if !service_is_known {
+        if !service_is_configured {
             return Err(RolloutFault::UnknownService);
         }
         if self.duration.is_zero() {
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -12,7 +12,7 @@
 
 /// Minimum slots of the new version, as a fraction of those of the old one, for the new version to
 /// take over.
-const LEAST_CAPACITY: f64 = 0.5;
+const MIN_CAPACITY_FRACTION: f64 = 0.5;
 
 /// Reason for a rollback.
 #[derive(Clone, Debug, PartialEq)]
@@ -87,7 +87,7 @@
         if left > COMPLETE_AHEAD {
             return OwnerStep::Wait;
         }
-        let enough = f64::from(slots.new) >= LEAST_CAPACITY * f64::from(slots.old);
+        let enough = f64::from(slots.new) >= MIN_CAPACITY_FRACTION * f64::from(slots.old);
         match verdict {
             RolloutVerdict::Good if enough => OwnerStep::Complete,
             _ if !left.is_zero() => OwnerStep::Wait,
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -12,7 +12,7 @@
 
 /// One in this many upstreams of a new version receives canary requests, so that each of them gets
 /// a typical load.
-const FOCUS: usize = 10;
+const UPSTREAMS_PER_CANARY: usize = 10;
 
 /// Settings of rollouts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,12 +27,12 @@
     /// All requests.
     Open,
     /// Only requests with a permit for the canary.
-    Trial,
+    Canary,
     /// Only requests that no other upstream accepts, since this upstream stops when the rollout
     /// ends.
     Retired,
     /// No requests.
-    Barred,
+    Blocked,
 }
 
 /// Rollouts tracked by one VM, and the versions that it has seen.
@@ -40,7 +40,7 @@
 pub struct Rollouts {
     settings: Option<RolloutSettings>,
     /// Rollouts sorted by service.
-    known: Vec<Rollout>,
+    rollouts: Vec<Rollout>,
     /// Versions sorted by service and version, with the time from which each may receive requests.
     versions: Vec<(ServiceId, SoftwareVersion, Instant)>,
     /// Versions that were rolled back, sorted.
@@ -67,26 +67,26 @@
 
     /// Records the version of an upstream. `at_start` is set when the upstreams are read for the
     /// first time: all of their versions then count as in use, except those that an order names.
-    pub fn version_seen(&mut self, entry: &UpstreamEntry, at_start: bool, now: Instant) {
+    pub fn observe_version(&mut self, entry: &UpstreamEntry, at_start: bool, now: Instant) {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
             return;
         };
         let key = (&entry.service, version);
         if let Err(index) = self.versions.binary_search_by(|(s, v, _)| (s, v).cmp(&key)) {
-            let first = !self.versions.iter().any(|(s, _, _)| *s == entry.service);
-            let from = if at_start || first {
+            let is_first = !self.versions.iter().any(|(s, _, _)| *s == entry.service);
+            let admitted_from = if at_start || is_first {
                 now
             } else {
                 now.after(ORDER_WAIT)
             };
-            let seen = (entry.service.clone(), version.clone(), from);
-            self.versions.insert(index, seen);
+            let observed = (entry.service.clone(), version.clone(), admitted_from);
+            self.versions.insert(index, observed);
         }
     }
 
     /// Merges the state of a rollout, from the operator's table or from another VM. Returns whether
     /// it changed anything.
-    pub fn take(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
+    pub fn merge(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
         if self.settings.is_none() {
             return false;
         }
@@ -94,29 +94,29 @@
         if self.is_withdrawn(service, written) {
             return false;
         }
-        let place = self.position(service);
-        let index = match place {
-            Ok(index) if self.known[index].order.written > written => return false,
-            Ok(index) if self.known[index].order.written == written => {
-                let news = self.known[index].take(notice, now);
-                self.note_end(index);
-                return news;
+        let position = self.position(service);
+        let index = match position {
+            Ok(index) if self.rollouts[index].order.written > written => return false,
+            Ok(index) if self.rollouts[index].order.written == written => {
+                let changed = self.rollouts[index].merge(notice, now);
+                self.record_end(index);
+                return changed;
             }
             Ok(index) => {
                 // The new order replaces the previous one. The version of the previous order
                 // receives no more requests unless it had taken over.
-                let before = self.known.remove(index);
-                if before.progress.phase != RolloutPhase::Completed {
-                    self.bar(&before.order);
+                let previous = self.rollouts.remove(index);
+                if previous.progress.phase != RolloutPhase::Completed {
+                    self.exclude(&previous.order);
                 }
                 index
             }
             Err(index) => index,
         };
-        let mut rollout = Rollout::new(notice.order.clone(), notice.left(), now);
-        rollout.take(notice, now);
-        self.known.insert(index, rollout);
-        self.note_end(index);
+        let mut rollout = Rollout::new(notice.order.clone(), notice.time_left(), now);
+        rollout.merge(notice, now);
+        self.rollouts.insert(index, rollout);
+        self.record_end(index);
         true
     }
 
@@ -128,43 +128,43 @@
             Err(index) => self.withdrawn.insert(index, (service.clone(), at)),
         }
         let index = self.position(service).ok()?;
-        if self.known[index].order.written > at {
+        if self.rollouts[index].order.written > at {
             return None;
         }
-        let rollout = self.known.remove(index);
-        if rollout.progress.is_settled() {
+        let rollout = self.rollouts.remove(index);
+        if rollout.progress.is_end_stored() {
             return None;
         }
-        self.bar(&rollout.order);
+        self.exclude(&rollout.order);
         Some(rollout)
     }
 
     /// Returns the rollout of a service.
     pub fn get_mut(&mut self, service: &ServiceId) -> Option<&mut Rollout> {
         let index = self.position(service).ok()?;
-        Some(&mut self.known[index])
+        Some(&mut self.rollouts[index])
     }
 
     /// Iterates over all rollouts.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
-        self.known.iter_mut()
+        self.rollouts.iter_mut()
     }
 
     /// Returns the states to advertise to other VMs.
     #[must_use]
     pub fn notices(&self, now: Instant) -> Vec<RolloutNotice> {
-        self.known.iter().map(|r| r.notice(now)).collect()
+        self.rollouts.iter().map(|r| r.notice(now)).collect()
     }
 
     /// Whether all upstreams of a service may receive all requests.
     #[must_use]
-    pub fn is_idle(&self, service: &ServiceId, now: Instant) -> bool {
+    pub fn admits_all(&self, service: &ServiceId, now: Instant) -> bool {
         self.position(service).is_err()
             && !self.rolled_back.iter().any(|(s, _)| s == service)
             && !self
                 .versions
                 .iter()
-                .any(|(s, _, from)| s == service && now < *from)
+                .any(|(s, _, admitted_from)| s == service && now < *admitted_from)
     }
 
     /// Which requests an upstream may receive.
@@ -176,19 +176,19 @@
         let rollout = self.position(&entry.service).ok();
         if let Some(Rollout {
             order, progress, ..
-        }) = rollout.map(|index| &self.known[index])
+        }) = rollout.map(|index| &self.rollouts[index])
         {
             let is_new = order.to == *version;
             match progress.phase {
                 RolloutPhase::Completed if is_new => return Admission::Open,
                 RolloutPhase::Completed => return Admission::Retired,
-                RolloutPhase::RolledBack if is_new => return Admission::Barred,
-                _ if is_new => return Admission::Trial,
+                RolloutPhase::RolledBack if is_new => return Admission::Blocked,
+                _ if is_new => return Admission::Canary,
                 _ => {}
             }
         }
-        if self.is_rolled_back(&entry.service, version) || self.is_held(entry, version, now) {
-            return Admission::Barred;
+        if self.is_rolled_back(&entry.service, version) || self.is_held_back(entry, version, now) {
+            return Admission::Blocked;
         }
         Admission::Open
     }
@@ -196,43 +196,43 @@
     /// Selects the upstreams of a new version that receive canary requests, out of those that
     /// accept calls. The selection is the same on all VMs.
     #[must_use]
-    pub fn focus<'a>(
+    pub fn canary_upstreams<'a>(
         order: &RolloutOrder,
         mut upstreams: Vec<&'a Arc<UpstreamEntry>>,
     ) -> Vec<&'a Arc<UpstreamEntry>> {
-        let count = upstreams.len().div_ceil(FOCUS);
+        let count = upstreams.len().div_ceil(UPSTREAMS_PER_CANARY);
         let key = format!("{} {}", order.service, order.written);
         upstreams = rendezvous_rank(&key, upstreams, |entry| entry.id.as_str().to_owned());
         upstreams.truncate(count);
         upstreams
     }
 
-    fn is_held(&self, entry: &UpstreamEntry, version: &SoftwareVersion, now: Instant) -> bool {
+    fn is_held_back(&self, entry: &UpstreamEntry, version: &SoftwareVersion, now: Instant) -> bool {
         let key = (&entry.service, version);
-        let place = self.versions.binary_search_by(|(s, v, _)| (s, v).cmp(&key));
-        place.is_ok_and(|index| now < self.versions[index].2)
+        let position = self.versions.binary_search_by(|(s, v, _)| (s, v).cmp(&key));
+        position.is_ok_and(|index| now < self.versions[index].2)
     }
 
     fn is_rolled_back(&self, service: &ServiceId, version: &SoftwareVersion) -> bool {
         let key = (service, version);
-        let place = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
-        place.is_ok()
+        let position = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
+        position.is_ok()
     }
 
     fn is_withdrawn(&self, service: &ServiceId, written: u64) -> bool {
-        let place = self.withdrawn.binary_search_by(|(s, _)| s.cmp(service));
-        place.is_ok_and(|index| self.withdrawn[index].1 > written)
+        let position = self.withdrawn.binary_search_by(|(s, _)| s.cmp(service));
+        position.is_ok_and(|index| self.withdrawn[index].1 > written)
     }
 
     /// Records how a rollout has ended: a version that was rolled back stays excluded until a new
     /// order names it, and a version that has taken over is in use.
-    fn note_end(&mut self, index: usize) {
+    fn record_end(&mut self, index: usize) {
         let Rollout {
             order, progress, ..
-        } = &self.known[index];
+        } = &self.rollouts[index];
         let (order, phase) = (order.clone(), progress.phase);
         match phase {
-            RolloutPhase::RolledBack => self.bar(&order),
+            RolloutPhase::RolledBack => self.exclude(&order),
             RolloutPhase::Completed => self
                 .rolled_back
                 .retain(|(s, v)| (s, v) != (&order.service, &order.to)),
@@ -240,17 +240,17 @@
         }
     }
 
-    fn bar(&mut self, order: &RolloutOrder) {
+    fn exclude(&mut self, order: &RolloutOrder) {
         let key = (&order.service, &order.to);
-        let place = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
-        if let Err(index) = place {
-            let barred = (order.service.clone(), order.to.clone());
-            self.rolled_back.insert(index, barred);
+        let position = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
+        if let Err(index) = position {
+            let excluded = (order.service.clone(), order.to.clone());
+            self.rolled_back.insert(index, excluded);
         }
     }
 
     fn position(&self, service: &ServiceId) -> Result<usize, usize> {
-        self.known
+        self.rollouts
             .binary_search_by(|rollout| rollout.order.service.cmp(service))
     }
 }
--- a/crates/decisions/tests/exposure.rs
+++ b/crates/decisions/tests/exposure.rs
@@ -18,7 +18,7 @@
     Instant(Duration::from_millis(ms))
 }
 
-fn life(vm: usize, incarnation: u64) -> VmLife {
+fn vm_incarnation(vm: usize, incarnation: u64) -> VmLife {
     VmLife {
         vm: format!("vm-{vm}").into(),
         incarnation,
@@ -28,12 +28,12 @@
 /// A VM without recent contact with the owner spends no grants, since the version may have been
 /// rolled back.
 #[gtest]
-fn grant_lapses() {
+fn grant_expires() {
     let mut grants = ExposureGrants::default();
     grants.renew(1, 2, at(0));
 
-    let soon = grants.expose(at(0).after(GRANT_LIFETIME / 2));
-    let later = grants.expose(at(0).after(GRANT_LIFETIME));
+    let soon = grants.spend_grant(at(0).after(GRANT_LIFETIME / 2));
+    let later = grants.spend_grant(at(0).after(GRANT_LIFETIME));
 
     expect_that!(soon, some(anything()));
     expect_that!(later, none());
@@ -47,14 +47,14 @@
 
     grants.renew(1, 5, at(0));
 
-    expect_that!(grants.expose(at(0)), none());
+    expect_that!(grants.spend_grant(at(0)), none());
 }
 
 #[gtest]
 fn no_requests_and_no_slack_give_no_exposures() {
     let mut ledger = ExposureLedger::new(ExposureLimit { slack: 0, ..LIMIT });
 
-    let granted = ledger.report(&life(1, 1), 9, 0);
+    let granted = ledger.report(&vm_incarnation(1, 1), 9, 0);
 
     expect_that!(granted, eq(0));
 }
@@ -62,22 +62,22 @@
 /// Canary requests are granted in bursts, so that a version that is bad under load is exposed to
 /// load.
 #[gtest]
-fn exposures_are_gathered_before_they_are_granted() {
+fn exposures_accumulate_before_they_are_granted() {
     let mut ledger = ExposureLedger::new(ExposureLimit { slack: 0, ..LIMIT });
 
-    let before = ledger.report(&life(1, 1), 230, 0);
-    let then = ledger.report(&life(1, 1), 240, 0);
-    let after = ledger.report(&life(2, 1), 0, 0);
+    let before = ledger.report(&vm_incarnation(1, 1), 230, 0);
+    let then = ledger.report(&vm_incarnation(1, 1), 240, 0);
+    let after = ledger.report(&vm_incarnation(2, 1), 0, 0);
 
     expect_that!((before, then, after), eq((0, 2, 2)));
 }
 
 /// A VM of the simulated fleet.
 struct Vm {
-    life: VmLife,
+    id: VmLife,
     grants: ExposureGrants,
     term: u64,
-    alive: bool,
+    running: bool,
     /// Requests per step, in hundredths.
     rate: u32,
 }
@@ -89,7 +89,7 @@
     /// The ledger of each term; earlier owners may still reply.
     ledgers: Vec<ExposureLedger>,
     reports: Vec<(VmLife, u64, u64, u64)>,
-    answers: Vec<(VmLife, u64, u64)>,
+    replies: Vec<(VmLife, u64, u64)>,
     requests: u64,
     exposures: u64,
     now: Instant,
@@ -99,10 +99,10 @@
     fn new(vms: usize, seed: u64) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let vm = |n| Vm {
-            life: life(n, 0),
+            id: vm_incarnation(n, 0),
             grants: ExposureGrants::default(),
             term: 1,
-            alive: true,
+            running: true,
             rate: rng.random_range(1..400),
         };
         Self {
@@ -110,7 +110,7 @@
             rng,
             ledgers: vec![ExposureLedger::new(LIMIT)],
             reports: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             requests: 0,
             exposures: 0,
             now: at(0),
@@ -126,13 +126,13 @@
         let newest = self.ledgers.len() as u64;
         for vm in &mut self.vms {
             if self.rng.random_bool(0.003) {
-                vm.alive = !vm.alive;
-                vm.life.incarnation += 1;
+                vm.running = !vm.running;
+                vm.id.incarnation += 1;
                 vm.grants = ExposureGrants::default();
                 vm.term = newest;
                 vm.grants.attach(newest);
             }
-            if !vm.alive {
+            if !vm.running {
                 continue;
             }
             if self.rng.random_bool(0.1) && vm.term < newest {
@@ -143,17 +143,16 @@
             for _ in 0..requests {
                 self.requests += 1;
                 vm.grants.count_request();
-                self.exposures += u64::from(vm.grants.expose(self.now).is_some());
+                self.exposures += u64::from(vm.grants.spend_grant(self.now).is_some());
             }
             let (requests, spent) = (vm.grants.requests(), vm.grants.spent());
-            self.reports
-                .push((vm.life.clone(), vm.term, requests, spent));
+            self.reports.push((vm.id.clone(), vm.term, requests, spent));
         }
-        self.carry();
+        self.deliver_messages();
     }
 
     /// Delivers messages late, twice, out of order or never.
-    fn carry(&mut self) {
+    fn deliver_messages(&mut self) {
         for report in std::mem::take(&mut self.reports) {
             match self.rng.random_range(0..10) {
                 0 => continue,
@@ -164,23 +163,23 @@
                 }
                 _ => {}
             }
-            let (life, term, requests, spent) = report;
+            let (id, term, requests, spent) = report;
             let ledger = &mut self.ledgers[usize::try_from(term).unwrap() - 1];
-            let granted = ledger.report(&life, requests, spent);
-            self.answers.push((life, term, granted));
+            let granted = ledger.report(&id, requests, spent);
+            self.replies.push((id, term, granted));
         }
-        for answer in std::mem::take(&mut self.answers) {
+        for reply in std::mem::take(&mut self.replies) {
             match self.rng.random_range(0..10) {
                 0 => continue,
-                1 => self.answers.push(answer.clone()),
+                1 => self.replies.push(reply.clone()),
                 2 => {
-                    self.answers.push(answer);
+                    self.replies.push(reply);
                     continue;
                 }
                 _ => {}
             }
-            let (life, term, granted) = answer;
-            if let Some(vm) = self.vms.iter_mut().find(|vm| vm.life == life) {
+            let (id, term, granted) = reply;
+            if let Some(vm) = self.vms.iter_mut().find(|vm| vm.id == id) {
                 vm.grants.renew(term, granted, self.now);
                 vm.term = vm.term.max(term);
             }
@@ -212,7 +211,7 @@
 /// Guards against grants that mostly stay unused: more than half of the allowed canary requests are
 /// spent.
 #[gtest]
-fn most_exposures_are_spent() {
+fn more_than_half_of_the_exposures_are_spent() {
     for vms in [8, 60, 195] {
         let mut fleet = Fleet::new(vms, 7);
         for _ in 0..120 {
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -63,8 +63,8 @@
 /// State of a VM that has read an upstream of version v1, and one of v2 some time later.
 fn rollouts() -> Rollouts {
     let mut rollouts = Rollouts::new(Some(SETTINGS));
-    rollouts.version_seen(&entry("u1", "v1"), true, at(0));
-    rollouts.version_seen(&entry("u2", "v2"), false, at(1000));
+    rollouts.observe_version(&entry("u1", "v1"), true, at(0));
+    rollouts.observe_version(&entry("u2", "v2"), false, at(1000));
     rollouts
 }
 
@@ -75,17 +75,17 @@
 
 #[gtest]
 fn each_phase_admits_its_versions() {
-    use Admission::{Barred, Open, Retired, Trial};
+    use Admission::{Blocked, Canary, Open, Retired};
     let cases = [
-        (RolloutPhase::Running, [Open, Trial]),
-        (RolloutPhase::Completing, [Open, Trial]),
-        (RolloutPhase::RolledBack, [Open, Barred]),
+        (RolloutPhase::Running, [Open, Canary]),
+        (RolloutPhase::Completing, [Open, Canary]),
+        (RolloutPhase::RolledBack, [Open, Blocked]),
         (RolloutPhase::Completed, [Retired, Open]),
     ];
     for (phase, expected) in cases {
         let mut rollouts = rollouts();
 
-        rollouts.take(&notice(order("v2", 7), 1, phase), at(1000));
+        rollouts.merge(&notice(order("v2", 7), 1, phase), at(1000));
 
         expect_that!(admissions(&rollouts, at(60_000)), eq(expected), "{phase}");
     }
@@ -93,84 +93,84 @@
 
 /// Upstreams of an ordered version appear before their order has arrived.
 #[gtest]
-fn version_that_appears_is_held_back_until_its_order_may_be_known() {
+fn new_version_is_held_back_until_its_order_can_arrive() {
     let rollouts = rollouts();
 
     let soon = admissions(&rollouts, at(1000));
     let later = admissions(&rollouts, at(1000).after(ORDER_WAIT));
 
-    expect_that!(soon, eq([Admission::Open, Admission::Barred]));
+    expect_that!(soon, eq([Admission::Open, Admission::Blocked]));
     expect_that!(later, eq([Admission::Open, Admission::Open]));
 }
 
 /// A version that was rolled back returns only with a new order.
 #[gtest]
-fn version_that_was_rolled_back_stays_out_until_a_new_order() {
+fn rolled_back_version_is_blocked_until_a_new_order() {
     let mut rollouts = rollouts();
-    rollouts.take(
+    rollouts.merge(
         &notice(order("v2", 7), 1, RolloutPhase::RolledBack),
         at(1000),
     );
 
-    rollouts.take(&notice(order("v2", 7), 2, RolloutPhase::Running), at(2000));
+    rollouts.merge(&notice(order("v2", 7), 2, RolloutPhase::Running), at(2000));
     let after_the_same = admissions(&rollouts, at(2000))[1];
-    rollouts.take(&notice(order("v3", 8), 1, RolloutPhase::Running), at(3000));
+    rollouts.merge(&notice(order("v3", 8), 1, RolloutPhase::Running), at(3000));
     let after_another = admissions(&rollouts, at(60_000))[1];
-    rollouts.take(&notice(order("v2", 9), 1, RolloutPhase::Running), at(4000));
+    rollouts.merge(&notice(order("v2", 9), 1, RolloutPhase::Running), at(4000));
     let after_its_own = admissions(&rollouts, at(4000))[1];
 
     expect_that!(
         [after_the_same, after_another, after_its_own],
-        eq([Admission::Barred, Admission::Barred, Admission::Trial])
+        eq([Admission::Blocked, Admission::Blocked, Admission::Canary])
     );
 }
 
 /// An order is withdrawn or replaced while its rollout runs: its version receives no more requests.
 #[gtest]
-fn version_of_a_withdrawn_order_gets_nothing() {
+fn version_of_a_withdrawn_order_is_blocked() {
     for withdrawn in [true, false] {
         let mut rollouts = rollouts();
-        rollouts.take(&notice(order("v2", 7), 1, RolloutPhase::Running), at(1000));
+        rollouts.merge(&notice(order("v2", 7), 1, RolloutPhase::Running), at(1000));
 
         if withdrawn {
             rollouts.withdraw(&"shop".parse().unwrap(), 8);
-            rollouts.take(&notice(order("v2", 7), 1, RolloutPhase::Running), at(2000));
+            rollouts.merge(&notice(order("v2", 7), 1, RolloutPhase::Running), at(2000));
         } else {
-            rollouts.take(&notice(order("v3", 8), 1, RolloutPhase::Running), at(2000));
+            rollouts.merge(&notice(order("v3", 8), 1, RolloutPhase::Running), at(2000));
         }
 
-        expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Barred));
+        expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Blocked));
     }
 }
 
 /// Guards against an end that nobody stores, because its notice arrived before the withdrawal of
 /// the order.
 #[gtest]
-fn withdrawal_leaves_an_end_that_is_not_stored_to_the_owner() {
-    for (stored, left) in [(false, true), (true, false)] {
+fn withdrawal_returns_a_rollout_whose_end_is_not_stored() {
+    for (stored, is_returned) in [(false, true), (true, false)] {
         let mut rollouts = rollouts();
         let mut end = notice(order("v2", 7), 1, RolloutPhase::RolledBack);
         end.progress.stored = stored;
-        rollouts.take(&end, at(1000));
+        rollouts.merge(&end, at(1000));
 
         let withdrawn = rollouts.withdraw(&"shop".parse().unwrap(), 8);
 
-        expect_that!(withdrawn.is_some(), eq(left));
+        expect_that!(withdrawn.is_some(), eq(is_returned));
     }
 }
 
 /// The order of a rollout that was rolled back is withdrawn; its version is still bad.
 #[gtest]
-fn version_that_was_rolled_back_stays_out_without_its_order() {
+fn rolled_back_version_stays_blocked_without_its_order() {
     let mut rollouts = rollouts();
-    rollouts.take(
+    rollouts.merge(
         &notice(order("v2", 7), 1, RolloutPhase::RolledBack),
         at(1000),
     );
 
     rollouts.withdraw(&"shop".parse().unwrap(), 8);
 
-    expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Barred));
+    expect_that!(admissions(&rollouts, at(60_000))[1], eq(Admission::Blocked));
 }
 
 /// Notices arrive out of order.
@@ -178,11 +178,11 @@
 fn end_of_a_rollout_is_never_undone() {
     for end in [RolloutPhase::RolledBack, RolloutPhase::Completed] {
         let mut rollouts = rollouts();
-        rollouts.take(&notice(order("v2", 7), 1, end), at(1000));
+        rollouts.merge(&notice(order("v2", 7), 1, end), at(1000));
         let before = admissions(&rollouts, at(60_000));
 
         for phase in [RolloutPhase::Running, RolloutPhase::Completing] {
-            rollouts.take(&notice(order("v2", 7), 5, phase), at(2000));
+            rollouts.merge(&notice(order("v2", 7), 5, phase), at(2000));
         }
 
         expect_that!(admissions(&rollouts, at(60_000)), eq(before), "{end}");
@@ -191,13 +191,13 @@
 
 /// The previous owner decided to roll back; the next one must not complete the rollout.
 #[gtest]
-fn rollback_reaches_a_later_owner() {
+fn rollback_is_kept_by_a_later_owner() {
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
-    rollout.take(&notice(order("v2", 7), 2, RolloutPhase::Running), at(0));
+    rollout.merge(&notice(order("v2", 7), 2, RolloutPhase::Running), at(0));
     let mut rolled_back = notice(order("v2", 7), 1, RolloutPhase::RolledBack);
     rolled_back.progress.stored = false;
 
-    rollout.take(&rolled_back, at(100));
+    rollout.merge(&rolled_back, at(100));
 
     expect_that!(rollout.progress.phase, eq(RolloutPhase::RolledBack));
 }
@@ -206,41 +206,41 @@
 #[gtest]
 fn without_settings_all_versions_are_open() {
     let mut rollouts = Rollouts::new(None);
-    rollouts.version_seen(&entry("u1", "v1"), true, at(0));
-    rollouts.version_seen(&entry("u2", "v2"), false, at(1000));
+    rollouts.observe_version(&entry("u1", "v1"), true, at(0));
+    rollouts.observe_version(&entry("u2", "v2"), false, at(1000));
 
-    let taken = rollouts.take(
+    let changed = rollouts.merge(
         &notice(order("v2", 7), 1, RolloutPhase::RolledBack),
         at(1000),
     );
 
-    expect_that!(taken, eq(false));
+    expect_that!(changed, eq(false));
     expect_that!(admissions(&rollouts, at(1000)), eq([Admission::Open; 2]));
 }
 
 /// All VMs select the same few upstreams for the canary, so that these receive a typical load.
 #[gtest]
-fn few_upstreams_of_a_new_version_are_tried() {
-    for (count, tried) in [(1_usize, 1), (3, 1), (10, 1), (48, 5), (144, 15)] {
+fn few_upstreams_of_a_new_version_receive_canary_requests() {
+    for (count, expected) in [(1_usize, 1), (3, 1), (10, 1), (48, 5), (144, 15)] {
         let entries = (0..count)
             .map(|n| Arc::new(entry(&format!("u{n}"), "v2")))
             .collect::<Vec<_>>();
         let (order, mut reversed) = (order("v2", 7), entries.iter().collect::<Vec<_>>());
         reversed.reverse();
 
-        let focus = Rollouts::focus(&order, entries.iter().collect());
-        let elsewhere = Rollouts::focus(&order, reversed);
+        let selected = Rollouts::canary_upstreams(&order, entries.iter().collect());
+        let selected_on_another_vm = Rollouts::canary_upstreams(&order, reversed);
 
-        expect_that!(focus.len(), eq(tried));
-        expect_that!(focus, eq(&elsewhere));
+        expect_that!(selected.len(), eq(expected));
+        expect_that!(selected, eq(&selected_on_another_vm));
     }
 }
 
 /// VMs take over a rollout from an unresponsive owner one after another, by rank.
 #[gtest]
-fn silent_owner_is_replaced_rank_by_rank() {
+fn unresponsive_owner_is_replaced_in_rank_order() {
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
-    rollout.take(&notice(order("v2", 7), 1, RolloutPhase::Running), at(0));
+    rollout.merge(&notice(order("v2", 7), 1, RolloutPhase::Running), at(0));
 
     let early = rollout.needs_owner(0, at(0).after(OWNER_LOST / 2));
     let first = rollout.needs_owner(0, at(0).after(OWNER_LOST));
@@ -255,17 +255,17 @@
     let mut rollout = Rollout::new(order("v2", 7), Duration::from_secs(12), at(0));
     let mut rolled_back = notice(order("v2", 7), 1, RolloutPhase::RolledBack);
     rolled_back.progress.stored = false;
-    rollout.take(&rolled_back, at(0));
+    rollout.merge(&rolled_back, at(0));
     let unstored = rollout.needs_owner(0, at(60_000));
     rolled_back.progress.stored = true;
-    rollout.take(&rolled_back, at(0));
+    rollout.merge(&rolled_back, at(0));
 
     expect_that!(unstored, eq(true));
     expect_that!(rollout.needs_owner(0, at(60_000)), eq(false));
 }
 
 #[gtest]
-fn wrong_orders_are_found() {
+fn invalid_orders_are_rejected() {
     let (v1, v2) = (version("v1"), version("v2"));
     let no_time = RolloutOrder {
         duration: Duration::ZERO,
@@ -289,8 +289,8 @@
             Err(RolloutFault::VersionInUse),
         ),
     ];
-    for (order, known, versions, expected) in cases {
-        let checked = order.check(known, &versions);
+    for (order, is_configured, versions, expected) in cases {
+        let checked = order.check(is_configured, &versions);
 
         expect_that!(checked, eq(expected), "{order:?} {versions:?}");
     }
@@ -298,7 +298,7 @@
 
 /// Owners are replaced, and each grants from its own ledger.
 #[gtest]
-fn slack_is_granted_by_the_first_owner_alone() {
+fn only_the_first_owner_grants_the_slack() {
     let [first, second] = [1, 2].map(|term| RolloutOwner::new(term, 1, 0, SETTINGS.limit));
 
     expect_that!(
@@ -315,8 +315,11 @@
 
     let early = owner.step(Duration::from_secs(5), slots);
     let late = owner.step(Duration::from_millis(500), slots);
-    let over = owner.step(Duration::ZERO, slots);
+    let at_deadline = owner.step(Duration::ZERO, slots);
 
     expect_that!((early, late), eq(&(OwnerStep::Wait, OwnerStep::Wait)));
-    expect_that!(over, eq(&OwnerStep::RollBack(RollbackReason::Undecided)));
+    expect_that!(
+        at_deadline,
+        eq(&OwnerStep::RollBack(RollbackReason::Undecided))
+    );
 }
