--- a/crates/decisions/src/lease.rs
+++ b/crates/decisions/src/lease.rs
@@ -59,8 +59,8 @@
         self.wanted = wanted;
     }
 
-    /// Records that an engine has seen this term, from a lease whose row is lost. The next write
-    /// uses a greater term; otherwise the engine would reject all orders.
+    /// Records that an engine has seen this term, from an earlier lease. The next write uses a
+    /// greater term; otherwise the engine would reject all orders.
     pub fn observe_term(&mut self, term: Term) {
         self.highest_seen_term = self.highest_seen_term.max(term);
     }
@@ -184,7 +184,7 @@
         }
     }
 
-    /// When a lease whose row was first seen at `seen` may be acquired.
+    /// When a lease whose row was first seen at `version_seen_at` may be acquired.
     fn expires_at(&self, version_seen_at: Instant) -> Instant {
         match &self.row.record {
             Some(record) if record.duration.is_zero() => version_seen_at,
--- a/crates/decisions/src/lease_settings.rs
+++ b/crates/decisions/src/lease_settings.rs
@@ -3,8 +3,8 @@
 /// Settings of a [`Lease`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// How long the lease lasts after each write. After the holder crashes, no orders are sent for
-    /// this long; an order takes minutes of loading anyway.
+    /// How long the lease lasts after each write. No orders are sent for this long after the holder
+    /// crashes, which is short compared with the minutes that an ordered load takes.
     pub duration: Duration,
     /// How much longer than the duration another VM waits, to allow for clocks that run at
     /// different speeds.
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -4,8 +4,8 @@
 //! the old version. If every engine were ordered to load at once, the weight store would have to
 //! serve all copies at the same moment, no engine would serve requests meanwhile, and generations
 //! whose engine crashes could not be resumed. Therefore only a few engines load at a time, and
-//! never all engines of a model. An engine unloads a model only once it holds all the models that
-//! it should. An old version stays on two engines, in two availability zones where possible, until
+//! never all engines that have a model. An engine unloads a model only once it holds all the models
+//! that it should. An old version stays on two engines, in two availability zones where possible, until
 //! no stream has run on it for a while.
 //!
 //! An order contains the complete target state, so that repeating it has no effect. A state that an
@@ -105,7 +105,8 @@
         };
         view.loading = match (report.and_then(|report| report.loading.clone()), fresh) {
             (Some(loading), Some(_)) => loading,
-            // Without a report of loads in progress, the ordered models are assumed to be loading.
+            // Without a current report of loads in progress, the ordered models are assumed to be
+            // loading.
             _ => self.assumed_loads(now, &view, report),
         };
         view
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
     settings: Option<RolloutSettings>,
-    /// Rollouts sorted by service.
-    rollouts: Vec<Rollout>,
+    /// Current rollouts, sorted by service.
+    tracked: Vec<Rollout>,
     /// Versions sorted by service and version, with the time from which each may receive requests.
     versions: Vec<(ServiceId, SoftwareVersion, Instant)>,
     /// Versions that were rolled back, sorted.
@@ -96,16 +96,16 @@
         }
         let position = self.position(service);
         let index = match position {
-            Ok(index) if self.rollouts[index].order.written > written => return false,
-            Ok(index) if self.rollouts[index].order.written == written => {
-                let changed = self.rollouts[index].merge(notice, now);
+            Ok(index) if self.tracked[index].order.written > written => return false,
+            Ok(index) if self.tracked[index].order.written == written => {
+                let changed = self.tracked[index].merge(notice, now);
                 self.record_end(index);
                 return changed;
             }
             Ok(index) => {
                 // The new order replaces the previous one. The version of the previous order
                 // receives no more requests unless it had taken over.
-                let previous = self.rollouts.remove(index);
+                let previous = self.tracked.remove(index);
                 if previous.progress.phase != RolloutPhase::Completed {
                     self.exclude(&previous.order);
                 }
@@ -115,7 +115,7 @@
         };
         let mut rollout = Rollout::new(notice.order.clone(), notice.time_left(), now);
         rollout.merge(notice, now);
-        self.rollouts.insert(index, rollout);
+        self.tracked.insert(index, rollout);
         self.record_end(index);
         true
     }
@@ -128,10 +128,10 @@
             Err(index) => self.withdrawn.insert(index, (service.clone(), at)),
         }
         let index = self.position(service).ok()?;
-        if self.rollouts[index].order.written > at {
+        if self.tracked[index].order.written > at {
             return None;
         }
-        let rollout = self.rollouts.remove(index);
+        let rollout = self.tracked.remove(index);
         if rollout.progress.is_end_stored() {
             return None;
         }
@@ -142,18 +142,18 @@
     /// Returns the rollout of a service.
     pub fn get_mut(&mut self, service: &ServiceId) -> Option<&mut Rollout> {
         let index = self.position(service).ok()?;
-        Some(&mut self.rollouts[index])
+        Some(&mut self.tracked[index])
     }
 
     /// Iterates over all rollouts.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
-        self.rollouts.iter_mut()
+        self.tracked.iter_mut()
     }
 
     /// Returns the states to advertise to other VMs.
     #[must_use]
     pub fn notices(&self, now: Instant) -> Vec<RolloutNotice> {
-        self.rollouts.iter().map(|r| r.notice(now)).collect()
+        self.tracked.iter().map(|r| r.notice(now)).collect()
     }
 
     /// Whether all upstreams of a service may receive all requests.
@@ -176,7 +176,7 @@
         let rollout = self.position(&entry.service).ok();
         if let Some(Rollout {
             order, progress, ..
-        }) = rollout.map(|index| &self.rollouts[index])
+        }) = rollout.map(|index| &self.tracked[index])
         {
             let is_new = order.to == *version;
             match progress.phase {
@@ -229,7 +229,7 @@
     fn record_end(&mut self, index: usize) {
         let Rollout {
             order, progress, ..
-        } = &self.rollouts[index];
+        } = &self.tracked[index];
         let (order, phase) = (order.clone(), progress.phase);
         match phase {
             RolloutPhase::RolledBack => self.exclude(&order),
@@ -250,7 +250,7 @@
     }
 
     fn position(&self, service: &ServiceId) -> Result<usize, usize> {
-        self.rollouts
+        self.tracked
             .binary_search_by(|rollout| rollout.order.service.cmp(service))
     }
 }
