--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -204,7 +204,7 @@
         match tokio::time::timeout(req.time_left, rx).await {
             Ok(Ok(ClaimResult::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
             Ok(Ok(ClaimResult::Taken(found))) => self.verdict(&req.digest, found),
-            Ok(Ok(ClaimResult::GivenUp) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
+            Ok(Ok(ClaimResult::Abandoned) | Err(_)) | Err(_) => ClaimVerdict::NotRun,
         }
     }
 
@@ -263,7 +263,7 @@
     }
 
     fn verdict(&self, digest: &RequestDigest, found: FoundClaim) -> ClaimVerdict {
-        ClaimVerdict::of_row(digest, found, wall_now(), self.cfg.clocks_differ)
+        ClaimVerdict::from_row(digest, found, wall_now(), self.cfg.clocks_differ)
     }
 }
 
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -80,7 +80,7 @@
     /// Competes for one scope and gives its orders, while the bundle in force has it.
     async fn serve(self: Arc<Self>, name: Arc<str>) {
         let lease = self.leases.compete(&name);
-        let mut ticks = self.timer.subscribe(self.cfg.read_period);
+        let mut ticks = self.timer.subscribe(self.cfg.poll_interval);
         let mut holding = None;
         while let Some(scope) = self.scope(&name) {
             let held = lease.held();
@@ -105,13 +105,14 @@
     /// a VM that may.
     fn allowed_scopes(&self) -> Vec<OrderScope> {
         let bundle = self.bundle.current();
-        let checked = |goal: &EngineTarget| {
-            let upstream = bundle.upstream(&goal.upstream);
+        let checked = |target: &EngineTarget| {
+            let upstream = bundle.upstream(&target.upstream);
             upstream.is_some_and(|upstream| upstream.checks_orderer)
         };
         let mut scopes = order_scopes(&bundle);
-        scopes
-            .retain(|scope| self.right == OrderPermission::All || scope.goals.iter().all(checked));
+        scopes.retain(|scope| {
+            self.right == OrderPermission::All || scope.targets.iter().all(checked)
+        });
         scopes
     }
 
@@ -140,9 +141,9 @@
     async fn round(&self, lease: &LeaseHandle, scope: &OrderScope, holding: &mut Holding) {
         let bundle = self.bundle.current();
         let upstreams = scope
-            .goals
+            .targets
             .iter()
-            .filter_map(|goal| bundle.upstream(&goal.upstream))
+            .filter_map(|target| bundle.upstream(&target.upstream))
             .collect::<Vec<_>>();
         let reads = upstreams
             .iter()
@@ -161,7 +162,7 @@
             }
         }
         let now = self.timer.now();
-        let states = holding.planner.plan(now, &scope.goals, &holding.reports);
+        let states = holding.planner.plan(now, &scope.targets, &holding.reports);
         for state in states {
             if !self.order(lease, holding, &state).await {
                 return;
@@ -183,7 +184,7 @@
                 return false;
             }
         };
-        holding.planner.sent(self.timer.now(), state);
+        holding.planner.record_sent(self.timer.now(), state);
         self.timeline.record(Event {
             upstream: Some(state.upstream.clone()),
             term: Some(permit.term()),
@@ -198,7 +199,7 @@
             Ok(()) => {}
             Err(OrderError::StaleTerm(highest)) => lease.exceed(highest),
             Err(OrderError::Refused(kind)) => {
-                holding.planner.refused(&state.upstream);
+                holding.planner.record_refused(&state.upstream);
                 tracing::warn!(upstream = %state.upstream, %kind, "order refused");
             }
             // What became of it is seen in the engine's next report.
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -6,7 +6,7 @@
 
 /// An engine as the order planner sees it; `report` is `None` if there is no usable report.
 pub(crate) struct EngineView<'a> {
-    pub(crate) goal: &'a EngineTarget,
+    pub(crate) target: &'a EngineTarget,
     pub(crate) report: Option<&'a EngineReport>,
     /// Models that the engine is loading.
     pub(crate) loading: Vec<Model>,
@@ -20,7 +20,7 @@
 
 /// Whether some version of a model is desired on an engine.
 fn wants_some_version(view: &EngineView, model: &Model) -> bool {
-    view.goal.models.iter().any(|m| m.name == model.name)
+    view.target.models.iter().any(|m| m.name == model.name)
 }
 
 /// Whether engine `i` may load a model now: it is loading it already, or fewer than `loads_at_once` other
@@ -29,7 +29,7 @@
     i: usize,
     model: &Model,
     views: &[EngineView],
-    loads_at_once: usize,
+    max_concurrent_loads: usize,
 ) -> bool {
     if views[i].loading.contains(model) {
         return true;
@@ -43,7 +43,7 @@
         .filter(|(_, view)| is_replica(view) && view.loading.is_empty())
         .count();
     let is_only_replica = !others().any(|(_, view)| is_replica(view));
-    loading_engines < loads_at_once.max(1) && (is_only_replica || serving > 0)
+    loading_engines < max_concurrent_loads.max(1) && (is_only_replica || serving > 0)
 }
 
 /// The engines that retain an old model. Engines that have it loaded are preferred, and among them those
@@ -61,11 +61,11 @@
     };
     let second = replicas[1..]
         .iter()
-        .find(|view| view.goal.zone != first.goal.zone)
+        .find(|view| view.target.zone != first.target.zone)
         .or(replicas.get(1));
     let chosen = std::iter::once(first).chain(second.copied());
     chosen
         .take(RETAINING_ENGINES)
-        .map(|view| view.goal.upstream.clone())
+        .map(|view| view.target.upstream.clone())
         .collect()
 }
--- a/crates/decisions/src/order_scope.rs
+++ b/crates/decisions/src/order_scope.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// An engine and the models that the bundle in force wants on it.
+/// An engine and the models that the bundle in force assigns to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineTarget {
-    /// The engine.
+    /// Upstream id of the engine.
     pub upstream: UpstreamId,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: AvailabilityZone,
-    /// Wanted models, sorted.
+    /// Assigned models, sorted.
     pub models: Vec<Model>,
 }
 
-/// Engines that one lease gives orders to: those of a generation service, and of all services that
-/// share engines with it. With one lease for each service two holders would order a shared engine,
-/// under terms that cannot be compared.
+/// Engines that receive orders under one lease: those of a generation service and of all services
+/// that share engines with it. With one lease per service, two holders would send orders to a
+/// shared engine under terms that cannot be compared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrderScope {
     /// Name of the lease.
     pub name: Arc<str>,
-    /// The engines, sorted.
-    pub goals: Vec<EngineTarget>,
+    /// Engines with their assigned models, sorted by engine.
+    pub targets: Vec<EngineTarget>,
 }
 
-/// The scopes of a bundle, sorted by name.
+/// Returns the order scopes of a bundle, sorted by name.
 #[must_use]
 pub fn order_scopes(bundle: &Bundle) -> Vec<OrderScope> {
     let mut groups: Vec<(Vec<&ServiceId>, Vec<EngineTarget>)> = Vec::new();
@@ -31,7 +31,7 @@
         if services.is_empty() {
             continue;
         }
-        let mut goals = vec![EngineTarget {
+        let mut targets = vec![EngineTarget {
             upstream: upstream.id.clone(),
             zone: upstream.zone.clone(),
             models,
@@ -39,25 +39,25 @@
         for (other, members) in std::mem::take(&mut groups) {
             if other.iter().any(|service| services.contains(service)) {
                 services.extend(other);
-                goals.extend(members);
+                targets.extend(members);
             } else {
                 groups.push((other, members));
             }
         }
         services.sort_unstable();
         services.dedup();
-        groups.push((services, goals));
+        groups.push((services, targets));
     }
     let mut scopes = groups.into_iter().map(scope).collect::<Vec<_>>();
     scopes.sort_by(|a, b| a.name.cmp(&b.name));
     scopes
 }
 
-fn scope((services, mut goals): (Vec<&ServiceId>, Vec<EngineTarget>)) -> OrderScope {
-    goals.sort_by(|a, b| a.upstream.cmp(&b.upstream));
+fn scope((services, mut targets): (Vec<&ServiceId>, Vec<EngineTarget>)) -> OrderScope {
+    targets.sort_by(|a, b| a.upstream.cmp(&b.upstream));
     OrderScope {
         name: format!("orders/{}", services[0]).into(),
-        goals,
+        targets,
     }
 }
 
--- a/crates/decisions/src/rollout.rs
+++ b/crates/decisions/src/rollout.rs
@@ -1,46 +1,46 @@
-//! A rollout as one VM knows it.
+//! State of a rollout on one VM.
 
 use super::*;
 
-/// Time without a word of the owner after which another VM takes over.
+/// Time without contact with the owner after which another VM takes over.
 pub const OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Wait of each rank before it takes over, so that one VM after the other tries.
-const RANK_WAIT: Duration = Duration::from_millis(400);
+/// Additional delay per rank before a takeover, so that the VMs try one after another.
+const RANK_DELAY: Duration = Duration::from_millis(400);
 
-/// Ranks that wait; the others try together with the last of these.
-const RANKS: u32 = 5;
+/// Highest rank with a delay of its own; VMs of higher ranks use the same delay.
+const MAX_DELAYED_RANK: u32 = 5;
 
-/// A rollout as one VM knows it.
+/// State of a rollout on one VM.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// The order.
+    /// The order that started the rollout.
     pub order: RolloutOrder,
-    /// Its deadline.
+    /// Time by which the new version takes over or is rolled back.
     pub deadline: Instant,
-    /// How far it is.
+    /// Progress as decided by the owner.
     pub progress: RolloutProgress,
-    /// Address of the owner.
+    /// Address of the owner, if there is one.
     pub owner: Option<SocketAddr>,
-    /// When the owner was last heard, by whomever; the begin of the rollout before that.
-    pub owner_heard: Instant,
-    /// Routes on which the new version has to be tried first.
-    pub wanted: Vec<Arc<str>>,
-    /// This VM's part of the exposures.
+    /// Last contact of any VM with the owner; the start of the rollout before the first contact.
+    pub owner_last_seen: Instant,
+    /// Routes on which the new version still needs samples; empty if any route may be used.
+    pub undersampled_routes: Vec<Arc<str>>,
+    /// Canary requests granted to this VM.
     pub grants: ExposureGrants,
-    /// What this VM has seen, sorted by route.
-    evidence: Vec<SeenRoute>,
+    /// Responses that this VM has observed, sorted by route.
+    evidence: Vec<ObservedRoute>,
 }
 
 #[derive(Clone, Debug)]
-struct SeenRoute {
+struct ObservedRoute {
     counts: RouteEvidence,
-    /// Whether it has changed since it was reported.
+    /// Whether the counts have changed since they were last reported.
     changed: bool,
 }
 
 impl Rollout {
-    /// A rollout that has just become known.
+    /// Creates the state of a new rollout whose deadline is in `left`.
     #[must_use]
     pub fn new(order: RolloutOrder, left: Duration, now: Instant) -> Self {
         Self {
@@ -48,26 +48,27 @@
             deadline: now.after(left),
             progress: RolloutProgress::UNOWNED,
             owner: None,
-            owner_heard: now,
-            wanted: Vec::new(),
+            owner_last_seen: now,
+            undersampled_routes: Vec::new(),
             grants: ExposureGrants::default(),
             evidence: Vec::new(),
         }
     }
 
-    /// Takes in what another VM knows of the same order; whether the progress is new.
-    pub fn take(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
-        let heard = now.before(Duration::from_millis(notice.owner_age_ms.into()));
+    /// Merges the state that another VM has of the same order. Returns whether the progress has
+    /// changed.
+    pub fn merge(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
+        let last_seen = now.before(Duration::from_millis(notice.owner_age_ms.into()));
         let same_owner = notice.progress.term == self.progress.term;
         if notice.owner.is_some() && same_owner {
-            self.owner_heard = self.owner_heard.max(heard);
+            self.owner_last_seen = self.owner_last_seen.max(last_seen);
         }
-        self.deadline = self.deadline.min(now.after(notice.left()));
+        self.deadline = self.deadline.min(now.after(notice.time_left()));
         if !notice.progress.supersedes(&self.progress) {
             return false;
         }
         if notice.progress.term > self.progress.term {
-            self.owner_heard = heard;
+            self.owner_last_seen = last_seen;
             self.grants.attach(notice.progress.term);
         }
         self.progress = notice.progress;
@@ -75,7 +76,7 @@
         true
     }
 
-    /// What other VMs are told.
+    /// Returns the state to advertise to other VMs.
     #[must_use]
     pub fn notice(&self, now: Instant) -> RolloutNotice {
         let ms = |duration: Duration| u32::try_from(duration.as_millis()).unwrap_or(u32::MAX);
@@ -84,69 +85,78 @@
             left_ms: ms(self.deadline.since(now)),
             progress: self.progress,
             owner: self.owner,
-            owner_age_ms: ms(now.since(self.owner_heard)),
+            owner_age_ms: ms(now.since(self.owner_last_seen)),
         }
     }
 
-    /// Whether it is time for the VM of a rank to take the rollout over.
+    /// Whether the VM of this rank should take over the rollout now.
     #[must_use]
     pub fn needs_owner(&self, rank: usize, now: Instant) -> bool {
-        let rank = u32::try_from(rank).unwrap_or(RANKS).min(RANKS);
-        let silence = if self.progress.term == 0 {
+        let rank = u32::try_from(rank)
+            .unwrap_or(MAX_DELAYED_RANK)
+            .min(MAX_DELAYED_RANK);
+        let timeout = if self.progress.term == 0 {
             Duration::ZERO
         } else {
             OWNER_TIMEOUT
         };
-        !self.progress.is_settled() && now.since(self.owner_heard) >= silence + RANK_WAIT * rank
+        !self.progress.is_end_stored()
+            && now.since(self.owner_last_seen) >= timeout + RANK_DELAY * rank
     }
 
-    /// Counts a request; leave for it to go to the new version, if it is one that should.
-    pub fn request(&mut self, route: &str, now: Instant) -> Option<ExposurePermit> {
+    /// Counts a request, and returns a permit if the request should go to the new version.
+    pub fn count_request(&mut self, route: &str, now: Instant) -> Option<ExposurePermit> {
         self.grants.count_request();
-        let wanted = self.wanted.is_empty() || self.wanted.iter().any(|w| w.as_ref() == route);
-        if self.progress.phase != RolloutPhase::Running || !wanted {
+        let is_eligible_route = self.undersampled_routes.is_empty()
+            || self.undersampled_routes.iter().any(|r| r.as_ref() == route);
+        if self.progress.phase != RolloutPhase::Running || !is_eligible_route {
             return None;
         }
-        self.grants.expose(now)
+        self.grants.spend_grant(now)
     }
 
-    /// Counts an answer of an upstream; whether it is a failure of the new version.
-    pub fn answered(&mut self, route: &Arc<str>, is_new: bool, outcome: ResponseOutcome) -> bool {
-        let place = self
+    /// Counts a response of an upstream. Returns whether it is a failure of the new version.
+    pub fn count_response(
+        &mut self,
+        route: &Arc<str>,
+        is_new: bool,
+        outcome: ResponseOutcome,
+    ) -> bool {
+        let position = self
             .evidence
-            .binary_search_by(|seen| seen.counts.route.cmp(route));
-        let index = place.unwrap_or_else(|index| {
-            let seen = SeenRoute {
+            .binary_search_by(|observed| observed.counts.route.cmp(route));
+        let index = position.unwrap_or_else(|index| {
+            let observed = ObservedRoute {
                 counts: RouteEvidence::new(route.clone()),
                 changed: true,
             };
-            self.evidence.insert(index, seen);
+            self.evidence.insert(index, observed);
             index
         });
-        let seen = &mut self.evidence[index];
-        seen.changed = true;
+        let observed = &mut self.evidence[index];
+        observed.changed = true;
         if is_new {
-            seen.counts.new.count(outcome);
+            observed.counts.new.count(outcome);
         } else {
-            seen.counts.old.count(outcome);
+            observed.counts.old.count(outcome);
         }
         is_new && outcome == ResponseOutcome::Failure
     }
 
-    /// At most so many routes with counts that were not reported yet.
-    pub fn to_report(&mut self, most: usize) -> Vec<RouteEvidence> {
-        let changed = self.evidence.iter_mut().filter(|seen| seen.changed);
-        let report = |seen: &mut SeenRoute| {
-            seen.changed = false;
-            seen.counts.clone()
+    /// Returns the counts that have not been reported yet, for at most `max_routes` routes.
+    pub fn take_unreported(&mut self, max_routes: usize) -> Vec<RouteEvidence> {
+        let changed = self.evidence.iter_mut().filter(|observed| observed.changed);
+        let report = |observed: &mut ObservedRoute| {
+            observed.changed = false;
+            observed.counts.clone()
         };
-        changed.take(most).map(report).collect()
+        changed.take(max_routes).map(report).collect()
     }
 
-    /// Has all counts reported once more, as to a new owner.
-    pub fn report_anew(&mut self) {
-        for seen in &mut self.evidence {
-            seen.changed = true;
+    /// Marks all counts as unreported, for a new owner.
+    pub fn mark_unreported(&mut self) {
+        for observed in &mut self.evidence {
+            observed.changed = true;
         }
     }
 }
@@ -154,7 +164,7 @@
 impl RolloutNotice {
     /// Time until the deadline.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         Duration::from_millis(self.left_ms.into())
     }
 }
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -1,116 +1,129 @@
-//! Judges a version under trial by its answers, beside those of the versions in use at the same time.
+//! Judges a version under canary by its responses, compared with those of the versions in use at
+//! the same time.
 //!
-//! An answer is bad if it is a failure of the upstream's own, or comes several times later than the median of the
-//! old versions on its route. Some answers of the old versions are bad too; only a part that is larger by
-//! [`EXCESS`] tells against the new one. A cumulative sum over the answers finds a version that turns bad late as
-//! fast as one that is bad at once. Broken connections are not counted: engines of either version crash.
+//! A response is bad if it is a failure caused by the upstream itself, or if it arrives several
+//! times later than the median of the old versions on its route. Some responses of the old versions
+//! are bad too, so only a fraction that is larger by [`EXCESS_BAD_FRACTION`] counts against the new
+//! version. A cumulative sum (CUSUM) over the responses detects a version that turns bad late as
+//! fast as one that is bad from the start. Broken connections are not counted, since engines of
+//! either version crash.
 //!
-//! A VM that stands still for a moment answers late for both versions. So the answers of a report are held against
-//! those of the old versions in the same report, if these are worse than usual.
+//! A VM that stalls for a moment delays the responses of both versions. The responses in a report
+//! are therefore compared with those of the old versions in the same report if these are worse than
+//! the baseline.
 
 use super::*;
 
-/// Part of bad answers beyond that of the old versions, from which on a version is bad.
-const EXCESS: f64 = 0.2;
+/// Fraction of bad responses, above that of the old versions, from which a version is bad.
+const EXCESS_BAD_FRACTION: f64 = 0.2;
 
-/// Half octaves above the median from which on an answer is slow: 2.8 to 4 times as late.
+/// A response is slow if it is more than this many half octaves above the median, which is 2.8 to 4
+/// times the median latency.
 const SLOW_BUCKETS: u8 = 3;
 
-/// Latency up to which no answer is slow, whatever the median.
-const NEVER_SLOW: Duration = Duration::from_millis(20);
+/// Latency up to which no response is slow, whatever the median.
+const MIN_SLOW_LATENCY: Duration = Duration::from_millis(20);
 
-/// Answers of the old versions in one report from which on they tell how the VM and its links do at the moment.
-const MOMENT: u32 = 4;
+/// Minimum number of responses of the old versions in one report for them to show the current
+/// condition of the VM and its links.
+const MIN_REPORT_SAMPLES: u32 = 4;
 
-/// Answers of the old versions on a route from which on those of the new one are judged.
-const BASELINE: u32 = 20;
+/// Minimum number of responses of the old versions on a route before the new version is judged on
+/// it.
+const MIN_BASELINE_SAMPLES: u32 = 20;
 
-/// Answers of the new version on each route before it can be good.
+/// Minimum number of responses of the new version on each route before it can be judged good.
 pub const MIN_ROUTE_SAMPLES: u32 = 20;
 
-/// Sum of log-likelihood ratios at which a version is bad.
-const ALARM: f64 = 7.0;
+/// Sum of log-likelihood ratios from which a version is bad.
+const BAD_THRESHOLD: f64 = 7.0;
 
-/// Sum up to which a version can be good.
-const ACCEPTED: f64 = 3.5;
+/// Maximum sum of log-likelihood ratios of a good version.
+const GOOD_THRESHOLD: f64 = 3.5;
 
-/// Least part of bad answers that is assumed of the old versions.
-const LEAST_BAD: f64 = 0.02;
+/// Lower bound on the assumed fraction of bad responses of the old versions.
+const MIN_BAD_FRACTION: f64 = 0.02;
 
-/// Most that is assumed.
-const MOST_BAD: f64 = 0.7;
+/// Upper bound on the assumed fraction of bad responses of the old versions.
+const MAX_BAD_FRACTION: f64 = 0.7;
 
-/// What is thought of a version under trial.
+/// Verdict on a version under canary.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RolloutVerdict {
     /// There is too little evidence.
     Undecided,
-    /// It answers as the old versions do, on every route.
+    /// The version responds as the old versions do, on every route.
     Good,
-    /// It answers worse on a route; `None` if only over all routes.
+    /// The version responds worse than the old versions.
     Bad {
-        /// The route.
+        /// Route with the bad responses; `None` if the evidence suffices only over all routes
+        /// together.
         route: Option<Arc<str>>,
-        /// Its answers there.
+        /// Responses of the version on that route.
         answers: u32,
-        /// The bad ones among them.
+        /// Bad responses among them.
         bad: u32,
     },
 }
 
-/// What a report adds to the evidence on a route.
+/// Evidence that one report adds on a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JudgedReport {
-    /// Answers of the old versions in the report.
+    /// Responses of the old versions in the report.
     pub old: u32,
-    /// The bad ones among them.
+    /// Bad responses among them.
     pub old_bad: u32,
-    /// Answers of the new version that were judged with it.
+    /// Responses of the new version that were judged with the report.
     pub new: u32,
-    /// The bad ones among them.
+    /// Bad responses among them.
     pub new_bad: u32,
-    /// Part of bad answers that was expected of a good version.
-    pub usual: f64,
-    /// Latency bucket above which an answer is slow.
-    pub slowest: u8,
+    /// Fraction of bad responses expected of a good version.
+    pub expected_bad: f64,
+    /// Latency bucket above which a response is slow.
+    pub max_good_bucket: u8,
     /// Cumulative sum against the new version on the route.
     pub sum: f64,
 }
 
-/// The evidence of all VMs.
+/// Evidence reported by all VMs.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutJudge {
     /// Latest report of each VM on each route, sorted.
     reports: Vec<((VmIncarnation, Arc<str>), RouteEvidence)>,
-    /// Sorted by route.
+    /// Evidence of all VMs by route, sorted.
     routes: Vec<JudgedRoute>,
-    all: Suspected,
+    all_routes: Cusum,
 }
 
 #[derive(Clone, Debug)]
 struct JudgedRoute {
     sum: RouteEvidence,
-    /// The answers of the new version that were judged.
+    /// Responses of the new version that have been judged.
     judged: ResponseCounts,
-    suspected: Suspected,
+    cusum: Cusum,
 }
 
 /// Cumulative sum of the evidence against a version.
 #[derive(Clone, Copy, Debug, Default)]
-struct Suspected {
+struct Cusum {
     sum: f64,
     answers: u32,
     bad: u32,
 }
 
 impl RolloutJudge {
-    /// Takes in a VM's counts of a route; returns what was judged, once the old versions have given enough answers.
-    pub fn take(&mut self, vm: &VmIncarnation, evidence: &RouteEvidence) -> Option<JudgedReport> {
+    /// Applies the counts of a VM on a route. Returns the evidence they added, once the old
+    /// versions have enough responses on the route.
+    pub fn add_report(
+        &mut self,
+        vm: &VmIncarnation,
+        evidence: &RouteEvidence,
+    ) -> Option<JudgedReport> {
         let key = (vm.clone(), evidence.route.clone());
-        let place = self.reports.binary_search_by(|(other, _)| other.cmp(&key));
-        let index = place.unwrap_or_else(|index| {
-            let nothing = RouteEvidence::new(evidence.route.clone());
-            self.reports.insert(index, (key, nothing));
+        let position = self.reports.binary_search_by(|(other, _)| other.cmp(&key));
+        let index = position.unwrap_or_else(|index| {
+            let empty = RouteEvidence::new(evidence.route.clone());
+            self.reports.insert(index, (key, empty));
             index
         });
         let before = &self.reports[index].1;
@@ -124,48 +137,53 @@
         let route = &mut self.routes[index];
         route.sum.old.merge(&old);
         route.sum.new.merge(&new);
-        route.judge(&old, &mut self.all)
+        route.judge(&old, &mut self.all_routes)
     }
 
-    /// The verdict on what was taken in so far.
+    /// Verdict on the evidence so far.
     #[must_use]
     pub fn verdict(&self) -> RolloutVerdict {
         for route in &self.routes {
-            if route.suspected.sum >= ALARM {
-                return route.suspected.bad_on(Some(route.sum.route.clone()));
+            if route.cusum.sum >= BAD_THRESHOLD {
+                return route.cusum.bad_verdict(Some(route.sum.route.clone()));
             }
         }
-        if self.all.sum >= ALARM {
-            return self.all.bad_on(None);
+        if self.all_routes.sum >= BAD_THRESHOLD {
+            return self.all_routes.bad_verdict(None);
         }
-        let sums = self.routes.iter().map(|route| &route.suspected);
-        let clear = sums.chain([&self.all]).all(|s| s.sum <= ACCEPTED);
-        if clear && self.all.answers >= MIN_ROUTE_SAMPLES && self.wanted().is_empty() {
+        let sums = self.routes.iter().map(|route| &route.cusum);
+        let all_below_threshold = sums
+            .chain([&self.all_routes])
+            .all(|s| s.sum <= GOOD_THRESHOLD);
+        if all_below_threshold
+            && self.all_routes.answers >= MIN_ROUTE_SAMPLES
+            && self.undersampled_routes().is_empty()
+        {
             return RolloutVerdict::Good;
         }
         RolloutVerdict::Undecided
     }
 
-    /// Routes on which the new version was tried too little.
+    /// Routes on which the new version has too few responses.
     #[must_use]
-    pub fn wanted(&self) -> Vec<Arc<str>> {
-        let short = self.routes.iter().filter(|route| route.is_short());
-        short.map(|route| route.sum.route.clone()).collect()
+    pub fn undersampled_routes(&self) -> Vec<Arc<str>> {
+        let undersampled = self.routes.iter().filter(|route| route.is_undersampled());
+        undersampled.map(|route| route.sum.route.clone()).collect()
     }
 
-    /// Answers of the new version, and the bad ones among them.
+    /// Number of responses of the new version, and of the bad ones among them.
     #[must_use]
-    pub fn answers(&self) -> (u32, u32) {
-        (self.all.answers, self.all.bad)
+    pub fn totals(&self) -> (u32, u32) {
+        (self.all_routes.answers, self.all_routes.bad)
     }
 
     fn route(&mut self, name: &Arc<str>) -> usize {
-        let place = self.routes.binary_search_by(|r| r.sum.route.cmp(name));
-        place.unwrap_or_else(|index| {
+        let position = self.routes.binary_search_by(|r| r.sum.route.cmp(name));
+        position.unwrap_or_else(|index| {
             let route = JudgedRoute {
                 sum: RouteEvidence::new(name.clone()),
                 judged: ResponseCounts::default(),
-                suspected: Suspected::default(),
+                cusum: Cusum::default(),
             };
             self.routes.insert(index, route);
             index
@@ -174,51 +192,59 @@
 }
 
 impl JudgedRoute {
-    /// Judges the answers that were not judged yet, once the old versions have given enough; `at_once` has those of the
-    /// old versions in the same report.
-    fn judge(&mut self, at_once: &ResponseCounts, all: &mut Suspected) -> Option<JudgedReport> {
+    /// Judges the responses that have not been judged yet, once the old versions have enough
+    /// responses. `same_report` has the responses of the old versions in the same report.
+    fn judge(
+        &mut self,
+        same_report: &ResponseCounts,
+        all_routes: &mut Cusum,
+    ) -> Option<JudgedReport> {
         let old = &self.sum.old;
-        let median = old.median().filter(|_| old.total() >= BASELINE)?;
-        let slowest = (median + SLOW_BUCKETS).max(latency_bucket(NEVER_SLOW));
+        let median = old
+            .median()
+            .filter(|_| old.total() >= MIN_BASELINE_SAMPLES)?;
+        let max_good_bucket = (median + SLOW_BUCKETS).max(latency_bucket(MIN_SLOW_LATENCY));
         let answers = self.sum.new.since(&self.judged);
         self.judged = self.sum.new.clone();
-        let (total, bad) = (answers.total(), answers.bad(slowest));
-        let mut usual = usual_bad(old.bad(slowest), old.total());
-        if at_once.total() >= MOMENT {
-            let part = f64::from(at_once.bad(slowest)) / f64::from(at_once.total());
-            usual = usual.max(part.min(MOST_BAD));
+        let (total, bad) = (answers.total(), answers.bad(max_good_bucket));
+        let mut expected_bad = estimate_bad_fraction(old.bad(max_good_bucket), old.total());
+        if same_report.total() >= MIN_REPORT_SAMPLES {
+            let fraction =
+                f64::from(same_report.bad(max_good_bucket)) / f64::from(same_report.total());
+            expected_bad = expected_bad.max(fraction.min(MAX_BAD_FRACTION));
         }
-        self.suspected.add(total, bad, usual);
-        all.add(total, bad, usual);
+        self.cusum.add(total, bad, expected_bad);
+        all_routes.add(total, bad, expected_bad);
         Some(JudgedReport {
-            old: at_once.total(),
-            old_bad: at_once.bad(slowest),
+            old: same_report.total(),
+            old_bad: same_report.bad(max_good_bucket),
             new: total,
             new_bad: bad,
-            usual,
-            slowest,
-            sum: self.suspected.sum,
+            expected_bad,
+            max_good_bucket,
+            sum: self.cusum.sum,
         })
     }
 
-    fn is_short(&self) -> bool {
-        self.sum.old.total() >= BASELINE && self.suspected.answers < MIN_ROUTE_SAMPLES
+    fn is_undersampled(&self) -> bool {
+        self.sum.old.total() >= MIN_BASELINE_SAMPLES && self.cusum.answers < MIN_ROUTE_SAMPLES
     }
 }
 
-impl Suspected {
-    /// Adds answers; the good ones first, so that those that came between bad ones do not hide them.
-    fn add(&mut self, total: u32, bad: u32, usual: f64) {
-        let expected = (usual + EXCESS).min(0.95);
+impl Cusum {
+    /// Adds responses to the sum. The good ones are added first, so that good responses between bad
+    /// ones do not mask them.
+    fn add(&mut self, total: u32, bad: u32, expected_bad: f64) {
+        let bad_if_worse = (expected_bad + EXCESS_BAD_FRACTION).min(0.95);
         let good = total.saturating_sub(bad);
-        let for_good = ((1.0 - expected) / (1.0 - usual)).ln();
-        self.sum = (self.sum + f64::from(good) * for_good).max(0.0);
-        self.sum += f64::from(bad) * (expected / usual).ln();
+        let good_weight = ((1.0 - bad_if_worse) / (1.0 - expected_bad)).ln();
+        self.sum = (self.sum + f64::from(good) * good_weight).max(0.0);
+        self.sum += f64::from(bad) * (bad_if_worse / expected_bad).ln();
         self.answers += total;
         self.bad += bad;
     }
 
-    fn bad_on(&self, route: Option<Arc<str>>) -> RolloutVerdict {
+    fn bad_verdict(&self, route: Option<Arc<str>>) -> RolloutVerdict {
         RolloutVerdict::Bad {
             route,
             answers: self.answers,
@@ -227,10 +253,11 @@
     }
 }
 
-/// Part of bad answers that the old versions have at most, as far as so many answers tell.
-fn usual_bad(bad: u32, total: u32) -> f64 {
+/// Estimates the fraction of bad responses of the old versions: one standard error above the
+/// observed fraction, to allow for a small number of responses.
+fn estimate_bad_fraction(bad: u32, total: u32) -> f64 {
     let (bad, total) = (f64::from(bad) + 0.5, f64::from(total) + 1.0);
-    let part = bad / total;
-    let error = (part * (1.0 - part) / total).sqrt();
-    (part + error).clamp(LEAST_BAD, MOST_BAD)
+    let fraction = bad / total;
+    let standard_error = (fraction * (1.0 - fraction) / total).sqrt();
+    (fraction + standard_error).clamp(MIN_BAD_FRACTION, MAX_BAD_FRACTION)
 }
--- a/crates/decisions/src/rollouts.rs
+++ b/crates/decisions/src/rollouts.rs
@@ -1,44 +1,47 @@
-//! Which versions of a service's upstreams one VM may send requests to.
+//! Decides which versions of a service's upstreams one VM may send requests to.
 //!
-//! A version under trial gets requests by grants of the rollout's owner alone, one that was rolled back none
-//! until a new order names it. A version that nobody ordered is one of the service's own, as after a release; but the
-//! order may still be on its way, so it is held back for [`ORDER_TIMEOUT`].
+//! A version under canary receives requests only by grants of the rollout's owner, and a version
+//! that was rolled back receives none until a new order names it. A version without an order counts
+//! as in use by the service, as after a release. Its order may still be on the way, however, so the
+//! version is held back for [`ORDER_TIMEOUT`].
 
 use super::*;
 
-/// How long a version that appears is held back, in which the order that brings it becomes known.
+/// How long a new version is held back, so that an order for it can arrive first.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One upstream of so many of a new version is tried, so that each gets its usual load.
-const FOCUS: usize = 10;
+/// One in this many upstreams of a new version receives canary requests, so that each of them gets
+/// a typical load.
+const UPSTREAMS_PER_CANARY: usize = 10;
 
 /// Settings of rollouts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// Bound on the requests that a version under trial gets.
+    /// Limit on the requests that a version under canary receives.
     pub limit: ExposureLimit,
 }
 
-/// What an upstream may get.
+/// Which requests an upstream may receive.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VersionAdmission {
-    /// Any request.
+    /// All requests.
     Open,
-    /// Requests with leave to be exposed.
-    Trial,
-    /// Requests that no other upstream takes: it stops with the end of a rollout.
+    /// Only requests with a permit for the canary.
+    Canary,
+    /// Only requests that no other upstream accepts, since this upstream stops when the rollout
+    /// ends.
     Retired,
-    /// None.
-    Barred,
+    /// No requests.
+    Blocked,
 }
 
-/// The rollouts that one VM knows, and the versions that it has seen.
+/// Rollouts tracked by one VM, and the versions that it has seen.
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
     settings: Option<RolloutSettings>,
-    /// Sorted by service.
-    known: Vec<Rollout>,
-    /// Sorted by service and version, with the time since when a version may get requests.
+    /// Current rollouts, sorted by service.
+    tracked: Vec<Rollout>,
+    /// Versions sorted by service and version, with the time from which each may receive requests.
     versions: Vec<(ServiceId, SoftwareVersion, Instant)>,
     /// Versions that were rolled back, sorted.
     rolled_back: Vec<(ServiceId, SoftwareVersion)>,
@@ -47,7 +50,7 @@
 }
 
 impl Rollouts {
-    /// No rollouts yet; without settings there are none.
+    /// Creates an empty set of rollouts; without settings, no rollout is accepted.
     #[must_use]
     pub fn new(settings: Option<RolloutSettings>) -> Self {
         Self {
@@ -56,33 +59,34 @@
         }
     }
 
-    /// Settings of rollouts, if there are any.
+    /// Settings of rollouts; `None` if rollouts are disabled.
     #[must_use]
     pub fn settings(&self) -> Option<RolloutSettings> {
         self.settings
     }
 
-    /// Notes the version of an upstream. `at_start` says that the upstreams are read for the first time: all of
-    /// their versions are in use then, but for those that an order names.
-    pub fn version_seen(&mut self, entry: &UpstreamEntry, at_start: bool, now: Instant) {
+    /// Records the version of an upstream. `at_start` is set when the upstreams are read for the
+    /// first time: all of their versions then count as in use, except those that an order names.
+    pub fn observe_version(&mut self, entry: &UpstreamEntry, at_start: bool, now: Instant) {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
             return;
         };
         let key = (&entry.service, version);
         if let Err(index) = self.versions.binary_search_by(|(s, v, _)| (s, v).cmp(&key)) {
-            let first = !self.versions.iter().any(|(s, _, _)| *s == entry.service);
-            let from = if at_start || first {
+            let is_first = !self.versions.iter().any(|(s, _, _)| *s == entry.service);
+            let admitted_from = if at_start || is_first {
                 now
             } else {
                 now.after(ORDER_TIMEOUT)
             };
-            let seen = (entry.service.clone(), version.clone(), from);
-            self.versions.insert(index, seen);
+            let observed = (entry.service.clone(), version.clone(), admitted_from);
+            self.versions.insert(index, observed);
         }
     }
 
-    /// Takes in what is known of a rollout, from the operator's table or from another VM; whether that is news.
-    pub fn take(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
+    /// Merges the state of a rollout, from the operator's table or from another VM. Returns whether
+    /// it changed anything.
+    pub fn merge(&mut self, notice: &RolloutNotice, now: Instant) -> bool {
         if self.settings.is_none() {
             return false;
         }
@@ -90,78 +94,80 @@
         if self.is_withdrawn(service, written) {
             return false;
         }
-        let place = self.position(service);
-        let index = match place {
-            Ok(index) if self.known[index].order.written > written => return false,
-            Ok(index) if self.known[index].order.written == written => {
-                let news = self.known[index].take(notice, now);
-                self.note_end(index);
-                return news;
+        let position = self.position(service);
+        let index = match position {
+            Ok(index) if self.tracked[index].order.written > written => return false,
+            Ok(index) if self.tracked[index].order.written == written => {
+                let changed = self.tracked[index].merge(notice, now);
+                self.record_end(index);
+                return changed;
             }
             Ok(index) => {
-                // The order before is replaced; a version that it alone brought gets nothing any more.
-                let before = self.known.remove(index);
-                if before.progress.phase != RolloutPhase::Completed {
-                    self.bar(&before.order);
+                // The new order replaces the previous one. The version of the previous order
+                // receives no more requests unless it had taken over.
+                let previous = self.tracked.remove(index);
+                if previous.progress.phase != RolloutPhase::Completed {
+                    self.exclude(&previous.order);
                 }
                 index
             }
             Err(index) => index,
         };
-        let mut rollout = Rollout::new(notice.order.clone(), notice.left(), now);
-        rollout.take(notice, now);
-        self.known.insert(index, rollout);
-        self.note_end(index);
+        let mut rollout = Rollout::new(notice.order.clone(), notice.time_left(), now);
+        rollout.merge(notice, now);
+        self.tracked.insert(index, rollout);
+        self.record_end(index);
         true
     }
 
-    /// Notes that an order was withdrawn at a version of the store; the rollout, if its end is not in the store yet.
+    /// Records that the order of a service was withdrawn at this version of the store. Returns its
+    /// rollout if the end is not stored yet.
     pub fn withdraw(&mut self, service: &ServiceId, at: u64) -> Option<Rollout> {
         match self.withdrawn.binary_search_by(|(s, _)| s.cmp(service)) {
             Ok(index) => self.withdrawn[index].1 = self.withdrawn[index].1.max(at),
             Err(index) => self.withdrawn.insert(index, (service.clone(), at)),
         }
         let index = self.position(service).ok()?;
-        if self.known[index].order.written > at {
+        if self.tracked[index].order.written > at {
             return None;
         }
-        let rollout = self.known.remove(index);
-        if rollout.progress.is_settled() {
+        let rollout = self.tracked.remove(index);
+        if rollout.progress.is_end_stored() {
             return None;
         }
-        self.bar(&rollout.order);
+        self.exclude(&rollout.order);
         Some(rollout)
     }
 
-    /// The rollout of a service.
+    /// Returns the rollout of a service.
     pub fn get_mut(&mut self, service: &ServiceId) -> Option<&mut Rollout> {
         let index = self.position(service).ok()?;
-        Some(&mut self.known[index])
+        Some(&mut self.tracked[index])
     }
 
-    /// All rollouts.
+    /// Iterates over all rollouts.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Rollout> {
-        self.known.iter_mut()
+        self.tracked.iter_mut()
     }
 
-    /// What other VMs are told.
+    /// Returns the states to advertise to other VMs.
     #[must_use]
     pub fn notices(&self, now: Instant) -> Vec<RolloutNotice> {
-        self.known.iter().map(|r| r.notice(now)).collect()
+        self.tracked.iter().map(|r| r.notice(now)).collect()
     }
 
-    /// Whether all upstreams of a service may get any request.
+    /// Whether all upstreams of a service may receive all requests.
     #[must_use]
-    pub fn is_idle(&self, service: &ServiceId, now: Instant) -> bool {
+    pub fn admits_all(&self, service: &ServiceId, now: Instant) -> bool {
         self.position(service).is_err()
             && !self.rolled_back.iter().any(|(s, _)| s == service)
             && !self
                 .versions
                 .iter()
-                .any(|(s, _, from)| s == service && now < *from)
+                .any(|(s, _, admitted_from)| s == service && now < *admitted_from)
     }
 
-    /// What an upstream may get.
+    /// Which requests an upstream may receive.
     #[must_use]
     pub fn admission(&self, entry: &UpstreamEntry, now: Instant) -> VersionAdmission {
         let (Some(_), Some(version)) = (self.settings, &entry.version) else {
@@ -170,62 +176,63 @@
         let rollout = self.position(&entry.service).ok();
         if let Some(Rollout {
             order, progress, ..
-        }) = rollout.map(|index| &self.known[index])
+        }) = rollout.map(|index| &self.tracked[index])
         {
             let is_new = order.to == *version;
             match progress.phase {
                 RolloutPhase::Completed if is_new => return VersionAdmission::Open,
                 RolloutPhase::Completed => return VersionAdmission::Retired,
-                RolloutPhase::RolledBack if is_new => return VersionAdmission::Barred,
-                _ if is_new => return VersionAdmission::Trial,
+                RolloutPhase::RolledBack if is_new => return VersionAdmission::Blocked,
+                _ if is_new => return VersionAdmission::Canary,
                 _ => {}
             }
         }
-        if self.is_rolled_back(&entry.service, version) || self.is_held(entry, version, now) {
-            return VersionAdmission::Barred;
+        if self.is_rolled_back(&entry.service, version) || self.is_held_back(entry, version, now) {
+            return VersionAdmission::Blocked;
         }
         VersionAdmission::Open
     }
 
-    /// The few upstreams of a new version that are tried, of all those that take calls: the same on all VMs.
+    /// Selects the upstreams of a new version that receive canary requests, out of those that
+    /// accept calls. The selection is the same on all VMs.
     #[must_use]
-    pub fn focus<'a>(
+    pub fn canary_upstreams<'a>(
         order: &RolloutOrder,
         mut upstreams: Vec<&'a Arc<UpstreamEntry>>,
     ) -> Vec<&'a Arc<UpstreamEntry>> {
-        let count = upstreams.len().div_ceil(FOCUS);
+        let count = upstreams.len().div_ceil(UPSTREAMS_PER_CANARY);
         let key = format!("{} {}", order.service, order.written);
         upstreams = rendezvous_rank(&key, upstreams, |entry| entry.id.as_str().to_owned());
         upstreams.truncate(count);
         upstreams
     }
 
-    fn is_held(&self, entry: &UpstreamEntry, version: &SoftwareVersion, now: Instant) -> bool {
+    fn is_held_back(&self, entry: &UpstreamEntry, version: &SoftwareVersion, now: Instant) -> bool {
         let key = (&entry.service, version);
-        let place = self.versions.binary_search_by(|(s, v, _)| (s, v).cmp(&key));
-        place.is_ok_and(|index| now < self.versions[index].2)
+        let position = self.versions.binary_search_by(|(s, v, _)| (s, v).cmp(&key));
+        position.is_ok_and(|index| now < self.versions[index].2)
     }
 
     fn is_rolled_back(&self, service: &ServiceId, version: &SoftwareVersion) -> bool {
         let key = (service, version);
-        let place = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
-        place.is_ok()
+        let position = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
+        position.is_ok()
     }
 
     fn is_withdrawn(&self, service: &ServiceId, written: u64) -> bool {
-        let place = self.withdrawn.binary_search_by(|(s, _)| s.cmp(service));
-        place.is_ok_and(|index| self.withdrawn[index].1 > written)
+        let position = self.withdrawn.binary_search_by(|(s, _)| s.cmp(service));
+        position.is_ok_and(|index| self.withdrawn[index].1 > written)
     }
 
-    /// Keeps in mind how a rollout has ended: a version that was rolled back does not return without a new order,
-    /// and one that has taken over is in use.
-    fn note_end(&mut self, index: usize) {
+    /// Records how a rollout has ended: a version that was rolled back stays excluded until a new
+    /// order names it, and a version that has taken over is in use.
+    fn record_end(&mut self, index: usize) {
         let Rollout {
             order, progress, ..
-        } = &self.known[index];
+        } = &self.tracked[index];
         let (order, phase) = (order.clone(), progress.phase);
         match phase {
-            RolloutPhase::RolledBack => self.bar(&order),
+            RolloutPhase::RolledBack => self.exclude(&order),
             RolloutPhase::Completed => self
                 .rolled_back
                 .retain(|(s, v)| (s, v) != (&order.service, &order.to)),
@@ -233,17 +240,17 @@
         }
     }
 
-    fn bar(&mut self, order: &RolloutOrder) {
+    fn exclude(&mut self, order: &RolloutOrder) {
         let key = (&order.service, &order.to);
-        let place = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
-        if let Err(index) = place {
-            let barred = (order.service.clone(), order.to.clone());
-            self.rolled_back.insert(index, barred);
+        let position = self.rolled_back.binary_search_by(|(s, v)| (s, v).cmp(&key));
+        if let Err(index) = position {
+            let excluded = (order.service.clone(), order.to.clone());
+            self.rolled_back.insert(index, excluded);
         }
     }
 
     fn position(&self, service: &ServiceId) -> Result<usize, usize> {
-        self.known
+        self.tracked
             .binary_search_by(|rollout| rollout.order.service.cmp(service))
     }
 }
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -172,7 +172,7 @@
         let now = self.instant();
         let until = self.now + 1_000 + 200 * pick;
         for vm in &mut self.vms {
-            if vm.lease.held(now).is_some() {
+            if vm.lease.held_term(now).is_some() {
                 vm.paused_until = until;
             }
         }
@@ -189,11 +189,11 @@
             let result = self.write(vm);
             return self.finish_write(vm, result);
         }
-        match self.vms[vm].lease.step(now) {
+        match self.vms[vm].lease.next_step(now) {
             LeaseStep::Wait(_) => {}
             LeaseStep::Read => {
                 let row = self.row.clone();
-                self.vms[vm].lease.read(now, row);
+                self.vms[vm].lease.apply_row(now, row);
             }
             LeaseStep::Write(write) => self.vms[vm].write = Some((now, write)),
         }
@@ -217,7 +217,9 @@
     fn finish_write(&mut self, vm: usize, result: LeaseWriteResult) {
         let now = self.instant();
         if let Some((sent, write)) = self.vms[vm].write.take() {
-            self.vms[vm].lease.written(sent, now, write, result);
+            self.vms[vm]
+                .lease
+                .apply_write_result(sent, now, write, result);
         }
     }
 
@@ -229,7 +231,7 @@
         }
         let row = self.row.clone();
         let vm = &mut self.vms[vm];
-        vm.lease.read(instant, row);
+        vm.lease.apply_row(instant, row);
         let Some(permit) = vm.lease.permit(instant) else {
             return;
         };
@@ -241,10 +243,10 @@
         let new = || (permit.term(), OrderPlanner::new(settings()));
         let (term, mut planner) = current.unwrap_or_else(new);
         for (_, report) in vm.reports.iter().filter(|(_, r)| r.highest_term > term) {
-            vm.lease.exceed(report.highest_term);
+            vm.lease.observe_term(report.highest_term);
         }
         for state in planner.plan(instant, &targets(vm.target_version), &vm.reports) {
-            planner.sent(instant, &state);
+            planner.record_sent(instant, &state);
             let engine = (0..ENGINES).find(|i| engine_id(*i) == state.upstream);
             self.orders.push(Order {
                 engine: engine.expect("an engine of the targets"),
@@ -304,14 +306,14 @@
         duration: ms(1_000),
         margin: ms(200),
         renew_after: ms(300),
-        read_period: ms(300),
+        poll_interval: ms(300),
         order_timeout: ms(200),
     }
 }
 
 fn settings() -> OrderSettings {
     OrderSettings {
-        quiet: Duration::from_millis(200),
+        idle_before_unload: Duration::from_millis(200),
         resend_after: Duration::from_millis(300),
         ..OrderSettings::default()
     }
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Claims: one dispatch for each key, whatever becomes of the calls of the table service.
+//! Claims: each key is dispatched at most once, whatever happens to the calls to the platform
+//! store.
 
 use catkin_decisions::{
     ClaimChange, ClaimKind, ClaimOutcome, ClaimQueue, ClaimRecord, ClaimResult, ClaimRowKey,
@@ -43,22 +44,23 @@
     Instant(Duration::from_millis(ms))
 }
 
-/// Two requests wait; another VM has the key of one. The other one must not suffer for it.
+/// Two claims are pending, and another VM has taken the key of one. The other claim must still
+/// succeed.
 #[gtest]
-fn a_taken_key_does_not_hold_up_its_group() {
+fn taken_key_does_not_block_its_group() {
     let mut queue = ClaimQueue::default();
-    let theirs = change("a", 9, b"order");
+    let other = change("a", 9, b"order");
     queue.claim(change("a", 1, b"order"), at(1000), "a");
     queue.claim(change("b", 2, b"order"), at(1000), "b");
-    queue.next_group().expect("two wait");
+    queue.next_group().expect("two claims are pending");
 
-    let first = queue.answer(&GroupResult::Conflicts(vec![found(&theirs, 1)]));
-    let again = queue.next_group().expect("one is left");
-    let second = queue.answer(&GroupResult::Committed);
+    let first = queue.apply_result(&GroupResult::Conflicts(vec![found(&other, 1)]));
+    let again = queue.next_group().expect("one claim is pending");
+    let second = queue.apply_result(&GroupResult::Committed);
 
     expect_that!(
         first,
-        elements_are![(eq(&"a"), eq(&ClaimResult::Taken(found(&theirs, 1))))]
+        elements_are![(eq(&"a"), eq(&ClaimResult::Taken(found(&other, 1))))]
     );
     expect_that!(again, eq(&[change("b", 2, b"order")]));
     expect_that!(
@@ -67,66 +69,67 @@
     );
 }
 
-/// The answer to a claim is lost. Sent again, it finds its own row, and its request may run.
+/// The result of a claim is lost. The claim is sent again, finds its own token in the row, and its
+/// request may run.
 #[gtest]
-fn a_lost_answer_is_settled_by_the_own_token() {
+fn lost_result_is_resolved_by_own_token() {
     let mut queue = ClaimQueue::default();
-    let mine = change("a", 1, b"order");
-    queue.claim(mine.clone(), at(1000), ());
-    queue.next_group().expect("one waits");
-    expect_that!(queue.answer(&GroupResult::Unknown), is_empty());
-    queue.next_group().expect("it waits again");
+    let own = change("a", 1, b"order");
+    queue.claim(own.clone(), at(1000), ());
+    queue.next_group().expect("one claim is pending");
+    expect_that!(queue.apply_result(&GroupResult::Unknown), is_empty());
+    queue.next_group().expect("the claim is pending again");
 
-    let told = queue.answer(&GroupResult::Conflicts(vec![found(&mine, 1)]));
+    let results = queue.apply_result(&GroupResult::Conflicts(vec![found(&own, 1)]));
 
     expect_that!(
-        told,
+        results,
         elements_are![(eq(&()), matches_pattern!(ClaimResult::Claimed(_)))]
     );
 }
 
-/// The answer to a claim is lost and the table service goes out, so the caller hears that its order
-/// did not run. The claim may stand in the table all the same; left there, the caller's next try
-/// would hear that nobody knows, of an order that certainly never ran.
+/// The result of a claim is lost and the platform store fails, so the caller is told that its order
+/// did not run. The claim may have been committed, however. Without a release, a retry would be
+/// told that the outcome is unknown, although the order certainly did not run.
 #[gtest]
-fn a_doubtful_claim_that_is_given_up_is_released() {
+fn abandoned_claim_that_may_have_committed_is_released() {
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
-    queue.next_group().expect("one waits");
-    queue.answer(&GroupResult::Unknown);
+    queue.next_group().expect("one claim is pending");
+    queue.apply_result(&GroupResult::Unknown);
 
-    let told = queue.give_up(at(1000));
-    let group = queue.next_group().expect("the release waits");
+    let results = queue.abandon_expired(at(1000));
+    let group = queue.next_group().expect("the release is pending");
 
-    expect_that!(told, elements_are![eq(&((), ClaimResult::GivenUp))]);
+    expect_that!(results, elements_are![eq(&((), ClaimResult::Abandoned))]);
     expect_that!(group[0].record.stage, eq(&ClaimStage::Released));
     expect_that!(group[0].record.token, eq(ClaimToken(1)));
 }
 
 #[gtest]
-fn a_claim_that_never_left_is_given_up_without_a_write() {
+fn claim_that_was_not_run_is_abandoned_without_a_write() {
     let mut queue = ClaimQueue::default();
     queue.claim(change("a", 1, b"order"), at(1000), ());
-    queue.next_group().expect("one waits");
-    queue.answer(&GroupResult::NotRun);
+    queue.next_group().expect("one claim is pending");
+    queue.apply_result(&GroupResult::NotRun);
 
-    let told = queue.give_up(at(1000));
+    let results = queue.abandon_expired(at(1000));
 
-    expect_that!(told, elements_are![eq(&((), ClaimResult::GivenUp))]);
+    expect_that!(results, elements_are![eq(&((), ClaimResult::Abandoned))]);
     expect_that!(queue.next_group(), none());
 }
 
-/// An order was refused before its dispatch and its claim released. The caller's next try must run.
+/// An order was rejected before its dispatch and its claim released. A retry must run.
 #[gtest]
-fn a_released_key_can_be_claimed_again_by_the_same_request() {
+fn released_key_can_be_claimed_again_by_the_same_request() {
     let mut queue = ClaimQueue::default();
-    let mut theirs = change("a", 9, b"order");
-    theirs.record.stage = ClaimStage::Released;
+    let mut other = change("a", 9, b"order");
+    other.record.stage = ClaimStage::Released;
     queue.claim(change("a", 1, b"order"), at(1000), ());
-    queue.next_group().expect("one waits");
-    queue.answer(&GroupResult::Conflicts(vec![found(&theirs, 4)]));
+    queue.next_group().expect("one claim is pending");
+    queue.apply_result(&GroupResult::Conflicts(vec![found(&other, 4)]));
 
-    let again = queue.next_group().expect("it waits again");
+    let again = queue.next_group().expect("the claim is pending again");
 
     expect_that!(again[0].expected, eq(4));
 }
@@ -152,11 +155,15 @@
         case("another request", b"other", ClaimStage::Claimed, 0, |v| {
             *v == ClaimVerdict::Conflict
         }),
-        case("another request, ended", b"other", unknown(), 0, |v| {
-            *v == ClaimVerdict::Conflict
-        }),
         case(
-            "holder at work",
+            "another request, already ended",
+            b"other",
+            unknown(),
+            0,
+            |v| *v == ClaimVerdict::Conflict,
+        ),
+        case(
+            "holder still running",
             b"order",
             ClaimStage::Claimed,
             9_000,
@@ -169,27 +176,31 @@
             12_000,
             |v| matches!(v, ClaimVerdict::InProgress(_)),
         ),
-        case("holder gone", b"order", ClaimStage::Claimed, 16_000, |v| {
-            *v == ClaimVerdict::Done(ClaimOutcome::Unknown)
-        }),
-        case("unknown end", b"order", unknown(), 0, |v| {
+        case(
+            "holder past the deadline",
+            b"order",
+            ClaimStage::Claimed,
+            16_000,
+            |v| *v == ClaimVerdict::Done(ClaimOutcome::Unknown),
+        ),
+        case("unknown outcome", b"order", unknown(), 0, |v| {
             *v == ClaimVerdict::Done(ClaimOutcome::Unknown)
         }),
     ]
 }
 
-/// A caller sends its order again, in each state that the first one can be in. None of them leads to
-/// a second dispatch.
+/// A caller retries its order in each state that the first attempt can be in. No state allows a
+/// second dispatch.
 #[gtest]
-fn a_taken_key_never_leads_to_a_dispatch() {
+fn taken_key_never_leads_to_a_dispatch() {
     for case in verdict_cases() {
-        let mut theirs = change("a", 9, b"order");
-        theirs.record.stage = case.stage;
+        let mut other = change("a", 9, b"order");
+        other.record.stage = case.stage;
         let digest = RequestDigest::of(&team(), case.digest);
 
-        let verdict = ClaimVerdict::of_row(
+        let verdict = ClaimVerdict::from_row(
             &digest,
-            found(&theirs, 1),
+            found(&other, 1),
             WallTime(case.now),
             Duration::from_secs(5),
         );
@@ -201,10 +212,10 @@
 const KEYS: [&str; 3] = ["a", "b", "c"];
 const VMS: usize = 3;
 
-/// A table, VMs with their queues, and a network that loses answers, delays calls beyond their
-/// timeout, and lets VMs crash or hold a claim for as long as it likes.
+/// Simulates a table, VMs with their queues, and a network that loses results, delays calls beyond
+/// their timeout, and lets VMs crash or hold a claim for any length of time.
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: u64,
     tokens: u128,
     rows: Vec<FoundClaim>,
@@ -217,7 +228,7 @@
 struct Vm {
     epoch: u32,
     queue: ClaimQueue<()>,
-    waits_for: Option<usize>,
+    awaited_call: Option<usize>,
     claimed: Vec<Claimed>,
     running: Vec<HeldClaim>,
 }
@@ -229,7 +240,7 @@
     done: bool,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             vms: (0..VMS).map(|_| Vm::default()).collect(),
@@ -240,17 +251,17 @@
     fn step(&mut self, action: u8, vm: usize, pick: usize) {
         match action {
             0 | 1 => self.submit(vm, pick),
-            2 | 3 => self.send(vm),
+            2 | 3 => self.send_group(vm),
             4 | 5 => self.deliver(pick, true),
             6 => self.deliver(pick, false),
-            7 => self.answer(vm, &GroupResult::Unknown),
-            8 => self.lose(pick),
-            9 => self.give_up(vm),
+            7 => self.return_result(vm, &GroupResult::Unknown),
+            8 => self.lose_call(pick),
+            9 => self.abandon_expired(vm),
             10 | 11 => self.dispatch(vm),
-            12 => self.end(vm),
+            12 => self.record_end(vm),
             13 => self.release(vm),
             14 => self.crash(vm),
-            _ => self.refuse(vm),
+            _ => self.reject_call(vm),
         }
     }
 
@@ -262,11 +273,11 @@
         self.vms[vm].queue.claim(change, deadline, ());
     }
 
-    fn send(&mut self, vm: usize) {
+    fn send_group(&mut self, vm: usize) {
         let Some(group) = self.vms[vm].queue.next_group() else {
             return;
         };
-        self.vms[vm].waits_for = Some(self.calls.len());
+        self.vms[vm].awaited_call = Some(self.calls.len());
         self.calls.push(Call {
             vm,
             epoch: self.vms[vm].epoch,
@@ -275,8 +286,8 @@
         });
     }
 
-    /// A call arrives at the table service; its answer comes through or is lost.
-    fn deliver(&mut self, pick: usize, answered: bool) {
+    /// Delivers a call to the table service; the result is returned or lost.
+    fn deliver(&mut self, pick: usize, result_returned: bool) {
         let open = self.calls.iter().enumerate().filter(|(_, c)| !c.done);
         let open = open.map(|(i, _)| i).collect::<Vec<_>>();
         if open.is_empty() {
@@ -288,11 +299,11 @@
         let answer = self.transact(&group);
         let call = &self.calls[i];
         let vm = call.vm;
-        let waits = self.vms[vm].epoch == call.epoch && self.vms[vm].waits_for == Some(i);
-        if waits {
-            self.answer(
+        let is_awaited = self.vms[vm].epoch == call.epoch && self.vms[vm].awaited_call == Some(i);
+        if is_awaited {
+            self.return_result(
                 vm,
-                if answered {
+                if result_returned {
                     &answer
                 } else {
                     &GroupResult::Unknown
@@ -301,20 +312,20 @@
         }
     }
 
-    fn lose(&mut self, pick: usize) {
+    fn lose_call(&mut self, pick: usize) {
         let count = self.calls.len();
         if let Some(call) = self.calls.get_mut(pick % count.max(1)) {
             call.done = true;
         }
     }
 
-    fn refuse(&mut self, vm: usize) {
-        let Some(i) = self.vms[vm].waits_for else {
+    fn reject_call(&mut self, vm: usize) {
+        let Some(i) = self.vms[vm].awaited_call else {
             return;
         };
         if !self.calls[i].done {
             self.calls[i].done = true;
-            self.answer(vm, &GroupResult::NotRun);
+            self.return_result(vm, &GroupResult::NotRun);
         }
     }
 
@@ -341,21 +352,21 @@
         GroupResult::Committed
     }
 
-    fn answer(&mut self, vm: usize, answer: &GroupResult) {
+    fn return_result(&mut self, vm: usize, result: &GroupResult) {
         let vm = &mut self.vms[vm];
-        if vm.waits_for.take().is_none() {
+        if vm.awaited_call.take().is_none() {
             return;
         }
-        for ((), fate) in vm.queue.answer(answer) {
-            if let ClaimResult::Claimed(claimed) = fate {
+        for ((), result) in vm.queue.apply_result(result) {
+            if let ClaimResult::Claimed(claimed) = result {
                 vm.claimed.push(claimed);
             }
         }
     }
 
-    fn give_up(&mut self, vm: usize) {
+    fn abandon_expired(&mut self, vm: usize) {
         self.now += 1;
-        self.vms[vm].queue.give_up(at(self.now));
+        self.vms[vm].queue.abandon_expired(at(self.now));
     }
 
     fn dispatch(&mut self, vm: usize) {
@@ -368,18 +379,18 @@
         self.vms[vm].running.push(held);
     }
 
-    fn end(&mut self, vm: usize) {
+    fn record_end(&mut self, vm: usize) {
         if let Some(held) = self.vms[vm].running.pop() {
             let stage = ClaimStage::Done(ClaimOutcome::Unknown);
-            self.vms[vm].queue.end(held.end(stage, WallTime(1)));
+            self.vms[vm].queue.record_end(held.end(stage, WallTime(1)));
         }
     }
 
     fn release(&mut self, vm: usize) {
         if let Some(claimed) = self.vms[vm].claimed.pop() {
-            let held = claimed.give_back();
+            let held = claimed.release();
             let change = held.end(ClaimStage::Released, WallTime(1));
-            self.vms[vm].queue.end(change);
+            self.vms[vm].queue.record_end(change);
         }
     }
 
@@ -391,15 +402,15 @@
         };
     }
 
-    /// All calls arrive and are answered until nothing is left to do.
-    fn settle(&mut self) {
+    /// Delivers and answers all calls until nothing is pending.
+    fn run_to_completion(&mut self) {
         while self.calls.iter().any(|call| !call.done) {
             self.deliver(0, true);
         }
         for _ in 0..20 {
             for vm in 0..VMS {
-                self.answer(vm, &GroupResult::Unknown);
-                self.send(vm);
+                self.return_result(vm, &GroupResult::Unknown);
+                self.send_group(vm);
                 self.deliver(0, true);
             }
         }
@@ -409,30 +420,30 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// VMs claim the same keys while calls are lost before and after their effect, arrive after
-    /// their senders gave up, and processes die or pause between claim and dispatch. If any key were
-    /// dispatched twice, a press would print an order twice.
+    /// VMs claim the same keys while calls are lost before and after they take effect or arrive
+    /// after their senders gave up, and processes crash or pause between claim and dispatch. If a
+    /// key were dispatched twice, an order would be printed twice.
     #[test]
     fn no_key_is_dispatched_twice(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_usize..8), 0..120),
     ) {
-        let mut world = World::new();
+        let mut sim = Simulation::new();
 
         for (action, vm, pick) in steps {
-            world.step(action, vm, pick);
+            sim.step(action, vm, pick);
         }
-        world.settle();
+        sim.run_to_completion();
 
-        let mut keys = world.dispatched.iter().map(|(key, _)| key).collect::<Vec<_>>();
+        let mut keys = sim.dispatched.iter().map(|(key, _)| key).collect::<Vec<_>>();
         keys.sort();
-        prop_assert!(keys.windows(2).all(|pair| pair[0] != pair[1]), "{:?}", world.dispatched);
-        for (key, token) in &world.dispatched {
-            let row = world.rows.iter().find(|row| row.key == *key);
+        prop_assert!(keys.windows(2).all(|pair| pair[0] != pair[1]), "{:?}", sim.dispatched);
+        for (key, token) in &sim.dispatched {
+            let row = sim.rows.iter().find(|row| row.key == *key);
             let record = row.and_then(|row| row.record.as_ref());
             prop_assert_eq!(record.map(|record| record.token), Some(*token));
         }
-        for vm in &world.vms {
-            prop_assert!(vm.queue.is_empty(), "something is left: {:?}", vm.queue);
+        for vm in &sim.vms {
+            prop_assert!(vm.queue.is_empty(), "changes are still pending: {:?}", vm.queue);
         }
     }
 }
--- a/crates/decisions/tests/rollout_judge.rs
+++ b/crates/decisions/tests/rollout_judge.rs
@@ -1,4 +1,4 @@
-//! How often a version under trial is judged rightly, by simulation over many seeds.
+//! Error rates of the verdicts on a version under canary, by simulation over many seeds.
 
 use catkin_decisions::{
     ResponseCounts, ResponseOutcome, RolloutJudge, RolloutVerdict, RouteEvidence, VmIncarnation,
@@ -8,86 +8,90 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-/// Trials of each kind.
+/// Simulated rollouts per scenario.
 const SEEDS: u64 = 400;
 
-/// Answers of the new version in a trial, on each of two routes.
-const TRIED: usize = 45;
+/// Responses of the new version in a simulated rollout, on each of two routes.
+const NEW_RESPONSES: usize = 45;
 
-/// Answers of the old version meanwhile.
-const OLD: usize = 600;
+/// Responses of the old version during the same time.
+const OLD_RESPONSES: usize = 600;
 
-/// How a version answers on a route.
+/// Behaviour of a version on a route.
 #[derive(Clone, Copy)]
 struct Behaviour {
-    /// Part of failures.
+    /// Fraction of failed responses.
     failures: f64,
-    /// Part of slow answers, and how many times as late they come.
+    /// Fraction of slow responses, and the factor by which they are slower.
     slow: (f64, f64),
-    /// The answer from which on it behaves so; before, as the usual one.
+    /// Index of the first response with this behaviour; earlier ones follow the baseline.
     from: usize,
 }
 
-/// Some answers fail on any version, as on the routes that this plays.
-const USUAL: Behaviour = Behaviour {
+/// Baseline behaviour: some responses fail on any version, as on the simulated routes.
+const BASELINE: Behaviour = Behaviour {
     failures: 0.07,
     slow: (0.01, 5.0),
     from: 0,
 };
 
-fn answer(b: Behaviour, n: usize, rng: &mut Xoshiro256PlusPlus) -> ResponseOutcome {
-    let b = if n < b.from { USUAL } else { b };
+fn sample_outcome(b: Behaviour, n: usize, rng: &mut Xoshiro256PlusPlus) -> ResponseOutcome {
+    let b = if n < b.from { BASELINE } else { b };
     if rng.random_bool(b.failures) {
         return ResponseOutcome::Failure;
     }
     let spread = 0.6 + 0.8 * rng.random::<f64>();
-    let times = if rng.random_bool(b.slow.0) {
+    let factor = if rng.random_bool(b.slow.0) {
         b.slow.1
     } else {
         1.0
     };
-    ResponseOutcome::Success(Duration::from_millis(20).mul_f64(spread * times))
+    ResponseOutcome::Success(Duration::from_millis(20).mul_f64(spread * factor))
 }
 
-/// Has a version tried on two routes by some VMs; the verdict, and the bad answers until it was bad.
-fn trial(routes: [Behaviour; 2], seed: u64) -> (RolloutVerdict, u32) {
+/// Simulates a canary on two routes across several VMs. Returns the verdict, and the number of bad
+/// responses until then.
+fn simulate_canary(routes: [Behaviour; 2], seed: u64) -> (RolloutVerdict, u32) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut judge = RolloutJudge::default();
     let names = ["/once/", "/quick/"];
     let mut vms = Vec::new();
     for vm in 0..8 {
-        let life = VmIncarnation {
+        let vm_incarnation = VmIncarnation {
             vm: format!("vm-{vm}").into(),
             incarnation: 1,
         };
-        vms.push((life, names.map(|name| RouteEvidence::new(name.into()))));
+        vms.push((
+            vm_incarnation,
+            names.map(|name| RouteEvidence::new(name.into())),
+        ));
     }
-    for n in 0..TRIED {
+    for n in 0..NEW_RESPONSES {
         for (route, behaviour) in routes.iter().enumerate() {
-            for _ in 0..OLD / TRIED {
+            for _ in 0..OLD_RESPONSES / NEW_RESPONSES {
                 let vm = rng.random_range(0..8_usize);
-                let outcome = answer(USUAL, 0, &mut rng);
+                let outcome = sample_outcome(BASELINE, 0, &mut rng);
                 vms[vm].1[route].old.count(outcome);
             }
             let vm = rng.random_range(0..8_usize);
-            let outcome = answer(*behaviour, n, &mut rng);
+            let outcome = sample_outcome(*behaviour, n, &mut rng);
             vms[vm].1[route].new.count(outcome);
         }
-        for (life, evidence) in &vms {
+        for (vm_incarnation, evidence) in &vms {
             for route in evidence {
-                judge.take(life, route);
+                judge.add_report(vm_incarnation, route);
             }
         }
         if let RolloutVerdict::Bad { .. } = judge.verdict() {
             break;
         }
     }
-    (judge.verdict(), judge.answers().1)
+    (judge.verdict(), judge.totals().1)
 }
 
-/// Parts of the trials that end good, undecided and bad.
+/// Fractions of the simulated rollouts that end good, undecided and bad.
 fn rates(routes: [Behaviour; 2]) -> (f64, f64, f64) {
-    let verdicts = (0..SEEDS).map(|seed| trial(routes, seed).0);
+    let verdicts = (0..SEEDS).map(|seed| simulate_canary(routes, seed).0);
     let (mut good, mut undecided, mut bad) = (0.0, 0.0, 0.0);
     for verdict in verdicts {
         *match verdict {
@@ -99,61 +103,65 @@
     (good, undecided, bad)
 }
 
-fn print(kind: &str, (good, undecided, bad): (f64, f64, f64)) {
+fn print_rates(kind: &str, (good, undecided, bad): (f64, f64, f64)) {
     println!("{kind}: good {good:.3}, undecided {undecided:.3}, bad {bad:.3}");
 }
 
 #[gtest]
-fn good_version_is_seldom_rolled_back() {
-    let rates = rates([USUAL, USUAL]);
+fn good_version_is_rarely_rolled_back() {
+    let rates = rates([BASELINE, BASELINE]);
 
-    print("good", rates);
+    print_rates("good", rates);
     expect_that!(rates.2, le(0.02));
     expect_that!(rates.0, ge(0.9));
 }
 
-/// Each kind of badness, on both routes or on one, at once or late.
+/// Failures or slow responses, on both routes or on one, from the start or later.
 #[gtest]
-fn bad_version_is_seldom_taken_for_good() {
+fn bad_version_is_rarely_judged_good() {
     let bad = |failures, slow, from| Behaviour {
         failures,
         slow,
         from,
     };
     let cases = [
-        ("fails at once", [bad(0.4, (0.01, 5.0), 0); 2]),
-        ("fails all", [bad(1.0, (0.0, 1.0), 0); 2]),
-        ("fails late", [bad(0.5, (0.01, 5.0), 25); 2]),
-        ("fails on one route", [USUAL, bad(0.45, (0.01, 5.0), 0)]),
-        ("slow at once", [bad(0.07, (0.5, 5.0), 0); 2]),
-        ("slow late", [bad(0.07, (0.6, 6.0), 25); 2]),
-        ("slow on one route", [bad(0.07, (0.6, 5.0), 0), USUAL]),
+        ("fails from the start", [bad(0.4, (0.01, 5.0), 0); 2]),
+        ("all requests fail", [bad(1.0, (0.0, 1.0), 0); 2]),
+        ("fails after 25 responses", [bad(0.5, (0.01, 5.0), 25); 2]),
+        ("fails on one route", [BASELINE, bad(0.45, (0.01, 5.0), 0)]),
+        ("slow from the start", [bad(0.07, (0.5, 5.0), 0); 2]),
+        ("slow after 25 responses", [bad(0.07, (0.6, 6.0), 25); 2]),
+        ("slow on one route", [bad(0.07, (0.6, 5.0), 0), BASELINE]),
     ];
     for (kind, routes) in cases {
         let rates = rates(routes);
 
-        print(kind, rates);
+        print_rates(kind, rates);
         expect_that!(rates.0, le(0.01), "{kind}");
         expect_that!(rates.2, ge(0.9), "{kind}");
     }
 }
 
-/// The time in which a rollback reaches all VMs counts from the fiftieth bad answer; ten may be on their way.
+/// The time limit for a rollback to reach all VMs starts at the fiftieth bad response; ten more may
+/// be in flight when the version is found bad.
 #[gtest]
-fn bad_version_is_found_by_its_fortieth_bad_answer() {
+fn bad_version_is_detected_within_forty_bad_responses() {
     for failures in [0.3, 0.5, 1.0] {
-        let routes = [Behaviour { failures, ..USUAL }; 2];
-        let most = (0..SEEDS).map(|seed| trial(routes, seed).1).max();
+        let routes = [Behaviour {
+            failures,
+            ..BASELINE
+        }; 2];
+        let most = (0..SEEDS).map(|seed| simulate_canary(routes, seed).1).max();
 
         expect_that!(most, some(le(40)), "{failures}");
     }
 }
 
-/// Counts are cumulative: a report that comes twice, or late, adds nothing.
+/// Counts are cumulative: a report that arrives twice or late adds nothing.
 #[gtest]
 fn repeated_and_late_reports_add_nothing() {
     let mut judge = RolloutJudge::default();
-    let life = VmIncarnation {
+    let vm_incarnation = VmIncarnation {
         vm: "vm-1".into(),
         incarnation: 1,
     };
@@ -168,16 +176,16 @@
     evidence.new.count(ResponseOutcome::Failure);
 
     for report in [&evidence, &early, &evidence] {
-        judge.take(&life, report);
+        judge.add_report(&vm_incarnation, report);
     }
 
-    expect_that!(judge.answers(), eq((2, 2)));
+    expect_that!(judge.totals(), eq((2, 2)));
 }
 
-/// The last answers before the deadline are bad, too few to be sure.
+/// The last responses before the deadline are bad, but too few for a verdict.
 #[gtest]
-fn version_under_suspicion_is_not_good() {
-    let life = VmIncarnation {
+fn version_with_recent_failures_is_undecided() {
+    let vm_incarnation = VmIncarnation {
         vm: "vm-1".into(),
         incarnation: 1,
     };
@@ -190,11 +198,11 @@
             evidence.old.count(success);
             evidence.new.count(success);
         }
-        judge.take(&life, &evidence);
+        judge.add_report(&vm_incarnation, &evidence);
         for _ in 0..failures {
             evidence.new.count(ResponseOutcome::Failure);
         }
-        judge.take(&life, &evidence);
+        judge.add_report(&vm_incarnation, &evidence);
         verdicts.push(judge.verdict());
     }
 
@@ -205,7 +213,7 @@
 }
 
 #[gtest]
-fn counts_know_their_median_and_their_slow_answers() {
+fn counts_give_the_median_and_the_bad_responses() {
     let mut counts = ResponseCounts::default();
     for ms in [10, 10, 10, 10, 100] {
         counts.count(ResponseOutcome::Success(Duration::from_millis(ms)));
@@ -218,12 +226,13 @@
     expect_that!(counts.bad(median + 3), eq(2));
 }
 
-/// Evidence of one VM: answers of both versions, so many of them after 200 ms and the others after 2 ms.
-fn moment(old: (u32, u32), new: (u32, u32)) -> RouteEvidence {
+/// Evidence of one VM. Each pair has the number of responses and how many of them took 200 ms; the
+/// others took 2 ms.
+fn one_report(old: (u32, u32), new: (u32, u32)) -> RouteEvidence {
     let mut evidence = RouteEvidence::new("/quick/".into());
-    let mut count = |(answers, late): (u32, u32), is_new: bool| {
-        for n in 0..answers {
-            let latency = Duration::from_millis(if n < late { 200 } else { 2 });
+    let mut count = |(responses, slow): (u32, u32), is_new: bool| {
+        for n in 0..responses {
+            let latency = Duration::from_millis(if n < slow { 200 } else { 2 });
             let counts = if is_new {
                 &mut evidence.new
             } else {
@@ -237,37 +246,37 @@
     evidence
 }
 
-fn verdict_after(moments: &[RouteEvidence]) -> RolloutVerdict {
+fn verdict_after(reports: &[RouteEvidence]) -> RolloutVerdict {
     let mut judge = RolloutJudge::default();
     let vm = VmIncarnation {
         vm: "vm-1".into(),
         incarnation: 1,
     };
     let mut sum = RouteEvidence::new("/quick/".into());
-    for moment in moments {
-        sum.old.merge(&moment.old);
-        sum.new.merge(&moment.new);
-        judge.take(&vm, &sum);
+    for report in reports {
+        sum.old.merge(&report.old);
+        sum.new.merge(&report.new);
+        judge.add_report(&vm, &sum);
     }
     judge.verdict()
 }
 
-/// Guards against rolling a good version back because the VM stood still for a moment.
+/// Guards against rolling back a good version because the VM stalled for a moment.
 #[gtest]
-fn late_answers_of_a_moment_count_against_both_versions() {
-    let usual = moment((400, 0), (60, 0));
+fn slow_responses_of_both_versions_in_a_report_are_no_evidence() {
+    let baseline = one_report((400, 0), (60, 0));
 
-    let verdict = verdict_after(&[usual.clone(), moment((12, 4), (4, 3))]);
-    let only_new = verdict_after(&[usual, moment((12, 0), (4, 4))]);
+    let verdict = verdict_after(&[baseline.clone(), one_report((12, 4), (4, 3))]);
+    let only_new = verdict_after(&[baseline, one_report((12, 0), (4, 4))]);
 
     expect_that!(verdict, eq(&RolloutVerdict::Good));
     expect_that!(only_new, matches_pattern!(RolloutVerdict::Bad { .. }));
 }
 
-/// Guards against taking the noise of answers within a few milliseconds for slowness.
+/// Guards against treating variations of a few milliseconds as slow responses.
 #[gtest]
-fn answers_within_milliseconds_are_not_slow() {
-    let mut evidence = moment((400, 0), (0, 0));
+fn responses_within_a_few_milliseconds_are_not_slow() {
+    let mut evidence = one_report((400, 0), (0, 0));
     for _ in 0..60 {
         let outcome = ResponseOutcome::Success(Duration::from_millis(14));
         evidence.new.count(outcome);
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -138,7 +138,8 @@
     let (_, complete) = apply_gossip(&[(1000, second), (1005, first)], at(1006));
 
     expect_that!(partial, eq(GossipState::Behind(at(1000).after(DELTA_WAIT))));
-    expect_that!(complete,
+    expect_that!(
+        complete,
         eq(GossipState::Fresh(at(1005).after(GOSSIP_MAX_AGE)))
     );
 }
@@ -152,7 +153,10 @@
         ..gossip_of(&[], 11)
     };
 
-    let (_, lost) = apply_gossip(&[(5000, gossip_of(&[], 11))], at(5000).after(GOSSIP_MAX_AGE));
+    let (_, lost) = apply_gossip(
+        &[(5000, gossip_of(&[], 11))],
+        at(5000).after(GOSSIP_MAX_AGE),
+    );
     let (_, throttled) = apply_gossip(&[(5000, stale)], at(5150));
 
     expect_that!(lost, eq(GossipState::Silent));
