--- a/crates/catkinward/src/admission.rs
+++ b/crates/catkinward/src/admission.rs
@@ -1,27 +1,28 @@
 use super::*;
 use crate::admission_pool::AdmissionPool;
 
-/// How often queues are looked at when nothing else moves them: an upstream may have come back, or a
-/// request's latest start be over. A refusal that is due comes at most this much later.
+/// How often queues are dispatched when no other event triggers it: an upstream may have recovered,
+/// or the latest start time of a request may have passed. A due refusal is sent at most this much
+/// later.
 const PUMP_PERIOD: Duration = Duration::from_millis(10);
 
-/// How often the load reports of upstreams are taken in.
+/// How often the load reports of upstreams are applied to the pools.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 
-/// The service that every request passes: it waits here for a place at an upstream, or is refused.
+/// Admission control: every request waits here for a slot at an upstream, or is refused.
 pub struct Admission {
     timer: Arc<Timer>,
     bundle: Arc<BundleInForce>,
     upstreams: Arc<Upstreams>,
     vm: VmId,
-    /// VMs that share the capacity of the upstreams.
+    /// Number of router VMs that share the capacity of the upstreams.
     sharers: u32,
     /// Sorted by service.
     pools: RwLock<Vec<Arc<AdmissionPool>>>,
 }
 
 impl Admission {
-    /// Starts to follow the bundle and the upstreams' load.
+    /// Starts the dispatch loop and the task that applies bundle changes and upstream load reports.
     pub fn start(
         timer: &Arc<Timer>,
         bundle: &Arc<BundleInForce>,
@@ -41,7 +42,7 @@
         admission
     }
 
-    /// The pool of a service.
+    /// Returns the pool of a service, which is created on first use.
     pub(crate) fn pool(&self, service: &ServiceId) -> Arc<AdmissionPool> {
         if let Some(pool) = find(&self.pools.read(), service) {
             return pool;
@@ -58,13 +59,14 @@
         pool
     }
 
-    /// Requests of a service that wait for a place.
+    /// Returns the number of queued requests of a service.
     #[must_use]
     pub fn waiting(&self, service: &ServiceId) -> usize {
         self.pool(service).waiting()
     }
 
-    /// Reads of a service that wait for the answer of another like them.
+    /// Returns the number of coalesced reads of a service that wait for the response of an
+    /// identical read.
     #[must_use]
     pub fn waiting_reads(&self, service: &ServiceId) -> usize {
         self.pool(service).reads.lock().follower_count()
--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -6,10 +6,10 @@
 use strum::IntoEnumIterator;
 use tokio::sync::oneshot;
 
-/// Finds an upstream for a request, none of those given; `None` if there is none now.
+/// Selects an upstream for a request, excluding those given; `None` if none is available now.
 pub(crate) type ChooseUpstream = Box<dyn Fn(&[UpstreamId]) -> Option<UpstreamHandle> + Send + Sync>;
 
-/// Queue, places and budgets of one service.
+/// Queue, concurrency slots and retry budget of one service.
 pub(crate) struct AdmissionPool {
     pub(crate) service: ServiceId,
     pub(crate) timer: Arc<Timer>,
@@ -20,14 +20,14 @@
     queue: Mutex<AdmissionQueue<Waiting>>,
 }
 
-/// Why a request got no place; it has not run.
+/// Why a request was refused a slot; it has not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Refusal {
     pub(crate) reason: RefusalReason,
     pub(crate) retry_after: Duration,
 }
 
-/// A request in the queue: how its upstream is chosen, and whom to tell.
+/// A queued request: how its upstream is selected, and the channel that receives the result.
 pub(crate) struct Waiting {
     choose: ChooseUpstream,
     tx: oneshot::Sender<Result<SlotGuard, Refusal>>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether a request would be let in now.
+    /// Checks whether a request would be admitted now.
     ///
     /// # Errors
     ///
@@ -63,11 +63,11 @@
         })
     }
 
-    /// Lets a request wait for a place.
+    /// Queues a request for a slot.
     ///
     /// # Errors
     ///
-    /// At once, if it could not start in time.
+    /// Fails immediately if the request could not start in time.
     pub(crate) fn offer(
         self: &Arc<Self>,
         arrival: &Arrival,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Takes a place without waiting, for a further attempt of a request that was admitted before.
-    /// With `must`, an upstream without room will do.
+    /// Takes a slot without queueing, for a further attempt of a request that was admitted before.
+    /// With `must`, an upstream without free capacity is used if no other is available.
     pub(crate) fn take(
         self: &Arc<Self>,
         lane: Lane,
@@ -107,14 +107,14 @@
         Some(SlotGuard::new(self.clone(), lane, upstream))
     }
 
-    /// Takes a place for a request that runs at an upstream already.
+    /// Takes a slot for a request that already runs on an upstream.
     pub(crate) fn hold(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> SlotGuard {
         let now = self.timer.now();
         self.queue.lock().take_slot(now, lane, upstream.id());
         SlotGuard::new(self.clone(), lane, upstream)
     }
 
-    /// Gives places to those who wait, and tells those whose time is over.
+    /// Assigns free slots to queued requests and refuses those whose latest start time has passed.
     pub(crate) fn pump(self: &Arc<Self>) {
         let now = self.timer.now();
         let mut placed = Vec::new();
@@ -133,8 +133,8 @@
             }
         }
         drop(queue);
-        // Places are made and given outside the lock: one whose receiver has left gives itself back
-        // through this very queue.
+        // Slot guards are created and sent outside the lock: a guard whose receiver has been
+        // dropped releases its slot through this queue, which takes the same lock.
         for (waiting, lane, upstream) in placed {
             let waited = now.since(waiting.since).as_secs_f64();
             metrics::histogram!("catkin_queue_wait_seconds", "service" => self.label())
@@ -195,7 +195,7 @@
         self.pump();
     }
 
-    /// Counts a refusal, which is about to be told.
+    /// Counts a refusal that is about to be sent to the caller.
     pub(crate) fn count_refusal(&self, reason: RefusalReason) {
         metrics::counter!(
             "catkin_refusals_total",
--- a/crates/catkinward/src/attempt_stream.rs
+++ b/crates/catkinward/src/attempt_stream.rs
@@ -4,25 +4,25 @@
 use tokio::time::{Instant, Sleep};
 use volo_http::client::sse::{SseEvent, SseReader};
 
-/// The events of one attempt over one connection.
+/// Event stream of one attempt over one connection.
 pub(crate) struct AttemptStream {
     attempt: Attempt,
     reader: SseReader<Body>,
     unread: Option<EngineEvent>,
-    /// Wakes the reader to look whether the stream is silent. It is set anew only when it fires:
-    /// to set a timer for each token costs more than to read the token.
+    /// Wakes the reader to check whether the stream is silent. It is reset only when it fires,
+    /// because setting a timer for each token costs more than reading the token.
     look: Pin<Box<Sleep>>,
 }
 
-/// What reading from the library's event stream gives.
+/// Result of reading from the event stream of the HTTP library.
 type ReadEvent = Result<Option<SseEvent>, volo_http::error::BoxError>;
 
 impl AttemptStream {
-    /// Reads the events of an answer whose headers have come.
+    /// Reads the events of a response whose headers have been received.
     ///
     /// # Errors
     ///
-    /// If the answer is no event stream.
+    /// If the response is not an event stream.
     pub(crate) fn new(attempt: Attempt, response: Response) -> Result<Self, AttemptError> {
         Ok(Self {
             attempt,
@@ -32,16 +32,16 @@
         })
     }
 
-    /// The attempt whose events these are.
+    /// Returns the number of the attempt that sends these events.
     pub(crate) fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// The next event.
+    /// Waits for the next event.
     ///
     /// # Errors
     ///
-    /// If none comes within `bound`, the stream breaks off, or an event cannot be read.
+    /// If none arrives within `bound`, the stream is interrupted, or an event cannot be parsed.
     pub(crate) async fn next(&mut self, bound: Duration) -> Result<EngineEvent, AttemptError> {
         if let Some(event) = self.unread.take() {
             return Ok(event);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An event that has come already, if there is one.
+    /// Returns an event that has already arrived, if any, without waiting.
     pub(crate) fn ready(&mut self) -> Option<Result<EngineEvent, AttemptError>> {
         if let Some(event) = self.unread.take() {
             return Some(Ok(event));
@@ -69,7 +69,7 @@
         futures::FutureExt::now_or_never(self.reader.read()).map(read_event)
     }
 
-    /// Waits for the first event that is more than a heartbeat and keeps it for [`Self::next`].
+    /// Waits for the first event other than a heartbeat and buffers it for [`Self::next`].
     ///
     /// # Errors
     ///
--- a/crates/catkinward/src/bundle_canonical.rs
+++ b/crates/catkinward/src/bundle_canonical.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The canonical form of a bundle and its digest.
+/// Returns the canonical form of a bundle and its digest.
 ///
-/// Two files that say the same differ in white space, in the order of lists, or in whether they
-/// write out defaults. A sign-off must hold for what is said, so the digest is taken of one form:
+/// Two files of equal meaning may differ in white space, in the order of lists, or in whether they
+/// write out defaults. A sign-off applies to the meaning, so the digest is computed over one form:
 /// compact JSON with sorted lists and all defaults.
 pub(crate) fn canonical_bundle(bundle: &bundle_api::Bundle) -> (Arc<str>, BundleDigest) {
     let mut bundle = bundle.clone();
@@ -19,7 +19,7 @@
     for upstream in &mut bundle.upstreams {
         upstream.services.sort();
     }
-    let json = serde_json::to_string(&bundle).expect("border types have text keys only");
+    let json = serde_json::to_string(&bundle).expect("API types have only string keys");
     let digest = BundleDigest::of(&json);
     (json.into(), digest)
 }
--- a/crates/catkinward/src/bundle_diff.rs
+++ b/crates/catkinward/src/bundle_diff.rs
@@ -1,7 +1,7 @@
 use serde_json::{Map, Value};
 
-/// What one bundle changes in another, a line for each change: `+` and `-` for entries, `~` for
-/// fields. Both are in canonical form.
+/// Returns the difference between two bundles in canonical form, one line per change: `+` and `-`
+/// for entries, `~` for fields.
 pub(crate) fn bundle_diff(before: &str, after: &str) -> String {
     let (before, after) = (parse(before), parse(after));
     let lists = [
@@ -23,7 +23,7 @@
 
 type Entry<'a> = (&'a str, &'a Map<String, Value>);
 
-/// Entries with their names, sorted as canonical lists are.
+/// Returns the entries with their names. They are sorted by name, as lists in canonical form are.
 fn by_name<'a>(list: &'a Value, name: &str) -> Vec<Entry<'a>> {
     let entries = list.as_array().into_iter().flatten();
     entries
--- a/crates/catkinward/src/bundle_format.rs
+++ b/crates/catkinward/src/bundle_format.rs
@@ -1,17 +1,17 @@
 use super::*;
 use crate::error::BundleError;
 
-/// Deadline of a call where neither the call nor the bundle names one.
+/// Deadline of a call if neither the call nor the bundle sets one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// Deadline of a generation where neither the call nor the bundle names one.
+/// Deadline of a generation if neither the call nor the bundle sets one.
 const DEFAULT_GENERATION_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// Checks a bundle and sorts its lists.
+/// Validates a bundle and sorts its lists.
 ///
 /// # Errors
 ///
-/// Names the field that is wrong, and how.
+/// Names the invalid field and the reason.
 pub(crate) fn check_bundle(
     version: BundleVersion,
     digest: BundleDigest,
@@ -100,8 +100,8 @@
     })
 }
 
-/// A field that only the other kind of service has would be ignored, and its author would believe
-/// that it is in force.
+/// Rejects fields that only the other kind of service has: they would be ignored, and the author of
+/// the bundle would assume that they are in force.
 fn check_kind(place: &str, entry: &bundle_api::ServiceEntry) -> Result<()> {
     let foreign = match entry.kind {
         bundle_api::ServiceKind::Generation => [("paths", !entry.paths.is_empty())].to_vec(),
@@ -142,7 +142,7 @@
     Ok(rules)
 }
 
-/// Refuses a sorted list in which anything stands twice.
+/// Rejects a sorted list with duplicate entries.
 fn check_distinct<T: PartialEq + std::fmt::Display>(
     place: &str,
     name: &str,
@@ -183,7 +183,7 @@
     })
 }
 
-/// Two teams with one key could not be told apart: calls of one would be counted as the other's.
+/// Rejects a key that two teams share: calls of one team would be counted as calls of the other.
 fn check_keys(bundle: &Bundle) -> Result<()> {
     let mut teams = bundle.teams.iter().collect::<Vec<_>>();
     teams.sort_by_key(|team| team.key);
--- a/crates/catkinward/src/bundle_in_force.rs
+++ b/crates/catkinward/src/bundle_in_force.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The bundle in force on this VM. It only ever moves to a larger version.
+/// The bundle in force on this VM. Its version only increases.
 pub struct BundleInForce {
     timeline: Arc<Timeline>,
     current: ArcSwap<InForce>,
@@ -15,7 +15,7 @@
 }
 
 impl BundleInForce {
-    /// No bundle yet; each one that comes into force is recorded in `timeline`.
+    /// Starts without a bundle. Each bundle that comes into force is recorded in `timeline`.
     #[must_use]
     pub fn new(timeline: Arc<Timeline>) -> Self {
         Self {
@@ -26,13 +26,14 @@
         }
     }
 
-    /// The bundle in force now. A request keeps the one it was accepted under.
+    /// Returns the bundle in force now. A request keeps the bundle under which it was accepted.
     #[must_use]
     pub fn current(&self) -> Arc<Bundle> {
         self.current.load().bundle.clone()
     }
 
-    /// The bundle in force in its canonical form, if it has this digest; peers are given it.
+    /// Returns the canonical form of the bundle in force if it has this digest. It is served to
+    /// peers.
     #[must_use]
     pub fn body(&self, digest: BundleDigest) -> Option<Arc<str>> {
         let current = self.current.load();
@@ -41,10 +42,11 @@
         asked_for.then(|| current.body.clone())
     }
 
-    /// Puts a bundle in force if its version is larger; returns whether it was.
+    /// Puts a bundle in force if its version is larger than the current one; returns whether it
+    /// did.
     ///
-    /// Without the comparison a late message with an older bundle would undo a rollout on this VM;
-    /// one would notice it by callers served under two versions for long.
+    /// Without the comparison a delayed message with an older bundle would undo a rollout on this
+    /// VM. The symptom would be callers that are served under two versions for a long time.
     pub fn advance(&self, read: ReadBundle) -> bool {
         let ReadBundle { bundle, body } = read;
         let _guard = self.advancing.lock();
@@ -65,7 +67,7 @@
         true
     }
 
-    /// Tells of each change.
+    /// Returns a receiver of the version in force, notified of each change.
     pub fn changes(&self) -> watch::Receiver<BundleVersion> {
         self.changed.subscribe()
     }
--- a/crates/catkinward/src/bundle_rows.rs
+++ b/crates/catkinward/src/bundle_rows.rs
@@ -1,16 +1,16 @@
-//! Rows of the bundle store as the table service has them: JSON under a key.
+//! Conversion of bundle store rows to and from the table service, which stores JSON under a key.
 
 use super::*;
 use catkin_decisions::{BundleChange, BundleKey, BundleRow};
 
-/// Table of the bundle store.
+/// Name of the bundle store's table in the table service.
 pub(crate) const TABLE: &str = "bundle";
 
-/// Reads rows with the versions of the table service; absent ones are left out.
+/// Reads rows with their row versions; absent rows are omitted.
 ///
 /// # Errors
 ///
-/// If the platform does not answer, or a row has another form than agreed.
+/// If the platform does not respond, or a row does not match the expected schema.
 pub(crate) async fn read_rows(
     platform: &Platform,
     keys: &[BundleKey],
@@ -43,7 +43,7 @@
     parse_rows(&rows.await?)
 }
 
-/// A change as a transaction of the table service.
+/// Converts a change to a transaction of the table service.
 pub(crate) fn transaction(change: &BundleChange) -> platform_api::TransactRequest {
     let conditions = change.conditions.iter();
     let conditions = conditions.map(|(key, version)| platform_api::Condition {
@@ -68,7 +68,7 @@
         BundleRow::Draft(draft) => serde_json::to_string(draft),
         BundleRow::Release(release) => serde_json::to_string(release),
     };
-    value.expect("rows have text keys only")
+    value.expect("bundle rows have only string keys")
 }
 
 fn parse_rows(rows: &[platform_api::Row]) -> Result<Vec<(u64, BundleRow)>> {
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -9,14 +9,14 @@
 /// Settings of a [`BundleStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct BundleStoreSettings {
-    /// How often a call is sent before it is given up.
+    /// Maximum number of times that a call is sent.
     pub tries: u32,
-    /// Wait between two tries.
+    /// Delay between two attempts of a call.
     pub pause: Duration,
 }
 
 impl Default for BundleStoreSettings {
-    /// Ten tries of one second each at most: an operator waits for that long.
+    /// Ten attempts of at most one second each, as an operator waits for the result.
     fn default() -> Self {
         Self {
             tries: 10,
@@ -25,7 +25,8 @@
     }
 }
 
-/// Drafts and releases in the platform's table service, their content in its object store.
+/// Stores drafts and releases in the platform's table service and their content in its object
+/// store.
 pub struct BundleStore {
     platform: Arc<Platform>,
     cfg: BundleStoreSettings,
@@ -34,28 +35,28 @@
 /// A change that took effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied<T> {
-    /// What was made.
+    /// The draft or version that the change created or changed.
     pub made: T,
-    /// True if the table service's answer was lost and reading back showed the effect.
+    /// True if the table service's response was lost and reading the row back confirmed the change.
     pub settled: bool,
 }
 
-/// Largest number of drafts over one release that are listed.
+/// Maximum number of listed drafts that are based on one release.
 const DRAFTS_LIMIT: NonZeroU32 = NonZeroU32::new(100).expect("not zero");
 
 impl BundleStore {
-    /// A store on a platform.
+    /// Creates a store on a platform.
     #[must_use]
     pub fn new(platform: Arc<Platform>, cfg: BundleStoreSettings) -> Self {
         Self { platform, cfg }
     }
 
-    /// Proposes a bundle over the release in force. Its content is stored first, so that no draft
-    /// ever names content that is not there.
+    /// Proposes a bundle based on the release in force. Its content is stored first, so that no
+    /// draft refers to missing content.
     ///
     /// # Errors
     ///
-    /// If the bundle is wrong or in force already, or the platform does not answer.
+    /// If the bundle is invalid or already in force, or the platform does not respond.
     pub async fn propose(&self, json: &str, author: BundleAuthor) -> Result<Applied<BundleDraft>> {
         let read = read_bundle(BundleVersion::default(), json)?;
         let digest = read.bundle.digest;
@@ -71,11 +72,12 @@
         }
     }
 
-    /// Signs a draft off.
+    /// Signs off a draft.
     ///
     /// # Errors
     ///
-    /// If the author may not, another operator was first, or the platform does not answer.
+    /// If the author is not permitted to, another operator was first, or the platform does not
+    /// respond.
     pub async fn sign_off(
         &self,
         id: &DraftId,
@@ -89,11 +91,12 @@
         Ok(Applied { made, settled })
     }
 
-    /// Rolls a draft out.
+    /// Rolls out a draft.
     ///
     /// # Errors
     ///
-    /// If it may not be, another operator was first, or the platform does not answer.
+    /// If the draft may not be rolled out, another operator was first, or the platform does not
+    /// respond.
     pub async fn roll_out(
         &self,
         id: &DraftId,
@@ -109,12 +112,12 @@
         self.apply_release(&change).await
     }
 
-    /// Rolls the content of an earlier release out as a new version.
+    /// Rolls out the content of an earlier release as a new version.
     ///
     /// # Errors
     ///
     /// If there is no such version or its content is in force, another operator was first, or the
-    /// platform does not answer.
+    /// platform does not respond.
     pub async fn roll_back(
         &self,
         version: BundleVersion,
@@ -128,40 +131,40 @@
         self.apply_release(&change).await
     }
 
-    /// The row that says which release is in force; `None` before the first.
+    /// Reads the row that names the release in force; `None` before the first release.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not respond.
     pub async fn current(&self) -> Result<Option<Stored<CurrentBundle>>> {
         Ok(find_current(&self.read(&[BundleKey::Current]).await?))
     }
 
-    /// A draft.
+    /// Reads a draft with its row version.
     ///
     /// # Errors
     ///
-    /// If there is no such draft, or the platform does not answer.
+    /// If there is no such draft, or the platform does not respond.
     pub async fn draft(&self, id: &DraftId) -> Result<Stored<BundleDraft>> {
         let rows = self.read(&[BundleKey::Draft(id.clone())]).await?;
         Ok(find_draft(&rows).ok_or_else(|| no_draft(id))?)
     }
 
-    /// A release.
+    /// Reads the release of a version.
     ///
     /// # Errors
     ///
-    /// If there is no such version, or the platform does not answer.
+    /// If there is no such version, or the platform does not respond.
     pub async fn release(&self, version: BundleVersion) -> Result<BundleRelease> {
         let rows = self.read(&[BundleKey::Release(version)]).await?;
         Ok(find_release(&rows).ok_or(BundleRefusal::NoVersion { version })?)
     }
 
-    /// Drafts over a release, which it is not too late to roll out while that is in force.
+    /// Lists the drafts based on a release. They can be rolled out while that release is in force.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not respond.
     pub async fn drafts_over(&self, base: BundleVersion) -> Result<Vec<BundleDraft>> {
         let prefix = format!("draft/{base}-");
         let rows = self.scan(&prefix, None, DRAFTS_LIMIT).await?;
@@ -172,11 +175,11 @@
         Ok(drafts.collect())
     }
 
-    /// The latest releases, at most `limit`, oldest first.
+    /// Lists the latest releases, at most `limit`, oldest first.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not respond.
     pub async fn history(&self, limit: NonZeroU32) -> Result<Vec<BundleRelease>> {
         let current = self.current().await?;
         let latest = current.map_or(0, |stored| stored.value.version.0);
@@ -190,11 +193,11 @@
         Ok(releases.collect())
     }
 
-    /// The content of a digest.
+    /// Reads the bundle content that has a digest.
     ///
     /// # Errors
     ///
-    /// If it is not there, was altered, or the platform does not answer.
+    /// If the content is missing or altered, or the platform does not respond.
     pub async fn content(&self, digest: BundleDigest) -> Result<Arc<str>> {
         let body = self
             .repeated(|| (self.platform.get_object)(object_name(digest)))
@@ -211,10 +214,10 @@
         }
     }
 
-    /// Makes a change; returns whether its effect was learned by reading back.
+    /// Applies a change; returns whether its effect was confirmed by reading back.
     ///
-    /// The same transaction is sent again as long as nothing is known of it: its conditions let it
-    /// take effect once at most, so an earlier call that comes late does no harm.
+    /// The same transaction is retried while its outcome is unknown. Its conditions allow it to
+    /// take effect at most once, so a delayed earlier call is harmless.
     async fn apply(&self, change: &BundleChange) -> Result<bool> {
         let mut in_doubt = false;
         let mut last = PlatformError::NotRun;
@@ -267,7 +270,7 @@
             .await
     }
 
-    /// Sends a call that may be repeated until it is answered.
+    /// Retries an idempotent call until the platform responds or the attempts are used up.
     async fn repeated<T, E, F>(&self, call: impl Fn() -> F) -> Result<T>
     where
         E: Into<Error>,
--- a/crates/catkinward/src/bundle_watch.rs
+++ b/crates/catkinward/src/bundle_watch.rs
@@ -1,30 +1,31 @@
-//! Brings each release into force on this VM.
+//! Puts each release in force on this VM.
 //!
-//! Load pattern: 640 rollouts a day, and every VM has to have each in force within 3 s at p99. All
-//! VMs ask the table service, which does about 2,000 reads a second for everything.
+//! Load: 640 rollouts a day, each of which every VM must have in force within 3 s at p99. All VMs
+//! poll the table service, which serves about 2,000 reads per second for all its clients.
 //!
-//! Arithmetic: 400 VMs that read one row of about 150 bytes every second are 400 reads a second, a
-//! fifth of what the table service does. The period of a VM is drawn from 0.8 s to 1.2 s, so that
-//! VMs started together drift apart; a release is then heard of 1.2 s after its commit at the
-//! latest, and if one read is lost (given up after 1 s) 2.4 s after it. Half of the 3 s are left for
-//! the read and the content. The content is fetched from a peer that has it, else from the object
-//! store: 400 fetches in 1.2 s at worst, 333 a second. Reading every 0.5 s would take 800 reads a
-//! second for 0.6 s less; every 2 s, one lost read would break the 3 s.
+//! Poll interval: 400 VMs that read one row of about 150 bytes every second make 400 reads per
+//! second, a fifth of the table service's capacity. The interval of a VM is drawn from 0.8 s to
+//! 1.2 s, so that VMs that start together do not poll in step. A release is then detected at most
+//! 1.2 s after its commit, or 2.4 s if one read is lost (it times out after 1 s). Half of the 3 s
+//! remains for the read and the content. The content is fetched from a peer that has it, else from
+//! the object store: in the worst case 400 fetches in 1.2 s, or 333 per second. Polling every 0.5 s
+//! would take 800 reads per second to save 0.6 s; polling every 2 s would exceed the 3 s after one
+//! lost read.
 
 use super::*;
 use catkin_decisions::{BundleKey, BundleRow, BundleView};
 use futures::future::BoxFuture;
 
-/// How often the table service is asked, on average.
+/// Mean interval between polls of the table service.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Longest wait for the content from one source that is not the object store.
+/// Maximum wait for the content from one source other than the object store.
 const SOURCE_BOUND: Duration = Duration::from_millis(400);
 
-/// Fetches the content of a digest from somewhere; `None` if it is not there or does not come.
+/// Fetches the content of a digest from a source; `None` if it is missing or does not arrive.
 pub type FetchBundle = Box<dyn Fn(BundleDigest) -> BoxFuture<'static, Option<Bytes>> + Send + Sync>;
 
-/// The service that hears of releases and puts them in force.
+/// The service that detects new releases and puts them in force.
 pub struct BundleWatch {
     platform: Option<Arc<Platform>>,
     timer: Arc<Timer>,
@@ -35,7 +36,7 @@
 }
 
 impl BundleWatch {
-    /// Starts to ask the platform, if there is one, and to listen to [`Self::heard`].
+    /// Starts polling the platform, if there is one, and applying releases from [`Self::heard`].
     pub fn start(
         platform: Option<Arc<Platform>>,
         timer: &Arc<Timer>,
@@ -55,18 +56,18 @@
         watch
     }
 
-    /// Takes in a peer's word of a release.
+    /// Records a release that a peer advertises.
     pub fn heard(&self, version: BundleVersion, digest: BundleDigest) {
         self.view.lock().record_peer_release(version, digest);
         self.news.notify_one();
     }
 
-    /// Adds a source of content, asked before the object store.
+    /// Adds a source of content that is queried before the object store.
     pub fn add_source(&self, fetch: FetchBundle) {
         self.sources.write().push(Arc::new(fetch));
     }
 
-    /// The release in force, to tell peers of.
+    /// Returns the release in force, which is advertised to peers.
     #[must_use]
     pub fn in_force(&self) -> Option<(BundleVersion, BundleDigest)> {
         let bundle = self.bundle.current();
@@ -79,12 +80,12 @@
                 self.view.lock().record_table_release(current);
                 self.news.notify_one();
             }
-            // The present bundle stays in force: an outage of the platform stops no request.
+            // The current bundle stays in force: a platform outage fails no request.
             Err(fault) => tracing::debug!(%fault, "cannot read the current bundle"),
         }
     }
 
-    /// Puts in force what is wanted; false if its content cannot be had now.
+    /// Puts pending releases in force; returns false if the content of one is not available now.
     async fn advance(&self) -> bool {
         loop {
             let wanted = self.view.lock().next_release(self.timer.now());
@@ -123,7 +124,7 @@
     }
 }
 
-/// Name of the object that holds the content of a digest.
+/// Returns the name of the object that holds the content of a digest.
 pub(crate) fn object_name(digest: BundleDigest) -> Arc<str> {
     format!("bundle/{digest}").into()
 }
@@ -155,12 +156,14 @@
     }
 }
 
-/// Runs beside the reads, so that one that hangs does not hold up what a peer says.
+/// Runs in a task apart from the polls, so that a hanging read does not delay a release that a peer
+/// advertises.
 async fn put_in_force(watch: Arc<BundleWatch>, period: Duration) {
     let mut ticks = watch.timer.subscribe(period);
     loop {
         if !watch.advance().await {
-            // Another source may have it next time; without the wait this would spin.
+            // Another source may have the content at the next tick; without the wait this would
+            // spin.
             if ticks.recv().await.is_none() {
                 return;
             }
--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -11,32 +11,32 @@
     queued_request::QueuedRequest,
 };
 
-/// Header with the caller's deadline in milliseconds from now.
+/// Header with the caller's deadline, in milliseconds from receipt of the request.
 const DEADLINE_HEADER: &str = "catkin-deadline-ms";
 
-/// Header with the key by which a caller who comes back is recognised.
+/// Header with the key that identifies a reconnecting caller.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Header with the id of the last event that a returning caller has.
+/// Header with the id of the last event that a reconnecting caller received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
-/// How often a generation without a caller is looked at.
+/// How often a generation is checked for a connected caller.
 const ABANDONED_PERIOD: Duration = Duration::from_millis(250);
 
-/// The HTTP service that callers see.
+/// The HTTP service for callers.
 #[derive(Clone)]
 pub(crate) struct CallerApi {
     pub(crate) node: Arc<Node>,
 }
 
-/// A caller who has shown who it is.
+/// An authenticated caller.
 pub(crate) struct Caller {
     pub(crate) bundle: Arc<Bundle>,
     pub(crate) team: TeamId,
 }
 
 impl Caller {
-    /// The team with its weight, as it queues.
+    /// Returns the team with its weight for fair queueing.
     pub(crate) fn queue_team(&self) -> QueueTeam {
         QueueTeam {
             weight: self.bundle.team(&self.team).map_or(1, |team| team.weight),
@@ -73,8 +73,8 @@
     }
 
     fn record_refusal(&self, problem: &Problem) {
-        // Readiness checks and unknown paths are no requests, and a failed generation has told of
-        // its own end.
+        // Readiness checks and unknown paths are not requests, and a failed generation has already
+        // recorded its end.
         if problem.kind.outcome() != caller::Outcome::NotRun
             || matches!(
                 problem.kind,
@@ -159,8 +159,8 @@
         Ok(event_response(body))
     }
 
-    /// The generation of a caller who gave a key: one that runs here or was taken over, or a new
-    /// one.
+    /// Returns the generation for an idempotency key: one that runs here, one taken over from
+    /// another VM, or a new one.
     async fn keyed(
         &self,
         request: GenerationRequest,
@@ -181,7 +181,7 @@
         self.begin(generation, team)
     }
 
-    /// Runs a generation to its end, unless it has reached it already.
+    /// Admits and starts a generation, unless it has already ended.
     fn begin(&self, generation: Generation, team: QueueTeam) -> Result<Arc<Generation>, Problem> {
         if generation.outcome().is_some() {
             return Ok(Arc::new(generation));
@@ -231,8 +231,8 @@
         })
     }
 
-    /// Lets a generation wait for its first place, or refuses it at once. One that was taken over
-    /// from another VM was admitted there, and goes on.
+    /// Queues a generation for its first slot, or refuses it immediately. A generation that was
+    /// taken over from another VM was admitted there, so it starts without queueing.
     fn admit(&self, generation: &Arc<Generation>, team: QueueTeam) -> Result<(), Problem> {
         let request = &generation.request;
         if generation.attempts() > Attempt::default() {
@@ -293,8 +293,8 @@
     }
 }
 
-/// Cancels a generation whose caller has gone and has not come back within the grace period, so
-/// that it costs no more engine time; ends with the generation.
+/// Cancels a generation whose caller has disconnected and not reconnected within the grace period,
+/// so that it uses no more engine time. Returns when the generation ends.
 async fn end_if_abandoned(node: &Node, generation: &Generation) {
     let mut gone_since = None;
     while generation.outcome().is_none() {
--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -1,10 +1,10 @@
-//! The task that commits claims in groups, one transaction at a time.
+//! Commits claims in groups, one transaction at a time, from a background task.
 
 use super::*;
 use crate::claim_row::{CLAIMS, claim_value, expiry_write, found_claim};
 use tokio::sync::oneshot;
 
-/// Commits claims and their ends.
+/// Queues and commits claims and their outcomes.
 pub(crate) struct ClaimCommitter {
     platform: Arc<Platform>,
     timer: Arc<Timer>,
@@ -14,10 +14,11 @@
     empty: watch::Sender<bool>,
 }
 
-/// Who is told what became of a claim.
+/// Receives the result of a claim.
 pub(crate) struct Waiter(pub(crate) oneshot::Sender<ClaimResult>);
 
-/// Claims that expire within so many milliseconds of each other share a row by which they are swept.
+/// Width of an expiry bucket in milliseconds: claims of a group whose expiry falls in the same
+/// bucket share one row of the expiry table.
 const EXPIRY_STEP: u64 = 60_000;
 
 impl ClaimCommitter {
@@ -46,7 +47,7 @@
         self.add(|queue| queue.record_end(change));
     }
 
-    /// Waits until nothing waits or is under way.
+    /// Waits until no change is queued or in flight.
     pub(crate) async fn flush(&self) {
         let mut empty = self.empty.subscribe();
         let _ = empty.wait_for(|empty| *empty).await;
@@ -60,8 +61,9 @@
         self.work.notify_one();
     }
 
-    /// Notes whether all is settled. It holds the queue meanwhile: an end added in between would
-    /// else be overlooked by a process that waits for it before it ends.
+    /// Publishes whether all changes are resolved. It holds the lock of the queue while doing so:
+    /// otherwise a process that waits in [`Self::flush`] before it exits could miss an outcome that
+    /// is added in between.
     fn note_empty(&self) -> bool {
         let queue = self.queue.lock();
         self.empty.send_replace(queue.is_empty());
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Gives back a claim that was settled after its caller had been told that it did not run.
+    /// Releases a claim that was committed after its caller had been told that the request did not
+    /// run.
     fn give_back(&self, claimed: Claimed) {
         let expires = claims::wall_now().after(self.cfg.retention);
         let held = claimed.release();
@@ -145,7 +148,7 @@
     }
 }
 
-/// The rows by which the claims of a group are swept: one for each minute in which some expire.
+/// Returns the expiry rows for the claims of a group: one for each minute in which some expire.
 fn expiries(group: &[ClaimChange]) -> Vec<platform_api::Write> {
     let mut steps = group
         .iter()
--- a/crates/catkinward/src/claim_row.rs
+++ b/crates/catkinward/src/claim_row.rs
@@ -1,16 +1,17 @@
-//! Rows of the tables `claims` and `claim_expiries`, to and from what the decisions know.
+//! Conversion between rows of the tables `claims` and `claim_expiries` and the types of the
+//! decisions crate.
 
 use super::*;
 use catkin_border::rows;
 use catkin_decisions::to_hex;
 
-/// Table of claims.
+/// Name of the table of claims.
 pub(crate) const CLAIMS: &str = "claims";
 
-/// Table by which claims are swept.
+/// Name of the expiry table, an index of claims by expiry time.
 pub(crate) const EXPIRIES: &str = "claim_expiries";
 
-/// The claim in a row; `None` in it if the row is absent or cannot be read.
+/// Parses the row of a claim; the record is `None` if the row is absent or cannot be parsed.
 pub(crate) fn found_claim(row: &platform_api::Row) -> FoundClaim {
     FoundClaim {
         key: ClaimRowKey::from(row.key.as_str()),
@@ -19,7 +20,7 @@
     }
 }
 
-/// The value of a claim's row.
+/// Returns the JSON value of a claim's row.
 pub(crate) fn claim_value(record: &ClaimRecord) -> String {
     let (stage, answer) = match &record.stage {
         ClaimStage::Claimed => (rows::ClaimStage::Claimed, None),
@@ -46,7 +47,8 @@
     })
 }
 
-/// The row by which claims that expire together are found; `salt` keeps such rows apart.
+/// Returns an expiry row for claims that expire together; `salt` makes the keys of such rows
+/// unique.
 pub(crate) fn expiry_write(expires: WallTime, salt: u64, keys: Vec<String>) -> platform_api::Write {
     platform_api::Write {
         key: format!("{:015}/{salt:016x}", expires.0),
@@ -55,7 +57,7 @@
     }
 }
 
-/// When the claims of an expiry row expire, and their keys.
+/// Parses an expiry row into the expiry time and the keys of its claims.
 pub(crate) fn read_expiry(row: &platform_api::Row) -> Option<(WallTime, Vec<String>)> {
     let (expires, _) = row.key.split_once('/')?;
     let value = serde_json::from_str::<rows::ClaimExpiryRow>(&row.value).ok()?;
@@ -132,5 +134,5 @@
 }
 
 fn json_text<T: serde::Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("border types have text keys only")
+    serde_json::to_string(value).expect("API types have only string keys")
 }
--- a/crates/catkinward/src/claim_settings.rs
+++ b/crates/catkinward/src/claim_settings.rs
@@ -3,31 +3,33 @@
 /// Settings of the [`Claims`] service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClaimSettings {
-    /// How long an ended claim is kept. After that the same key is a new request, so it must be
-    /// longer than any caller goes on sending a request again; a day covers a shop that sends last
-    /// night's orders in the morning.
+    /// How long a completed claim is retained. Afterwards the same key counts as a new request, so
+    /// this must exceed the time for which any caller retries. A day covers a shop that submits
+    /// last night's orders in the morning.
     pub retention: Duration,
-    /// How long a claim without a known outcome is kept. Somebody has to look at such a request, and
-    /// a week covers a long weekend.
+    /// How long a claim without a known outcome is retained. A person has to investigate such a
+    /// request, and a week covers a long weekend.
     pub unknown_retention: Duration,
-    /// Longest body kept in the row itself. 4 KB holds an order's confirmation, and a group of 200
-    /// ends stays within 1 MB.
+    /// Maximum size in bytes of a body that is stored in the row itself. 4 KB holds the
+    /// confirmation of an order, and a group of 200 outcomes stays within 1 MB.
     pub inline_max: usize,
-    /// Longest body kept in the object store. Longer ones are recorded as too large, or a few of
-    /// them would take the memory of a small VM while the store is out.
+    /// Maximum size in bytes of a body that is stored in the object store. Larger bodies are
+    /// recorded as too large: otherwise a few of them could exhaust the memory of a small VM during
+    /// an outage of the store.
     pub object_max: usize,
-    /// How far clocks of VMs may differ. A holder that this VM believes to be past its deadline is
-    /// believed to be at work for so long still.
+    /// Maximum clock difference between VMs. A holder whose deadline has passed by this VM's clock
+    /// is treated as still running for this long.
     pub clocks_differ: Duration,
-    /// How often a claim in progress on another VM is looked at for a caller who waits for it.
+    /// How often a claim in progress on another VM is polled for a caller who waits for its
+    /// outcome.
     pub poll_period: Duration,
-    /// Wait before the next transaction after one that did not run.
+    /// Delay before the next transaction after one that did not run or whose outcome is unknown.
     pub retry_pause: Duration,
-    /// Most changes in a transaction; 1 switches group commit off.
+    /// Maximum number of changes in a transaction; 1 disables group commit.
     pub group_max: usize,
-    /// How often expired claims are looked for.
+    /// Interval between sweeps of expired claims.
     pub sweep_period: Duration,
-    /// Pause between the pages of a sweep.
+    /// Delay between the pages of a sweep.
     pub sweep_pause: Duration,
 }
 
--- a/crates/catkinward/src/claim_sweep.rs
+++ b/crates/catkinward/src/claim_sweep.rs
@@ -1,15 +1,16 @@
-//! Deletion of expired claims.
+//! Deletes expired claims.
 //!
-//! Load pattern: claims come at hundreds a second and are kept for a day, so there are millions of
-//! rows and nearly all of them must stay. A scan of the claims themselves would read them all to find
-//! the few that expire; it would take the platform's reads from everybody. The expiry table is in
-//! order of time instead, one row for each group and minute, and a sweep reads only what is due.
+//! Claims arrive at hundreds per second and are retained for a day, so there are millions of rows,
+//! nearly all of which must stay. A scan of the claims themselves would read all of them to find
+//! the few that have expired, and would use up the platform's read capacity for all clients. The
+//! expiry table is ordered by time instead, with one row for each group and minute, and a sweep
+//! reads only the rows that are due.
 
 use super::*;
 use crate::claim_row::{CLAIMS, EXPIRIES, found_claim, read_expiry};
 
-/// Expiry rows of a page. With some ten claims each a page deletes a few hundred rows, about what a
-/// full group writes.
+/// Number of expiry rows in a page. With about ten claims each, a page deletes a few hundred rows,
+/// about as many as a full group writes.
 const PAGE: std::num::NonZeroU32 = std::num::NonZeroU32::new(20).expect("not zero");
 
 pub(crate) async fn sweep_page(platform: &Platform, now: WallTime) -> Result<bool, PlatformError> {
@@ -44,7 +45,8 @@
         .iter()
         .map(|claim| deletion(CLAIMS, claim.key.as_str()));
     let req = platform_api::TransactRequest {
-        // A claim that has been written meanwhile has a new expiry row, and this one is tried again.
+        // A claim that was rewritten in the meantime has a new expiry row. The transaction for this
+        // page then fails, and the next sweep of the page retries it.
         conditions: expired.iter().map(|claim| unchanged(claim)).collect(),
         writes: index.chain(rows).collect(),
     };
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -3,7 +3,8 @@
 use crate::claim_row::{CLAIMS, found_claim};
 use tokio::sync::oneshot;
 
-/// The claims service: at most one dispatch for each idempotency key of a team, over all VMs.
+/// The claims service: allows at most one dispatch for each idempotency key of a team across all
+/// VMs.
 pub struct Claims {
     cfg: ClaimSettings,
     incarnation: Incarnation,
@@ -11,40 +12,41 @@
     timer: Arc<Timer>,
     timeline: Arc<Timeline>,
     committer: Arc<ClaimCommitter>,
-    /// Ends whose bodies are on their way to the object store.
+    /// Number of outcomes whose bodies are being written to the object store.
     storing: watch::Sender<usize>,
 }
 
-/// A request that wants its key.
+/// A request to claim an idempotency key.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Team that sends it.
+    /// Team that sends the request.
     pub team: TeamId,
-    /// Its idempotency key.
+    /// Idempotency key, unique within the team.
     pub key: IdempotencyKey,
-    /// Digest of all that makes it this request.
+    /// Digest of the request's identifying content; a different digest under the same key is a
+    /// conflict.
     pub digest: RequestDigest,
-    /// Whether another VM may take it over.
+    /// Kind of request; another VM may take over a generation, but not a call.
     pub kind: ClaimKind,
-    /// Id under which it runs here.
+    /// Id of the request on this VM.
     pub request: RequestId,
-    /// Time left to it. A claim that is not settled by then is given up.
+    /// Time until the request's deadline. A claim that is not resolved by then is abandoned.
     pub time_left: Duration,
 }
 
-/// Answer of an upstream, as it is to be recorded.
+/// Response of an upstream that is to be recorded.
 #[derive(Clone, Debug)]
 pub struct ResponseToRecord {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Headers by name and value.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Claims {
-    /// Starts the service.
+    /// Starts the service and its committer task.
     pub fn start(
         platform: Arc<Platform>,
         timer: Arc<Timer>,
@@ -64,7 +66,7 @@
         })
     }
 
-    /// Tries to claim a request's key.
+    /// Attempts to claim a request's key.
     pub async fn claim(&self, req: ClaimRequest) -> ClaimVerdict {
         let change = self.change(&req, 0);
         let verdict = self.commit(change, &req).await;
@@ -79,8 +81,8 @@
         verdict
     }
 
-    /// Takes over a generation whose holder is gone, by writing its row under an own token. Whoever
-    /// else tries the same finds the row changed.
+    /// Takes over a generation whose holder has failed, by writing its row under a new token. A
+    /// concurrent attempt by another VM conflicts with the changed row.
     pub async fn take_over(&self, req: ClaimRequest, found: &FoundClaim) -> ClaimVerdict {
         let takeable = found.record.as_ref().is_some_and(|record| {
             record.kind == ClaimKind::Generation && record.digest == req.digest
@@ -92,9 +94,9 @@
         self.commit(change, &req).await
     }
 
-    /// Waits until a request in progress has come to an end, for at most `time_left`.
+    /// Waits for the outcome of a request in progress, for at most `time_left`.
     ///
-    /// If there is none by then, the verdict still is that it is in progress.
+    /// If there is no outcome by then, the verdict remains that it is in progress.
     pub async fn outcome(
         &self,
         digest: &RequestDigest,
@@ -115,7 +117,7 @@
         verdict
     }
 
-    /// Records an upstream's answer, so that a caller who sends the request again gets it.
+    /// Records an upstream's response, which is returned to a caller who retries the request.
     pub fn record(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
         let record = |body| RecordedResponse {
             status: answer.status,
@@ -136,23 +138,24 @@
         }
     }
 
-    /// Records that a dispatched request may have run or not.
+    /// Records that a dispatched request may or may not have run.
     pub fn record_unknown(&self, held: HeldClaim) {
         self.end(held, ClaimOutcome::Unknown);
     }
 
-    /// Gives a claim back whose request certainly did not run. The same request may claim the key
+    /// Releases a claim whose request certainly did not run. The same request may claim the key
     /// again.
     pub fn release(&self, held: HeldClaim) {
         let expires = wall_now().after(self.cfg.retention);
         self.committer.end(held.end(ClaimStage::Released, expires));
     }
 
-    /// The body of a recorded answer.
+    /// Reads the body of a recorded response; `Ok(None)` if it was too large to store or no longer
+    /// exists.
     ///
     /// # Errors
     ///
-    /// If the object store gives none; `Ok(None)` if it was too large to keep, or is gone.
+    /// If the object store does not respond.
     pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
         match body {
             RecordedBody::Inline(body) => Ok(Some(Bytes::copy_from_slice(body))),
@@ -161,17 +164,17 @@
         }
     }
 
-    /// Deletes the expired claims of one page of the expiry table; returns whether there was a whole
-    /// page, so that there may be more.
+    /// Deletes the expired claims of one page of the expiry table; returns whether the page was
+    /// full, in which case there may be more.
     ///
     /// # Errors
     ///
-    /// If the table service does not answer. Another try does no harm.
+    /// If the table service does not respond. A retry is harmless.
     pub async fn sweep_page(&self, now: WallTime) -> Result<bool, PlatformError> {
         claim_sweep::sweep_page(&self.platform, now).await
     }
 
-    /// Sweeps for as long as the service is there and `may_sweep` says so: one VM is enough.
+    /// Sweeps periodically until the timer stops, while `may_sweep` returns true: one VM is enough.
     pub async fn sweep(self: Arc<Self>, may_sweep: impl Fn() -> bool + Send) {
         let mut ticks = self.timer.subscribe(self.cfg.sweep_period);
         while ticks.recv().await.is_some() {
@@ -180,7 +183,7 @@
                     Ok(true) => tokio::time::sleep(self.cfg.sweep_pause).await,
                     Ok(false) => break,
                     Err(fault) => {
-                        tracing::debug!(%fault, "sweep put off");
+                        tracing::debug!(%fault, "sweep of expired claims failed; retrying at the next interval");
                         break;
                     }
                 }
@@ -188,8 +191,8 @@
         }
     }
 
-    /// Waits until every end is recorded. A process that ends before leaves claims without outcome,
-    /// and callers who send them again hear that nobody knows.
+    /// Waits until every outcome is recorded. A process that exits earlier leaves claims without an
+    /// outcome, and callers who retry them are told that the outcome is unknown.
     pub async fn flush(&self) {
         let mut storing = self.storing.subscribe();
         let _ = storing.wait_for(|count| *count == 0).await;
@@ -200,7 +203,8 @@
         let deadline = self.timer.now().after(req.time_left);
         let (tx, rx) = oneshot::channel();
         self.committer.claim(change, deadline, Waiter(tx));
-        // A claim that is settled after this wait finds nobody and is given back.
+        // The committer releases a claim that is committed after this wait, as its waiter is
+        // dropped.
         match tokio::time::timeout(req.time_left, rx).await {
             Ok(Ok(ClaimResult::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
             Ok(Ok(ClaimResult::Taken(found))) => self.verdict(&req.digest, found),
@@ -246,7 +250,7 @@
         outcome: ClaimOutcome,
     ) {
         while let Err(fault) = (self.platform.put_object)((name.clone(), body.clone())).await {
-            tracing::debug!(%fault, %name, "answer not stored yet");
+            tracing::debug!(%fault, %name, "cannot store a recorded response yet; retrying");
             tokio::time::sleep(self.cfg.poll_period).await;
         }
         self.end(held, outcome);
@@ -267,14 +271,14 @@
     }
 }
 
-/// This VM's clock.
+/// Reads this VM's wall clock.
 pub(crate) fn wall_now() -> WallTime {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     WallTime::default().after(since.unwrap_or_default())
 }
 
-/// Name of the object with a claim's answer. It bears the token, so that no later request under the
-/// same key finds it.
+/// Returns the name of the object with a claim's response body. It contains the token, so that a
+/// later request under the same key does not find it.
 fn object_name(held: &HeldClaim) -> Arc<str> {
     format!("claims/{}/{}", held.key(), held.record().token).into()
 }
--- a/crates/catkinward/src/coordination.rs
+++ b/crates/catkinward/src/coordination.rs
@@ -1,17 +1,16 @@
-//! Start of the services that agree on something or keep it through the platform.
+//! Starts the services that coordinate VMs through the platform store: claims, leases and orders.
 
 use super::*;
 use catkin_decisions::{LeaseHolder, LeaseSettings, OrderSettings};
 
-/// Longest wait at the end of the process for ends of claims that are not recorded yet, and for
-/// leases to be given back. In an outage of the platform a VM that is to be replaced must not wait
-/// for its end.
+/// Maximum wait at shutdown for unrecorded claim outcomes to be written and leases to be released.
+/// A VM that is being replaced must not wait for the end of a platform outage.
 const STOP_BOUND: Duration = Duration::from_secs(10);
 
 /// Scope of the lease under which expired claims are swept.
 const SWEEP_SCOPE: &str = "claims-sweep";
 
-/// What the services of agreement are made of.
+/// Dependencies of the coordination services.
 pub(crate) struct CoordinationParts {
     pub(crate) platform: Arc<Platform>,
     pub(crate) timer: Arc<Timer>,
@@ -20,7 +19,7 @@
     pub(crate) bundle: Arc<BundleInForce>,
 }
 
-/// Starts claims, leases and orders, and returns the claims.
+/// Starts claims, leases and orders, and returns the claims service.
 pub(crate) fn start_coordination(
     kernel: &ServiceRegistry,
     settings: &Settings,
@@ -63,7 +62,7 @@
     kernel.on_stop(move || async move {
         let stop = async { tokio::join!(stopped.flush(), leases.give_back()) };
         if tokio::time::timeout(STOP_BOUND, stop).await.is_err() {
-            tracing::warn!("ended with claims whose outcome is not recorded, or leases held");
+            tracing::warn!("stopped with unrecorded claim outcomes or unreleased leases");
         }
     });
     kernel.register(ServiceName::Claims, claims)
--- a/crates/catkinward/src/daemon.rs
+++ b/crates/catkinward/src/daemon.rs
@@ -3,9 +3,9 @@
 use std::process::ExitCode;
 use tokio::signal;
 
-/// Runs the router daemon on a command line without the program's name.
+/// Runs the router daemon with command line arguments that exclude the program's name.
 ///
-/// Once callers are served, it prints `listening ADDRESS` on standard output; before that, a line
+/// Once it serves callers, it prints `listening ADDRESS` on standard output; before that, a line
 /// for each other address that it listens on.
 pub fn run_daemon(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let command = Settings::read(args, |name| std::env::var(name).ok());
@@ -62,13 +62,13 @@
     callers.and(operators)
 }
 
-/// Signals that ask for the end.
+/// Signals that request a shutdown.
 struct Signals {
     streams: Vec<signal::unix::Signal>,
 }
 
 impl Signals {
-    /// Listens from now on.
+    /// Registers the signal handlers.
     fn new() -> Self {
         let kinds = [
             signal::unix::SignalKind::interrupt(),
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Waits for the second one: the first begins the graceful shutdown, the second ends at once.
+    /// Waits for the second signal: the first begins the graceful shutdown, the second stops the
+    /// process immediately.
     async fn second(mut self) {
         for _ in 0..2 {
             let next = self
--- a/crates/catkinward/src/drain.rs
+++ b/crates/catkinward/src/drain.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The state of a graceful shutdown: whether it has begun, what is still in flight, and whether the
-/// door is shut.
+/// State of a graceful shutdown: whether it has begun, how many requests are in flight, and whether
+/// new requests are rejected.
 #[derive(Default)]
 pub struct Drain {
     draining: AtomicBool,
@@ -14,40 +14,40 @@
     shut: bool,
 }
 
-/// A request in flight, counted until it is dropped.
+/// A guard that counts a request as in flight until it is dropped.
 pub struct InFlight {
     drain: Arc<Drain>,
 }
 
 impl Drain {
-    /// Begins the shutdown: readiness goes false, requests go on being served.
+    /// Begins the shutdown: the readiness check fails, but requests are still served.
     pub fn begin(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Waits until the shutdown has ended.
+    /// Waits until the drain has ended and new requests are rejected.
     pub(crate) async fn ended(&self) {
-        // The sender lives as long as this does.
+        // The sender lives as long as `self`, so the wait cannot fail.
         let _ = self.state.subscribe().wait_for(|state| state.shut).await;
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.state.borrow().in_flight
     }
 
-    /// Waits until nothing has been in flight for `grace`, and shuts the door.
+    /// Waits until no request has been in flight for `grace`, then rejects new requests.
     pub async fn finished(&self, grace: Duration) {
         let mut state = self.state.subscribe();
         loop {
-            // The sender lives as long as this does, so neither wait can fail.
+            // The sender lives as long as `self`, so neither wait can fail.
             let _ = state.wait_for(|state| state.in_flight == 0).await.is_ok();
             let busy = state.wait_for(|state| state.in_flight > 0);
             let stayed_idle = tokio::time::timeout(grace, busy).await.is_err();
@@ -57,10 +57,11 @@
         }
     }
 
-    /// Counts a request in; `None` once the door is shut.
+    /// Counts a request as in flight; `None` once the drain has ended.
     ///
-    /// After the drain the library cuts what is still open half a minute later. A generation that
-    /// came in between would be cut; so none comes in, and its caller is told that it did not run.
+    /// Half a minute after the drain, the HTTP library closes the connections that are still open.
+    /// A generation that started in between would be interrupted, so it is rejected and its caller
+    /// is told that it did not run.
     #[must_use]
     pub fn enter(self: &Arc<Self>) -> Option<InFlight> {
         let entered = self.state.send_if_modified(|state| {
--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -6,16 +6,16 @@
     upstream_handle::UpstreamHandle,
 };
 
-/// Longest body of a refusal that is read, in bytes.
+/// Maximum number of bytes that are read of a refusal's body.
 const REFUSAL_LIMIT: usize = 64 * 1024;
 
-/// Header in which an engine may send its load report with a reply.
+/// Header in which an engine may send its load report with a response.
 const LOAD_HEADER: &str = "catkin-load";
 
-/// Starts an attempt on an engine, over a connection of its own: a kept one may have gone silent,
-/// and the caller would wait for the whole bound where a new connection costs one round trip.
+/// Starts an attempt on an engine over a new connection: a pooled one may be silently broken, and
+/// the caller would wait for the full timeout, while a new connection costs one round trip.
 ///
-/// It takes a handle that has proof that its upstream may get new work.
+/// The handle proves that its upstream may receive new work.
 pub(crate) async fn start_attempt(
     connections: &Connections,
     upstream: &UpstreamHandle,
@@ -40,23 +40,24 @@
     Ok(stream)
 }
 
-/// A running attempt to go on with.
+/// Parameters for reattaching to a running attempt.
 pub(crate) struct Reattach<'a> {
     pub(crate) address: SocketAddr,
     pub(crate) id: &'a RequestId,
-    /// The attempt as the engine knows it.
+    /// Current number of the attempt at the engine.
     pub(crate) attempt: Attempt,
-    /// Number that it has from now on. Where it differs, a VM takes over another's attempt: the
-    /// engine then ends the other's stream, and neither its cancel nor its re-attach is heard.
+    /// Number of the attempt from now on. If it differs, this VM takes over the attempt of another
+    /// VM: the engine then ends the other VM's stream and ignores its cancellations and
+    /// reattachments.
     pub(crate) becomes: Attempt,
-    /// First token wanted.
+    /// Index of the first token to send.
     pub(crate) from: TokenIndex,
     pub(crate) bound: Duration,
 }
 
-/// Goes on with a running attempt over a new connection.
+/// Reattaches to a running attempt over a new connection.
 ///
-/// The connection is never a kept one: what made the old one silent may have silenced those too.
+/// No pooled connection is used: the cause that silenced the old connection may affect those too.
 pub(crate) async fn reattach(
     connections: &Connections,
     reattach: Reattach<'_>,
@@ -80,7 +81,8 @@
     Ok(stream)
 }
 
-/// Cancels all attempts of a request up to `attempt`; an engine that does not answer is left alone.
+/// Cancels all attempts of a request up to `attempt`, without a retry if the engine does not
+/// respond.
 async fn cancel(connections: &Connections, address: SocketAddr, id: &RequestId, attempt: Attempt) {
     let call = HttpCall {
         address,
@@ -94,7 +96,7 @@
     }
 }
 
-/// Cancels in the background.
+/// Cancels all attempts of a request up to `attempt` in a background task.
 pub(crate) fn cancel_later(
     connections: &Arc<Connections>,
     address: SocketAddr,
--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// An event of an engine's stream.
+/// An event in the stream of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum EngineEvent {
-    /// The engine is there, but has no token yet.
+    /// Shows that the engine is alive but has no token yet.
     Heartbeat,
-    /// A token.
+    /// A generated token.
     Token(ReceivedToken),
-    /// The end of the answer.
+    /// The end of the generation.
     End(ReceivedEnd),
 }
 
 impl EngineEvent {
-    /// Reads an event by its name and data.
+    /// Parses an event from its name and data.
     ///
     /// # Errors
     ///
-    /// If it has another form than agreed.
+    /// If the event does not match the expected schema.
     pub(crate) fn read(name: &str, data: &str) -> Result<Self, AttemptError> {
         match name {
             "heartbeat" => Ok(Self::Heartbeat),
@@ -48,41 +48,43 @@
         finish: match event.finish_reason {
             engine::FinishReason::Length => Finish::Length,
             engine::FinishReason::Stop => Finish::Stop,
-            // An answer that was cancelled is not whole, whoever cancelled it.
+            // A cancelled response is incomplete, whoever cancelled it.
             engine::FinishReason::Cancelled => return Err(AttemptError::Cancelled),
         },
     }))
 }
 
-/// Why an attempt came to nothing, or broke off.
+/// Reason that an attempt did not start or was interrupted.
 #[derive(Debug, Display, StdError, From)]
 pub(crate) enum AttemptError {
     /// The stream ended without an end event.
     #[display("the stream broke off")]
     #[from(skip)]
     Broken,
-    /// The engine ended the attempt at somebody's word, or for want of a reader.
+    /// The engine ended the attempt on request, or because it had no reader.
     #[display("the engine cancelled the attempt")]
     #[from(skip)]
     Cancelled,
-    /// An event is no JSON of the agreed form.
+    /// An event is not JSON of the expected schema.
     #[display("an event cannot be read: {_0}")]
     Form(serde_json::Error),
-    /// The request may not run there by what was learned since the upstream was chosen; nothing was sent.
+    /// Crash records that arrived after the upstream was selected forbid the request to run there;
+    /// nothing was sent.
     #[display("the order was held back: {hold}")]
     #[from(skip)]
     Held {
-        /// Why.
+        /// Rule that forbids the request to run there.
         hold: PoisonBlock,
     },
     /// The call failed.
     #[display("{_0}")]
     Http(http_client::HttpError),
-    /// The upstream may get no new work; nothing was sent.
+    /// The upstream may not receive new work; nothing was sent.
     #[display("the upstream may get no new work")]
     #[from(skip)]
     NotEligible,
-    /// The upstream did not prove alive before a suspect request was sent to it; nothing was sent.
+    /// The upstream did not respond to the liveness check before a suspect request; nothing was
+    /// sent.
     #[display("the upstream did not answer before the order was sent")]
     #[from(skip)]
     Unproven,
@@ -90,34 +92,35 @@
     #[display("the engine refused: {kind}")]
     #[from(skip)]
     Refused {
-        /// Why.
+        /// Kind of the refusal.
         kind: engine::EngineRefusalKind,
     },
-    /// The events are not those of the answer asked for.
+    /// The events do not belong to the requested generation.
     #[display("{_0}")]
     Relay(catkin_decisions::Error),
-    /// Nothing came for too long.
+    /// No event arrived within the timeout.
     #[display("nothing came for {} ms", bound.as_millis())]
     #[from(skip)]
     Silent {
-        /// How long was waited.
+        /// Timeout that elapsed.
         bound: Duration,
     },
     /// A token's bytes are not hexadecimal.
     #[display("a token's bytes are not hexadecimal")]
     #[from(skip)]
     TokenBytes,
-    /// An event of a name that was not agreed on.
+    /// An event has an unknown name.
     #[display("unknown event `{name}`")]
     #[from(skip)]
     UnknownEvent {
-        /// Its name.
+        /// Name of the event.
         name: Arc<str>,
     },
 }
 
 impl AttemptError {
-    /// Whether the request surely was not on the upstream: no order reached it, or it refused the order.
+    /// Returns whether the request certainly did not run on the upstream: the order did not reach
+    /// it, or it refused the order.
     pub(crate) fn never_ran(&self) -> bool {
         match self {
             Self::Held { .. } | Self::NotEligible | Self::Unproven | Self::Refused { .. } => true,
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Whether the engine may run the attempt although its stream did not come.
+    /// Returns whether the engine may be running the attempt although its stream did not arrive.
     pub(crate) fn may_have_started(&self) -> bool {
         use http_client::HttpError;
         matches!(
--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -1,34 +1,34 @@
-//! Orders to engines over HTTP, and the states read back.
+//! Sends orders to engines and reads their states over HTTP.
 
 use super::*;
 use crate::http_client::{HttpError, json_bytes};
 use catkin_decisions::{EngineReport, EngineState, OrderPermit};
 
-/// Bound of a read of an engine's state.
+/// Timeout for reading an engine's state.
 const READ_BOUND: Duration = Duration::from_millis(800);
 
-/// Why an order may have had no effect.
+/// Reason that an order may have had no effect.
 #[derive(Debug, Display, StdError, From, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum OrderError {
-    /// The engine did not answer in time.
+    /// The engine did not respond in time.
     #[display("{_0}")]
     Call(HttpError),
-    /// The engine refused it.
+    /// The engine refused the order.
     #[display("the engine refused: {_0}")]
     #[from(skip)]
     Refused(#[error(not(source))] engine::EngineRefusalKind),
-    /// The engine knows a larger term.
-    #[display("the engine knows term {_0}")]
+    /// The engine has seen a larger term.
+    #[display("the engine has seen term {_0}")]
     #[from(skip)]
     StaleTerm(#[error(not(source))] Term),
-    /// Its refusal cannot be read.
+    /// The engine's refusal cannot be parsed.
     #[display("the engine's refusal cannot be read")]
     #[from(skip)]
     Form,
 }
 
-/// Client for orders.
+/// Client that sends orders to engines.
 pub(crate) struct EngineOrders {
     connections: Arc<Connections>,
     timer: Arc<Timer>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The state of an engine, if it answers.
+    /// Reads the state of an engine; `None` if it does not respond.
     pub(crate) async fn report(&self, upstream: &Upstream) -> Option<(UpstreamId, EngineReport)> {
         let at = self.timer.now();
         let call = HttpCall {
@@ -57,7 +57,7 @@
         Some((upstream.id.clone(), engine_report(at, load)))
     }
 
-    /// Gives an order. It takes the permit: each one is for one order.
+    /// Sends an order. It consumes the permit, which is valid for a single order.
     pub(crate) async fn order(
         &self,
         upstream: &Upstream,
@@ -96,7 +96,7 @@
     let mut loaded = load
         .models
         .iter()
-        // An engine that doesn't say how many streams run may run some.
+        // An engine that does not report its number of streams may be running some.
         .map(|entry| (decided_model(entry), entry.streams.unwrap_or(1)))
         .collect::<Vec<_>>();
     loaded.sort();
--- a/crates/catkinward/src/event.rs
+++ b/crates/catkinward/src/event.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Kinds of events of the time line.
+/// Kind of a timeline event.
 #[derive(
     Clone,
     Copy,
@@ -22,65 +22,65 @@
     BundleInForce,
     /// A non-idempotent request was claimed in the table service.
     Claimed,
-    /// A request was given to an upstream for the first time.
+    /// A request was sent to an upstream for the first time.
     Dispatched,
     /// A graceful shutdown began.
     DrainBegan,
-    /// A graceful shutdown found nothing in flight any more.
+    /// A graceful shutdown completed: no request was in flight any more.
     DrainEnded,
-    /// A request ended without its whole answer.
+    /// A request ended without its complete response.
     Failed,
-    /// The first token of an answer came.
+    /// The first token of a response arrived.
     FirstToken,
-    /// A lease was lost or lapsed.
+    /// A lease was lost or expired.
     LeaseLost,
-    /// A lease was won.
+    /// A lease was acquired.
     LeaseWon,
-    /// A generation is given to another upstream.
+    /// A generation was sent to another upstream.
     NewAttempt,
     /// An order was sent to an upstream.
     OrderSent,
     /// A peer connection was lost.
     PeerLost,
-    /// A running attempt goes on over a new connection.
+    /// A running attempt was reattached over a new connection.
     ReAttached,
     /// A request was refused.
     Refused,
-    /// A generation goes on after a new attempt.
+    /// A generation resumed after a new attempt or a reattachment.
     Resumed,
     /// This process started.
     Started,
-    /// An upstream is taken for dead or silent by a request on it.
+    /// A request detected that its upstream has failed or is silent.
     Suspected,
     /// A generation was taken over from another VM.
     TakenOver,
     /// An upstream is leaving.
     UpstreamLeaving,
-    /// A request got its whole answer.
+    /// A request received its complete response.
     Whole,
 }
 
-/// An event of the time line, to be filled in by update syntax from [`Event::new`].
+/// A timeline event, built from [`Event::new`] with struct update syntax.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// Request that it happened to.
+    /// Request that the event concerns.
     pub request: Option<RequestId>,
-    /// Attempt of that request.
+    /// Attempt of that request, if the event concerns one.
     pub attempt: Option<Attempt>,
-    /// Upstream that it happened on.
+    /// Upstream that the event concerns.
     pub upstream: Option<UpstreamId>,
-    /// Bundle version concerned.
+    /// Bundle version of the request, or the one that came into force.
     pub bundle: Option<BundleVersion>,
-    /// Fencing number concerned.
+    /// Fencing term of the lease or order.
     pub term: Option<Term>,
-    /// Why, or which, for a person to read.
+    /// Human-readable reason or object of the event.
     pub detail: Option<Arc<str>>,
 }
 
 impl Event {
-    /// An event of that kind and nothing more.
+    /// Creates an event of a kind with all other fields empty.
     #[must_use]
     pub fn new(kind: EventKind) -> Self {
         Self {
--- a/crates/catkinward/src/event_stream.rs
+++ b/crates/catkinward/src/event_stream.rs
@@ -3,29 +3,29 @@
 use std::pin::Pin;
 use tokio::time::{Instant, Sleep};
 
-/// How often a caller who waits gets a comment line, so that nothing between takes the connection
-/// for dead.
+/// Interval of comment lines to a waiting caller, so that no intermediary treats the connection as
+/// dead.
 const KEEP_ALIVE: Duration = Duration::from_secs(5);
 
-/// Bytes that the event of one token takes, about.
+/// Approximate size in bytes of the event of one token.
 const EVENT_SIZE: usize = 220;
 
-/// What a caller reads of a generation, as server-sent events.
+/// Reads a generation as server-sent events for a caller.
 struct Reader {
     generation: Arc<Generation>,
     changes: watch::Receiver<()>,
     joiner: Utf8Joiner,
     next: TokenIndex,
     ended: bool,
-    /// The event of the next token; only its token and text change.
+    /// Event reused for each token; only its token and text change.
     event: caller::CompletionEvent,
-    /// Fires when a comment line may be due; set anew only then, not for each token.
+    /// Fires when a comment line may be due. It is reset only then, not for each token.
     keep_alive: Pin<Box<Sleep>>,
     vm: VmId,
     _in_flight: InFlight,
 }
 
-/// Events of a generation from token `from` on, as the body of an answer.
+/// Returns a response body with the events of a generation from token `from` on.
 pub(crate) fn event_stream(
     generation: Arc<Generation>,
     from: TokenIndex,
@@ -131,7 +131,7 @@
     }
 }
 
-/// An event of one token of a generation, without the token.
+/// Returns a template for the event of one token, without the token.
 fn token_event(generation: &Generation) -> caller::CompletionEvent {
     caller::CompletionEvent {
         choices: vec![caller::CompletionChoice {
@@ -159,7 +159,7 @@
         write_line(buf, "id: ", id);
     }
     buf.extend_from_slice(b"data: ");
-    serde_json::to_writer(&mut *buf, data).expect("border types have text keys only");
+    serde_json::to_writer(&mut *buf, data).expect("API types have only string keys");
     buf.extend_from_slice(b"\n\n");
 }
 
--- a/crates/catkinward/src/generation.rs
+++ b/crates/catkinward/src/generation.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::{generation_request::GenerationRequest, problem::ProblemKind};
 
-/// A generation under way: what was delivered so far, and what became of it.
+/// State of a running generation: the tokens delivered so far and the outcome.
 ///
-/// It lives apart from its caller's connection, so that a caller who comes back finds it.
+/// It is independent of its caller's connection, so that a reconnecting caller finds it.
 pub struct Generation {
-    /// What was asked for.
+    /// The accepted request.
     pub request: GenerationRequest,
     state: Mutex<GenerationState>,
     changes: watch::Sender<()>,
@@ -15,25 +15,27 @@
 
 struct GenerationState {
     relay: Relay,
-    /// Tokens that the caller may have: those whose copies are on their way, if copies are kept.
+    /// Number of tokens released to the caller: with progress replicas, those whose copies have
+    /// been sent.
     released: TokenIndex,
     upstream: Option<UpstreamId>,
-    /// Where another VM's attempt may still run, until this VM has tried to go on with it.
+    /// Upstream and number of another VM's attempt that may still run, until this VM has tried to
+    /// reattach to it.
     left_running: Option<(UpstreamId, Attempt)>,
     outcome: Option<GenerationOutcome>,
 }
 
-/// What became of a generation.
+/// Outcome of a generation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GenerationOutcome {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Whole(Finish),
-    /// It failed; what was delivered stays valid.
+    /// The generation failed; the tokens delivered so far remain valid.
     Failed(ProblemKind),
 }
 
 impl Generation {
-    /// A generation of which nothing has been delivered.
+    /// Creates a generation without delivered tokens.
     #[must_use]
     pub fn new(request: GenerationRequest) -> Self {
         Self {
@@ -51,7 +53,8 @@
         }
     }
 
-    /// A generation that another VM has run up to `record`; attempts go on above `last`.
+    /// Creates a generation that another VM has run up to `record`; new attempts are numbered above
+    /// `last`.
     #[must_use]
     pub fn resumed(request: GenerationRequest, record: &ProgressRecord, last: Attempt) -> Self {
         let relay = Relay::resumed(request.engine_id.clone(), last, record.tokens.clone());
@@ -67,28 +70,28 @@
         }
     }
 
-    /// Tells of each token, and of the end.
+    /// Returns a receiver that is notified of each released token and of the outcome.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Tells of the cancellation.
+    /// Returns a receiver that becomes true when the generation is cancelled.
     pub fn cancelled(&self) -> watch::Receiver<bool> {
         self.cancelled.subscribe()
     }
 
-    /// Whether a caller reads it.
+    /// Returns whether a caller is reading the generation.
     #[must_use]
     pub fn has_reader(&self) -> bool {
         self.changes.receiver_count() > 0
     }
 
-    /// Ends it for want of a caller, or at a caller's word.
+    /// Cancels the generation because its caller has left or requested it.
     pub fn cancel(&self) {
         self.cancelled.send_replace(true);
     }
 
-    /// Tokens from `from` on, and the outcome once there is one.
+    /// Returns the released tokens from `from` on, and the outcome if there is one.
     #[must_use]
     pub fn read_from(&self, from: TokenIndex) -> (TokenLog, Option<GenerationOutcome>) {
         let state = self.state.lock();
@@ -97,13 +100,14 @@
         (tokens, state.outcome)
     }
 
-    /// Its progress, for those who keep copies or take it over.
+    /// Returns the progress, for VMs that keep replicas of it or take the generation over.
     #[must_use]
     pub fn progress(&self) -> Option<ProgressRecord> {
         ProgressRecord::from_first_update(&self.progress_from(TokenIndex(0))?)
     }
 
-    /// Its progress from token `from` on; `None` for a generation whose caller cannot come back.
+    /// Returns the progress from token `from` on; `None` if the caller gave no key and so cannot
+    /// reconnect.
     pub(crate) fn progress_from(&self, from: TokenIndex) -> Option<ProgressUpdate> {
         let keyed = self.request.keyed.as_ref()?;
         let state = self.state.lock();
@@ -119,7 +123,7 @@
         })
     }
 
-    /// Whether a caller who comes back at `point` can be given its tokens from there on.
+    /// Returns whether a caller that reconnects at `point` can be sent the tokens from there on.
     pub(crate) fn reaches(&self, point: &ResumePoint) -> bool {
         let superseded = GenerationOutcome::Failed(ProblemKind::Superseded);
         if self.outcome() == Some(superseded) {
@@ -129,7 +133,7 @@
         progress.is_some_and(|progress| progress.can_resume(point))
     }
 
-    /// Lets the caller have all tokens before `next`.
+    /// Releases all tokens before `next` to the caller.
     pub(crate) fn release(&self, next: TokenIndex) {
         let mut state = self.state.lock();
         if next > state.released {
@@ -139,46 +143,46 @@
         }
     }
 
-    /// Notes the upstream that runs it.
+    /// Records the upstream that runs the generation.
     pub(crate) fn runs_on(&self, upstream: &UpstreamId) {
         self.state.lock().upstream = Some(upstream.clone());
     }
 
-    /// Where another VM's attempt may still run; told once.
+    /// Takes the upstream and number of another VM's attempt that may still run.
     pub(crate) fn take_left_running(&self) -> Option<(UpstreamId, Attempt)> {
         self.state.lock().left_running.take()
     }
 
-    /// Ends it here, if another VM runs it under a newer attempt.
+    /// Ends the generation on this VM if another VM runs it under a newer attempt.
     pub(crate) fn supersede(&self, attempt: Attempt) {
         if attempt > self.attempts() {
             self.superseded.send_replace(true);
         }
     }
 
-    /// Tells that another VM has taken it over.
+    /// Returns a receiver that becomes true when another VM has taken the generation over.
     pub(crate) fn superseded(&self) -> watch::Receiver<bool> {
         self.superseded.subscribe()
     }
 
-    /// What became of it, once that is known.
+    /// Returns the outcome, if there is one.
     #[must_use]
     pub fn outcome(&self) -> Option<GenerationOutcome> {
         self.state.lock().outcome
     }
 
-    /// Index of the token that is due.
+    /// Returns the index of the next token.
     #[must_use]
     pub fn next_index(&self) -> TokenIndex {
         self.state.lock().relay.next()
     }
 
-    /// Events that its relay dropped.
+    /// Returns the counts of events that the relay dropped.
     pub(crate) fn dropped(&self) -> DroppedCounts {
         self.state.lock().relay.dropped()
     }
 
-    /// Attempts made.
+    /// Returns the number of the live attempt, which is the number of attempts made.
     #[must_use]
     pub fn attempts(&self) -> Attempt {
         self.state.lock().relay.live()
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -5,15 +5,16 @@
     queued_request::QueuedRequest,
 };
 
-/// How long a suspected request waits for an upstream that this VM watches.
+/// How long a suspect request is limited to upstreams whose suspects this VM observes. Afterwards
+/// it may run on any upstream.
 pub(crate) const SUSPECT_PATIENCE: Duration = Duration::from_secs(1);
 
-/// Lets a generation wait for its first place.
+/// Queues a generation for its first slot.
 ///
 /// # Errors
 ///
-/// At once, if upstreams died under the same request before, its team's limit is reached, or it
-/// could not start in time.
+/// Fails immediately if upstreams crashed under the same request before, its team's limit is
+/// reached, or it could not start in time.
 pub(crate) fn offer(
     node: &Node,
     request: &GenerationRequest,
@@ -42,7 +43,7 @@
     })
 }
 
-/// Takes a request and all tokens that it may generate from its team's limits.
+/// Charges one request and all tokens that it may generate to its team's limits.
 fn take_from_limits(node: &Node, request: &GenerationRequest) -> Result<(), Duration> {
     let (limits, team) = (&node.limits, &request.team);
     limits.take(team, LimitKind::Requests, 1)?;
@@ -54,7 +55,7 @@
     let (upstreams, request) = (node.upstreams.clone(), request.clone());
     let (timer, start) = (node.timer.clone(), node.timer.now());
     Box::new(move |taken| {
-        // A suspect that no watched upstream takes would hold up its team's queue behind it.
+        // A suspect that no observed upstream accepts would block the other requests of its team.
         let urgent = timer.now().since(start) > SUSPECT_PATIENCE;
         let want = UpstreamQuery {
             avoid: taken,
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -12,16 +12,16 @@
     slot_guard::SlotGuard,
 };
 
-/// Bound until an engine answers an order with the headers of its stream.
+/// Timeout for an engine to respond to an order with the headers of its stream.
 const START_BOUND: Duration = Duration::from_millis(500);
 
-/// Tokens after which the upstream's watch over suspects hears of progress.
+/// Interval, in tokens, of progress reports to the upstream's observation of suspect requests.
 const PROGRESS_TOKENS: u32 = 8;
 
-/// How often one that waits for any upstream looks again.
+/// How often a generation that waits for an upstream checks again.
 const RETRY_PERIOD: Duration = Duration::from_millis(50);
 
-/// Runs a generation to its end, over as many attempts as it takes.
+/// Runs a generation to its end, over as many attempts as needed.
 pub(crate) async fn drive(
     node: Arc<Node>,
     generation: Arc<Generation>,
@@ -84,11 +84,12 @@
     }
 }
 
-/// Brings a generation to its end; how it meets losses stands in `recovery`.
+/// Runs the attempts of a generation; recovery from lost streams is in the module `recovery`.
 pub(crate) struct Driver {
     pub(crate) node: Arc<Node>,
     pub(crate) generation: Arc<Generation>,
-    /// Upstreams that this generation has been on since one was last found wanting.
+    /// Upstreams that this generation has used since the list was last cleared, which happens when
+    /// no other upstream is available.
     pub(crate) avoid: Vec<UpstreamId>,
     keeper: ProgressReplicator,
 }
@@ -132,8 +133,8 @@
         }
     }
 
-    /// The place that a new generation waits for in the queue, or that one which was taken over
-    /// takes by itself.
+    /// Obtains the first slot: through the queue for a new generation, directly for one that was
+    /// taken over from another VM.
     async fn first_place(
         &mut self,
         waiting: Option<QueuedRequest>,
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Waits until upstreams have died under this request elsewhere. It will get no upstream then,
-    /// and its team's other requests would wait behind it until its deadline.
+    /// Waits until the request is poisoned by upstream crashes on other VMs. No upstream accepts it
+    /// then, and until its deadline it would block the other requests of its team in the queue.
     async fn until_poisoned(&self) {
         let (upstreams, body) = (&self.node.upstreams, self.generation.request.body);
         loop {
@@ -169,11 +170,11 @@
         }
     }
 
-    /// Waits until an upstream can take the generation.
+    /// Waits until an upstream can accept the generation.
     ///
     /// # Errors
     ///
-    /// Once its deadline is over, or upstreams died under it.
+    /// If its deadline passes, or the request is poisoned.
     async fn wait_for_upstream(&mut self) -> Result<SlotGuard, ProblemKind> {
         let start = self.node.timer.now();
         loop {
@@ -194,13 +195,12 @@
         }
     }
 
-    /// Whether upstreams died under this request, here and by what other VMs know.
+    /// Returns whether the request is poisoned, by the crash records of this VM and its peers.
     ///
-    /// Its caller sends it again as soon as it is refused. If that came to a VM that has not heard of the
-    /// deaths, more upstreams would be lost to it: one sees two `upstream died` at one VM, `generation
-    /// ended` with `Poisoned`, and `upstream died` at another VM before `a peer tells of a death`. So the
-    /// others are told first. They also tell whom they hold to be the cause, as this request may have run
-    /// beside it.
+    /// The caller retries a refused request at once, which would crash more upstreams on a VM
+    /// without the records: the logs show two crashes and `generation ended` with `Poisoned` on one
+    /// VM, then a crash on another before `a peer tells of a death`. So peers receive the records
+    /// first, and reply with the request that they blame, as this one may have run beside it.
     async fn is_poisoned(&self) -> bool {
         let body = self.generation.request.body;
         let upstreams = &self.node.upstreams;
@@ -222,7 +222,7 @@
         refused
     }
 
-    /// Announces the run of a suspect to the other VMs.
+    /// Announces the run of a suspect request to the other VMs.
     async fn announce(&self, upstream: &SlotGuard) {
         let (Some(peers), Some(run)) = (&self.node.peers, upstream.suspect_run()) else {
             return;
@@ -240,7 +240,7 @@
             awaited, answered, took_ms = %took.as_millis(), "run of a suspect announced to peers");
     }
 
-    /// How a poisoned request ends: as not run only if no attempt was ever sent.
+    /// Returns how a poisoned request ends: as not run only if no attempt was made.
     fn poisoned(&self) -> ProblemKind {
         match self.generation.attempts() {
             Attempt(0) => ProblemKind::PoisonedNotRun,
@@ -250,8 +250,8 @@
 
     pub(crate) fn choose(&self, urgent: bool) -> Option<SlotGuard> {
         let request = &self.generation.request;
-        // A caller who has had part of the answer waits in the middle of it: an upstream without
-        // room will do.
+        // A caller that has received part of the response is waiting for the rest, so an upstream
+        // without free capacity is acceptable.
         let must = self.generation.next_index() > TokenIndex(0);
         let pool = self.node.admission.pool(&request.service);
         pool.take(request.lane(), must, |taken| {
@@ -264,7 +264,7 @@
         })
     }
 
-    /// Starts an attempt and makes it the live one.
+    /// Starts a new attempt and makes it the live one.
     async fn start(&mut self, upstream: SlotGuard) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         self.generation.adopt(reserved);
@@ -315,7 +315,7 @@
         })
     }
 
-    /// Hands on tokens until the end, recovering what can be recovered.
+    /// Relays tokens until the end, and recovers from lost streams where possible.
     async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptError> {
         loop {
             let fault = match self.relay_events(&mut attempt).await {
@@ -338,7 +338,7 @@
             if !matches!(fault, AttemptError::Silent { .. } | AttemptError::Broken) {
                 return Err(fault);
             }
-            // Boxed, as what is rare must not take memory in each stream's task.
+            // Boxed, so that this rare path does not increase the memory of each stream's task.
             attempt = Box::pin(self.recover(attempt)).await?;
         }
     }
@@ -352,7 +352,8 @@
             let mut event = attempt.stream.next(stalls.timeout()).await?;
             stalls.observe(self.node.timer.now().since(waiting));
             let mut finish = None;
-            // All that has come already goes on together, with one round of copies.
+            // All events that have already arrived are relayed together, with one replication
+            // round.
             loop {
                 let index = self.generation.next_index();
                 finish = finish.or(self.relay_event(attempt, event)?);
@@ -398,7 +399,7 @@
         Ok(None)
     }
 
-    /// Records the first token that an attempt delivers over one connection.
+    /// Records the first token that an attempt delivers over a connection.
     fn record_progress(&self, attempt: &RunningAttempt, index: TokenIndex) {
         let kind = match index {
             TokenIndex(0) => EventKind::FirstToken,
--- a/crates/catkinward/src/generation_request.rs
+++ b/crates/catkinward/src/generation_request.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// Tokens that count as much as one call where teams are weighed against each other.
+/// Number of tokens that cost as much as one call in fair queueing between teams.
 const TOKENS_PER_COST: u32 = 64;
 
-/// A generation as accepted: all that an attempt needs, fixed for its whole life.
+/// An accepted generation request: all that an attempt needs, fixed for the life of the generation.
 #[derive(Clone, Debug)]
 pub struct GenerationRequest {
-    /// Its id.
+    /// Request id, derived from the team and the idempotency key if there is one.
     pub id: RequestId,
-    /// Its id with engines: a key that two VMs begin under at once is two generations to them.
+    /// Request id for engines. If two VMs start the same key at once, engines see two generations.
     pub engine_id: RequestId,
-    /// `None` if its caller gave no key, and so cannot come back.
+    /// State for resumption; `None` if the caller gave no key and so cannot reconnect.
     pub keyed: Option<ResumableState>,
-    /// Digest of the team and its body, by which a caller who comes back is recognised, and a
-    /// request that kills upstreams.
+    /// Digest of the team and the body. It identifies a reconnecting caller's request, and a
+    /// request that crashes upstreams.
     pub body: RequestDigest,
-    /// The team that asked.
+    /// Team that sent the request.
     pub team: TeamId,
-    /// The service asked for.
+    /// Requested service.
     pub service: ServiceId,
-    /// Version of the bundle it was accepted under.
+    /// Version of the bundle under which the request was accepted.
     pub bundle: BundleVersion,
-    /// The model that answers, and no other.
+    /// The only model that may serve the request.
     pub model: Model,
-    /// How losses are met.
+    /// Policy for recovery from lost streams.
     pub recovery: RecoveryPolicy,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: Arc<str>,
-    /// Largest number of tokens.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Sampling seed.
     pub seed: u64,
@@ -35,12 +35,12 @@
     pub temperature: Option<f64>,
     /// Stop sequences.
     pub stop: Vec<String>,
-    /// When the caller gives up.
+    /// Time at which the request fails if it has not ended.
     pub deadline: Instant,
 }
 
 impl GenerationRequest {
-    /// What it waits and runs beside.
+    /// Returns the priority class, given by the maximum number of tokens.
     #[must_use]
     pub fn lane(&self) -> Lane {
         Lane::of(self.max_tokens)
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What it wants of an upstream.
+    /// Returns the criteria for selecting an upstream.
     pub(crate) fn want(&self) -> UpstreamQuery<'_> {
         UpstreamQuery {
             model: Some(&self.model),
@@ -65,13 +65,14 @@
         }
     }
 
-    /// The request under an idempotency key.
+    /// Returns the request under an idempotency key, with a new chain.
     pub(crate) fn under_key(self, key: &str) -> Self {
         let id = RequestId::of_key(&self.team, key);
         Self { id, ..self }.with_chain(ResumableState::begin())
     }
 
-    /// The request as it goes on after a copy: what the VM that accepted it had fixed stays.
+    /// Returns the request resumed from a progress record; the bundle version, model and seed
+    /// remain those fixed by the VM that accepted it.
     pub(crate) fn going_on(self, record: &ProgressRecord) -> Self {
         let request = Self {
             bundle: record.head.bundle,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// What it keeps on whichever VM goes on with it.
+    /// Returns the state that stays fixed on whichever VM resumes the generation.
     pub(crate) fn head(&self, keyed: &ResumableState) -> ProgressHead {
         ProgressHead {
             digest: self.body,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The order for an attempt that goes on after `prefix`.
+    /// Returns the engine's order for an attempt that continues after `prefix`.
     pub(crate) fn order(&self, attempt: Attempt, prefix: &TokenLog) -> engine::EngineGenerate {
         engine::EngineGenerate {
             request_id: self.engine_id.to_string(),
--- a/crates/catkinward/src/generations.rs
+++ b/crates/catkinward/src/generations.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// Generations that run on this VM, sorted by id.
+/// The generations that run on this VM, sorted by request id.
 #[derive(Default)]
 pub struct Generations {
     running: RwLock<Vec<Arc<Generation>>>,
 }
 
 impl Generations {
-    /// The generations of that id: usually one, but a key may have been used twice at once.
+    /// Returns the generations of a request id: usually one, but a key may be used twice
+    /// concurrently.
     #[must_use]
     pub fn of(&self, id: &RequestId) -> Vec<Arc<Generation>> {
         let running = self.running.read();
@@ -19,7 +20,7 @@
             .collect()
     }
 
-    /// Adds a generation.
+    /// Adds a generation and returns its shared handle.
     pub fn add(&self, generation: Generation) -> Arc<Generation> {
         let generation = Arc::new(generation);
         let mut running = self.running.write();
@@ -28,7 +29,7 @@
         generation
     }
 
-    /// Forgets a generation.
+    /// Removes a generation; others with the same request id stay.
     pub fn remove(&self, generation: &Arc<Generation>) {
         let mut running = self.running.write();
         let start = running.partition_point(|other| other.request.id < generation.request.id);
@@ -40,7 +41,7 @@
         }
     }
 
-    /// All generations.
+    /// Returns all generations, sorted by request id.
     #[must_use]
     pub fn all(&self) -> Vec<Arc<Generation>> {
         self.running.read().clone()
--- a/crates/catkinward/tests/bundle_format.rs
+++ b/crates/catkinward/tests/bundle_format.rs
@@ -1,4 +1,4 @@
-//! The bundle format: what is accepted, and the exact error of what is not.
+//! Validation of bundles, with the exact error text for each invalid one.
 
 use catkin_decisions::{BundleDigest, BundleVersion, KeyHash};
 use catkinward::{read_bundle, read_canonical};
@@ -35,7 +35,7 @@
     })
 }
 
-/// The bundle with the value at `pointer` set.
+/// Returns the bundle with the value at `pointer` set.
 fn with(pointer: &str, value: Value) -> Value {
     let mut bundle = bundle();
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
@@ -55,8 +55,8 @@
     read.expect_err("it is wrong").to_string()
 }
 
-/// An operator's file has one wrong field. Were it taken, requests would be refused or misrouted on
-/// every VM within seconds.
+/// An operator's file has one invalid field. If it were accepted, requests would be refused or
+/// misrouted on every VM within seconds.
 #[gtest]
 fn wrong_fields_are_named() {
     let key = KeyHash::of("a").to_string();
@@ -160,7 +160,7 @@
     for (pointer, value, expected) in cases {
         let found = error(&with(pointer, value));
 
-        // The line and column depend on the length of the rest.
+        // The line and column depend on the length of the other fields.
         let (found, _) = found.split_once(" at line").unwrap_or((&found, ""));
         expect_that!(found, eq(&format!("bundle: {expected}")), "{pointer}");
     }
@@ -187,8 +187,8 @@
     );
 }
 
-/// Two operators write the same in another order, with other white space, and with defaults written
-/// out. A sign-off of one must hold for the other.
+/// Two operators write the same bundle with a different order, different white space, and defaults
+/// written out. A sign-off of one file must apply to the other.
 #[gtest]
 fn digest_is_of_what_is_said() {
     let mut other = with("/teams/0/weight", json!(1));
@@ -209,8 +209,8 @@
     expect_that!(BundleDigest::of(&*one.body), eq(one.bundle.digest));
 }
 
-/// An object was altered in the object store, or a peer sends something else. A VM that took it
-/// would serve what nobody signed off.
+/// An object was altered in the object store, or a peer sends other content. A VM that accepted it
+/// would serve a bundle that nobody signed off.
 #[gtest]
 fn content_of_another_digest_is_refused() {
     let read = read_bundle(BundleVersion(1), &bundle().to_string()).expect("a valid bundle");
--- a/crates/catkinward/tests/bundle_nodes.rs
+++ b/crates/catkinward/tests/bundle_nodes.rs
@@ -1,4 +1,4 @@
-//! Releases on whole VMs: a platform over HTTP, and peers.
+//! Releases on complete nodes, with a platform over HTTP and peers.
 
 use catkin_border::platform::{PlatformFaults, PlatformOutage};
 use catkin_decisions::BundleAuthor;
@@ -35,7 +35,7 @@
 async fn in_force(node: &Node, version: u64) {
     let mut changes = node.bundle.changes();
     let reached = changes.wait_for(|found| found.0 >= version);
-    // A watchdog: a release that never comes must fail the test, not hang it.
+    // A release that never arrives must fail the test rather than hang it.
     let reached = tokio::time::timeout(Duration::from_secs(30), reached).await;
     let reached = reached.expect("the release comes");
     reached.expect("the bundle is there");
@@ -65,8 +65,8 @@
     release.expect("a release");
 }
 
-/// The platform goes out for long, and a VM is replaced meanwhile. The new one must come to serve
-/// under what the others serve, and every VM must take the first release after the outage.
+/// A VM is replaced during a long platform outage. The new VM must put in force the bundle of its
+/// peers, and every VM must put in force the first release after the outage.
 #[gtest]
 #[tokio::test]
 async fn vm_that_starts_in_an_outage_serves_what_its_peers_serve() {
--- a/crates/catkinward/tests/bundle_store.rs
+++ b/crates/catkinward/tests/bundle_store.rs
@@ -1,4 +1,4 @@
-//! The bundle store on a platform whose answers are lost, late or refused.
+//! The bundle store on a platform whose responses are lost, late or refused.
 
 use catkin_decisions::{BundleAuthor, BundleVersion, DraftId};
 use catkin_standins::{MockPlatform, TransactOutcome};
@@ -23,8 +23,8 @@
     Site { platform, store }
 }
 
-/// The platform with a yield before each call, so that racing operators take turns call by call:
-/// both have read before either writes.
+/// Returns the platform with a yield before each call, so that the calls of racing operators
+/// alternate: both have read before either writes.
 fn stepwise(platform: Platform) -> Platform {
     Platform {
         transact: yielding(platform.transact),
@@ -82,14 +82,14 @@
         })
     }
 
-    /// A draft, signed off.
+    /// Creates a draft and signs it off.
     async fn draft(&self, team: &str) -> DraftId {
         let id = self.propose(team).await.expect("a draft").made;
         self.sign_off(&id).await.expect("a sign-off");
         id
     }
 
-    /// A release.
+    /// Rolls out a new draft.
     async fn release(&self, team: &str) -> BundleVersion {
         let id = self.draft(team).await;
         let release = self.store.roll_out(&id, author("ada")).await;
@@ -103,7 +103,7 @@
     }
 }
 
-/// A step that the fault tables run, on a site with two releases and a draft that is signed off.
+/// A step that the fault cases run, on a store with two releases and a draft that is signed off.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Propose,
@@ -114,8 +114,8 @@
 
 const STEPS: [Step; 4] = [Step::Propose, Step::SignOff, Step::RollOut, Step::RollBack];
 
-/// Runs a step under the fates; returns whether its answer was settled, or its error, and whether
-/// it took effect in the end.
+/// Runs a step with scripted transaction outcomes. Returns whether the change was confirmed by
+/// reading back, or the error, and whether the step finally took effect.
 async fn run(step: Step, fates: &[TransactOutcome]) -> (Result<bool>, bool) {
     let site = site();
     site.release("one").await;
@@ -138,7 +138,7 @@
             applied.map(|applied| applied.settled)
         }
     };
-    // Whatever is under way arrives before the next transaction.
+    // A delayed transaction arrives before the next one.
     site.platform.script([TransactOutcome::Answered]);
     let _ = site.propose("six").await;
     let took_effect = match step {
@@ -159,8 +159,8 @@
     (settled, took_effect)
 }
 
-/// At any step the answer of the table service is lost, the call is lost, or it comes late. The
-/// operator must be told the truth, and the step must take effect once at most.
+/// At any step the table service's response is lost, the call is lost, or it arrives late. The
+/// operator must be told the actual result, and the step must take effect at most once.
 #[gtest]
 #[tokio::test]
 async fn each_step_tells_the_truth_under_each_fault() {
@@ -198,8 +198,8 @@
     }
 }
 
-/// Two operators take the same step at the same moment. One wins; the other is told who, also where
-/// its own answer was lost.
+/// Two operators take the same step at once. One succeeds; the other is told who did, even if its
+/// own response was lost.
 #[gtest]
 #[tokio::test]
 async fn loser_of_a_race_is_told_who_won() {
@@ -225,8 +225,8 @@
     }
 }
 
-/// One operator rolls back while another rolls out. Whoever is second would undo the first without
-/// having seen it.
+/// One operator rolls back while another rolls out. The second change must not undo the first,
+/// which its operator has not seen.
 #[gtest]
 #[tokio::test]
 async fn roll_back_and_roll_out_do_not_undo_each_other() {
@@ -264,7 +264,7 @@
     expect_that!(second.expect_err("second").to_string(), eq(&expected));
 }
 
-/// Two operators propose at once: both drafts stand, and neither hides the other.
+/// Two operators propose at once: both drafts must be stored and listed.
 #[gtest]
 #[tokio::test]
 async fn racing_proposals_both_stand() {
@@ -278,8 +278,8 @@
     expect_that!(drafts.expect("drafts").len(), eq(2));
 }
 
-/// The platform is out for long. Operators are told that nothing was changed, and once it is back
-/// the same step works.
+/// During a long platform outage, operators are told that nothing was changed. After it the same
+/// step succeeds.
 #[gtest]
 #[tokio::test]
 async fn outage_changes_nothing() {
@@ -298,7 +298,7 @@
     expect_that!(after.expect("a release").made, eq(BundleVersion(1)));
 }
 
-/// Someone alters an object in the object store. What was signed off is not what would be read.
+/// An object in the object store is altered, so its content is not what was signed off.
 #[gtest]
 #[tokio::test]
 async fn altered_content_is_refused() {
--- a/crates/catkinward/tests/bundle_watch.rs
+++ b/crates/catkinward/tests/bundle_watch.rs
@@ -1,4 +1,4 @@
-//! How a release comes into force on a VM, with faults of the platform and of peers.
+//! How a release comes into force on a VM, under faults of the platform and of peers.
 
 use catkin_decisions::{BundleAuthor, BundleDigest, BundleVersion};
 use catkin_standins::MockPlatform;
@@ -65,7 +65,7 @@
     draft.digest
 }
 
-/// Lets the time pass in which a VM that may move would move.
+/// Waits long enough for a VM to put an available release in force.
 async fn wait() {
     tokio::time::sleep(Duration::from_secs(10)).await;
 }
@@ -87,8 +87,8 @@
     expect_that!(before, eq(0));
 }
 
-/// The table service and the object store are out for long. Callers are served as before, and a
-/// release made right after the outage is taken.
+/// During a long outage of the table service and the object store, the bundle stays in force. A
+/// release made right after the outage comes into force.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn outage_keeps_the_bundle_in_force() {
@@ -107,8 +107,9 @@
     expect_that!(during, eq(1));
 }
 
-/// A VM starts while its availability zone is cut off from the platform. It must wait for its peers'
-/// word, take the largest, and fetch the content from a peer; the first word may be an old one.
+/// A VM starts while its availability zone is partitioned from the platform. It must wait for
+/// releases advertised by its peers, choose the largest version, and fetch the content from a peer;
+/// the first advertised release may be an old one.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_starts_cut_off_takes_what_its_peers_have() {
@@ -144,8 +145,8 @@
     expect_that!(vm.version(), eq(5));
 }
 
-/// A peer sends content that was altered, or never answers. The VM must neither take it nor wait
-/// for it: the object store has what was signed off.
+/// A peer sends altered content or never responds. The VM must neither accept it nor wait for it:
+/// the object store has the content that was signed off.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn content_that_is_wrong_or_late_comes_from_the_object_store() {
@@ -163,7 +164,8 @@
     expect_that!(vm.bundle.current().digest, eq(digest));
 }
 
-/// A peer names a release that no source has the content of.
+/// A peer advertises a release whose content no source has. Later releases must still come into
+/// force.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn word_without_content_does_not_stop_later_releases() {
@@ -181,7 +183,8 @@
     expect_that!(vm.version(), eq(2));
 }
 
-/// A peer's word comes while the table service does not answer: the release is in force at once.
+/// A peer advertises a release while the table service does not respond: it comes into force at
+/// once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn peers_word_is_taken_while_the_platform_is_out() {
@@ -203,8 +206,8 @@
     expect_that!(vm.bundle.body(digest), some(anything()));
 }
 
-/// Messages with an older bundle, and with another one of the same version, come late. Taken in,
-/// they would undo a rollout on this VM.
+/// Messages with an older bundle, and with a different one of the same version, arrive late. If
+/// they were applied, they would undo a rollout on this VM.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn bundle_in_force_only_moves_to_larger_versions() {
--- a/crates/catkinward/tests/drain.rs
+++ b/crates/catkinward/tests/drain.rs
@@ -1,4 +1,4 @@
-//! When a graceful shutdown may end.
+//! Conditions under which a graceful shutdown ends.
 
 use catkinward::Drain;
 use googletest::prelude::*;
@@ -6,8 +6,8 @@
 
 const GRACE: Duration = Duration::from_secs(1);
 
-/// The router is told to shut down while a generation of minutes runs. Were the drain over before
-/// it ends, the HTTP library would cut it off half a minute later.
+/// The router is told to shut down while a generation runs that takes minutes. If the drain ended
+/// first, the HTTP library would close its connection half a minute later.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn drain_lasts_as_long_as_a_request_is_in_flight() {
@@ -23,8 +23,8 @@
     expect_that!(late, ok(eq(&())));
 }
 
-/// The balancer goes on sending for some seconds after the readiness check fails. Requests that
-/// come then are still served, and the drain waits for them too.
+/// The load balancer keeps sending for some seconds after the readiness check fails. Requests that
+/// arrive in that time are still served, and the drain waits for them.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn request_within_the_grace_period_prolongs_the_drain() {
@@ -43,8 +43,8 @@
     expect_that!(finished.is_finished(), eq(false));
 }
 
-/// A request comes in after the drain has ended and before the process has. It would be cut off, so
-/// it is not begun.
+/// A request arrives after the drain has ended and before the process exits. It would be
+/// interrupted, so it is rejected.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn no_request_begins_after_the_drain() {
