--- a/crates/catkinward/src/bundle_format.rs
+++ b/crates/catkinward/src/bundle_format.rs
@@ -17,14 +17,14 @@
     digest: BundleDigest,
     bundle: &bundle_api::Bundle,
 ) -> Result<Bundle> {
-    let teams = each("teams", &bundle.teams, check_team)?;
-    let teams = sorted("teams", teams, |team: &Team| team.id.to_string())?;
-    let services = each("services", &bundle.services, check_service)?;
-    let services = sorted("services", services, |service: &Service| {
+    let teams = check_each("teams", &bundle.teams, check_team)?;
+    let teams = sort_distinct("teams", teams, |team: &Team| team.id.to_string())?;
+    let services = check_each("services", &bundle.services, check_service)?;
+    let services = sort_distinct("services", services, |service: &Service| {
         service.id.to_string()
     })?;
-    let upstreams = each("upstreams", &bundle.upstreams, check_upstream)?;
-    let upstreams = sorted("upstreams", upstreams, |upstream: &Upstream| {
+    let upstreams = check_each("upstreams", &bundle.upstreams, check_upstream)?;
+    let upstreams = sort_distinct("upstreams", upstreams, |upstream: &Upstream| {
         upstream.id.to_string()
     })?;
     let bundle = Bundle {
@@ -39,28 +39,28 @@
     Ok(bundle)
 }
 
-fn check_team(place: &str, entry: &bundle_api::TeamEntry) -> Result<Team> {
+fn check_team(path: &str, entry: &bundle_api::TeamEntry) -> Result<Team> {
     Ok(Team {
-        id: field(place, "name", entry.name.parse())?,
-        key: field(place, "key_sha256", entry.key_sha256.parse())?,
+        id: field(path, "name", entry.name.parse())?,
+        key: field(path, "key_sha256", entry.key_sha256.parse())?,
         weight: entry.weight.get(),
         requests_per_second: entry.requests_per_second.map(std::num::NonZeroU32::get),
         tokens_per_second: entry.tokens_per_second.map(std::num::NonZeroU32::get),
     })
 }
 
-fn check_service(place: &str, entry: &bundle_api::ServiceEntry) -> Result<Service> {
-    check_kind(place, entry)?;
+fn check_service(path: &str, entry: &bundle_api::ServiceEntry) -> Result<Service> {
+    check_kind(path, entry)?;
     let kind = match entry.kind {
         bundle_api::ServiceKind::Generation => ServiceKind::Generation {
-            model: check_model(place, entry.model.as_ref())?,
+            model: check_model(path, entry.model.as_ref())?,
             recovery: match entry.recovery {
                 Some(bundle_api::RecoveryPolicy::LeastWork) => RecoveryPolicy::LeastWork,
                 Some(bundle_api::RecoveryPolicy::LeastWait) | None => RecoveryPolicy::LeastWait,
             },
         },
         bundle_api::ServiceKind::Plain => ServiceKind::Plain {
-            paths: check_paths(place, &entry.paths)?,
+            paths: check_paths(path, &entry.paths)?,
         },
     };
     let default_deadline = match kind {
@@ -70,12 +70,12 @@
     let mut teams = entry
         .teams
         .iter()
-        .map(|team| field(place, "teams", team.parse()))
+        .map(|team| field(path, "teams", team.parse()))
         .collect::<Result<Vec<_>>>()?;
     teams.sort();
-    check_distinct(place, "teams", &teams)?;
+    check_distinct(path, "teams", &teams)?;
     Ok(Service {
-        id: field(place, "name", entry.name.parse())?,
+        id: field(path, "name", entry.name.parse())?,
         kind,
         teams,
         deadline: entry
@@ -84,10 +84,14 @@
     })
 }
 
-fn check_model(place: &str, entry: Option<&bundle_api::ModelEntry>) -> Result<Model> {
-    let model = entry.ok_or_else(|| fault(place, "model", BundleError::ModelAbsent))?;
+fn check_model(path: &str, entry: Option<&bundle_api::ModelEntry>) -> Result<Model> {
+    let model = entry.ok_or_else(|| field_error(path, "model", BundleError::ModelAbsent))?;
     let text = |name: &str, value: &str| match value {
-        "" => Err(fault(place, &format!("model.{name}"), BundleError::Empty)),
+        "" => Err(field_error(
+            path,
+            &format!("model.{name}"),
+            BundleError::Empty,
+        )),
         value => Ok(value.into()),
     };
     Ok(Model {
@@ -102,8 +106,8 @@
 
 /// Rejects fields that only the other kind of service has: they would be ignored, and the author of
 /// the bundle would assume that they are in force.
-fn check_kind(place: &str, entry: &bundle_api::ServiceEntry) -> Result<()> {
-    let foreign = match entry.kind {
+fn check_kind(path: &str, entry: &bundle_api::ServiceEntry) -> Result<()> {
+    let other_kind_fields = match entry.kind {
         bundle_api::ServiceKind::Generation => [("paths", !entry.paths.is_empty())].to_vec(),
         bundle_api::ServiceKind::Plain => [
             ("model", entry.model.is_some()),
@@ -111,20 +115,20 @@
         ]
         .to_vec(),
     };
-    match foreign.iter().find(|(_, present)| *present) {
-        Some((name, _)) => Err(fault(place, name, BundleError::OtherKind(entry.kind))),
+    match other_kind_fields.iter().find(|(_, present)| *present) {
+        Some((name, _)) => Err(field_error(path, name, BundleError::OtherKind(entry.kind))),
         None => Ok(()),
     }
 }
 
-fn check_paths(place: &str, entries: &[bundle_api::PathRule]) -> Result<Vec<PathRule>> {
+fn check_paths(path: &str, entries: &[bundle_api::PathRule]) -> Result<Vec<PathRule>> {
     let rules = entries.iter().enumerate().map(|(i, entry)| {
-        let place = format!("{place}.paths[{i}]");
+        let path = format!("{path}.paths[{i}]");
         if entry.method.is_empty() || !entry.method.bytes().all(|b| b.is_ascii_uppercase()) {
-            return Err(fault(&place, "method", BundleError::Method));
+            return Err(field_error(&path, "method", BundleError::Method));
         }
         if !entry.prefix.starts_with('/') {
-            return Err(fault(&place, "prefix", BundleError::Prefix));
+            return Err(field_error(&path, "prefix", BundleError::Prefix));
         }
         Ok(PathRule {
             method: entry.method.as_str().into(),
@@ -138,19 +142,19 @@
         .map(|rule| format!("{} {}", rule.method, rule.prefix))
         .collect::<Vec<_>>();
     names.sort();
-    check_distinct(place, "paths", &names)?;
+    check_distinct(path, "paths", &names)?;
     Ok(rules)
 }
 
 /// Rejects a sorted list with duplicate entries.
 fn check_distinct<T: PartialEq + std::fmt::Display>(
-    place: &str,
+    path: &str,
     name: &str,
     sorted: &[T],
 ) -> Result<()> {
     match sorted.windows(2).find(|pair| pair[0] == pair[1]) {
-        Some(pair) => Err(fault(
-            place,
+        Some(pair) => Err(field_error(
+            path,
             name,
             BundleError::Duplicate(pair[0].to_string()),
         )),
@@ -158,25 +162,22 @@
     }
 }
 
-fn check_upstream(place: &str, entry: &bundle_api::UpstreamEntry) -> Result<Upstream> {
+fn check_upstream(path: &str, entry: &bundle_api::UpstreamEntry) -> Result<Upstream> {
     let mut services = entry
         .services
         .iter()
-        .map(|service| field(place, "services", service.parse()))
+        .map(|service| field(path, "services", service.parse()))
         .collect::<Result<Vec<_>>>()?;
     services.sort();
-    check_distinct(place, "services", &services)?;
-    let address = entry.address.parse().map_err(|_| {
-        fault(
-            place,
-            "address",
-            BundleError::Address(entry.address.clone()),
-        )
-    })?;
+    check_distinct(path, "services", &services)?;
+    let address = entry
+        .address
+        .parse()
+        .map_err(|_| field_error(path, "address", BundleError::Address(entry.address.clone())))?;
     Ok(Upstream {
-        id: field(place, "id", entry.id.parse())?,
+        id: field(path, "id", entry.id.parse())?,
         address,
-        zone: field(place, "availability_zone", entry.availability_zone.parse())?,
+        zone: field(path, "availability_zone", entry.availability_zone.parse())?,
         services,
         enforces_fencing: entry.enforces_fencing,
         checks_orderer: entry.checks_orderer,
@@ -188,7 +189,7 @@
     let mut teams = bundle.teams.iter().collect::<Vec<_>>();
     teams.sort_by_key(|team| team.key);
     match teams.windows(2).find(|pair| pair[0].key == pair[1].key) {
-        Some(pair) => Err(fault(
+        Some(pair) => Err(field_error(
             &format!("team `{}`", pair[1].id),
             "key_sha256",
             BundleError::SharedKey(pair[0].id.clone()),
@@ -201,9 +202,9 @@
     for upstream in &bundle.upstreams {
         for service in &upstream.services {
             if bundle.service(service.as_str()).is_none() {
-                let place = format!("upstream `{}`", upstream.id);
-                return Err(fault(
-                    &place,
+                let path = format!("upstream `{}`", upstream.id);
+                return Err(field_error(
+                    &path,
                     "services",
                     BundleError::Unknown(service.to_string()),
                 ));
@@ -213,9 +214,9 @@
     for service in &bundle.services {
         for team in &service.teams {
             if bundle.team(team).is_none() {
-                let place = format!("service `{}`", service.id);
-                return Err(fault(
-                    &place,
+                let path = format!("service `{}`", service.id);
+                return Err(field_error(
+                    &path,
                     "teams",
                     BundleError::Unknown(team.to_string()),
                 ));
@@ -225,7 +226,11 @@
     Ok(())
 }
 
-fn each<A, B>(list: &str, entries: &[A], check: impl Fn(&str, &A) -> Result<B>) -> Result<Vec<B>> {
+fn check_each<A, B>(
+    list: &str,
+    entries: &[A],
+    check: impl Fn(&str, &A) -> Result<B>,
+) -> Result<Vec<B>> {
     entries
         .iter()
         .enumerate()
@@ -233,7 +238,7 @@
         .collect()
 }
 
-fn sorted<T>(list: &str, mut items: Vec<T>, name: impl Fn(&T) -> String) -> Result<Vec<T>> {
+fn sort_distinct<T>(list: &str, mut items: Vec<T>, name: impl Fn(&T) -> String) -> Result<Vec<T>> {
     items.sort_by_key(&name);
     match items
         .windows(2)
@@ -247,13 +252,13 @@
     }
 }
 
-fn field<T>(place: &str, name: &str, value: Result<T, catkin_decisions::Error>) -> Result<T> {
-    value.map_err(|source| fault(place, name, source.into()))
+fn field<T>(path: &str, name: &str, value: Result<T, catkin_decisions::Error>) -> Result<T> {
+    value.map_err(|source| field_error(path, name, source.into()))
 }
 
-fn fault(place: &str, name: &str, source: BundleError) -> Error {
+fn field_error(path: &str, name: &str, source: BundleError) -> Error {
     Error::BundleField {
-        field: format!("{place}.{name}"),
+        field: format!("{path}.{name}"),
         source,
     }
 }
--- a/crates/catkinward/src/bundle_in_force.rs
+++ b/crates/catkinward/src/bundle_in_force.rs
@@ -4,7 +4,7 @@
 pub struct BundleInForce {
     timeline: Arc<Timeline>,
     current: ArcSwap<InForce>,
-    advancing: Mutex<()>,
+    advance_lock: Mutex<()>,
     changed: watch::Sender<BundleVersion>,
 }
 
@@ -21,7 +21,7 @@
         Self {
             timeline,
             current: ArcSwap::default(),
-            advancing: Mutex::default(),
+            advance_lock: Mutex::default(),
             changed: watch::Sender::default(),
         }
     }
@@ -37,9 +37,9 @@
     #[must_use]
     pub fn body(&self, digest: BundleDigest) -> Option<Arc<str>> {
         let current = self.current.load();
-        let asked_for =
+        let is_current =
             current.bundle.version > BundleVersion::default() && current.bundle.digest == digest;
-        asked_for.then(|| current.body.clone())
+        is_current.then(|| current.body.clone())
     }
 
     /// Puts a bundle in force if its version is larger than the current one; returns whether it
@@ -49,7 +49,7 @@
     /// VM. The symptom would be callers that are served under two versions for a long time.
     pub fn advance(&self, read: ReadBundle) -> bool {
         let ReadBundle { bundle, body } = read;
-        let _guard = self.advancing.lock();
+        let _guard = self.advance_lock.lock();
         if bundle.version <= self.current.load().bundle.version {
             return false;
         }
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{bundle_rows, bundle_watch::object_name};
+use crate::{bundle_rows, bundle_watch::content_object_name};
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDraft, BundleKey, BundleRefusal, BundleRelease, BundleRow,
     ChangeResult, CurrentBundle, DraftId, Stored,
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BundleStoreSettings {
     /// Maximum number of times that a call is sent.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Delay between two attempts of a call.
-    pub pause: Duration,
+    pub retry_delay: Duration,
 }
 
 impl Default for BundleStoreSettings {
     /// Ten attempts of at most one second each, as an operator waits for the result.
     fn default() -> Self {
         Self {
-            tries: 10,
-            pause: Duration::from_millis(250),
+            max_attempts: 10,
+            retry_delay: Duration::from_millis(250),
         }
     }
 }
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied<T> {
     /// The draft or version that the change created or changed.
-    pub made: T,
+    pub value: T,
     /// True if the table service's response was lost and reading the row back confirmed the change.
-    pub settled: bool,
+    pub confirmed_by_read: bool,
 }
 
 /// Maximum number of listed drafts that are based on one release.
-const DRAFTS_LIMIT: NonZeroU32 = NonZeroU32::new(100).expect("not zero");
+const MAX_LISTED_DRAFTS: NonZeroU32 = NonZeroU32::new(100).expect("not zero");
 
 impl BundleStore {
     /// Creates a store on a platform.
@@ -63,11 +63,14 @@
         let current = self.current().await?;
         let change = BundleChange::propose(current.as_ref(), digest, author)?;
         let body = Bytes::copy_from_slice(read.body.as_bytes());
-        self.repeated(|| (self.platform.put_object)((object_name(digest), body.clone())))
+        self.retry(|| (self.platform.put_object)((content_object_name(digest), body.clone())))
             .await?;
-        let settled = self.apply(&change).await?;
+        let confirmed_by_read = self.apply(&change).await?;
         match change.writes.into_iter().next() {
-            Some(BundleRow::Draft(made)) => Ok(Applied { made, settled }),
+            Some(BundleRow::Draft(value)) => Ok(Applied {
+                value,
+                confirmed_by_read,
+            }),
             _ => Err(BundleRefusal::UnexpectedConflict.into()),
         }
     }
@@ -86,9 +89,12 @@
     ) -> Result<Applied<BundleDraft>> {
         let draft = self.draft(id).await?;
         let change = BundleChange::sign_off(&draft, digest, author)?;
-        let settled = self.apply(&change).await?;
-        let made = draft.value;
-        Ok(Applied { made, settled })
+        let confirmed_by_read = self.apply(&change).await?;
+        let value = draft.value;
+        Ok(Applied {
+            value,
+            confirmed_by_read,
+        })
     }
 
     /// Rolls out a draft.
@@ -167,7 +173,7 @@
     /// If the platform does not respond.
     pub async fn drafts_over(&self, base: BundleVersion) -> Result<Vec<BundleDraft>> {
         let prefix = format!("draft/{base}-");
-        let rows = self.scan(&prefix, None, DRAFTS_LIMIT).await?;
+        let rows = self.scan(&prefix, None, MAX_LISTED_DRAFTS).await?;
         let drafts = rows.into_iter().filter_map(|(_, row)| match row {
             BundleRow::Draft(draft) => Some(draft),
             _ => None,
@@ -200,16 +206,19 @@
     /// If the content is missing or altered, or the platform does not respond.
     pub async fn content(&self, digest: BundleDigest) -> Result<Arc<str>> {
         let body = self
-            .repeated(|| (self.platform.get_object)(object_name(digest)))
+            .retry(|| (self.platform.get_object)(content_object_name(digest)))
             .await?
             .ok_or(Error::BundleContent { digest })?;
         Ok(read_canonical(BundleVersion::default(), digest, &body)?.body)
     }
 
     async fn apply_release(&self, change: &BundleChange) -> Result<Applied<BundleVersion>> {
-        let settled = self.apply(change).await?;
+        let confirmed_by_read = self.apply(change).await?;
         match change.confirmation_key() {
-            BundleKey::Release(made) => Ok(Applied { made, settled }),
+            BundleKey::Release(value) => Ok(Applied {
+                value,
+                confirmed_by_read,
+            }),
             _ => Err(BundleRefusal::UnexpectedConflict.into()),
         }
     }
@@ -221,9 +230,9 @@
     async fn apply(&self, change: &BundleChange) -> Result<bool> {
         let mut in_doubt = false;
         let mut last = PlatformError::NotRun;
-        for attempt in 0..self.cfg.tries {
+        for attempt in 0..self.cfg.max_attempts {
             if attempt > 0 {
-                tokio::time::sleep(self.cfg.pause).await;
+                tokio::time::sleep(self.cfg.retry_delay).await;
             }
             match (self.platform.transact)(bundle_rows::transaction(change)).await {
                 Ok(reply) if reply.committed => return Ok(false),
@@ -236,7 +245,7 @@
                     }
                 }
             }
-            match self.settle(change).await {
+            match self.resolve_by_read(change).await {
                 Ok(ChangeResult::Done) => return Ok(true),
                 Ok(ChangeResult::Lost(refusal)) => return Err(refusal.into()),
                 Ok(ChangeResult::Pending) => {}
@@ -250,13 +259,13 @@
         Err(Error::NothingChanged { fault: last })
     }
 
-    async fn settle(&self, change: &BundleChange) -> Result<ChangeResult> {
+    async fn resolve_by_read(&self, change: &BundleChange) -> Result<ChangeResult> {
         let rows = bundle_rows::read_rows(&self.platform, &[change.confirmation_key()]).await?;
         Ok(change.resolve(rows.first().map(|(_, row)| row)))
     }
 
     async fn read(&self, keys: &[BundleKey]) -> Result<Vec<(u64, BundleRow)>> {
-        self.repeated(|| bundle_rows::read_rows(&self.platform, keys))
+        self.retry(|| bundle_rows::read_rows(&self.platform, keys))
             .await
     }
 
@@ -266,25 +275,25 @@
         after: Option<&BundleKey>,
         limit: NonZeroU32,
     ) -> Result<Vec<(u64, BundleRow)>> {
-        self.repeated(|| bundle_rows::scan_rows(&self.platform, prefix, after, limit))
+        self.retry(|| bundle_rows::scan_rows(&self.platform, prefix, after, limit))
             .await
     }
 
     /// Retries an idempotent call until the platform responds or the attempts are used up.
-    async fn repeated<T, E, F>(&self, call: impl Fn() -> F) -> Result<T>
+    async fn retry<T, E, F>(&self, call: impl Fn() -> F) -> Result<T>
     where
         E: Into<Error>,
         F: Future<Output = Result<T, E>>,
     {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match call().await.map_err(Into::into) {
-                Err(Error::Platform(fault)) if tries >= self.cfg.tries => {
+                Err(Error::Platform(fault)) if attempts >= self.cfg.max_attempts => {
                     return Err(Error::NothingChanged { fault });
                 }
                 Err(Error::Platform(_)) => {
-                    tries += 1;
-                    tokio::time::sleep(self.cfg.pause).await;
+                    attempts += 1;
+                    tokio::time::sleep(self.cfg.retry_delay).await;
                 }
                 other => return other,
             }
--- a/crates/catkinward/src/bundle_watch.rs
+++ b/crates/catkinward/src/bundle_watch.rs
@@ -17,10 +17,10 @@
 use futures::future::BoxFuture;
 
 /// Mean interval between polls of the table service.
-const PERIOD: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum wait for the content from one source other than the object store.
-const SOURCE_BOUND: Duration = Duration::from_millis(400);
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Fetches the content of a digest from a source; `None` if it is missing or does not arrive.
 pub type FetchBundle = Box<dyn Fn(BundleDigest) -> BoxFuture<'static, Option<Bytes>> + Send + Sync>;
@@ -32,11 +32,12 @@
     bundle: Arc<BundleInForce>,
     view: Mutex<BundleView>,
     sources: RwLock<Vec<Arc<FetchBundle>>>,
-    news: Notify,
+    view_changed: Notify,
 }
 
 impl BundleWatch {
-    /// Starts polling the platform, if there is one, and applying releases from [`Self::heard`].
+    /// Starts polling the platform, if there is one, and applying releases from
+    /// [`Self::record_peer_release`].
     pub fn start(
         platform: Option<Arc<Platform>>,
         timer: &Arc<Timer>,
@@ -48,18 +49,18 @@
             bundle: bundle.clone(),
             view: Mutex::new(BundleView::new(timer.now())),
             sources: RwLock::default(),
-            news: Notify::new(),
+            view_changed: Notify::new(),
         });
-        let period = PERIOD.mul_f64(rand::random_range(0.8..1.2));
-        tokio::spawn(read_current(watch.clone(), period));
-        tokio::spawn(put_in_force(watch.clone(), period));
+        let interval = POLL_INTERVAL.mul_f64(rand::random_range(0.8..1.2));
+        tokio::spawn(poll_current(watch.clone(), interval));
+        tokio::spawn(apply_releases(watch.clone(), interval));
         watch
     }
 
     /// Records a release that a peer advertises.
-    pub fn heard(&self, version: BundleVersion, digest: BundleDigest) {
+    pub fn record_peer_release(&self, version: BundleVersion, digest: BundleDigest) {
         self.view.lock().record_peer_release(version, digest);
-        self.news.notify_one();
+        self.view_changed.notify_one();
     }
 
     /// Adds a source of content that is queried before the object store.
@@ -74,11 +75,11 @@
         (bundle.version > BundleVersion::default()).then_some((bundle.version, bundle.digest))
     }
 
-    async fn read_once(&self, platform: &Platform) {
+    async fn poll_once(&self, platform: &Platform) {
         match read_current_row(platform).await {
             Ok(current) => {
                 self.view.lock().record_table_release(current);
-                self.news.notify_one();
+                self.view_changed.notify_one();
             }
             // The current bundle stays in force: a platform outage fails no request.
             Err(fault) => tracing::debug!(%fault, "cannot read the current bundle"),
@@ -88,8 +89,8 @@
     /// Puts pending releases in force; returns false if the content of one is not available now.
     async fn advance(&self) -> bool {
         loop {
-            let wanted = self.view.lock().next_release(self.timer.now());
-            let Some((version, digest)) = wanted else {
+            let next = self.view.lock().next_release(self.timer.now());
+            let Some((version, digest)) = next else {
                 return true;
             };
             let Some(read) = self.fetch(version, digest).await else {
@@ -104,14 +105,18 @@
     async fn fetch(&self, version: BundleVersion, digest: BundleDigest) -> Option<ReadBundle> {
         let sources = self.sources.read().clone();
         for source in sources {
-            let body = tokio::time::timeout(SOURCE_BOUND, source(digest)).await;
-            if let Some(read) = body.ok().flatten().and_then(|b| read(version, digest, &b)) {
+            let body = tokio::time::timeout(SOURCE_TIMEOUT, source(digest)).await;
+            if let Some(read) = body
+                .ok()
+                .flatten()
+                .and_then(|b| parse_content(version, digest, &b))
+            {
                 return Some(read);
             }
         }
         let platform = self.platform.as_ref()?;
-        match (platform.get_object)(object_name(digest)).await {
-            Ok(Some(body)) => read(version, digest, &body),
+        match (platform.get_object)(content_object_name(digest)).await {
+            Ok(Some(body)) => parse_content(version, digest, &body),
             Ok(None) => {
                 tracing::error!(%version, %digest, "the object store has no content of a release");
                 None
@@ -125,11 +130,11 @@
 }
 
 /// Returns the name of the object that holds the content of a digest.
-pub(crate) fn object_name(digest: BundleDigest) -> Arc<str> {
+pub(crate) fn content_object_name(digest: BundleDigest) -> Arc<str> {
     format!("bundle/{digest}").into()
 }
 
-fn read(version: BundleVersion, digest: BundleDigest, body: &[u8]) -> Option<ReadBundle> {
+fn parse_content(version: BundleVersion, digest: BundleDigest, body: &[u8]) -> Option<ReadBundle> {
     read_canonical(version, digest, body)
         .inspect_err(|error| tracing::error!(%version, %error, "a release cannot be put in force"))
         .ok()
@@ -143,13 +148,13 @@
     }))
 }
 
-async fn read_current(watch: Arc<BundleWatch>, period: Duration) {
+async fn poll_current(watch: Arc<BundleWatch>, interval: Duration) {
     let Some(platform) = watch.platform.clone() else {
         return;
     };
-    let mut ticks = watch.timer.subscribe(period);
+    let mut ticks = watch.timer.subscribe(interval);
     loop {
-        watch.read_once(&platform).await;
+        watch.poll_once(&platform).await;
         if ticks.recv().await.is_none() {
             return;
         }
@@ -158,8 +163,8 @@
 
 /// Runs in a task apart from the polls, so that a hanging read does not delay a release that a peer
 /// advertises.
-async fn put_in_force(watch: Arc<BundleWatch>, period: Duration) {
-    let mut ticks = watch.timer.subscribe(period);
+async fn apply_releases(watch: Arc<BundleWatch>, interval: Duration) {
+    let mut ticks = watch.timer.subscribe(interval);
     loop {
         if !watch.advance().await {
             // Another source may have the content at the next tick; without the wait this would
@@ -170,7 +175,7 @@
             continue;
         }
         tokio::select! {
-            () = watch.news.notified() => {}
+            () = watch.view_changed.notified() => {}
             tick = ticks.recv() => if tick.is_none() { return },
         }
     }
--- a/crates/catkinward/src/ctl_bundle.rs
+++ b/crates/catkinward/src/ctl_bundle.rs
@@ -66,11 +66,11 @@
     async fn propose(&self, file: &Path) -> Result<String> {
         let json = read_file(file)?;
         let applied = self.store.propose(&json, self.author()?).await?;
-        let BundleDraft { id, digest, .. } = &applied.made;
+        let BundleDraft { id, digest, .. } = &applied.value;
         Ok(format!(
             "{}draft {id} over version {}, digest {digest}\n\
              another operator signs it off with `catkinctl bundle sign-off {id}`\n",
-            settled(applied.settled),
+            confirmation_note(applied.confirmed_by_read),
             id.base,
         ))
     }
@@ -87,7 +87,7 @@
         Ok(format!(
             "{}{changes}draft {id} is signed off by {operator}, digest {digest}\n\
              it is rolled out with `catkinctl bundle roll-out {id}`\n",
-            settled(applied.settled),
+            confirmation_note(applied.confirmed_by_read),
         ))
     }
 
@@ -95,8 +95,8 @@
         let applied = self.store.roll_out(id, self.author()?).await?;
         Ok(format!(
             "{}version {} is rolled out\n",
-            settled(applied.settled),
-            applied.made,
+            confirmation_note(applied.confirmed_by_read),
+            applied.value,
         ))
     }
 
@@ -104,8 +104,8 @@
         let applied = self.store.roll_back(version, self.author()?).await?;
         Ok(format!(
             "{}version {} is rolled out, with the content of version {version}\n",
-            settled(applied.settled),
-            applied.made,
+            confirmation_note(applied.confirmed_by_read),
+            applied.value,
         ))
     }
 
@@ -201,8 +201,8 @@
         .expect("hexadecimal digits are visible ASCII")
 }
 
-fn settled(settled: bool) -> &'static str {
-    if settled { SETTLED } else { "" }
+fn confirmation_note(confirmed_by_read: bool) -> &'static str {
+    if confirmed_by_read { SETTLED } else { "" }
 }
 
 fn describe(release: &BundleRelease) -> String {
--- a/crates/catkinward/src/peer_updates.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -37,7 +37,7 @@
     let hearer = watch.clone();
     peers.gossip.hear(move |gossip, _| {
         if let Some((version, digest)) = gossip.bundle {
-            hearer.heard(version, digest);
+            hearer.record_peer_release(version, digest);
         }
     });
 }
--- a/crates/catkinward/tests/bundle_format.rs
+++ b/crates/catkinward/tests/bundle_format.rs
@@ -58,7 +58,7 @@
 /// An operator's file has one invalid field. If it were accepted, requests would be refused or
 /// misrouted on every VM within seconds.
 #[gtest]
-fn wrong_fields_are_named() {
+fn invalid_fields_are_named() {
     let key = KeyHash::of("a").to_string();
     let cases = [
         (
@@ -177,7 +177,7 @@
 }
 
 #[gtest]
-fn text_that_is_no_json_is_refused() {
+fn invalid_json_is_refused() {
     let read = read_bundle(BundleVersion(1), "{\"teams\": [");
 
     let error = read.expect_err("it is wrong").to_string();
@@ -190,7 +190,7 @@
 /// Two operators write the same bundle with a different order, different white space, and defaults
 /// written out. A sign-off of one file must apply to the other.
 #[gtest]
-fn digest_is_of_what_is_said() {
+fn digest_depends_on_meaning_only() {
     let mut other = with("/teams/0/weight", json!(1));
     for list in ["/teams", "/services"] {
         let items = other.pointer_mut(list).and_then(Value::as_array_mut);
--- a/crates/catkinward/tests/bundle_nodes.rs
+++ b/crates/catkinward/tests/bundle_nodes.rs
@@ -32,7 +32,7 @@
     node.expect("a node starts")
 }
 
-async fn in_force(node: &Node, version: u64) {
+async fn wait_in_force(node: &Node, version: u64) {
     let mut changes = node.bundle.changes();
     let reached = changes.wait_for(|found| found.0 >= version);
     // A release that never arrives must fail the test rather than hang it.
@@ -58,7 +58,7 @@
         r#"{{"teams": [{{"name": "{team}", "key_sha256": "{key}"}}], "services": [], "upstreams": []}}"#
     );
     let draft = store.propose(&json, author("ada")).await;
-    let draft = draft.expect("a draft").made;
+    let draft = draft.expect("a draft").value;
     let sign_off = store.sign_off(&draft.id, draft.digest, author("bea")).await;
     sign_off.expect("a sign-off");
     let release = store.roll_out(&draft.id, author("ada")).await;
@@ -69,14 +69,14 @@
 /// peers, and every VM must put in force the first release after the outage.
 #[gtest]
 #[tokio::test]
-async fn vm_that_starts_in_an_outage_serves_what_its_peers_serve() {
+async fn vm_that_starts_in_an_outage_gets_the_bundle_from_its_peers() {
     let platform = platform().await;
     let one = node("vm-1", &platform, &[]);
     let two = node("vm-2", &platform, &[&one]);
     roll_out(&platform, "first").await;
     roll_out(&platform, "second").await;
-    in_force(&one, 2).await;
-    in_force(&two, 2).await;
+    wait_in_force(&one, 2).await;
+    wait_in_force(&two, 2).await;
     let outage = |outage| PlatformFaults {
         outage: Some(outage),
         ..PlatformFaults::default()
@@ -84,7 +84,7 @@
     platform.fault(&outage(PlatformOutage::Refused));
 
     let three = node("vm-3", &platform, &[&two]);
-    in_force(&three, 1).await;
+    wait_in_force(&three, 1).await;
 
     let (found, expected) = (three.bundle.current(), one.bundle.current());
     expect_that!(found.version, eq(expected.version));
@@ -92,7 +92,7 @@
     platform.fault(&outage(PlatformOutage::None));
     roll_out(&platform, "third").await;
     for node in [one, two, three] {
-        in_force(&node, 3).await;
+        wait_in_force(&node, 3).await;
         expect_that!(node.bundle.current().teams[0].id.as_str(), eq("third"));
     }
 }
--- a/crates/catkinward/tests/bundle_store.rs
+++ b/crates/catkinward/tests/bundle_store.rs
@@ -6,26 +6,26 @@
 use googletest::prelude::*;
 use std::{num::NonZeroU32, sync::Arc, time::Duration};
 
-struct Site {
+struct Fixture {
     platform: MockPlatform,
     store: BundleStore,
 }
 
-fn site() -> Site {
+fn fixture() -> Fixture {
     let platform = MockPlatform::default();
     let store = BundleStore::new(
-        Arc::new(stepwise(platform.platform())),
+        Arc::new(with_yields(platform.platform())),
         BundleStoreSettings {
-            tries: 3,
-            pause: Duration::ZERO,
+            max_attempts: 3,
+            retry_delay: Duration::ZERO,
         },
     );
-    Site { platform, store }
+    Fixture { platform, store }
 }
 
 /// Returns the platform with a yield before each call, so that the calls of racing operators
 /// alternate: both have read before either writes.
-fn stepwise(platform: Platform) -> Platform {
+fn with_yields(platform: Platform) -> Platform {
     Platform {
         transact: yielding(platform.transact),
         read: yielding(platform.read),
@@ -64,12 +64,12 @@
     )
 }
 
-impl Site {
+impl Fixture {
     async fn propose(&self, team: &str) -> Result<Applied<DraftId>> {
         let applied = self.store.propose(&bundle(team), author("ada")).await?;
         Ok(Applied {
-            made: applied.made.id,
-            settled: applied.settled,
+            value: applied.value.id,
+            confirmed_by_read: applied.confirmed_by_read,
         })
     }
 
@@ -77,14 +77,14 @@
         let digest = self.store.draft(id).await?.value.digest;
         let applied = self.store.sign_off(id, digest, author("bea")).await?;
         Ok(Applied {
-            made: applied.made.id,
-            settled: applied.settled,
+            value: applied.value.id,
+            confirmed_by_read: applied.confirmed_by_read,
         })
     }
 
     /// Creates a draft and signs it off.
     async fn draft(&self, team: &str) -> DraftId {
-        let id = self.propose(team).await.expect("a draft").made;
+        let id = self.propose(team).await.expect("a draft").value;
         self.sign_off(&id).await.expect("a sign-off");
         id
     }
@@ -93,7 +93,7 @@
     async fn release(&self, team: &str) -> BundleVersion {
         let id = self.draft(team).await;
         let release = self.store.roll_out(&id, author("ada")).await;
-        release.expect("a release").made
+        release.expect("a release").value
     }
 
     async fn versions(&self) -> Vec<u64> {
@@ -116,34 +116,41 @@
 
 /// Runs a step with scripted transaction outcomes. Returns whether the change was confirmed by
 /// reading back, or the error, and whether the step finally took effect.
-async fn run(step: Step, fates: &[TransactOutcome]) -> (Result<bool>, bool) {
-    let site = site();
-    site.release("one").await;
-    site.release("two").await;
-    let signed_off = site.draft("three").await;
-    let unsigned = site.propose("four").await.expect("a draft").made;
-    site.platform.script(fates.iter().copied());
-    let settled = match step {
-        Step::Propose => site.propose("five").await.map(|applied| applied.settled),
-        Step::SignOff => site
+async fn run(step: Step, outcomes: &[TransactOutcome]) -> (Result<bool>, bool) {
+    let fixture = fixture();
+    fixture.release("one").await;
+    fixture.release("two").await;
+    let signed_off = fixture.draft("three").await;
+    let unsigned = fixture.propose("four").await.expect("a draft").value;
+    fixture.platform.script(outcomes.iter().copied());
+    let confirmed_by_read = match step {
+        Step::Propose => fixture
+            .propose("five")
+            .await
+            .map(|applied| applied.confirmed_by_read),
+        Step::SignOff => fixture
             .sign_off(&unsigned)
             .await
-            .map(|applied| applied.settled),
+            .map(|applied| applied.confirmed_by_read),
         Step::RollOut => {
-            let applied = site.store.roll_out(&signed_off, author("ada")).await;
-            applied.map(|applied| applied.settled)
+            let applied = fixture.store.roll_out(&signed_off, author("ada")).await;
+            applied.map(|applied| applied.confirmed_by_read)
         }
         Step::RollBack => {
-            let applied = site.store.roll_back(BundleVersion(1), author("ada")).await;
-            applied.map(|applied| applied.settled)
+            let applied = fixture
+                .store
+                .roll_back(BundleVersion(1), author("ada"))
+                .await;
+            applied.map(|applied| applied.confirmed_by_read)
         }
     };
     // A delayed transaction arrives before the next one.
-    site.platform.script([TransactOutcome::Answered]);
-    let _ = site.propose("six").await;
+    fixture.platform.script([TransactOutcome::Answered]);
+    let _ = fixture.propose("six").await;
     let took_effect = match step {
         Step::Propose => {
-            site.store
+            fixture
+                .store
                 .drafts_over(BundleVersion(2))
                 .await
                 .expect("drafts")
@@ -151,19 +158,19 @@
                 == 4
         }
         Step::SignOff => {
-            let draft = site.store.draft(&unsigned).await.expect("the draft");
+            let draft = fixture.store.draft(&unsigned).await.expect("the draft");
             draft.value.signed_off.is_some()
         }
-        Step::RollOut | Step::RollBack => site.versions().await == [1, 2, 3],
+        Step::RollOut | Step::RollBack => fixture.versions().await == [1, 2, 3],
     };
-    (settled, took_effect)
+    (confirmed_by_read, took_effect)
 }
 
 /// At any step the table service's response is lost, the call is lost, or it arrives late. The
 /// operator must be told the actual result, and the step must take effect at most once.
 #[gtest]
 #[tokio::test]
-async fn each_step_tells_the_truth_under_each_fault() {
+async fn each_step_reports_its_actual_result_under_each_fault() {
     use TransactOutcome::{Answered, Late, LostAfterEffect, LostBeforeEffect, NotRun, Throttled};
     const REFUSED: &str = "the platform is not available; nothing was changed";
     const LIMITED: &str = "the platform's rate limit is reached; nothing was changed";
@@ -187,13 +194,17 @@
         ),
     ];
     for step in STEPS {
-        for (fates, expected, takes_effect) in &cases {
-            let (told, took_effect) = run(step, fates).await;
+        for (outcomes, expected, takes_effect) in &cases {
+            let (reported, took_effect) = run(step, outcomes).await;
 
-            let told = told.map_err(|error| error.to_string());
+            let reported = reported.map_err(|error| error.to_string());
             let expected = expected.map_err(str::to_owned);
-            expect_that!(told, eq(&expected), "{step:?} under {fates:?}");
-            expect_that!(took_effect, eq(*takes_effect), "{step:?} under {fates:?}");
+            expect_that!(reported, eq(&expected), "{step:?} under {outcomes:?}");
+            expect_that!(
+                took_effect,
+                eq(*takes_effect),
+                "{step:?} under {outcomes:?}"
+            );
         }
     }
 }
@@ -202,26 +213,29 @@
 /// own response was lost.
 #[gtest]
 #[tokio::test]
-async fn loser_of_a_race_is_told_who_won() {
-    for fates in [
+async fn losing_operator_is_told_who_won() {
+    for outcomes in [
         [TransactOutcome::Answered; 2],
         [TransactOutcome::LostAfterEffect; 2],
     ] {
-        let site = site();
-        site.release("one").await;
-        site.release("two").await;
-        let drafts = [site.draft("three").await, site.draft("four").await];
-        site.platform.script(fates);
+        let fixture = fixture();
+        fixture.release("one").await;
+        fixture.release("two").await;
+        let drafts = [fixture.draft("three").await, fixture.draft("four").await];
+        fixture.platform.script(outcomes);
         let (won, lost) = tokio::join!(
-            site.store.roll_out(&drafts[0], author("ada")),
-            site.store.roll_out(&drafts[1], author("bea")),
+            fixture.store.roll_out(&drafts[0], author("ada")),
+            fixture.store.roll_out(&drafts[1], author("bea")),
         );
-        expect_that!(won.expect("a release").made, eq(BundleVersion(3)));
+        expect_that!(won.expect("a release").value, eq(BundleVersion(3)));
         expect_that!(
             lost.expect_err("overtaken").to_string(),
             eq("ada rolled out version 3 first; nothing of yours was changed")
         );
-        expect_that!(site.versions().await, elements_are![eq(&1), eq(&2), eq(&3)]);
+        expect_that!(
+            fixture.versions().await,
+            elements_are![eq(&1), eq(&2), eq(&3)]
+        );
     }
 }
 
@@ -230,17 +244,17 @@
 #[gtest]
 #[tokio::test]
 async fn roll_back_and_roll_out_do_not_undo_each_other() {
-    let site = site();
-    site.release("one").await;
-    site.release("two").await;
-    let draft = site.draft("three").await;
+    let fixture = fixture();
+    fixture.release("one").await;
+    fixture.release("two").await;
+    let draft = fixture.draft("three").await;
 
     let (back, out) = tokio::join!(
-        site.store.roll_back(BundleVersion(1), author("cy")),
-        site.store.roll_out(&draft, author("ada")),
+        fixture.store.roll_back(BundleVersion(1), author("cy")),
+        fixture.store.roll_out(&draft, author("ada")),
     );
 
-    expect_that!(back.expect("a release").made, eq(BundleVersion(3)));
+    expect_that!(back.expect("a release").value, eq(BundleVersion(3)));
     expect_that!(
         out.expect_err("overtaken").to_string(),
         eq("cy rolled out version 3 first; nothing of yours was changed")
@@ -249,17 +263,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn second_sign_off_is_told_of_the_first() {
-    let site = site();
-    let id = site.propose("one").await.expect("a draft").made;
-    let digest = site.store.draft(&id).await.expect("the draft").value.digest;
+async fn second_sign_off_names_the_first_operator() {
+    let fixture = fixture();
+    let id = fixture.propose("one").await.expect("a draft").value;
+    let digest = fixture
+        .store
+        .draft(&id)
+        .await
+        .expect("the draft")
+        .value
+        .digest;
 
     let (first, second) = tokio::join!(
-        site.store.sign_off(&id, digest, author("bea")),
-        site.store.sign_off(&id, digest, author("cy")),
+        fixture.store.sign_off(&id, digest, author("bea")),
+        fixture.store.sign_off(&id, digest, author("cy")),
     );
 
-    expect_that!(first.expect("a sign-off").settled, eq(false));
+    expect_that!(first.expect("a sign-off").confirmed_by_read, eq(false));
     let expected = format!("bea signed off draft `{id}` first");
     expect_that!(second.expect_err("second").to_string(), eq(&expected));
 }
@@ -267,14 +287,14 @@
 /// Two operators propose at once: both drafts must be stored and listed.
 #[gtest]
 #[tokio::test]
-async fn racing_proposals_both_stand() {
-    let site = site();
+async fn racing_proposals_are_both_stored() {
+    let fixture = fixture();
 
-    let (one, two) = tokio::join!(site.propose("one"), site.propose("two"));
+    let (one, two) = tokio::join!(fixture.propose("one"), fixture.propose("two"));
 
     expect_that!(one, ok(anything()));
     expect_that!(two, ok(anything()));
-    let drafts = site.store.drafts_over(BundleVersion(0)).await;
+    let drafts = fixture.store.drafts_over(BundleVersion(0)).await;
     expect_that!(drafts.expect("drafts").len(), eq(2));
 }
 
@@ -283,39 +303,39 @@
 #[gtest]
 #[tokio::test]
 async fn outage_changes_nothing() {
-    let site = site();
-    let id = site.draft("one").await;
-    site.platform.outage(true);
+    let fixture = fixture();
+    let id = fixture.draft("one").await;
+    fixture.platform.outage(true);
 
-    let during = site.store.roll_out(&id, author("ada")).await;
-    site.platform.outage(false);
-    let after = site.store.roll_out(&id, author("ada")).await;
+    let during = fixture.store.roll_out(&id, author("ada")).await;
+    fixture.platform.outage(false);
+    let after = fixture.store.roll_out(&id, author("ada")).await;
 
     expect_that!(
         during.expect_err("an outage").to_string(),
         eq("the platform is not available; nothing was changed")
     );
-    expect_that!(after.expect("a release").made, eq(BundleVersion(1)));
+    expect_that!(after.expect("a release").value, eq(BundleVersion(1)));
 }
 
 /// An object in the object store is altered, so its content is not what was signed off.
 #[gtest]
 #[tokio::test]
 async fn altered_content_is_refused() {
-    let site = site();
-    let version = site.release("one").await;
-    let digest = site
+    let fixture = fixture();
+    let version = fixture.release("one").await;
+    let digest = fixture
         .store
         .release(version)
         .await
         .expect("it is there")
         .digest;
     let altered = bundle("someone-else");
-    site.platform.with_store(|store| {
+    fixture.platform.with_store(|store| {
         store.put_object(&format!("bundle/{digest}"), altered.clone().into());
     });
 
-    let content = site.store.content(digest).await;
+    let content = fixture.store.content(digest).await;
 
     let found = catkin_decisions::BundleDigest::of(&altered);
     let expected = format!("the bundle's content has the digest {found}, not {digest}");
--- a/crates/catkinward/tests/bundle_watch.rs
+++ b/crates/catkinward/tests/bundle_watch.rs
@@ -24,7 +24,7 @@
 }
 
 impl Vm {
-    async fn in_force(&self, version: u64) {
+    async fn wait_in_force(&self, version: u64) {
         let mut changes = self.bundle.changes();
         let reached = changes.wait_for(|found| found.0 >= version);
         reached.await.expect("the bundle is there");
@@ -57,7 +57,7 @@
         BundleStoreSettings::default(),
     );
     let draft = store.propose(&body(team), author("ada")).await;
-    let draft = draft.expect("a draft").made;
+    let draft = draft.expect("a draft").value;
     let sign_off = store.sign_off(&draft.id, draft.digest, author("bea")).await;
     sign_off.expect("a sign-off");
     let release = store.roll_out(&draft.id, author("ada")).await;
@@ -66,7 +66,7 @@
 }
 
 /// Waits long enough for a VM to put an available release in force.
-async fn wait() {
+async fn wait_for_updates() {
     tokio::time::sleep(Duration::from_secs(10)).await;
 }
 
@@ -75,12 +75,12 @@
 async fn releases_come_into_force_one_after_the_other() {
     let platform = MockPlatform::default();
     let vm = vm(Some(&platform));
-    wait().await;
+    wait_for_updates().await;
     let before = vm.version();
 
     for (team, version) in [("one", 1), ("two", 2), ("three", 3)] {
         roll_out(&platform, team).await;
-        vm.in_force(version).await;
+        vm.wait_in_force(version).await;
         expect_that!(vm.bundle.current().teams[0].id.as_str(), eq(team));
     }
 
@@ -95,14 +95,14 @@
     let platform = MockPlatform::default();
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
-    vm.in_force(1).await;
+    vm.wait_in_force(1).await;
 
     platform.outage(true);
-    wait().await;
+    wait_for_updates().await;
     let during = vm.version();
     platform.outage(false);
     roll_out(&platform, "two").await;
-    vm.in_force(2).await;
+    vm.wait_in_force(2).await;
 
     expect_that!(during, eq(1));
 }
@@ -112,14 +112,14 @@
 /// the first advertised release may be an old one.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_starts_cut_off_takes_what_its_peers_have() {
+async fn vm_that_starts_partitioned_gets_the_bundle_from_its_peers() {
     let platform = MockPlatform::default();
     platform.outage(true);
     let vm = vm(Some(&platform));
     let (old, new) = (body("old"), body("new"));
     for (version, body) in [(4, &old), (5, &new), (4, &old)] {
         vm.watch
-            .heard(BundleVersion(version), BundleDigest::of(body));
+            .record_peer_release(BundleVersion(version), BundleDigest::of(body));
     }
     let bodies = [old, new];
     vm.watch.add_source(Box::new(move |digest| {
@@ -141,7 +141,7 @@
     expect_that!(versions, elements_are![eq(&5)]);
     platform.outage(false);
     roll_out(&platform, "one").await;
-    wait().await;
+    wait_for_updates().await;
     expect_that!(vm.version(), eq(5));
 }
 
@@ -149,7 +149,7 @@
 /// the object store has the content that was signed off.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn content_that_is_wrong_or_late_comes_from_the_object_store() {
+async fn wrong_or_late_content_is_replaced_from_the_object_store() {
     let platform = MockPlatform::default();
     let vm = vm(Some(&platform));
     vm.watch
@@ -159,7 +159,7 @@
     }));
 
     let digest = roll_out(&platform, "one").await;
-    vm.in_force(1).await;
+    vm.wait_in_force(1).await;
 
     expect_that!(vm.bundle.current().digest, eq(digest));
 }
@@ -168,17 +168,17 @@
 /// force.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn word_without_content_does_not_stop_later_releases() {
+async fn advertised_release_without_content_does_not_block_later_releases() {
     let platform = MockPlatform::default();
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
-    vm.in_force(1).await;
+    vm.wait_in_force(1).await;
 
     vm.watch
-        .heard(BundleVersion(900), BundleDigest::of("nothing"));
-    wait().await;
+        .record_peer_release(BundleVersion(900), BundleDigest::of("nothing"));
+    wait_for_updates().await;
     roll_out(&platform, "two").await;
-    vm.in_force(2).await;
+    vm.wait_in_force(2).await;
 
     expect_that!(vm.version(), eq(2));
 }
@@ -187,11 +187,11 @@
 /// once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn peers_word_is_taken_while_the_platform_is_out() {
+async fn release_advertised_by_a_peer_is_applied_during_a_platform_outage() {
     let platform = MockPlatform::default();
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
-    vm.in_force(1).await;
+    vm.wait_in_force(1).await;
     platform.outage(true);
     let next = body("two");
     let digest = BundleDigest::of(&next);
@@ -199,8 +199,8 @@
         Box::pin(std::future::ready(Some(next.clone().into())))
     }));
 
-    vm.watch.heard(BundleVersion(2), digest);
-    vm.in_force(2).await;
+    vm.watch.record_peer_release(BundleVersion(2), digest);
+    vm.wait_in_force(2).await;
 
     expect_that!(vm.watch.in_force(), some(eq((BundleVersion(2), digest))));
     expect_that!(vm.bundle.body(digest), some(anything()));
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -150,15 +150,15 @@
         store.roll_out(&two, author("bea")),
     );
     let winner = match outcomes {
-        (Ok(won), Err(lost)) => Some(("ada", won.made, lost)),
-        (Err(lost), Ok(won)) => Some(("bea", won.made, lost)),
+        (Ok(won), Err(lost)) => Some(("ada", won.value, lost)),
+        (Err(lost), Ok(won)) => Some(("bea", won.value, lost)),
         _ => None,
     };
     match winner {
-        Some((by, made, refused)) if made == BundleVersion(version) => {
+        Some((by, value, refused)) if value == BundleVersion(version) => {
             let expected = BundleRefusal::Superseded {
                 by: author(by).operator,
-                version: made,
+                version: value,
             };
             if refused.to_string() != expected.to_string() {
                 report.violate(format!("version {version}: the loser was told `{refused}`"));
@@ -182,9 +182,9 @@
         r#"{{"teams": [{{"name": "counter", "key_sha256": "{key}", "weight": {weight}}}],
             "services": [], "upstreams": []}}"#
     );
-    let draft = store.propose(&json, author(proposer)).await?.made;
+    let draft = store.propose(&json, author(proposer)).await?.value;
     let signed_off = store.sign_off(&draft.id, draft.digest, author(signer));
-    Ok(signed_off.await?.made.id)
+    Ok(signed_off.await?.value.id)
 }
 
 fn author(operator: &str) -> BundleAuthor {
