--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -1,7 +1,7 @@
 //! Commits claims in groups, one transaction at a time, from a background task.
 
 use super::*;
-use crate::claim_row::{CLAIMS, claim_value, expiry_write, found_claim};
+use crate::claim_row::{CLAIMS_TABLE, claim_value, expiry_write, found_claim};
 use tokio::sync::oneshot;
 
 /// Queues and commits claims and their outcomes.
@@ -10,7 +10,7 @@
     timer: Arc<Timer>,
     cfg: ClaimSettings,
     queue: Mutex<ClaimQueue<Waiter>>,
-    work: Notify,
+    change_added: Notify,
     empty: watch::Sender<bool>,
 }
 
@@ -19,7 +19,7 @@
 
 /// Width of an expiry bucket in milliseconds: claims of a group whose expiry falls in the same
 /// bucket share one row of the expiry table.
-const EXPIRY_STEP: u64 = 60_000;
+const EXPIRY_BUCKET_MS: u64 = 60_000;
 
 impl ClaimCommitter {
     pub(crate) fn start(
@@ -31,8 +31,8 @@
             platform,
             timer,
             cfg,
-            queue: Mutex::new(ClaimQueue::new(cfg.group_max)),
-            work: Notify::new(),
+            queue: Mutex::new(ClaimQueue::new(cfg.max_group_size)),
+            change_added: Notify::new(),
             empty: watch::Sender::new(true),
         });
         tokio::spawn(committer.clone().run());
@@ -58,13 +58,13 @@
         add(&mut queue);
         self.empty.send_replace(false);
         drop(queue);
-        self.work.notify_one();
+        self.change_added.notify_one();
     }
 
     /// Publishes whether all changes are resolved. It holds the lock of the queue while doing so:
     /// otherwise a process that waits in [`Self::flush`] before it exits could miss an outcome that
     /// is added in between.
-    fn note_empty(&self) -> bool {
+    fn update_empty(&self) -> bool {
         let queue = self.queue.lock();
         self.empty.send_replace(queue.is_empty());
         queue.is_empty()
@@ -73,37 +73,37 @@
     async fn run(self: Arc<Self>) {
         loop {
             let now = self.timer.now();
-            let (given_up, group) = {
+            let (abandoned, group) = {
                 let mut queue = self.queue.lock();
                 (queue.abandon_expired(now), queue.next_group())
             };
-            self.tell(given_up);
+            self.notify_waiters(abandoned);
             let Some(group) = group else {
-                if self.note_empty() {
-                    self.work.notified().await;
+                if self.update_empty() {
+                    self.change_added.notified().await;
                 }
                 continue;
             };
-            let answer = self.transact(&group).await;
-            let settled = self.queue.lock().apply_result(&answer);
-            self.tell(settled);
-            if matches!(answer, GroupResult::NotRun | GroupResult::Unknown) {
-                tokio::time::sleep(self.cfg.retry_pause).await;
+            let result = self.transact(&group).await;
+            let resolved = self.queue.lock().apply_result(&result);
+            self.notify_waiters(resolved);
+            if matches!(result, GroupResult::NotRun | GroupResult::Unknown) {
+                tokio::time::sleep(self.cfg.retry_delay).await;
             }
         }
     }
 
-    fn tell(&self, fates: Vec<(Waiter, ClaimResult)>) {
-        for (waiter, fate) in fates {
-            if let Err(ClaimResult::Claimed(claimed)) = waiter.0.send(fate) {
-                self.give_back(claimed);
+    fn notify_waiters(&self, results: Vec<(Waiter, ClaimResult)>) {
+        for (waiter, result) in results {
+            if let Err(ClaimResult::Claimed(claimed)) = waiter.0.send(result) {
+                self.release_unclaimed(claimed);
             }
         }
     }
 
     /// Releases a claim that was committed after its caller had been told that the request did not
     /// run.
-    fn give_back(&self, claimed: Claimed) {
+    fn release_unclaimed(&self, claimed: Claimed) {
         let expires = claims::wall_now().after(self.cfg.retention);
         let held = claimed.release();
         self.queue
@@ -114,7 +114,11 @@
     async fn transact(&self, group: &[ClaimChange]) -> GroupResult {
         let req = platform_api::TransactRequest {
             conditions: group.iter().map(condition).collect(),
-            writes: group.iter().map(write).chain(expiries(group)).collect(),
+            writes: group
+                .iter()
+                .map(write)
+                .chain(expiry_writes(group))
+                .collect(),
         };
         metrics::histogram!("catkin_claim_group_size").record(group_size(group));
         match (self.platform.transact)(req).await {
@@ -135,7 +139,7 @@
 fn condition(change: &ClaimChange) -> platform_api::Condition {
     platform_api::Condition {
         key: change.key.to_string(),
-        table: CLAIMS.to_owned(),
+        table: CLAIMS_TABLE.to_owned(),
         version: change.expected,
     }
 }
@@ -143,25 +147,29 @@
 fn write(change: &ClaimChange) -> platform_api::Write {
     platform_api::Write {
         key: change.key.to_string(),
-        table: CLAIMS.to_owned(),
+        table: CLAIMS_TABLE.to_owned(),
         value: Some(claim_value(&change.record)),
     }
 }
 
 /// Returns the expiry rows for the claims of a group: one for each minute in which some expire.
-fn expiries(group: &[ClaimChange]) -> Vec<platform_api::Write> {
-    let mut steps = group
+fn expiry_writes(group: &[ClaimChange]) -> Vec<platform_api::Write> {
+    let mut buckets = group
         .iter()
-        .map(|change| change.record.expires.0.div_ceil(EXPIRY_STEP))
+        .map(|change| change.record.expires.0.div_ceil(EXPIRY_BUCKET_MS))
         .collect::<Vec<_>>();
-    steps.sort_unstable();
-    steps.dedup();
-    let of_step = |step: &u64| {
+    buckets.sort_unstable();
+    buckets.dedup();
+    let bucket_write = |bucket: &u64| {
         let keys = group
             .iter()
-            .filter(|change| change.record.expires.0.div_ceil(EXPIRY_STEP) == *step)
+            .filter(|change| change.record.expires.0.div_ceil(EXPIRY_BUCKET_MS) == *bucket)
             .map(|change| change.key.to_string());
-        expiry_write(WallTime(step * EXPIRY_STEP), rand::random(), keys.collect())
+        expiry_write(
+            WallTime(bucket * EXPIRY_BUCKET_MS),
+            rand::random(),
+            keys.collect(),
+        )
     };
-    steps.iter().map(of_step).collect()
+    buckets.iter().map(bucket_write).collect()
 }
--- a/crates/catkinward/src/claim_row.rs
+++ b/crates/catkinward/src/claim_row.rs
@@ -6,32 +6,32 @@
 use catkin_decisions::to_hex;
 
 /// Name of the table of claims.
-pub(crate) const CLAIMS: &str = "claims";
+pub(crate) const CLAIMS_TABLE: &str = "claims";
 
 /// Name of the expiry table, an index of claims by expiry time.
-pub(crate) const EXPIRIES: &str = "claim_expiries";
+pub(crate) const EXPIRIES_TABLE: &str = "claim_expiries";
 
 /// Parses the row of a claim; the record is `None` if the row is absent or cannot be parsed.
 pub(crate) fn found_claim(row: &platform_api::Row) -> FoundClaim {
     FoundClaim {
         key: ClaimRowKey::from(row.key.as_str()),
         version: row.version,
-        record: read_record(&row.value),
+        record: parse_record(&row.value),
     }
 }
 
 /// Returns the JSON value of a claim's row.
 pub(crate) fn claim_value(record: &ClaimRecord) -> String {
-    let (stage, answer) = match &record.stage {
+    let (stage, response) = match &record.stage {
         ClaimStage::Claimed => (rows::ClaimStage::Claimed, None),
         ClaimStage::Released => (rows::ClaimStage::Released, None),
         ClaimStage::Done(ClaimOutcome::Unknown) => (rows::ClaimStage::Unknown, None),
-        ClaimStage::Done(ClaimOutcome::Answered(answer)) => {
-            (rows::ClaimStage::Answered, Some(write_answer(answer)))
+        ClaimStage::Done(ClaimOutcome::Answered(response)) => {
+            (rows::ClaimStage::Answered, Some(response_row(response)))
         }
     };
     json_text(&rows::ClaimRow {
-        answer,
+        answer: response,
         deadline_ms: record.deadline.0,
         digest: record.digest.to_string(),
         expires_ms: record.expires.0,
@@ -52,26 +52,26 @@
 pub(crate) fn expiry_write(expires: WallTime, salt: u64, keys: Vec<String>) -> platform_api::Write {
     platform_api::Write {
         key: format!("{:015}/{salt:016x}", expires.0),
-        table: EXPIRIES.to_owned(),
+        table: EXPIRIES_TABLE.to_owned(),
         value: Some(json_text(&rows::ClaimExpiryRow { keys })),
     }
 }
 
 /// Parses an expiry row into the expiry time and the keys of its claims.
-pub(crate) fn read_expiry(row: &platform_api::Row) -> Option<(WallTime, Vec<String>)> {
+pub(crate) fn parse_expiry(row: &platform_api::Row) -> Option<(WallTime, Vec<String>)> {
     let (expires, _) = row.key.split_once('/')?;
     let value = serde_json::from_str::<rows::ClaimExpiryRow>(&row.value).ok()?;
     Some((expires.parse().ok()?, value.keys))
 }
 
-fn read_record(value: &str) -> Option<ClaimRecord> {
+fn parse_record(value: &str) -> Option<ClaimRecord> {
     let row = serde_json::from_str::<rows::ClaimRow>(value).ok()?;
     let stage = match (row.stage, row.answer) {
         (rows::ClaimStage::Claimed, _) => ClaimStage::Claimed,
         (rows::ClaimStage::Released, _) => ClaimStage::Released,
         (rows::ClaimStage::Unknown, _) => ClaimStage::Done(ClaimOutcome::Unknown),
-        (rows::ClaimStage::Answered, answer) => {
-            ClaimStage::Done(ClaimOutcome::Answered(read_answer(answer?)?))
+        (rows::ClaimStage::Answered, response) => {
+            ClaimStage::Done(ClaimOutcome::Answered(parse_response(response?)?))
         }
     };
     Some(ClaimRecord {
@@ -90,8 +90,8 @@
     })
 }
 
-fn write_answer(answer: &RecordedResponse) -> rows::ClaimAnswer {
-    let headers = answer
+fn response_row(response: &RecordedResponse) -> rows::ClaimAnswer {
+    let headers = response
         .headers
         .iter()
         .map(|(name, value)| rows::ClaimHeader {
@@ -103,9 +103,9 @@
         body_object: None,
         body_text: None,
         headers: headers.collect(),
-        status: answer.status,
+        status: response.status,
     };
-    match &answer.body {
+    match &response.body {
         RecordedBody::Inline(body) => match std::str::from_utf8(body) {
             Ok(text) => row.body_text = Some(text.to_owned()),
             Err(_) => row.body_hex = Some(to_hex(body)),
@@ -116,7 +116,7 @@
     row
 }
 
-fn read_answer(row: rows::ClaimAnswer) -> Option<RecordedResponse> {
+fn parse_response(row: rows::ClaimAnswer) -> Option<RecordedResponse> {
     let body = match (row.body_text, row.body_hex, row.body_object) {
         (Some(text), ..) => RecordedBody::Inline(text.into_bytes().into()),
         (_, Some(hex), _) => RecordedBody::Inline(parse_hex(&hex)?.into()),
--- a/crates/catkinward/src/claim_sweep.rs
+++ b/crates/catkinward/src/claim_sweep.rs
@@ -7,23 +7,23 @@
 //! reads only the rows that are due.
 
 use super::*;
-use crate::claim_row::{CLAIMS, EXPIRIES, found_claim, read_expiry};
+use crate::claim_row::{CLAIMS_TABLE, EXPIRIES_TABLE, found_claim, parse_expiry};
 
 /// Number of expiry rows in a page. With about ten claims each, a page deletes a few hundred rows,
 /// about as many as a full group writes.
-const PAGE: std::num::NonZeroU32 = std::num::NonZeroU32::new(20).expect("not zero");
+const PAGE_SIZE: std::num::NonZeroU32 = std::num::NonZeroU32::new(20).expect("not zero");
 
 pub(crate) async fn sweep_page(platform: &Platform, now: WallTime) -> Result<bool, PlatformError> {
     let page = platform_api::ScanRequest {
-        table: EXPIRIES.to_owned(),
+        table: EXPIRIES_TABLE.to_owned(),
         prefix: String::new(),
         after: None,
-        limit: PAGE,
+        limit: PAGE_SIZE,
     };
     let rows = (platform.scan)(page).await?;
     let due = rows
         .iter()
-        .filter_map(|row| Some((row, read_expiry(row)?)))
+        .filter_map(|row| Some((row, parse_expiry(row)?)))
         .filter(|(_, (expires, _))| *expires <= now)
         .collect::<Vec<_>>();
     if due.is_empty() {
@@ -40,10 +40,12 @@
         .iter()
         .filter(|claim| claim.record.as_ref().is_some_and(|r| r.is_expired(now)))
         .collect::<Vec<_>>();
-    let index = due.iter().map(|(row, _)| deletion(EXPIRIES, &row.key));
+    let index = due
+        .iter()
+        .map(|(row, _)| deletion(EXPIRIES_TABLE, &row.key));
     let rows = expired
         .iter()
-        .map(|claim| deletion(CLAIMS, claim.key.as_str()));
+        .map(|claim| deletion(CLAIMS_TABLE, claim.key.as_str()));
     let req = platform_api::TransactRequest {
         // A claim that was rewritten in the meantime has a new expiry row. The transaction for this
         // page then fails, and the next sweep of the page retries it.
@@ -51,7 +53,7 @@
         writes: index.chain(rows).collect(),
     };
     (platform.transact)(req).await?;
-    Ok(due.len() == PAGE.get() as usize)
+    Ok(due.len() == PAGE_SIZE.get() as usize)
 }
 
 async fn read_claims(
@@ -60,7 +62,7 @@
 ) -> Result<Vec<FoundClaim>, PlatformError> {
     let keys = keys.into_iter().map(|key| platform_api::RowKey {
         key,
-        table: CLAIMS.to_owned(),
+        table: CLAIMS_TABLE.to_owned(),
     });
     let rows = (platform.read)(keys.collect()).await?;
     Ok(rows.iter().map(found_claim).collect())
@@ -77,7 +79,7 @@
 fn unchanged(claim: &FoundClaim) -> platform_api::Condition {
     platform_api::Condition {
         key: claim.key.to_string(),
-        table: CLAIMS.to_owned(),
+        table: CLAIMS_TABLE.to_owned(),
         version: claim.version,
     }
 }
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::claim_committer::{ClaimCommitter, Waiter};
-use crate::claim_row::{CLAIMS, found_claim};
+use crate::claim_row::{CLAIMS_TABLE, found_claim};
 use tokio::sync::oneshot;
 
 /// The claims service: allows at most one dispatch for each idempotency key of a team across all
@@ -13,7 +13,7 @@
     timeline: Arc<Timeline>,
     committer: Arc<ClaimCommitter>,
     /// Number of outcomes whose bodies are being written to the object store.
-    storing: watch::Sender<usize>,
+    pending_stores: watch::Sender<usize>,
 }
 
 /// A request to claim an idempotency key.
@@ -62,7 +62,7 @@
             timer,
             timeline,
             committer,
-            storing: watch::Sender::new(0),
+            pending_stores: watch::Sender::new(0),
         })
     }
 
@@ -84,10 +84,10 @@
     /// Takes over a generation whose holder has failed, by writing its row under a new token. A
     /// concurrent attempt by another VM conflicts with the changed row.
     pub async fn take_over(&self, req: ClaimRequest, found: &FoundClaim) -> ClaimVerdict {
-        let takeable = found.record.as_ref().is_some_and(|record| {
+        let may_take_over = found.record.as_ref().is_some_and(|record| {
             record.kind == ClaimKind::Generation && record.digest == req.digest
         });
-        if !takeable || req.kind != ClaimKind::Generation {
+        if !may_take_over || req.kind != ClaimKind::Generation {
             return self.verdict(&req.digest, found.clone());
         }
         let change = self.change(&req, found.version);
@@ -97,20 +97,20 @@
     /// Waits for the outcome of a request in progress, for at most `time_left`.
     ///
     /// If there is no outcome by then, the verdict remains that it is in progress.
-    pub async fn outcome(
+    pub async fn wait_for_outcome(
         &self,
         digest: &RequestDigest,
         found: FoundClaim,
         time_left: Duration,
     ) -> ClaimVerdict {
-        let until = self.timer.now().after(time_left);
+        let deadline = self.timer.now().after(time_left);
         let mut verdict = self.verdict(digest, found);
         while let ClaimVerdict::InProgress(found) = verdict {
-            let left = until.since(self.timer.now());
-            if left.is_zero() {
+            let time_left = deadline.since(self.timer.now());
+            if time_left.is_zero() {
                 return ClaimVerdict::InProgress(found);
             }
-            tokio::time::sleep(left.min(self.cfg.poll_period)).await;
+            tokio::time::sleep(time_left.min(self.cfg.poll_interval)).await;
             let found = self.read(&found.key).await.unwrap_or(found);
             verdict = self.verdict(digest, found);
         }
@@ -118,23 +118,23 @@
     }
 
     /// Records an upstream's response, which is returned to a caller who retries the request.
-    pub fn record(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
+    pub fn record_response(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
         let record = |body| RecordedResponse {
             status: answer.status,
             headers: answer.headers.clone(),
             body,
         };
         let length = answer.body.len();
-        if length <= self.cfg.inline_max {
+        if length <= self.cfg.max_inline_bytes {
             let body = RecordedBody::Inline(answer.body.as_ref().into());
             self.end(held, ClaimOutcome::Answered(record(body)));
-        } else if length > self.cfg.object_max {
+        } else if length > self.cfg.max_object_bytes {
             self.end(held, ClaimOutcome::Answered(record(RecordedBody::TooLarge)));
         } else {
             let name = object_name(&held);
             let outcome = ClaimOutcome::Answered(record(RecordedBody::Object(name.clone())));
-            self.storing.send_modify(|count| *count += 1);
-            tokio::spawn(self.clone().store(name, answer.body, held, outcome));
+            self.pending_stores.send_modify(|count| *count += 1);
+            tokio::spawn(self.clone().store_and_end(name, answer.body, held, outcome));
         }
     }
 
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// If the object store does not respond.
-    pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
+    pub async fn response_body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
         match body {
             RecordedBody::Inline(body) => Ok(Some(Bytes::copy_from_slice(body))),
             RecordedBody::Object(name) => (self.platform.get_object)(name.clone()).await,
@@ -175,12 +175,12 @@
     }
 
     /// Sweeps periodically until the timer stops, while `may_sweep` returns true: one VM is enough.
-    pub async fn sweep(self: Arc<Self>, may_sweep: impl Fn() -> bool + Send) {
-        let mut ticks = self.timer.subscribe(self.cfg.sweep_period);
+    pub async fn sweep_periodically(self: Arc<Self>, may_sweep: impl Fn() -> bool + Send) {
+        let mut ticks = self.timer.subscribe(self.cfg.sweep_interval);
         while ticks.recv().await.is_some() {
             while may_sweep() {
                 match self.sweep_page(wall_now()).await {
-                    Ok(true) => tokio::time::sleep(self.cfg.sweep_pause).await,
+                    Ok(true) => tokio::time::sleep(self.cfg.sweep_page_delay).await,
                     Ok(false) => break,
                     Err(fault) => {
                         tracing::debug!(%fault, "sweep of expired claims failed; retrying at the next interval");
@@ -194,8 +194,8 @@
     /// Waits until every outcome is recorded. A process that exits earlier leaves claims without an
     /// outcome, and callers who retry them are told that the outcome is unknown.
     pub async fn flush(&self) {
-        let mut storing = self.storing.subscribe();
-        let _ = storing.wait_for(|count| *count == 0).await;
+        let mut pending_stores = self.pending_stores.subscribe();
+        let _ = pending_stores.wait_for(|count| *count == 0).await;
         self.committer.flush().await;
     }
 
@@ -232,17 +232,18 @@
     }
 
     fn end(&self, held: HeldClaim, outcome: ClaimOutcome) {
-        let keep = match outcome {
+        let retention = match outcome {
             ClaimOutcome::Answered(_) => self.cfg.retention,
             ClaimOutcome::Unknown => self.cfg.unknown_retention,
         };
         let name: &'static str = (&outcome).into();
         metrics::counter!("catkin_claim_outcomes_total", "outcome" => name).increment(1);
         let stage = ClaimStage::Done(outcome);
-        self.committer.end(held.end(stage, wall_now().after(keep)));
+        self.committer
+            .end(held.end(stage, wall_now().after(retention)));
     }
 
-    async fn store(
+    async fn store_and_end(
         self: Arc<Self>,
         name: Arc<str>,
         body: Bytes,
@@ -251,15 +252,15 @@
     ) {
         while let Err(fault) = (self.platform.put_object)((name.clone(), body.clone())).await {
             tracing::debug!(%fault, %name, "cannot store a recorded response yet; retrying");
-            tokio::time::sleep(self.cfg.poll_period).await;
+            tokio::time::sleep(self.cfg.poll_interval).await;
         }
         self.end(held, outcome);
-        self.storing.send_modify(|count| *count -= 1);
+        self.pending_stores.send_modify(|count| *count -= 1);
     }
 
     async fn read(&self, key: &ClaimRowKey) -> Option<FoundClaim> {
         let key = platform_api::RowKey {
-            table: CLAIMS.to_owned(),
+            table: CLAIMS_TABLE.to_owned(),
             key: key.as_str().to_owned(),
         };
         let rows = (self.platform.read)(vec![key]).await.ok()?;
@@ -267,7 +268,7 @@
     }
 
     fn verdict(&self, digest: &RequestDigest, found: FoundClaim) -> ClaimVerdict {
-        ClaimVerdict::from_row(digest, found, wall_now(), self.cfg.clocks_differ)
+        ClaimVerdict::from_row(digest, found, wall_now(), self.cfg.max_clock_skew)
     }
 }
 
--- a/crates/catkinward/src/coordination.rs
+++ b/crates/catkinward/src/coordination.rs
@@ -5,7 +5,7 @@
 
 /// Maximum wait at shutdown for unrecorded claim outcomes to be written and leases to be released.
 /// A VM that is being replaced must not wait for the end of a platform outage.
-const STOP_BOUND: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Scope of the lease under which expired claims are swept.
 const SWEEP_SCOPE: &str = "claims-sweep";
@@ -21,7 +21,7 @@
 
 /// Starts claims, leases and orders, and returns the claims service.
 pub(crate) fn start_coordination(
-    kernel: &ServiceRegistry,
+    registry: &ServiceRegistry,
     settings: &Settings,
     parts: CoordinationParts,
 ) -> Result<Arc<Claims>> {
@@ -32,7 +32,7 @@
         connections,
         bundle,
     } = parts;
-    let me = LeaseHolder {
+    let holder = LeaseHolder {
         vm: settings.vm.clone(),
         incarnation: Incarnation(rand::random::<u64>() >> 1),
     };
@@ -40,10 +40,10 @@
         platform.clone(),
         timer.clone(),
         timeline.clone(),
-        me.incarnation,
+        holder.incarnation,
         ClaimSettings::default(),
     );
-    let leases = Leases::start(platform, timer.clone(), me, LeaseSettings::default());
+    let leases = Leases::start(platform, timer.clone(), holder, LeaseSettings::default());
     let orders = Orders::start(
         leases.clone(),
         timer,
@@ -54,16 +54,18 @@
         OrderSettings::default(),
     );
     let sweep_lease = leases.compete(SWEEP_SCOPE);
-    let sweep = claims.clone().sweep(move || sweep_lease.held().is_some());
+    let sweep = claims
+        .clone()
+        .sweep_periodically(move || sweep_lease.held().is_some());
     tokio::spawn(sweep);
-    kernel.register(ServiceName::Leases, leases.clone())?;
-    kernel.register(ServiceName::Orders, orders)?;
-    let stopped = claims.clone();
-    kernel.on_stop(move || async move {
-        let stop = async { tokio::join!(stopped.flush(), leases.give_back()) };
-        if tokio::time::timeout(STOP_BOUND, stop).await.is_err() {
+    registry.register(ServiceName::Leases, leases.clone())?;
+    registry.register(ServiceName::Orders, orders)?;
+    let stopping_claims = claims.clone();
+    registry.on_stop(move || async move {
+        let stop = async { tokio::join!(stopping_claims.flush(), leases.give_back()) };
+        if tokio::time::timeout(STOP_TIMEOUT, stop).await.is_err() {
             tracing::warn!("stopped with unrecorded claim outcomes or unreleased leases");
         }
     });
-    kernel.register(ServiceName::Claims, claims)
+    registry.register(ServiceName::Claims, claims)
 }
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -35,7 +35,7 @@
         let verdict = match claims.claim(request).await {
             ClaimVerdict::InProgress(found) => {
                 let left = self.until(call.deadline);
-                claims.outcome(&digest, found, left).await
+                claims.wait_for_outcome(&digest, found, left).await
             }
             verdict => verdict,
         };
@@ -99,7 +99,7 @@
         let connections = &self.node.connections;
         match send(connections, &mut place, dispatched.request(), options).await {
             Ok(answer) => {
-                claims.record(held, to_record(&answer));
+                claims.record_response(held, to_record(&answer));
                 Ok(answer)
             }
             Err(fault) => {
@@ -142,7 +142,7 @@
 }
 
 async fn replay(claims: &Claims, answer: RecordedResponse) -> Result<PlainResponse, Problem> {
-    let body = match claims.body(&answer.body).await {
+    let body = match claims.response_body(&answer.body).await {
         Ok(Some(body)) => body,
         Ok(None) => return Err(ProblemKind::AnswerTooLarge.into()),
         Err(_) => return Err(ProblemKind::AnswerLost.into()),
--- a/crates/standins/examples/claim_rate.rs
+++ b/crates/standins/examples/claim_rate.rs
@@ -129,7 +129,7 @@
     let cfg = PlatformSettings::shared_by(case.shared_by);
     let platform = Platform::over_http(connections, timer.clone(), address, cfg);
     let cfg = ClaimSettings {
-        group_max: case.group_max,
+        max_group_size: case.group_max,
         ..ClaimSettings::default()
     };
     let vm = format!("vm-{i}").parse()?;
@@ -170,7 +170,7 @@
             headers: Vec::new(),
             body: Bytes::from_static(b"ticket"),
         };
-        vm.record(claimed.dispatch().1, answer);
+        vm.record_response(claimed.dispatch().1, answer);
     }
     waits
 }
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -32,10 +32,10 @@
 
 fn quick() -> ClaimSettings {
     ClaimSettings {
-        retry_pause: Duration::from_millis(1),
-        poll_period: Duration::from_millis(1),
-        inline_max: 16,
-        object_max: 64,
+        retry_delay: Duration::from_millis(1),
+        poll_interval: Duration::from_millis(1),
+        max_inline_bytes: 16,
+        max_object_bytes: 64,
         ..ClaimSettings::default()
     }
 }
@@ -85,12 +85,12 @@
     let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
-    first.record(held, answer("ticket 7"));
+    first.record_response(held, answer("ticket 7"));
     first.flush().await;
 
     let again = recorded(second.claim(order("k")).await);
 
-    let body = second.body(&again.body).await;
+    let body = second.response_body(&again.body).await;
     expect_that!(again.status, eq(201));
     expect_that!(again.headers, eq(&answer("").headers));
     expect_that!(body, ok(some(eq(&"ticket 7"))));
@@ -115,7 +115,7 @@
         platform.script([fate, fate]);
         let held = dispatched(first.claim(order("k")).await);
         platform.script([fate, fate]);
-        first.record(held, answer("ticket 7"));
+        first.record_response(held, answer("ticket 7"));
         first.flush().await;
 
         let again = recorded(second.claim(order("k")).await);
@@ -148,7 +148,7 @@
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let held = dispatched(vm.claim(order("k")).await);
-    vm.record(held, answer("ticket 7"));
+    vm.record_response(held, answer("ticket 7"));
     vm.flush().await;
     let other = ClaimRequest {
         digest: RequestDigest::of(&team(), b"20 posters"),
@@ -234,7 +234,7 @@
     let platform = MockPlatform::default();
     let first = vm(&platform, "vm-1");
     let cfg = ClaimSettings {
-        clocks_differ: Duration::ZERO,
+        max_clock_skew: Duration::ZERO,
         ..quick()
     };
     let second = start(&platform, "vm-2", cfg);
@@ -247,7 +247,9 @@
         panic!("the holder is within its deadline");
     };
 
-    let verdict = second.outcome(&order("k").digest, found, LONG).await;
+    let verdict = second
+        .wait_for_outcome(&order("k").digest, found, LONG)
+        .await;
 
     expect_that!(verdict, eq(&ClaimVerdict::Done(ClaimOutcome::Unknown)));
 }
@@ -263,8 +265,8 @@
         panic!("the first runs");
     };
     let digest = order("k").digest;
-    let waiting = second.outcome(&digest, found, LONG);
-    let recording = async { first.record(held, answer("ticket 7")) };
+    let waiting = second.wait_for_outcome(&digest, found, LONG);
+    let recording = async { first.record_response(held, answer("ticket 7")) };
 
     let (verdict, ()) = tokio::join!(waiting, recording);
 
@@ -333,12 +335,15 @@
         let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         let held = dispatched(vm.claim(order("k")).await);
-        vm.record(held, answer(body));
+        vm.record_response(held, answer(body));
         vm.flush().await;
 
         let again = recorded(vm.claim(order("k")).await);
 
-        let found = vm.body(&again.body).await.expect("the store is up");
+        let found = vm
+            .response_body(&again.body)
+            .await
+            .expect("the store is up");
         let found = found.map(|body| String::from_utf8_lossy(&body).into_owned());
         expect_that!(found, eq(&kept));
     }
@@ -352,7 +357,7 @@
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let ended = dispatched(vm.claim(order("ended")).await);
-    vm.record(ended, answer("ticket 7"));
+    vm.record_response(ended, answer("ticket 7"));
     let unknown = dispatched(vm.claim(order("unknown")).await);
     vm.record_unknown(unknown);
     vm.flush().await;
