--- a/crates/catkinward/src/drain.rs
+++ b/crates/catkinward/src/drain.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct DrainState {
     in_flight: usize,
-    shut: bool,
+    closed: bool,
 }
 
 /// A guard that counts a request as in flight until it is dropped.
@@ -32,9 +32,9 @@
     }
 
     /// Waits until the drain has ended and new requests are rejected.
-    pub(crate) async fn ended(&self) {
+    pub(crate) async fn wait_until_closed(&self) {
         // The sender lives as long as `self`, so the wait cannot fail.
-        let _ = self.state.subscribe().wait_for(|state| state.shut).await;
+        let _ = self.state.subscribe().wait_for(|state| state.closed).await;
     }
 
     /// Returns the number of requests in flight.
@@ -44,14 +44,14 @@
     }
 
     /// Waits until no request has been in flight for `grace`, then rejects new requests.
-    pub async fn finished(&self, grace: Duration) {
+    pub async fn close_when_idle(&self, grace: Duration) {
         let mut state = self.state.subscribe();
         loop {
             // The sender lives as long as `self`, so neither wait can fail.
             let _ = state.wait_for(|state| state.in_flight == 0).await.is_ok();
-            let busy = state.wait_for(|state| state.in_flight > 0);
-            let stayed_idle = tokio::time::timeout(grace, busy).await.is_err();
-            if stayed_idle && self.shut() {
+            let next_request = state.wait_for(|state| state.in_flight > 0);
+            let stayed_idle = tokio::time::timeout(grace, next_request).await.is_err();
+            if stayed_idle && self.close_if_idle() {
                 return;
             }
         }
@@ -65,20 +65,20 @@
     #[must_use]
     pub fn enter(self: &Arc<Self>) -> Option<InFlight> {
         let entered = self.state.send_if_modified(|state| {
-            if !state.shut {
+            if !state.closed {
                 state.in_flight += 1;
             }
-            !state.shut
+            !state.closed
         });
         entered.then(|| InFlight {
             drain: self.clone(),
         })
     }
 
-    fn shut(&self) -> bool {
+    fn close_if_idle(&self) -> bool {
         self.state.send_if_modified(|state| {
-            state.shut = state.in_flight == 0;
-            state.shut
+            state.closed = state.in_flight == 0;
+            state.closed
         })
     }
 }
--- a/crates/catkinward/src/gateway/shutdown.rs
+++ b/crates/catkinward/src/gateway/shutdown.rs
@@ -54,7 +54,7 @@
         let end = tokio::time::Instant::now() + grace.saturating_sub(LAST_MOMENT);
         tokio::time::sleep(LEAVES_ROTATION.min(grace)).await;
         close_idle();
-        if tokio::time::timeout_at(end, self.drain.finished(QUIET))
+        if tokio::time::timeout_at(end, self.drain.close_when_idle(QUIET))
             .await
             .is_err()
         {
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -183,7 +183,9 @@
         let key = self.settings.operator_key()?;
         let node = self.clone();
         Server::new(OperatorApi::new(self.clone(), key))
-            .register_shutdown_hook(move || Box::pin(async move { node.drain.ended().await }))
+            .register_shutdown_hook(move || {
+                Box::pin(async move { node.drain.wait_until_closed().await })
+            })
             .run(listener)
             .await
             .map_err(|source| Error::Server { address, source })
@@ -193,7 +195,7 @@
         self.drain.begin();
         self.timeline.record(Event::new(EventKind::DrainBegan));
         tracing::info!(in_flight = self.drain.in_flight(), "draining");
-        self.drain.finished(self.settings.drain_grace).await;
+        self.drain.close_when_idle(self.settings.drain_grace).await;
         self.timeline.record(Event::new(EventKind::DrainEnded));
         tracing::info!("drained");
     }
--- a/crates/catkinward/tests/drain.rs
+++ b/crates/catkinward/tests/drain.rs
@@ -15,9 +15,9 @@
     let request = drain.enter();
     drain.begin();
 
-    let early = tokio::time::timeout(Duration::from_secs(600), drain.finished(GRACE)).await;
+    let early = tokio::time::timeout(Duration::from_secs(600), drain.close_when_idle(GRACE)).await;
     drop(request);
-    let late = tokio::time::timeout(2 * GRACE, drain.finished(GRACE)).await;
+    let late = tokio::time::timeout(2 * GRACE, drain.close_when_idle(GRACE)).await;
 
     expect_that!(early, err(anything()));
     expect_that!(late, ok(eq(&())));
@@ -32,7 +32,7 @@
     drain.begin();
     let finished = tokio::spawn({
         let drain = drain.clone();
-        async move { drain.finished(GRACE).await }
+        async move { drain.close_when_idle(GRACE).await }
     });
     tokio::time::sleep(GRACE / 2).await;
     let request = drain.enter();
@@ -50,7 +50,7 @@
 async fn no_request_begins_after_the_drain() {
     let drain = Arc::new(Drain::default());
     drain.begin();
-    drain.finished(GRACE).await;
+    drain.close_when_idle(GRACE).await;
 
     let request = drain.enter();
 
