--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -17,7 +17,7 @@
     pub(crate) hedge: Mutex<Hedge>,
     pub(crate) hot_keys: Mutex<HotKeys>,
     pub(crate) reads: Mutex<ReadCoalescer<oneshot::Sender<CoalescedRead>>>,
-    queue: Mutex<AdmissionQueue<Waiting>>,
+    queue: Mutex<AdmissionQueue<PendingRequest>>,
 }
 
 /// Why a request was refused a slot; it has not run.
@@ -28,10 +28,10 @@
 }
 
 /// A queued request: how its upstream is selected, and the channel that receives the result.
-pub(crate) struct Waiting {
+pub(crate) struct PendingRequest {
     choose: ChooseUpstream,
     tx: oneshot::Sender<Result<SlotGuard, Refusal>>,
-    since: Instant,
+    queued_at: Instant,
 }
 
 impl AdmissionPool {
@@ -75,110 +75,110 @@
     ) -> Result<QueuedRequest, Refusal> {
         let (tx, rx) = oneshot::channel();
         let now = self.timer.now();
-        let waiting = Waiting {
+        let pending = PendingRequest {
             choose,
             tx,
-            since: now,
+            queued_at: now,
         };
-        let offered = self.queue.lock().offer(now, arrival, Queued::new(waiting));
-        match offered {
-            Ok(place) => {
-                self.pump();
-                Ok(QueuedRequest::new(self.clone(), place, rx))
+        let offer_result = self.queue.lock().offer(now, arrival, Queued::new(pending));
+        match offer_result {
+            Ok(position) => {
+                self.dispatch();
+                Ok(QueuedRequest::new(self.clone(), position, rx))
             }
-            Err(not_run) => Err(self.refusal(&not_run)),
+            Err(not_run) => Err(self.count_as_refusal(&not_run)),
         }
     }
 
     /// Takes a slot without queueing, for a further attempt of a request that was admitted before.
-    /// With `must`, an upstream without free capacity is used if no other is available.
-    pub(crate) fn take(
+    /// With `allow_full`, an upstream without free capacity is used if no other is available.
+    pub(crate) fn take_slot(
         self: &Arc<Self>,
         lane: Lane,
-        must: bool,
+        allow_full: bool,
         choose: impl Fn(&[UpstreamId]) -> Option<UpstreamHandle>,
     ) -> Option<SlotGuard> {
         let now = self.timer.now();
         let mut queue = self.queue.lock();
         let upstream = choose(&queue.full_upstreams(now, lane))
-            .or_else(|| if must { choose(&[]) } else { None })?;
+            .or_else(|| if allow_full { choose(&[]) } else { None })?;
         queue.take_slot(now, lane, upstream.id());
         drop(queue);
         Some(SlotGuard::new(self.clone(), lane, upstream))
     }
 
     /// Takes a slot for a request that already runs on an upstream.
-    pub(crate) fn hold(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> SlotGuard {
+    pub(crate) fn hold_slot(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> SlotGuard {
         let now = self.timer.now();
         self.queue.lock().take_slot(now, lane, upstream.id());
         SlotGuard::new(self.clone(), lane, upstream)
     }
 
     /// Assigns free slots to queued requests and refuses those whose latest start time has passed.
-    pub(crate) fn pump(self: &Arc<Self>) {
+    pub(crate) fn dispatch(self: &Arc<Self>) {
         let now = self.timer.now();
-        let mut placed = Vec::new();
+        let mut dispatched = Vec::new();
         let mut queue = self.queue.lock();
         let expired = queue.expire(now);
         for lane in Lane::iter() {
             while queue.queue_len(lane) > 0 {
-                let next = queue.dispatch_where(now, lane, |waiting, taken| {
-                    let upstream = (waiting.choose)(taken)?;
+                let next = queue.dispatch_where(now, lane, |pending, taken| {
+                    let upstream = (pending.choose)(taken)?;
                     Some((upstream.id().clone(), upstream))
                 });
-                let Some((waiting, upstream)) = next else {
+                let Some((pending, upstream)) = next else {
                     break;
                 };
-                placed.push((waiting.done().into_request(), lane, upstream));
+                dispatched.push((pending.done().into_request(), lane, upstream));
             }
         }
         drop(queue);
         // Slot guards are created and sent outside the lock: a guard whose receiver has been
         // dropped releases its slot through this queue, which takes the same lock.
-        for (waiting, lane, upstream) in placed {
-            let waited = now.since(waiting.since).as_secs_f64();
+        for (pending, lane, upstream) in dispatched {
+            let waited = now.since(pending.queued_at).as_secs_f64();
             metrics::histogram!("catkin_queue_wait_seconds", "service" => self.label())
                 .record(waited);
-            let _ = waiting
+            let _ = pending
                 .tx
                 .send(Ok(SlotGuard::new(self.clone(), lane, upstream)));
         }
         for not_run in expired {
-            let refusal = self.refusal(&not_run);
+            let refusal = self.count_as_refusal(&not_run);
             let _ = not_run.into_request().tx.send(Err(refusal));
         }
     }
 
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn queued_count(&self) -> usize {
         let queue = self.queue.lock();
         Lane::iter().map(|lane| queue.queue_len(lane)).sum()
     }
 
-    pub(crate) fn withdraw(&self, place: QueuePosition) {
-        if let Some(not_run) = self.queue.lock().withdraw(place) {
-            self.refusal(&not_run);
+    pub(crate) fn withdraw(&self, position: QueuePosition) {
+        if let Some(not_run) = self.queue.lock().withdraw(position) {
+            self.count_as_refusal(&not_run);
         }
     }
 
-    pub(crate) fn leave(
+    pub(crate) fn release_slot(
         self: &Arc<Self>,
         lane: Lane,
         upstream: &UpstreamId,
-        held: Option<Duration>,
+        held_for: Option<Duration>,
     ) {
-        self.queue.lock().release_slot(lane, upstream, held);
-        self.pump();
+        self.queue.lock().release_slot(lane, upstream, held_for);
+        self.dispatch();
     }
 
-    pub(crate) fn answered(&self, upstream: &UpstreamId, latency: Duration) {
+    pub(crate) fn record_latency(&self, upstream: &UpstreamId, latency: Duration) {
         self.queue.lock().record_latency(upstream, latency);
     }
 
-    pub(crate) fn overloaded(&self, upstream: &UpstreamId) {
+    pub(crate) fn record_overload(&self, upstream: &UpstreamId) {
         self.queue.lock().record_overload(upstream);
     }
 
-    pub(crate) fn take_reports<'a>(
+    pub(crate) fn apply_reports<'a>(
         self: &Arc<Self>,
         reports: impl Iterator<Item = &'a (UpstreamId, CapacityReport)>,
         share: impl Fn(&UpstreamId) -> CapacityShare,
@@ -190,9 +190,9 @@
         for (id, report) in reports {
             queue.apply_report(id, *report, share(id));
         }
-        self.publish(&queue);
+        self.update_gauges(&queue);
         drop(queue);
-        self.pump();
+        self.dispatch();
     }
 
     /// Counts a refusal that is about to be sent to the caller.
@@ -205,11 +205,11 @@
         .increment(1);
     }
 
-    pub(crate) fn count(&self, name: &'static str) {
+    pub(crate) fn increment_counter(&self, name: &'static str) {
         metrics::counter!(name, "service" => self.label()).increment(1);
     }
 
-    fn refusal(&self, not_run: &NotRun<Waiting>) -> Refusal {
+    fn count_as_refusal(&self, not_run: &NotRun<PendingRequest>) -> Refusal {
         self.count_refusal(not_run.reason());
         Refusal {
             reason: not_run.reason(),
@@ -217,7 +217,7 @@
         }
     }
 
-    fn publish(&self, queue: &AdmissionQueue<Waiting>) {
+    fn update_gauges(&self, queue: &AdmissionQueue<PendingRequest>) {
         for lane in Lane::iter() {
             let count = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
             let in_flight = queue.slots().map(|(_, slots)| slots.in_flight(lane));
--- a/crates/catkinward/src/attempt_stream.rs
+++ b/crates/catkinward/src/attempt_stream.rs
@@ -8,10 +8,10 @@
 pub(crate) struct AttemptStream {
     attempt: Attempt,
     reader: SseReader<Body>,
-    unread: Option<EngineEvent>,
+    buffered: Option<EngineEvent>,
     /// Wakes the reader to check whether the stream is silent. It is reset only when it fires,
     /// because setting a timer for each token costs more than reading the token.
-    look: Pin<Box<Sleep>>,
+    silence_check: Pin<Box<Sleep>>,
 }
 
 /// Result of reading from the event stream of the HTTP library.
@@ -27,8 +27,8 @@
         Ok(Self {
             attempt,
             reader: SseReader::into_sse(response).map_err(|_| AttemptError::Broken)?,
-            unread: None,
-            look: Box::pin(tokio::time::sleep(Duration::ZERO)),
+            buffered: None,
+            silence_check: Box::pin(tokio::time::sleep(Duration::ZERO)),
         })
     }
 
@@ -41,32 +41,32 @@
     ///
     /// # Errors
     ///
-    /// If none arrives within `bound`, the stream is interrupted, or an event cannot be parsed.
-    pub(crate) async fn next(&mut self, bound: Duration) -> Result<EngineEvent, AttemptError> {
-        if let Some(event) = self.unread.take() {
+    /// If none arrives within `timeout`, the stream is interrupted, or an event cannot be parsed.
+    pub(crate) async fn next(&mut self, timeout: Duration) -> Result<EngineEvent, AttemptError> {
+        if let Some(event) = self.buffered.take() {
             return Ok(event);
         }
-        let silent_at = Instant::now() + bound;
+        let deadline = Instant::now() + timeout;
         loop {
             tokio::select! {
                 biased;
-                read = self.reader.read() => return read_event(read),
-                () = &mut self.look => {
-                    if Instant::now() >= silent_at {
-                        return Err(AttemptError::Silent { bound });
+                read = self.reader.read() => return parse_event(read),
+                () = &mut self.silence_check => {
+                    if Instant::now() >= deadline {
+                        return Err(AttemptError::Silent { timeout });
                     }
-                    self.look.as_mut().reset(silent_at);
+                    self.silence_check.as_mut().reset(deadline);
                 }
             }
         }
     }
 
     /// Returns an event that has already arrived, if any, without waiting.
-    pub(crate) fn ready(&mut self) -> Option<Result<EngineEvent, AttemptError>> {
-        if let Some(event) = self.unread.take() {
+    pub(crate) fn try_next(&mut self) -> Option<Result<EngineEvent, AttemptError>> {
+        if let Some(event) = self.buffered.take() {
             return Some(Ok(event));
         }
-        futures::FutureExt::now_or_never(self.reader.read()).map(read_event)
+        futures::FutureExt::now_or_never(self.reader.read()).map(parse_event)
     }
 
     /// Waits for the first event other than a heartbeat and buffers it for [`Self::next`].
@@ -74,18 +74,21 @@
     /// # Errors
     ///
     /// As for [`Self::next`].
-    pub(crate) async fn wait_for_progress(&mut self, bound: Duration) -> Result<(), AttemptError> {
+    pub(crate) async fn wait_for_progress(
+        &mut self,
+        timeout: Duration,
+    ) -> Result<(), AttemptError> {
         loop {
-            let event = self.next(bound).await?;
+            let event = self.next(timeout).await?;
             if event != EngineEvent::Heartbeat {
-                self.unread = Some(event);
+                self.buffered = Some(event);
                 return Ok(());
             }
         }
     }
 }
 
-fn read_event(read: ReadEvent) -> Result<EngineEvent, AttemptError> {
+fn parse_event(read: ReadEvent) -> Result<EngineEvent, AttemptError> {
     let event = read.ok().flatten().ok_or(AttemptError::Broken)?;
-    EngineEvent::read(event.event(), event.data().unwrap_or_default())
+    EngineEvent::parse(event.event(), event.data().unwrap_or_default())
 }
--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -21,7 +21,7 @@
 const LAST_EVENT_ID: &str = "last-event-id";
 
 /// How often a generation is checked for a connected caller.
-const ABANDONED_PERIOD: Duration = Duration::from_millis(250);
+const ABANDONED_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The HTTP service for callers.
 #[derive(Clone)]
@@ -93,15 +93,15 @@
     async fn route(&self, req: Request) -> Result<Response, Problem> {
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/healthz") => Ok(Response::new("ok\n".into())),
-            (&Method::GET, "/readyz") => self.ready(),
+            (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => Ok(metrics_response()),
-            (&Method::POST, "/v1/completions") => self.complete(req).await,
-            (_, path) if path.starts_with("/v1/services/") => self.plain(req).await,
+            (&Method::POST, "/v1/completions") => self.handle_completion(req).await,
+            (_, path) if path.starts_with("/v1/services/") => self.handle_plain(req).await,
             _ => Err(ProblemKind::NoSuchPath.into()),
         }
     }
 
-    fn ready(&self) -> Result<Response, Problem> {
+    fn readiness(&self) -> Result<Response, Problem> {
         if self.node.drain.has_begun() {
             return Err(ProblemKind::Draining.into());
         }
@@ -115,7 +115,7 @@
         Ok(Response::new(text.into()))
     }
 
-    pub(crate) fn caller(&self, headers: &HeaderMap) -> Result<Caller, Problem> {
+    pub(crate) fn authenticate(&self, headers: &HeaderMap) -> Result<Caller, Problem> {
         let bundle = self.node.bundle.current();
         if bundle.version == BundleVersion::default() {
             return Err(ProblemKind::NotReady.into());
@@ -131,53 +131,57 @@
         Ok(Caller { bundle, team })
     }
 
-    async fn complete(&self, req: Request) -> Result<Response, Problem> {
+    async fn handle_completion(&self, req: Request) -> Result<Response, Problem> {
         let in_flight = self.node.drain.enter().ok_or(ProblemKind::Draining)?;
         let (parts, body) = req.into_parts();
-        let caller = self.caller(&parts.headers)?;
+        let caller = self.authenticate(&parts.headers)?;
         let body = self.read_body(body).await?;
-        let order: caller::CompletionRequest =
+        let completion: caller::CompletionRequest =
             serde_json::from_slice(&body).map_err(|_| ProblemKind::Malformed)?;
-        let request = self.accept(&caller, &parts.headers, &order)?;
-        let point = match header_text(&parts.headers, LAST_EVENT_ID) {
+        let request = self.build_request(&caller, &parts.headers, &completion)?;
+        let resume_point = match header_text(&parts.headers, LAST_EVENT_ID) {
             Some(last) => last.parse().map_err(|_| ProblemKind::Malformed)?,
             None => ResumePoint::default(),
         };
         let generation = match header_text(&parts.headers, IDEMPOTENCY_KEY) {
             Some(key) => {
-                let request = request.under_key(key);
-                self.keyed(request, &point, caller.queue_team()).await?
+                let request = request.with_key(key);
+                self.find_or_begin_keyed(request, &resume_point, caller.queue_team())
+                    .await?
             }
-            None if point.next > TokenIndex(0) => return Err(ProblemKind::KeyAbsent.into()),
+            None if resume_point.next > TokenIndex(0) => return Err(ProblemKind::KeyAbsent.into()),
             None => self.begin(Generation::new(request), caller.queue_team())?,
         };
-        if !order.stream {
-            return whole_answer(&generation).await;
+        if !completion.stream {
+            return complete_response(&generation).await;
         }
         let vm = &self.node.settings.vm;
-        let body = event_stream(generation, point.next, vm, in_flight);
+        let body = event_stream(generation, resume_point.next, vm, in_flight);
         Ok(event_response(body))
     }
 
     /// Returns the generation for an idempotency key: one that runs here, one taken over from
     /// another VM, or a new one.
-    async fn keyed(
+    async fn find_or_begin_keyed(
         &self,
         request: GenerationRequest,
-        point: &ResumePoint,
+        resume_point: &ResumePoint,
         team: QueueTeam,
     ) -> Result<Arc<Generation>, Problem> {
-        let running = self.node.generations.of(&request.id);
+        let running = self.node.generations.with_id(&request.id);
         if running
             .iter()
             .any(|other| other.request.body != request.body)
         {
             return Err(ProblemKind::KeyConflict.into());
         }
-        if let Some(running) = running.into_iter().find(|other| other.reaches(point)) {
+        if let Some(running) = running
+            .into_iter()
+            .find(|other| other.can_resume_at(resume_point))
+        {
             return Ok(running);
         }
-        let generation = find_or_begin(&self.node, request, point).await?;
+        let generation = find_or_begin(&self.node, request, resume_point).await?;
         self.begin(generation, team)
     }
 
@@ -191,15 +195,15 @@
         Ok(generation)
     }
 
-    fn accept(
+    fn build_request(
         &self,
         caller: &Caller,
         headers: &HeaderMap,
-        order: &caller::CompletionRequest,
+        completion: &caller::CompletionRequest,
     ) -> Result<GenerationRequest, Problem> {
         let service = caller
             .bundle
-            .service(&order.model)
+            .service(&completion.model)
             .ok_or(ProblemKind::NoSuchService)?;
         let ServiceKind::Generation { model, recovery } = &service.kind else {
             return Err(ProblemKind::NoSuchService.into());
@@ -215,18 +219,18 @@
         Ok(GenerationRequest {
             engine_id: id.clone(),
             id,
-            keyed: None,
-            body: RequestDigest::of(&caller.team, &json_bytes(order)),
+            resumable: None,
+            body: RequestDigest::of(&caller.team, &json_bytes(completion)),
             team: caller.team.clone(),
             service: service.id.clone(),
             bundle: caller.bundle.version,
             model: self.node.upstreams.serving_model(&service.id, model),
             recovery: *recovery,
-            prompt: order.prompt.as_str().into(),
-            max_tokens: order.max_tokens.get(),
-            seed: order.seed.unwrap_or_else(rand::random),
-            temperature: order.temperature,
-            stop: order.stop.clone(),
+            prompt: completion.prompt.as_str().into(),
+            max_tokens: completion.max_tokens.get(),
+            seed: completion.seed.unwrap_or_else(rand::random),
+            temperature: completion.temperature,
+            stop: completion.stop.clone(),
             deadline: self.node.timer.now().after(deadline),
         })
     }
@@ -268,7 +272,7 @@
         tokio::spawn(async move {
             tokio::join!(
                 generation_driver::drive(node.clone(), generation.clone(), waiting),
-                end_if_abandoned(&node, &generation),
+                cancel_if_abandoned(&node, &generation),
             );
             node.generations.remove(&generation);
             if let (Some(peers), Some(update)) =
@@ -295,16 +299,16 @@
 
 /// Cancels a generation whose caller has disconnected and not reconnected within the grace period,
 /// so that it uses no more engine time. Returns when the generation ends.
-async fn end_if_abandoned(node: &Node, generation: &Generation) {
-    let mut gone_since = None;
+async fn cancel_if_abandoned(node: &Node, generation: &Generation) {
+    let mut unread_since = None;
     while generation.outcome().is_none() {
-        tokio::time::sleep(ABANDONED_PERIOD).await;
+        tokio::time::sleep(ABANDONED_CHECK_INTERVAL).await;
         if generation.has_reader() {
-            gone_since = None;
+            unread_since = None;
             continue;
         }
         let now = node.timer.now();
-        let since = *gone_since.get_or_insert(now);
+        let since = *unread_since.get_or_insert(now);
         if now.since(since) > node.settings.caller_grace {
             generation.cancel();
             return;
@@ -312,7 +316,7 @@
     }
 }
 
-async fn whole_answer(generation: &Generation) -> Result<Response, Problem> {
+async fn complete_response(generation: &Generation) -> Result<Response, Problem> {
     let mut changes = generation.changes();
     while generation.outcome().is_none() {
         if changes.changed().await.is_err() {
--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -7,7 +7,7 @@
 };
 
 /// Maximum number of bytes that are read of a refusal's body.
-const REFUSAL_LIMIT: usize = 64 * 1024;
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
 /// Header in which an engine may send its load report with a response.
 const LOAD_HEADER: &str = "catkin-load";
@@ -49,7 +49,7 @@
     /// Number of the attempt from now on. If it differs, this VM takes over the attempt of another
     /// VM: the engine then ends the other VM's stream and ignores its cancellations and
     /// reattachments.
-    pub(crate) becomes: Attempt,
+    pub(crate) new_attempt: Attempt,
     /// Index of the first token to send.
     pub(crate) from: TokenIndex,
     pub(crate) bound: Duration,
@@ -66,18 +66,18 @@
         address,
         id,
         attempt,
-        becomes,
+        new_attempt,
         from,
         bound,
     } = reattach;
     let call = HttpCall {
         address,
-        path: format!("/v1/streams/{id}?attempt={attempt}&as={becomes}&from={from}"),
+        path: format!("/v1/streams/{id}?attempt={attempt}&as={new_attempt}&from={from}"),
         bound,
         fresh: true,
         ..HttpCall::default()
     };
-    let (stream, _) = open_stream(connections, becomes, call).await?;
+    let (stream, _) = open_stream(connections, new_attempt, call).await?;
     Ok(stream)
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// Cancels all attempts of a request up to `attempt` in a background task.
-pub(crate) fn cancel_later(
+pub(crate) fn spawn_cancel(
     connections: &Arc<Connections>,
     address: SocketAddr,
     id: &RequestId,
@@ -122,7 +122,7 @@
             .and_then(|value| serde_json::from_slice(value.as_bytes()).ok());
         return Ok((AttemptStream::new(attempt, response)?, load));
     }
-    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_LIMIT);
+    let body = http_body_util::Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
     let body = tokio::time::timeout(bound, http_body_util::BodyExt::collect(body))
         .await
         .map_err(|_| HttpError::Timeout { address, bound })?
--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -17,17 +17,17 @@
     /// # Errors
     ///
     /// If the event does not match the expected schema.
-    pub(crate) fn read(name: &str, data: &str) -> Result<Self, AttemptError> {
+    pub(crate) fn parse(name: &str, data: &str) -> Result<Self, AttemptError> {
         match name {
             "heartbeat" => Ok(Self::Heartbeat),
-            "token" => read_token(serde_json::from_str(data)?),
-            "end" => read_end(&serde_json::from_str(data)?),
+            "token" => parse_token(serde_json::from_str(data)?),
+            "end" => parse_end(&serde_json::from_str(data)?),
             _ => Err(AttemptError::UnknownEvent { name: name.into() }),
         }
     }
 }
 
-fn read_token(event: engine::EngineToken) -> Result<EngineEvent, AttemptError> {
+fn parse_token(event: engine::EngineToken) -> Result<EngineEvent, AttemptError> {
     let bytes = parse_hex(&event.bytes).ok_or(AttemptError::TokenBytes)?;
     Ok(EngineEvent::Token(ReceivedToken {
         request_id: event.request_id.try_into()?,
@@ -40,7 +40,7 @@
     }))
 }
 
-fn read_end(event: &engine::EngineEnd) -> Result<EngineEvent, AttemptError> {
+fn parse_end(event: &engine::EngineEnd) -> Result<EngineEvent, AttemptError> {
     Ok(EngineEvent::End(ReceivedEnd {
         request_id: event.request_id.parse()?,
         attempt: Attempt(event.attempt),
@@ -70,11 +70,11 @@
     Form(serde_json::Error),
     /// Crash records that arrived after the upstream was selected forbid the request to run there;
     /// nothing was sent.
-    #[display("the order was held back: {hold}")]
+    #[display("the order was held back: {block}")]
     #[from(skip)]
-    Held {
+    Blocked {
         /// Rule that forbids the request to run there.
-        hold: PoisonBlock,
+        block: PoisonBlock,
     },
     /// The call failed.
     #[display("{_0}")]
@@ -87,7 +87,7 @@
     /// sent.
     #[display("the upstream did not answer before the order was sent")]
     #[from(skip)]
-    Unproven,
+    LivenessUnproven,
     /// The engine refused; nothing ran.
     #[display("the engine refused: {kind}")]
     #[from(skip)]
@@ -99,11 +99,11 @@
     #[display("{_0}")]
     Relay(catkin_decisions::Error),
     /// No event arrived within the timeout.
-    #[display("nothing came for {} ms", bound.as_millis())]
+    #[display("nothing came for {} ms", timeout.as_millis())]
     #[from(skip)]
     Silent {
         /// Timeout that elapsed.
-        bound: Duration,
+        timeout: Duration,
     },
     /// A token's bytes are not hexadecimal.
     #[display("a token's bytes are not hexadecimal")]
@@ -123,7 +123,10 @@
     /// it, or it refused the order.
     pub(crate) fn never_ran(&self) -> bool {
         match self {
-            Self::Held { .. } | Self::NotEligible | Self::Unproven | Self::Refused { .. } => true,
+            Self::Blocked { .. }
+            | Self::NotEligible
+            | Self::LivenessUnproven
+            | Self::Refused { .. } => true,
             Self::Http(fault) => fault.never_connected(),
             _ => false,
         }
--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -5,7 +5,7 @@
 use catkin_decisions::{EngineReport, EngineState, OrderPermit};
 
 /// Timeout for reading an engine's state.
-const READ_BOUND: Duration = Duration::from_millis(800);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Reason that an order may have had no effect.
 #[derive(Debug, Display, StdError, From, IntoStaticStr)]
@@ -50,7 +50,7 @@
         let call = HttpCall {
             address: upstream.address,
             path: "/v1/load".to_owned(),
-            bound: READ_BOUND,
+            bound: REPORT_TIMEOUT,
             ..HttpCall::default()
         };
         let load: engine::UpstreamLoad = self.connections.call_json(call).await.ok()?;
@@ -58,7 +58,7 @@
     }
 
     /// Sends an order. It consumes the permit, which is valid for a single order.
-    pub(crate) async fn order(
+    pub(crate) async fn send_order(
         &self,
         upstream: &Upstream,
         permit: OrderPermit,
@@ -66,7 +66,7 @@
     ) -> Result<(), OrderError> {
         let order = engine::EngineOrder {
             holder: self.vm.to_string(),
-            models: state.models.iter().map(border_model).collect(),
+            models: state.models.iter().map(to_loaded_model).collect(),
             role: engine::EngineRole::Serve,
             term: permit.term().0,
         };
@@ -97,11 +97,11 @@
         .models
         .iter()
         // An engine that does not report its number of streams may be running some.
-        .map(|entry| (decided_model(entry), entry.streams.unwrap_or(1)))
+        .map(|entry| (to_model(entry), entry.streams.unwrap_or(1)))
         .collect::<Vec<_>>();
     loaded.sort();
     let loading = load.loading.map(|list| {
-        let mut models = list.models.iter().map(decided_model).collect::<Vec<_>>();
+        let mut models = list.models.iter().map(to_model).collect::<Vec<_>>();
         models.sort();
         models
     });
@@ -114,7 +114,7 @@
     }
 }
 
-fn decided_model(entry: &engine::LoadedModel) -> Model {
+fn to_model(entry: &engine::LoadedModel) -> Model {
     Model {
         name: entry.model.as_str().into(),
         version: entry.version.as_str().into(),
@@ -122,7 +122,7 @@
     }
 }
 
-fn border_model(model: &Model) -> engine::LoadedModel {
+fn to_loaded_model(model: &Model) -> engine::LoadedModel {
     engine::LoadedModel {
         adapter: model.adapter.as_deref().map(ToOwned::to_owned),
         model: model.name.to_string(),
--- a/crates/catkinward/src/event_stream.rs
+++ b/crates/catkinward/src/event_stream.rs
@@ -5,10 +5,10 @@
 
 /// Interval of comment lines to a waiting caller, so that no intermediary treats the connection as
 /// dead.
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Approximate size in bytes of the event of one token.
-const EVENT_SIZE: usize = 220;
+const TYPICAL_EVENT_BYTES: usize = 220;
 
 /// Reads a generation as server-sent events for a caller.
 struct Reader {
@@ -34,8 +34,11 @@
 ) -> Body {
     let changes = generation.changes();
     let mut joiner = Utf8Joiner::default();
-    let before = generation.read_from(TokenIndex(0)).0;
-    for (_, bytes) in before.iter_from(TokenIndex(0)).take(from.as_usize()) {
+    let already_received = generation.read_from(TokenIndex(0)).0;
+    for (_, bytes) in already_received
+        .iter_from(TokenIndex(0))
+        .take(from.as_usize())
+    {
         joiner.push(bytes);
     }
     let reader = Reader {
@@ -45,7 +48,7 @@
         joiner,
         next: from,
         ended: false,
-        keep_alive: Box::pin(tokio::time::sleep(KEEP_ALIVE)),
+        keep_alive: Box::pin(tokio::time::sleep(KEEP_ALIVE_INTERVAL)),
         vm: vm.clone(),
         _in_flight: in_flight,
     };
@@ -61,11 +64,11 @@
         if self.ended {
             return None;
         }
-        let due = Instant::now() + KEEP_ALIVE;
+        let deadline = Instant::now() + KEEP_ALIVE_INTERVAL;
         loop {
             self.changes.borrow_and_update();
             let (tokens, outcome) = self.generation.read_from(self.next);
-            let mut buf = Vec::with_capacity(tokens.len().as_usize() * EVENT_SIZE);
+            let mut buf = Vec::with_capacity(tokens.len().as_usize() * TYPICAL_EVENT_BYTES);
             for (id, bytes) in tokens.iter_from(TokenIndex(0)) {
                 self.write_token(&mut buf, id, bytes);
             }
@@ -80,8 +83,8 @@
                 biased;
                 _ = self.changes.changed() => {}
                 () = &mut self.keep_alive => {
-                    self.keep_alive.as_mut().reset(due.max(Instant::now()));
-                    if Instant::now() >= due {
+                    self.keep_alive.as_mut().reset(deadline.max(Instant::now()));
+                    if Instant::now() >= deadline {
                         return Some(b": waiting\n\n".to_vec());
                     }
                 }
@@ -92,8 +95,8 @@
     fn write_token(&mut self, buf: &mut Vec<u8>, id: u32, bytes: &[u8]) {
         self.event.choices[0].text = self.joiner.push(bytes);
         self.event.tokens[0] = id;
-        let id = match &self.generation.request.keyed {
-            Some(keyed) => ResumePoint::event_id(self.next, keyed.chain, &self.vm),
+        let id = match &self.generation.request.resumable {
+            Some(resumable) => ResumePoint::event_id(self.next, resumable.chain, &self.vm),
             None => self.next.to_string(),
         };
         write_event(buf, None, Some(&id), &self.event);
--- a/crates/catkinward/src/generation.rs
+++ b/crates/catkinward/src/generation.rs
@@ -21,7 +21,7 @@
     upstream: Option<UpstreamId>,
     /// Upstream and number of another VM's attempt that may still run, until this VM has tried to
     /// reattach to it.
-    left_running: Option<(UpstreamId, Attempt)>,
+    orphaned_attempt: Option<(UpstreamId, Attempt)>,
     outcome: Option<GenerationOutcome>,
 }
 
@@ -43,7 +43,7 @@
                 relay: Relay::new(request.engine_id.clone()),
                 released: TokenIndex(0),
                 upstream: None,
-                left_running: None,
+                orphaned_attempt: None,
                 outcome: None,
             }),
             request,
@@ -63,7 +63,7 @@
                 released: relay.next(),
                 relay,
                 upstream: record.upstream.clone(),
-                left_running: record.upstream.clone().map(|id| (id, record.attempt)),
+                orphaned_attempt: record.upstream.clone().map(|id| (id, record.attempt)),
                 outcome: record.finish.map(GenerationOutcome::Whole),
             }),
             ..Self::new(request)
@@ -109,12 +109,12 @@
     /// Returns the progress from token `from` on; `None` if the caller gave no key and so cannot
     /// reconnect.
     pub(crate) fn progress_from(&self, from: TokenIndex) -> Option<ProgressUpdate> {
-        let keyed = self.request.keyed.as_ref()?;
+        let resumable = self.request.resumable.as_ref()?;
         let state = self.state.lock();
         Some(ProgressUpdate {
             id: self.request.id.clone(),
-            chain: keyed.chain,
-            head: (from == TokenIndex(0)).then(|| self.request.head(keyed)),
+            chain: resumable.chain,
+            head: (from == TokenIndex(0)).then(|| self.request.progress_head(resumable)),
             attempt: state.relay.live(),
             upstream: state.upstream.clone(),
             from,
@@ -124,7 +124,7 @@
     }
 
     /// Returns whether a caller that reconnects at `point` can be sent the tokens from there on.
-    pub(crate) fn reaches(&self, point: &ResumePoint) -> bool {
+    pub(crate) fn can_resume_at(&self, point: &ResumePoint) -> bool {
         let superseded = GenerationOutcome::Failed(ProblemKind::Superseded);
         if self.outcome() == Some(superseded) {
             return false;
@@ -144,13 +144,13 @@
     }
 
     /// Records the upstream that runs the generation.
-    pub(crate) fn runs_on(&self, upstream: &UpstreamId) {
+    pub(crate) fn set_upstream(&self, upstream: &UpstreamId) {
         self.state.lock().upstream = Some(upstream.clone());
     }
 
     /// Takes the upstream and number of another VM's attempt that may still run.
-    pub(crate) fn take_left_running(&self) -> Option<(UpstreamId, Attempt)> {
-        self.state.lock().left_running.take()
+    pub(crate) fn take_orphaned_attempt(&self) -> Option<(UpstreamId, Attempt)> {
+        self.state.lock().orphaned_attempt.take()
     }
 
     /// Ends the generation on this VM if another VM runs it under a newer attempt.
@@ -193,7 +193,7 @@
         let reserved = state.relay.reserve();
         let order = self
             .request
-            .order(reserved.attempt(), state.relay.delivered());
+            .engine_order(reserved.attempt(), state.relay.delivered());
         (reserved, order)
     }
 
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -7,7 +7,7 @@
 
 /// How long a suspect request is limited to upstreams whose suspects this VM observes. Afterwards
 /// it may run on any upstream.
-pub(crate) const SUSPECT_PATIENCE: Duration = Duration::from_secs(1);
+pub(crate) const SUSPECT_MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// Queues a generation for its first slot.
 ///
@@ -28,15 +28,15 @@
             retry_after: Duration::ZERO,
         });
     }
-    take_from_limits(node, request).map_err(|retry_after| {
+    charge_team_limits(node, request).map_err(|retry_after| {
         pool.count_refusal(RefusalReason::TeamLimit);
         Refusal {
             reason: RefusalReason::TeamLimit,
             retry_after,
         }
     })?;
-    let offered = pool.offer(&request.arrival(team), chooser(node, request));
-    offered.inspect_err(|_| {
+    let result = pool.offer(&request.arrival(team), upstream_selector(node, request));
+    result.inspect_err(|_| {
         let limits = &node.limits;
         limits.give_back(&request.team, LimitKind::Requests, 1);
         limits.give_back(&request.team, LimitKind::Tokens, request.max_tokens);
@@ -44,24 +44,24 @@
 }
 
 /// Charges one request and all tokens that it may generate to its team's limits.
-fn take_from_limits(node: &Node, request: &GenerationRequest) -> Result<(), Duration> {
+fn charge_team_limits(node: &Node, request: &GenerationRequest) -> Result<(), Duration> {
     let (limits, team) = (&node.limits, &request.team);
     limits.take(team, LimitKind::Requests, 1)?;
     let tokens = limits.take(team, LimitKind::Tokens, request.max_tokens);
     tokens.inspect_err(|_| limits.give_back(team, LimitKind::Requests, 1))
 }
 
-fn chooser(node: &Node, request: &GenerationRequest) -> ChooseUpstream {
+fn upstream_selector(node: &Node, request: &GenerationRequest) -> ChooseUpstream {
     let (upstreams, request) = (node.upstreams.clone(), request.clone());
     let (timer, start) = (node.timer.clone(), node.timer.now());
     Box::new(move |taken| {
         // A suspect that no observed upstream accepts would block the other requests of its team.
-        let urgent = timer.now().since(start) > SUSPECT_PATIENCE;
-        let want = UpstreamQuery {
+        let urgent = timer.now().since(start) > SUSPECT_MAX_WAIT;
+        let query = UpstreamQuery {
             avoid: taken,
             urgent,
-            ..request.want()
+            ..request.upstream_query()
         };
-        upstreams.choose(&want).ok()
+        upstreams.choose(&query).ok()
     })
 }
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -3,7 +3,7 @@
     engine_client,
     engine_event::{AttemptError, EngineEvent},
     generation::GenerationOutcome,
-    generation_admission::SUSPECT_PATIENCE,
+    generation_admission::SUSPECT_MAX_WAIT,
     peer_exchange::ExchangeResult,
     problem::{Problem, ProblemKind},
     progress_replicator::ProgressReplicator,
@@ -13,13 +13,13 @@
 };
 
 /// Timeout for an engine to respond to an order with the headers of its stream.
-const START_BOUND: Duration = Duration::from_millis(500);
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Interval, in tokens, of progress reports to the upstream's observation of suspect requests.
-const PROGRESS_TOKENS: u32 = 8;
+const PROGRESS_REPORT_INTERVAL: u32 = 8;
 
 /// How often a generation that waits for an upstream checks again.
-const RETRY_PERIOD: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a generation to its end, over as many attempts as needed.
 pub(crate) async fn drive(
@@ -91,21 +91,21 @@
     /// Upstreams that this generation has used since the list was last cleared, which happens when
     /// no other upstream is available.
     pub(crate) avoid: Vec<UpstreamId>,
-    keeper: ProgressReplicator,
+    replicator: ProgressReplicator,
 }
 
 impl Driver {
     pub(crate) fn new(node: Arc<Node>, generation: Arc<Generation>) -> Self {
         Self {
             avoid: Vec::new(),
-            keeper: ProgressReplicator::new(node.clone(), generation.clone()),
+            replicator: ProgressReplicator::new(node.clone(), generation.clone()),
             node,
             generation,
         }
     }
 
     async fn run(&mut self, waiting: Option<QueuedRequest>) -> GenerationOutcome {
-        if let Some(attempt) = Box::pin(self.go_on_with_left_running()).await {
+        if let Some(attempt) = Box::pin(self.resume_orphaned_attempt()).await {
             match self.follow(attempt).await {
                 Ok(finish) => return GenerationOutcome::Whole(finish),
                 Err(fault) => {
@@ -113,12 +113,12 @@
                 }
             }
         }
-        let mut place = match self.first_place(waiting).await {
-            Ok(place) => place,
+        let mut slot = match self.first_slot(waiting).await {
+            Ok(slot) => slot,
             Err(kind) => return GenerationOutcome::Failed(kind),
         };
         loop {
-            let fault = match self.start(place).await {
+            let fault = match self.start(slot).await {
                 Ok(attempt) => match self.follow(attempt).await {
                     Ok(finish) => return GenerationOutcome::Whole(finish),
                     Err(fault) => fault,
@@ -126,7 +126,7 @@
                 Err(fault) => fault,
             };
             tracing::warn!(id = %self.generation.request.id, %fault, "attempt lost");
-            place = match self.wait_for_upstream().await {
+            slot = match self.wait_for_upstream().await {
                 Ok(next) => next,
                 Err(kind) => return GenerationOutcome::Failed(kind),
             };
@@ -135,7 +135,7 @@
 
     /// Obtains the first slot: through the queue for a new generation, directly for one that was
     /// taken over from another VM.
-    async fn first_place(
+    async fn first_slot(
         &mut self,
         waiting: Option<QueuedRequest>,
     ) -> Result<SlotGuard, ProblemKind> {
@@ -148,13 +148,13 @@
                 let not_run = queued.refuse(refusal.reason, refusal.retry_after);
                 Problem::not_run(&not_run).kind
             }),
-            () = self.until_poisoned() => Err(self.poisoned()),
+            () = self.wait_until_poisoned() => Err(self.poisoned_kind()),
         }
     }
 
     /// Waits until the request is poisoned by upstream crashes on other VMs. No upstream accepts it
     /// then, and until its deadline it would block the other requests of its team in the queue.
-    async fn until_poisoned(&self) {
+    async fn wait_until_poisoned(&self) {
         let (upstreams, body) = (&self.node.upstreams, self.generation.request.body);
         loop {
             upstreams.check_suspect(body).await;
@@ -162,9 +162,9 @@
                 return;
             }
             let wait = if upstreams.suspects(body) {
-                RETRY_PERIOD
+                RETRY_INTERVAL
             } else {
-                SUSPECT_PATIENCE
+                SUSPECT_MAX_WAIT
             };
             tokio::time::sleep(wait).await;
         }
@@ -185,13 +185,13 @@
             let body = self.generation.request.body;
             self.node.upstreams.check_suspect(body).await;
             if self.is_poisoned().await {
-                return Err(self.poisoned());
+                return Err(self.poisoned_kind());
             }
-            if let Some(place) = self.choose(now.since(start) > SUSPECT_PATIENCE) {
-                return Ok(place);
+            if let Some(slot) = self.choose(now.since(start) > SUSPECT_MAX_WAIT) {
+                return Ok(slot);
             }
             self.avoid.clear();
-            tokio::time::sleep(RETRY_PERIOD).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -223,25 +223,25 @@
     }
 
     /// Announces the run of a suspect request to the other VMs.
-    async fn announce(&self, upstream: &SlotGuard) {
+    async fn announce_run(&self, upstream: &SlotGuard) {
         let (Some(peers), Some(run)) = (&self.node.peers, upstream.suspect_run()) else {
             return;
         };
         let (body, start) = (run.digest, self.node.timer.now());
         let marks = self.node.upstreams.poison_marks_of(body);
-        let tally = peers.announce(run, marks).await;
+        let result = peers.announce(run, marks).await;
         let ExchangeResult {
             asked,
             awaited,
             answered,
-        } = tally;
+        } = result;
         let took = self.node.timer.now().since(start);
         tracing::info!(id = %self.generation.request.id, %body, upstream = %upstream.id(), asked,
             awaited, answered, took_ms = %took.as_millis(), "run of a suspect announced to peers");
     }
 
     /// Returns how a poisoned request ends: as not run only if no attempt was made.
-    fn poisoned(&self) -> ProblemKind {
+    fn poisoned_kind(&self) -> ProblemKind {
         match self.generation.attempts() {
             Attempt(0) => ProblemKind::PoisonedNotRun,
             _ => ProblemKind::Poisoned,
@@ -252,15 +252,15 @@
         let request = &self.generation.request;
         // A caller that has received part of the response is waiting for the rest, so an upstream
         // without free capacity is acceptable.
-        let must = self.generation.next_index() > TokenIndex(0);
+        let allow_full = self.generation.next_index() > TokenIndex(0);
         let pool = self.node.admission.pool(&request.service);
-        pool.take(request.lane(), must, |taken| {
-            let want = UpstreamQuery {
+        pool.take_slot(request.lane(), allow_full, |taken| {
+            let query = UpstreamQuery {
                 avoid: &[&self.avoid, taken].concat(),
                 urgent,
-                ..request.want()
+                ..request.upstream_query()
             };
-            self.node.upstreams.choose(&want).ok()
+            self.node.upstreams.choose(&query).ok()
         })
     }
 
@@ -288,10 +288,10 @@
         let mut guard = AttemptGuard::new(connections, upstream.address(), order);
         let suspect = upstream.suspect_run();
         let started = async {
-            self.announce(&upstream).await;
+            self.announce_run(&upstream).await;
             upstream.commit()?;
             upstream.prove_alive().await?;
-            engine_client::start_attempt(connections, &upstream, order, START_BOUND).await
+            engine_client::start_attempt(connections, &upstream, order, START_TIMEOUT).await
         };
         let stream = match started.await {
             Ok(stream) => stream,
@@ -344,8 +344,8 @@
     }
 
     async fn relay_events(&mut self, attempt: &mut RunningAttempt) -> Result<Finish, AttemptError> {
-        self.generation.runs_on(attempt.upstream.id());
-        let mut went_on = false;
+        self.generation.set_upstream(attempt.upstream.id());
+        let mut has_progressed = false;
         let mut stalls = StallDetector::default();
         loop {
             let waiting = self.node.timer.now();
@@ -357,16 +357,16 @@
             loop {
                 let index = self.generation.next_index();
                 finish = finish.or(self.relay_event(attempt, event)?);
-                if !went_on && self.generation.next_index() > index {
-                    went_on = true;
+                if !has_progressed && self.generation.next_index() > index {
+                    has_progressed = true;
                     self.record_progress(attempt, index);
                 }
-                match attempt.stream.ready() {
+                match attempt.stream.try_next() {
                     Some(Ok(next)) if finish.is_none() => event = next,
                     _ => break,
                 }
             }
-            self.keeper.release().await;
+            self.replicator.release().await;
             if let Some(finish) = finish {
                 return Ok(finish);
             }
@@ -382,7 +382,7 @@
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
                 attempt.upstream.begun();
-                if token.index.0 % PROGRESS_TOKENS == 0 {
+                if token.index.0 % PROGRESS_REPORT_INTERVAL == 0 {
                     attempt.upstream.progressed();
                 }
                 self.generation.token(token)?;
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -42,8 +42,8 @@
     Ok(take_over(node, request, point, &record))
 }
 
-/// Looks for the copy of a generation, again and again while one that reaches as far as the caller may be on its way: a
-/// caller returns sooner than a message of the lost VM takes.
+/// Looks for the copy of a generation, again and again while one that reaches as far as the caller
+/// may be on its way: a caller returns sooner than a message of the lost VM takes.
 async fn await_copy(
     node: &Node,
     request: &GenerationRequest,
@@ -84,7 +84,7 @@
     point: &ResumePoint,
     record: &ProgressRecord,
 ) -> Generation {
-    let request = request.going_on(record);
+    let request = request.resumed_from(record);
     let last = record.attempt.first_after_takeover(rand::random());
     let generation = Generation::resumed(request, record, last);
     if record.finish.is_some() {
--- a/crates/catkinward/src/generation_request.rs
+++ b/crates/catkinward/src/generation_request.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Number of tokens that cost as much as one call in fair queueing between teams.
-const TOKENS_PER_COST: u32 = 64;
+const TOKENS_PER_COST_UNIT: u32 = 64;
 
 /// An accepted generation request: all that an attempt needs, fixed for the life of the generation.
 #[derive(Clone, Debug)]
@@ -11,7 +11,7 @@
     /// Request id for engines. If two VMs start the same key at once, engines see two generations.
     pub engine_id: RequestId,
     /// State for resumption; `None` if the caller gave no key and so cannot reconnect.
-    pub keyed: Option<ResumableState>,
+    pub resumable: Option<ResumableState>,
     /// Digest of the team and the body. It identifies a reconnecting caller's request, and a
     /// request that crashes upstreams.
     pub body: RequestDigest,
@@ -50,13 +50,13 @@
         Arrival {
             team,
             lane: self.lane(),
-            cost: self.max_tokens.div_ceil(TOKENS_PER_COST),
+            cost: self.max_tokens.div_ceil(TOKENS_PER_COST_UNIT),
             deadline: self.deadline,
         }
     }
 
     /// Returns the criteria for selecting an upstream.
-    pub(crate) fn want(&self) -> UpstreamQuery<'_> {
+    pub(crate) fn upstream_query(&self) -> UpstreamQuery<'_> {
         UpstreamQuery {
             model: Some(&self.model),
             digest: Some(self.body),
@@ -66,47 +66,51 @@
     }
 
     /// Returns the request under an idempotency key, with a new chain.
-    pub(crate) fn under_key(self, key: &str) -> Self {
+    pub(crate) fn with_key(self, key: &str) -> Self {
         let id = RequestId::of_key(&self.team, key);
-        Self { id, ..self }.with_chain(ResumableState::begin())
+        Self { id, ..self }.with_resumable(ResumableState::begin())
     }
 
     /// Returns the request resumed from a progress record; the bundle version, model and seed
     /// remain those fixed by the VM that accepted it.
-    pub(crate) fn going_on(self, record: &ProgressRecord) -> Self {
+    pub(crate) fn resumed_from(self, record: &ProgressRecord) -> Self {
         let request = Self {
             bundle: record.head.bundle,
             model: record.head.model.clone(),
             seed: record.head.seed,
             ..self
         };
-        request.with_chain(ResumableState::go_on(record))
+        request.with_resumable(ResumableState::go_on(record))
     }
 
-    fn with_chain(self, keyed: ResumableState) -> Self {
-        let engine_id = format!("{}.{}", self.id, keyed.root());
+    fn with_resumable(self, resumable: ResumableState) -> Self {
+        let engine_id = format!("{}.{}", self.id, resumable.root());
         Self {
             engine_id: engine_id
                 .parse()
                 .expect("an id and hexadecimal digits are visible ASCII"),
-            keyed: Some(keyed),
+            resumable: Some(resumable),
             ..self
         }
     }
 
     /// Returns the state that stays fixed on whichever VM resumes the generation.
-    pub(crate) fn head(&self, keyed: &ResumableState) -> ProgressHead {
+    pub(crate) fn progress_head(&self, resumable: &ResumableState) -> ProgressHead {
         ProgressHead {
             digest: self.body,
             bundle: self.bundle,
             model: self.model.clone(),
             seed: self.seed,
-            lineage: keyed.lineage.clone(),
+            lineage: resumable.lineage.clone(),
         }
     }
 
     /// Returns the engine's order for an attempt that continues after `prefix`.
-    pub(crate) fn order(&self, attempt: Attempt, prefix: &TokenLog) -> engine::EngineGenerate {
+    pub(crate) fn engine_order(
+        &self,
+        attempt: Attempt,
+        prefix: &TokenLog,
+    ) -> engine::EngineGenerate {
         engine::EngineGenerate {
             request_id: self.engine_id.to_string(),
             attempt: attempt.0,
--- a/crates/catkinward/src/generations.rs
+++ b/crates/catkinward/src/generations.rs
@@ -10,11 +10,11 @@
     /// Returns the generations of a request id: usually one, but a key may be used twice
     /// concurrently.
     #[must_use]
-    pub fn of(&self, id: &RequestId) -> Vec<Arc<Generation>> {
+    pub fn with_id(&self, id: &RequestId) -> Vec<Arc<Generation>> {
         let running = self.running.read();
         let start = running.partition_point(|other| other.request.id < *id);
-        let of_id = running[start..].iter();
-        of_id
+        let matching = running[start..].iter();
+        matching
             .take_while(|other| other.request.id == *id)
             .cloned()
             .collect()
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -192,7 +192,7 @@
             detail: Some(describe(state).into()),
             ..Event::new(EventKind::OrderSent)
         });
-        let result = self.engines.order(upstream, permit, state).await;
+        let result = self.engines.send_order(upstream, permit, state).await;
         let name = result.as_ref().err().map_or("taken", Into::into);
         metrics::counter!("catkin_orders_total", "result" => name).increment(1);
         match result {
--- a/crates/catkinward/src/plain_api.rs
+++ b/crates/catkinward/src/plain_api.rs
@@ -13,10 +13,10 @@
 
 impl CallerApi {
     /// Serves `/v1/services/{service}/...`.
-    pub(crate) async fn plain(&self, req: Request) -> Result<Response, Problem> {
+    pub(crate) async fn handle_plain(&self, req: Request) -> Result<Response, Problem> {
         let _in_flight = self.node.drain.enter();
         let (parts, body) = req.into_parts();
-        let caller = self.caller(&parts.headers)?;
+        let caller = self.authenticate(&parts.headers)?;
         let call = self.accept_plain(&caller, &parts)?;
         let until_deadline = call.deadline.since(self.node.timer.now());
         let body = tokio::time::timeout(until_deadline, self.read_body(body))
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -75,7 +75,7 @@
     let leader = match ReadLeader::join(&dispatch.pool, &call.read_key()) {
         Ok(leader) => leader,
         Err(rx) => {
-            dispatch.pool.count("catkin_merged_reads_total");
+            dispatch.pool.increment_counter("catkin_merged_reads_total");
             let until_deadline = call.deadline.since(dispatch.pool.timer.now());
             match tokio::time::timeout(until_deadline, rx).await {
                 Ok(Ok(CoalescedRead::Answer(answer))) => return Ok(answer),
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -59,7 +59,7 @@
                 return Err(self.failed(dispatched, fault));
             };
             place = next;
-            self.pool.count("catkin_retries_total");
+            self.pool.increment_counter("catkin_retries_total");
             dispatched = match fault {
                 SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                     Ok(queued) => queued.dispatch(),
@@ -149,11 +149,11 @@
 
     fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let choose = self.chooser(avoid.to_vec());
-        let place = self.pool.take(Lane::Quick, false, choose)?;
+        let place = self.pool.take_slot(Lane::Quick, false, choose)?;
         if !self.pool.hedge.lock().try_spend(true) {
             return None;
         }
-        self.pool.count("catkin_hedges_total");
+        self.pool.increment_counter("catkin_hedges_total");
         Some(place)
     }
 
@@ -162,7 +162,7 @@
         let elsewhere = self.chooser(avoid.to_vec());
         let anywhere = self.chooser(Vec::new());
         let choose = |taken: &[UpstreamId]| elsewhere(taken).or_else(|| anywhere(taken));
-        self.pool.take(Lane::Quick, false, choose)
+        self.pool.take_slot(Lane::Quick, false, choose)
     }
 
     async fn wait_for_retry(&self, call: &PlainCall, fault: SendError, sent: u32) -> bool {
--- a/crates/catkinward/src/progress_replicas.rs
+++ b/crates/catkinward/src/progress_replicas.rs
@@ -144,8 +144,10 @@
     }
 
     pub(crate) fn copy(&self, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
-        let running = self.generations.of(id);
-        let reaching = running.iter().find(|generation| generation.reaches(point));
+        let running = self.generations.with_id(id);
+        let reaching = running
+            .iter()
+            .find(|generation| generation.can_resume_at(point));
         let reaching = reaching.and_then(|generation| generation.progress());
         reaching.or_else(|| self.find_here(id, point))
     }
@@ -161,9 +163,9 @@
 
     pub(crate) fn superseded(&self, list: &[(RequestId, ChainId, Attempt)]) {
         for (id, chain, attempt) in list {
-            for generation in self.generations.of(id) {
-                let keyed = generation.request.keyed.as_ref();
-                if keyed.is_some_and(|keyed| keyed.chain == *chain) {
+            for generation in self.generations.with_id(id) {
+                let resumable = generation.request.resumable.as_ref();
+                if resumable.is_some_and(|resumable| resumable.chain == *chain) {
                     generation.supersede(*attempt);
                 }
             }
--- a/crates/catkinward/src/progress_replicator.rs
+++ b/crates/catkinward/src/progress_replicator.rs
@@ -33,7 +33,7 @@
     /// Brings all copies up to date and releases what they hold.
     pub(crate) async fn release(&mut self) {
         let next = self.generation.next_index();
-        if self.generation.request.keyed.is_some() {
+        if self.generation.request.resumable.is_some() {
             self.bring_up_to_date().await;
         }
         self.generation.release(next);
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -31,17 +31,17 @@
 impl Driver {
     /// Goes on with the attempt of the VM before, if its engine still runs it: nothing is then
     /// computed twice.
-    pub(crate) async fn go_on_with_left_running(&mut self) -> Option<RunningAttempt> {
-        let (id, attempt) = self.generation.take_left_running()?;
+    pub(crate) async fn resume_orphaned_attempt(&mut self) -> Option<RunningAttempt> {
+        let (id, attempt) = self.generation.take_orphaned_attempt()?;
         let request = &self.generation.request;
         let pool = self.node.admission.pool(&request.service);
-        let upstream = pool.hold(request.lane(), self.node.upstreams.hold(&id)?);
+        let upstream = pool.hold_slot(request.lane(), self.node.upstreams.hold(&id)?);
         let (reserved, _) = self.generation.reserve();
         let reattach = Reattach {
             address: upstream.address(),
             id: &self.generation.request.engine_id,
             attempt,
-            becomes: reserved.attempt(),
+            new_attempt: reserved.attempt(),
             from: self.generation.next_index(),
             bound: PROBE_BOUND,
         };
@@ -133,7 +133,7 @@
             address: upstream.address(),
             id: &self.generation.request.engine_id,
             attempt,
-            becomes: attempt,
+            new_attempt: attempt,
             from: self.generation.next_index(),
             bound: PROBE_BOUND,
         };
--- a/crates/catkinward/src/running_attempt.rs
+++ b/crates/catkinward/src/running_attempt.rs
@@ -59,7 +59,7 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if !self.released {
-            engine_client::cancel_later(&self.connections, self.address, &self.id, self.attempt);
+            engine_client::spawn_cancel(&self.connections, self.address, &self.id, self.attempt);
         }
     }
 }
--- a/crates/catkinward/src/slot_guard.rs
+++ b/crates/catkinward/src/slot_guard.rs
@@ -27,13 +27,13 @@
     /// Notes the first part of an answer, by which the limit of the upstream is found.
     pub(crate) fn begun(&mut self) {
         if !std::mem::replace(&mut self.has_begun, true) {
-            self.pool.answered(self.upstream.id(), self.held());
+            self.pool.record_latency(self.upstream.id(), self.held());
         }
     }
 
     /// Notes that the upstream refused for want of room, or did not answer in time.
     pub(crate) fn overloaded(&self) {
-        self.pool.overloaded(self.upstream.id());
+        self.pool.record_overload(self.upstream.id());
     }
 
     /// Notes a whole answer; how long it took counts for the waits of those in the queue.
@@ -58,6 +58,6 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         let held = self.has_ended.then(|| self.held());
-        self.pool.leave(self.lane, self.upstream.id(), held);
+        self.pool.release_slot(self.lane, self.upstream.id(), held);
     }
 }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -145,8 +145,8 @@
     pub(crate) async fn lost(&self, fault: &AttemptError) {
         match fault {
             AttemptError::Refused { kind } => self.refused(*kind),
-            AttemptError::NotEligible | AttemptError::Held { .. } => {}
-            AttemptError::Unproven => {
+            AttemptError::NotEligible | AttemptError::Blocked { .. } => {}
+            AttemptError::LivenessUnproven => {
                 self.failed();
                 // Nothing was sent, so the request was not there when the upstream died.
                 self.forget_run();
@@ -204,13 +204,13 @@
             .await
             .map_err(|fault| {
                 tracing::info!(upstream = %self.id(), %fault, "no proof that the upstream lives");
-                AttemptError::Unproven
+                AttemptError::LivenessUnproven
             })?;
         let report = read_report(load);
         let same = report.incarnation == self.incarnation;
         self.known.reported(&self.state, asked, report);
         if !same {
-            return Err(AttemptError::Unproven);
+            return Err(AttemptError::LivenessUnproven);
         }
         self.known.poison.lock().liveness_confirmed(run);
         Ok(())
@@ -232,7 +232,7 @@
         };
         let now = self.known.timer.now();
         let committed = self.known.poison.lock().commit(run, now);
-        committed.map_err(|hold| AttemptError::Held { hold })
+        committed.map_err(|block| AttemptError::Blocked { block })
     }
 
     async fn find_out(&self) {
--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -70,7 +70,7 @@
     let long = long.collect::<Vec<_>>();
     let service = "ticket-model".parse().expect("a name");
     started.notified().await;
-    while router.node.admission.waiting(&service) < 16 {
+    while router.node.admission.queued_count(&service) < 16 {
         tokio::task::yield_now().await;
     }
 
@@ -78,7 +78,7 @@
 
     expect_that!(quick.check(chain(), 8), ok(eq(&())));
     expect_that!(long.iter().any(JoinHandle::is_finished), eq(false));
-    expect_that!(router.node.admission.waiting(&service), eq(16));
+    expect_that!(router.node.admission.queued_count(&service), eq(16));
     for generation in long {
         generation.abort();
     }
@@ -145,7 +145,7 @@
         let (caller, poison) = (caller.clone(), poison.clone());
         async move { whole(&caller, &poison).await }
     });
-    while router.node.admission.waiting(&service) < 1 {
+    while router.node.admission.queued_count(&service) < 1 {
         tokio::task::yield_now().await;
     }
 
@@ -161,7 +161,7 @@
     let problem = answer.problem.expect("a refusal");
     expect_that!(problem.type_, eq("catkinward:poisoned_not_run"));
     expect_that!(problem.outcome.to_string(), eq("not_run"));
-    expect_that!(router.node.admission.waiting(&service), eq(0));
+    expect_that!(router.node.admission.queued_count(&service), eq(0));
     long.abort();
 }
 
--- a/crates/load/tests/plain_calls.rs
+++ b/crates/load/tests/plain_calls.rs
@@ -288,7 +288,7 @@
     router
         .node
         .admission
-        .waiting(&"shopfront".parse().expect("a name"))
+        .queued_count(&"shopfront".parse().expect("a name"))
         == length
 }
 
@@ -353,7 +353,7 @@
     while router
         .node
         .admission
-        .waiting_reads(&"shopfront".parse().expect("a name"))
+        .waiting_read_count(&"shopfront".parse().expect("a name"))
         == 0
     {
         tokio::task::yield_now().await;
