--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -229,7 +229,7 @@
     /// take effect at most once, so a delayed earlier call is harmless.
     async fn apply(&self, change: &BundleChange) -> Result<bool> {
         let mut in_doubt = false;
-        let mut last = PlatformError::NotRun;
+        let mut last_error = PlatformError::NotRun;
         for attempt in 0..self.cfg.max_attempts {
             if attempt > 0 {
                 tokio::time::sleep(self.cfg.retry_delay).await;
@@ -237,10 +237,10 @@
             match (self.platform.transact)(bundle_rows::transaction(change)).await {
                 Ok(reply) if reply.committed => return Ok(false),
                 Ok(_) => {}
-                Err(fault) => {
-                    in_doubt |= fault == PlatformError::Unknown;
-                    last = fault;
-                    if last != PlatformError::Unknown {
+                Err(error) => {
+                    in_doubt |= error == PlatformError::Unknown;
+                    last_error = error;
+                    if last_error != PlatformError::Unknown {
                         continue;
                     }
                 }
@@ -249,14 +249,14 @@
                 Ok(ChangeResult::Done) => return Ok(true),
                 Ok(ChangeResult::Lost(refusal)) => return Err(refusal.into()),
                 Ok(ChangeResult::Pending) => {}
-                Err(Error::Platform(fault)) => last = fault,
+                Err(Error::Platform(error)) => last_error = error,
                 Err(error) => return Err(error),
             }
         }
         if in_doubt {
-            return Err(Error::ChangeInDoubt { fault: last });
+            return Err(Error::ChangeInDoubt { fault: last_error });
         }
-        Err(Error::NothingChanged { fault: last })
+        Err(Error::NothingChanged { fault: last_error })
     }
 
     async fn resolve_by_read(&self, change: &BundleChange) -> Result<ChangeResult> {
@@ -288,8 +288,8 @@
         let mut attempts = 1;
         loop {
             match call().await.map_err(Into::into) {
-                Err(Error::Platform(fault)) if attempts >= self.cfg.max_attempts => {
-                    return Err(Error::NothingChanged { fault });
+                Err(Error::Platform(error)) if attempts >= self.cfg.max_attempts => {
+                    return Err(Error::NothingChanged { fault: error });
                 }
                 Err(Error::Platform(_)) => {
                     attempts += 1;
--- a/crates/catkinward/src/bundle_watch.rs
+++ b/crates/catkinward/src/bundle_watch.rs
@@ -82,7 +82,7 @@
                 self.view_changed.notify_one();
             }
             // The current bundle stays in force: a platform outage fails no request.
-            Err(fault) => tracing::debug!(%fault, "cannot read the current bundle"),
+            Err(error) => tracing::debug!(fault = %error, "cannot read the current bundle"),
         }
     }
 
@@ -121,8 +121,8 @@
                 tracing::error!(%version, %digest, "the object store has no content of a release");
                 None
             }
-            Err(fault) => {
-                tracing::warn!(%version, %fault, "cannot fetch a release");
+            Err(error) => {
+                tracing::warn!(%version, fault = %error, "cannot fetch a release");
                 None
             }
         }
--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -289,7 +289,7 @@
             .await
             .map(http_body_util::Collected::to_bytes)
             .map_err(
-                |fault| match fault.downcast::<http_body_util::LengthLimitError>() {
+                |error| match error.downcast::<http_body_util::LengthLimitError>() {
                     Ok(_) => ProblemKind::BodyTooLarge.into(),
                     Err(_) => ProblemKind::Malformed.into(),
                 },
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -118,15 +118,15 @@
     }
 
     /// Records an upstream's response, which is returned to a caller who retries the request.
-    pub fn record_response(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
+    pub fn record_response(self: &Arc<Self>, held: HeldClaim, response: ResponseToRecord) {
         let record = |body| RecordedResponse {
-            status: answer.status,
-            headers: answer.headers.clone(),
+            status: response.status,
+            headers: response.headers.clone(),
             body,
         };
-        let length = answer.body.len();
+        let length = response.body.len();
         if length <= self.cfg.max_inline_bytes {
-            let body = RecordedBody::Inline(answer.body.as_ref().into());
+            let body = RecordedBody::Inline(response.body.as_ref().into());
             self.end(held, ClaimOutcome::Answered(record(body)));
         } else if length > self.cfg.max_object_bytes {
             self.end(held, ClaimOutcome::Answered(record(RecordedBody::TooLarge)));
@@ -134,7 +134,10 @@
             let name = object_name(&held);
             let outcome = ClaimOutcome::Answered(record(RecordedBody::Object(name.clone())));
             self.pending_stores.send_modify(|count| *count += 1);
-            tokio::spawn(self.clone().store_and_end(name, answer.body, held, outcome));
+            tokio::spawn(
+                self.clone()
+                    .store_and_end(name, response.body, held, outcome),
+            );
         }
     }
 
@@ -182,8 +185,8 @@
                 match self.sweep_page(wall_now()).await {
                     Ok(true) => tokio::time::sleep(self.cfg.sweep_page_delay).await,
                     Ok(false) => break,
-                    Err(fault) => {
-                        tracing::debug!(%fault, "sweep of expired claims failed; retrying at the next interval");
+                    Err(error) => {
+                        tracing::debug!(fault = %error, "sweep of expired claims failed; retrying at the next interval");
                         break;
                     }
                 }
@@ -250,8 +253,8 @@
         held: HeldClaim,
         outcome: ClaimOutcome,
     ) {
-        while let Err(fault) = (self.platform.put_object)((name.clone(), body.clone())).await {
-            tracing::debug!(%fault, %name, "cannot store a recorded response yet; retrying");
+        while let Err(error) = (self.platform.put_object)((name.clone(), body.clone())).await {
+            tracing::debug!(fault = %error, %name, "cannot store a recorded response yet; retrying");
             tokio::time::sleep(self.cfg.poll_interval).await;
         }
         self.end(held, outcome);
--- a/crates/catkinward/src/daemon.rs
+++ b/crates/catkinward/src/daemon.rs
@@ -48,7 +48,7 @@
     let drain = node.drain.clone();
     tokio::select! {
         served = serve_all(&node, listener, operators) => served,
-        () = signals.second() => Err(Error::CutOff {
+        () = signals.wait_for_second() => Err(Error::CutOff {
             in_flight: drain.in_flight(),
         }),
     }
@@ -84,7 +84,7 @@
 
     /// Waits for the second signal: the first begins the graceful shutdown, the second stops the
     /// process immediately.
-    async fn second(mut self) {
+    async fn wait_for_second(mut self) {
         for _ in 0..2 {
             let next = self
                 .streams
--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -91,8 +91,8 @@
         fresh: true,
         ..HttpCall::default()
     };
-    if let Err(fault) = connections.call_whole(call).await {
-        tracing::debug!(%address, %id, %attempt, %fault, "cancel got no answer");
+    if let Err(error) = connections.call_whole(call).await {
+        tracing::debug!(%address, %id, %attempt, fault = %error, "cancel got no answer");
     }
 }
 
--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -127,7 +127,7 @@
             | Self::NotEligible
             | Self::LivenessUnproven
             | Self::Refused { .. } => true,
-            Self::Http(fault) => fault.never_connected(),
+            Self::Http(error) => error.never_connected(),
             _ => false,
         }
     }
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -108,8 +108,8 @@
         if let Some(attempt) = Box::pin(self.resume_orphaned_attempt()).await {
             match self.follow(attempt).await {
                 Ok(finish) => return GenerationOutcome::Whole(finish),
-                Err(fault) => {
-                    tracing::warn!(id = %self.generation.request.id, %fault, "attempt lost");
+                Err(error) => {
+                    tracing::warn!(id = %self.generation.request.id, fault = %error, "attempt lost");
                 }
             }
         }
@@ -118,14 +118,14 @@
             Err(kind) => return GenerationOutcome::Failed(kind),
         };
         loop {
-            let fault = match self.start(slot).await {
+            let error = match self.start(slot).await {
                 Ok(attempt) => match self.follow(attempt).await {
                     Ok(finish) => return GenerationOutcome::Whole(finish),
-                    Err(fault) => fault,
+                    Err(error) => error,
                 },
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            tracing::warn!(id = %self.generation.request.id, %fault, "attempt lost");
+            tracing::warn!(id = %self.generation.request.id, fault = %error, "attempt lost");
             slot = match self.wait_for_upstream().await {
                 Ok(next) => next,
                 Err(kind) => return GenerationOutcome::Failed(kind),
@@ -161,12 +161,12 @@
             if upstreams.refuses(body) {
                 return;
             }
-            let wait = if upstreams.suspects(body) {
+            let delay = if upstreams.suspects(body) {
                 RETRY_INTERVAL
             } else {
                 SUSPECT_MAX_WAIT
             };
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
@@ -211,14 +211,14 @@
         else {
             return true;
         };
-        let (marks, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
-        let deaths = marks.len();
+        let (records, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
+        let crashes = records.len();
         let ExchangeResult {
             asked, answered, ..
-        } = peers.confer(marks).await;
+        } = peers.confer(records).await;
         let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
-        tracing::info!(id = %self.generation.request.id, %body, deaths, asked, answered, refused,
-            took_ms = %took.as_millis(), "peers were asked about deaths under a request");
+        tracing::info!(id = %self.generation.request.id, %body, deaths = crashes, asked, answered,
+            refused, took_ms = %took.as_millis(), "peers were asked about deaths under a request");
         refused
     }
 
@@ -228,8 +228,8 @@
             return;
         };
         let (body, start) = (run.digest, self.node.timer.now());
-        let marks = self.node.upstreams.poison_marks_of(body);
-        let result = peers.announce(run, marks).await;
+        let records = self.node.upstreams.poison_marks_of(body);
+        let result = peers.announce(run, records).await;
         let ExchangeResult {
             asked,
             awaited,
@@ -295,17 +295,17 @@
         };
         let stream = match started.await {
             Ok(stream) => stream,
-            Err(fault) => {
+            Err(error) => {
                 if let (Some(run), Some(peers), true) =
-                    (suspect, &self.node.peers, fault.never_ran())
+                    (suspect, &self.node.peers, error.never_ran())
                 {
                     peers.withdraw(run).await;
                 }
-                let found = Box::pin(self.find_started(&upstream, order, &fault)).await;
-                if !fault.may_have_started() {
+                let found = Box::pin(self.find_started(&upstream, order, &error)).await;
+                if !error.may_have_started() {
                     guard.release();
                 }
-                found.ok_or(fault)?
+                found.ok_or(error)?
             }
         };
         Ok(RunningAttempt {
@@ -318,25 +318,25 @@
     /// Relays tokens until the end, and recovers from lost streams where possible.
     async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptError> {
         loop {
-            let fault = match self.relay_events(&mut attempt).await {
+            let error = match self.relay_events(&mut attempt).await {
                 Ok(finish) => return Ok(finish),
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            attempt.upstream.lost(&fault).await;
+            attempt.upstream.lost(&error).await;
             self.record(
                 EventKind::Suspected,
                 attempt.stream.attempt(),
                 attempt.upstream.id(),
-                Some(fault.to_string().into()),
+                Some(error.to_string().into()),
             );
             tracing::warn!(
                 id = %self.generation.request.id,
                 upstream = %attempt.upstream.id(),
-                %fault,
+                fault = %error,
                 "stream lost"
             );
-            if !matches!(fault, AttemptError::Silent { .. } | AttemptError::Broken) {
-                return Err(fault);
+            if !matches!(error, AttemptError::Silent { .. } | AttemptError::Broken) {
+                return Err(error);
             }
             // Boxed, so that this rare path does not increase the memory of each stream's task.
             attempt = Box::pin(self.recover(attempt)).await?;
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -42,8 +42,8 @@
     Ok(take_over(node, request, point, &record))
 }
 
-/// Looks for the copy of a generation, again and again while one that reaches as far as the caller
-/// may be on its way: a caller returns sooner than a message of the lost VM takes.
+/// Looks for the copy of a generation, again and again while one that reaches as far as the caller may be on its way: a
+/// caller returns sooner than a message of the lost VM takes.
 async fn await_copy(
     node: &Node,
     request: &GenerationRequest,
