--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -79,8 +79,7 @@
     ///
     /// # Errors
     ///
-    /// If the author is not permitted to, another operator was first, or the platform does not
-    /// respond.
+    /// If not permitted, if another operator was first, or if the platform does not respond.
     pub async fn sign_off(
         &self,
         id: &DraftId,
@@ -101,8 +100,7 @@
     ///
     /// # Errors
     ///
-    /// If the draft may not be rolled out, another operator was first, or the platform does not
-    /// respond.
+    /// If not permitted, if another operator was first, or if the platform does not respond.
     pub async fn roll_out(
         &self,
         id: &DraftId,
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -186,7 +186,7 @@
                     Ok(true) => tokio::time::sleep(self.cfg.sweep_page_delay).await,
                     Ok(false) => break,
                     Err(error) => {
-                        tracing::debug!(fault = %error, "sweep of expired claims failed; retrying at the next interval");
+                        tracing::debug!(fault = %error, "sweep of expired claims failed; retrying later");
                         break;
                     }
                 }
@@ -254,7 +254,7 @@
         outcome: ClaimOutcome,
     ) {
         while let Err(error) = (self.platform.put_object)((name.clone(), body.clone())).await {
-            tracing::debug!(fault = %error, %name, "cannot store a recorded response yet; retrying");
+            tracing::debug!(fault = %error, %name, "cannot store a recorded response; retrying");
             tokio::time::sleep(self.cfg.poll_interval).await;
         }
         self.end(held, outcome);
--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -68,8 +68,8 @@
     /// An event is not JSON of the expected schema.
     #[display("an event cannot be read: {_0}")]
     Form(serde_json::Error),
-    /// Crash records that arrived after the upstream was selected forbid the request to run there;
-    /// nothing was sent.
+    /// A poison block found after the upstream was selected forbids the request to run there; nothing
+    /// was sent.
     #[display("the order was held back: {block}")]
     #[from(skip)]
     Blocked {
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -15,8 +15,8 @@
 /// Timeout for an engine to respond to an order with the headers of its stream.
 const START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Interval, in tokens, of progress reports to the upstream's observation of suspect requests.
-const PROGRESS_REPORT_INTERVAL: u32 = 8;
+/// Number of tokens between progress reports to the upstream's observation of suspect requests.
+const TOKENS_PER_PROGRESS_REPORT: u32 = 8;
 
 /// How often a generation that waits for an upstream checks again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -196,17 +196,16 @@
     }
 
     /// Returns whether the request is poisoned, by the crash records of this VM and its peers.
-    ///
-    /// The caller retries a refused request at once, which would crash more upstreams on a VM
-    /// without the records: the logs show two crashes and `generation ended` with `Poisoned` on one
-    /// VM, then a crash on another before `a peer tells of a death`. So peers receive the records
-    /// first, and reply with the request that they blame, as this one may have run beside it.
     async fn is_poisoned(&self) -> bool {
         let body = self.generation.request.body;
         let upstreams = &self.node.upstreams;
         if !upstreams.refuses(body) {
             return false;
         }
+        // Peers receive the records first: the caller retries a refused request at once, which would
+        // crash more upstreams on a VM without them. The logs would show two crashes and `generation
+        // ended` with `Poisoned` on one VM, then a crash on another before `a peer tells of a death`.
+        // Peers reply with the request that they blame, as this one may have run beside it.
         let (Some(peers), true) = (&self.node.peers, self.generation.attempts() > Attempt(0))
         else {
             return true;
@@ -382,7 +381,7 @@
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
                 attempt.upstream.begun();
-                if token.index.0 % PROGRESS_REPORT_INTERVAL == 0 {
+                if token.index.0 % TOKENS_PER_PROGRESS_REPORT == 0 {
                     attempt.upstream.progressed();
                 }
                 self.generation.token(token)?;
