--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -1,9 +1,10 @@
 use super::*;
 use crate::claim_committer::{ClaimCommitter, Waiter};
-use crate::claim_row::{CLAIMS, found_claim};
+use crate::claim_row::{CLAIMS_TABLE, found_claim};
 use tokio::sync::oneshot;
 
-/// The claims service: at most one dispatch for each idempotency key of a team, over all VMs.
+/// The claims service: allows at most one dispatch for each idempotency key of a team across all
+/// VMs.
 pub struct Claims {
     cfg: ClaimSettings,
     incarnation: Incarnation,
@@ -11,40 +12,41 @@
     timer: Arc<Timer>,
     timeline: Arc<Timeline>,
     committer: Arc<ClaimCommitter>,
-    /// Ends whose bodies are on their way to the object store.
-    storing: watch::Sender<usize>,
+    /// Number of outcomes whose bodies are being written to the object store.
+    pending_stores: watch::Sender<usize>,
 }
 
-/// A request that wants its key.
+/// A request to claim an idempotency key.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Team that sends it.
+    /// Team that sends the request.
     pub team: TeamId,
-    /// Its idempotency key.
+    /// Idempotency key, unique within the team.
     pub key: IdempotencyKey,
-    /// Digest of all that makes it this request.
+    /// Digest of the request's identifying content; a different digest under the same key is a
+    /// conflict.
     pub digest: RequestDigest,
-    /// Whether another VM may take it over.
+    /// Kind of request; another VM may take over a generation, but not a call.
     pub kind: ClaimKind,
-    /// Id under which it runs here.
+    /// Id of the request on this VM.
     pub request: RequestId,
-    /// Time left to it. A claim that is not settled by then is given up.
+    /// Time until the request's deadline. A claim that is not resolved by then is abandoned.
     pub time_left: Duration,
 }
 
-/// Answer of an upstream, as it is to be recorded.
+/// Response of an upstream that is to be recorded.
 #[derive(Clone, Debug)]
 pub struct ResponseToRecord {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Headers by name and value.
     pub headers: Vec<(Arc<str>, Arc<str>)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Claims {
-    /// Starts the service.
+    /// Starts the service and its committer task.
     pub fn start(
         platform: Arc<Platform>,
         timer: Arc<Timer>,
@@ -60,11 +62,11 @@
             timer,
             timeline,
             committer,
-            storing: watch::Sender::new(0),
+            pending_stores: watch::Sender::new(0),
         })
     }
 
-    /// Tries to claim a request's key.
+    /// Attempts to claim a request's key.
     pub async fn claim(&self, req: ClaimRequest) -> ClaimVerdict {
         let change = self.change(&req, 0);
         let verdict = self.commit(change, &req).await;
@@ -79,81 +81,85 @@
         verdict
     }
 
-    /// Takes over a generation whose holder is gone, by writing its row under an own token. Whoever
-    /// else tries the same finds the row changed.
+    /// Takes over a generation whose holder has failed, by writing its row under a new token. A
+    /// concurrent attempt by another VM conflicts with the changed row.
     pub async fn take_over(&self, req: ClaimRequest, found: &FoundClaim) -> ClaimVerdict {
-        let takeable = found.record.as_ref().is_some_and(|record| {
+        let may_take_over = found.record.as_ref().is_some_and(|record| {
             record.kind == ClaimKind::Generation && record.digest == req.digest
         });
-        if !takeable || req.kind != ClaimKind::Generation {
+        if !may_take_over || req.kind != ClaimKind::Generation {
             return self.verdict(&req.digest, found.clone());
         }
         let change = self.change(&req, found.version);
         self.commit(change, &req).await
     }
 
-    /// Waits until a request in progress has come to an end, for at most `time_left`.
+    /// Waits for the outcome of a request in progress, for at most `time_left`.
     ///
-    /// If there is none by then, the verdict still is that it is in progress.
-    pub async fn outcome(
+    /// If there is no outcome by then, the verdict remains that it is in progress.
+    pub async fn wait_for_outcome(
         &self,
         digest: &RequestDigest,
         found: FoundClaim,
         time_left: Duration,
     ) -> ClaimVerdict {
-        let until = self.timer.now().after(time_left);
+        let deadline = self.timer.now().after(time_left);
         let mut verdict = self.verdict(digest, found);
         while let ClaimVerdict::InProgress(found) = verdict {
-            let left = until.since(self.timer.now());
-            if left.is_zero() {
+            let time_left = deadline.since(self.timer.now());
+            if time_left.is_zero() {
                 return ClaimVerdict::InProgress(found);
             }
-            tokio::time::sleep(left.min(self.cfg.poll_period)).await;
+            tokio::time::sleep(time_left.min(self.cfg.poll_interval)).await;
             let found = self.read(&found.key).await.unwrap_or(found);
             verdict = self.verdict(digest, found);
         }
         verdict
     }
 
-    /// Records an upstream's answer, so that a caller who sends the request again gets it.
-    pub fn record(self: &Arc<Self>, held: HeldClaim, answer: ResponseToRecord) {
+    /// Records an upstream's response, which is returned to a caller who retries the request.
+    pub fn record_response(self: &Arc<Self>, held: HeldClaim, response: ResponseToRecord) {
         let record = |body| RecordedResponse {
-            status: answer.status,
-            headers: answer.headers.clone(),
+            status: response.status,
+            headers: response.headers.clone(),
             body,
         };
-        let length = answer.body.len();
-        if length <= self.cfg.inline_max {
-            let body = RecordedBody::Inline(answer.body.as_ref().into());
+        let length = response.body.len();
+        if length <= self.cfg.max_inline_bytes {
+            let body = RecordedBody::Inline(response.body.as_ref().into());
             self.end(held, ClaimOutcome::Answered(record(body)));
-        } else if length > self.cfg.object_max {
+        } else if length > self.cfg.max_object_bytes {
             self.end(held, ClaimOutcome::Answered(record(RecordedBody::TooLarge)));
         } else {
             let name = object_name(&held);
             let outcome = ClaimOutcome::Answered(record(RecordedBody::Object(name.clone())));
-            self.storing.send_modify(|count| *count += 1);
-            tokio::spawn(self.clone().store(name, answer.body, held, outcome));
+            self.pending_stores.send_modify(|count| *count += 1);
+            tokio::spawn(
+                self.clone()
+                    .store_and_end(name, response.body, held, outcome),
+            );
         }
     }
 
-    /// Records that a dispatched request may have run or not.
+    /// Records that a dispatched request may or may not have run.
     pub fn record_unknown(&self, held: HeldClaim) {
         self.end(held, ClaimOutcome::Unknown);
     }
 
-    /// Gives a claim back whose request certainly did not run. The same request may claim the key
+    /// Releases a claim whose request certainly did not run. The same request may claim the key
     /// again.
     pub fn release(&self, held: HeldClaim) {
         let expires = wall_now().after(self.cfg.retention);
         self.committer.end(held.end(ClaimStage::Released, expires));
     }
 
-    /// The body of a recorded answer.
+    /// Reads the body of a recorded response; `Ok(None)` if it was too large to store or no longer
+    /// exists.
     ///
     /// # Errors
     ///
-    /// If the object store gives none; `Ok(None)` if it was too large to keep, or is gone.
-    pub async fn body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
+    /// If the object store does not respond.
+    pub async fn response_body(&self, body: &RecordedBody) -> Result<Option<Bytes>, PlatformError> {
         match body {
             RecordedBody::Inline(body) => Ok(Some(Bytes::copy_from_slice(body))),
             RecordedBody::Object(name) => (self.platform.get_object)(name.clone()).await,
@@ -161,26 +167,26 @@
         }
     }
 
-    /// Deletes the expired claims of one page of the expiry table; returns whether there was a whole
-    /// page, so that there may be more.
+    /// Deletes the expired claims of one page of the expiry table; returns whether the page was
+    /// full, in which case there may be more.
     ///
     /// # Errors
     ///
-    /// If the table service does not answer. Another try does no harm.
+    /// If the table service does not respond. A retry is harmless.
     pub async fn sweep_page(&self, now: WallTime) -> Result<bool, PlatformError> {
         claim_sweep::sweep_page(&self.platform, now).await
     }
 
-    /// Sweeps for as long as the service is there and `may_sweep` says so: one VM is enough.
-    pub async fn sweep(self: Arc<Self>, may_sweep: impl Fn() -> bool + Send) {
-        let mut ticks = self.timer.subscribe(self.cfg.sweep_period);
+    /// Sweeps periodically until the timer stops, while `may_sweep` returns true: one VM is enough.
+    pub async fn sweep_periodically(self: Arc<Self>, may_sweep: impl Fn() -> bool + Send) {
+        let mut ticks = self.timer.subscribe(self.cfg.sweep_interval);
         while ticks.recv().await.is_some() {
             while may_sweep() {
                 match self.sweep_page(wall_now()).await {
-                    Ok(true) => tokio::time::sleep(self.cfg.sweep_pause).await,
+                    Ok(true) => tokio::time::sleep(self.cfg.sweep_page_delay).await,
                     Ok(false) => break,
-                    Err(fault) => {
-                        tracing::debug!(%fault, "sweep put off");
+                    Err(error) => {
+                        tracing::debug!(fault = %error, "sweep of expired claims failed; retrying later");
                         break;
                     }
                 }
@@ -188,11 +194,11 @@
         }
     }
 
-    /// Waits until every end is recorded. A process that ends before leaves claims without outcome,
-    /// and callers who send them again hear that nobody knows.
+    /// Waits until every outcome is recorded. A process that exits earlier leaves claims without an
+    /// outcome, and callers who retry them are told that the outcome is unknown.
     pub async fn flush(&self) {
-        let mut storing = self.storing.subscribe();
-        let _ = storing.wait_for(|count| *count == 0).await;
+        let mut pending_stores = self.pending_stores.subscribe();
+        let _ = pending_stores.wait_for(|count| *count == 0).await;
         self.committer.flush().await;
     }
 
@@ -200,7 +206,8 @@
         let deadline = self.timer.now().after(req.time_left);
         let (tx, rx) = oneshot::channel();
         self.committer.claim(change, deadline, Waiter(tx));
-        // A claim that is settled after this wait finds nobody and is given back.
+        // The committer releases a claim that is committed after this wait, as its waiter is
+        // dropped.
         match tokio::time::timeout(req.time_left, rx).await {
             Ok(Ok(ClaimResult::Claimed(claimed))) => ClaimVerdict::Claimed(claimed),
             Ok(Ok(ClaimResult::Taken(found))) => self.verdict(&req.digest, found),
@@ -228,34 +235,35 @@
     }
 
     fn end(&self, held: HeldClaim, outcome: ClaimOutcome) {
-        let keep = match outcome {
+        let retention = match outcome {
             ClaimOutcome::Answered(_) => self.cfg.retention,
             ClaimOutcome::Unknown => self.cfg.unknown_retention,
         };
         let name: &'static str = (&outcome).into();
         metrics::counter!("catkin_claim_outcomes_total", "outcome" => name).increment(1);
         let stage = ClaimStage::Done(outcome);
-        self.committer.end(held.end(stage, wall_now().after(keep)));
+        self.committer
+            .end(held.end(stage, wall_now().after(retention)));
     }
 
-    async fn store(
+    async fn store_and_end(
         self: Arc<Self>,
         name: Arc<str>,
         body: Bytes,
         held: HeldClaim,
         outcome: ClaimOutcome,
     ) {
-        while let Err(fault) = (self.platform.put_object)((name.clone(), body.clone())).await {
-            tracing::debug!(%fault, %name, "answer not stored yet");
-            tokio::time::sleep(self.cfg.poll_period).await;
+        while let Err(error) = (self.platform.put_object)((name.clone(), body.clone())).await {
+            tracing::debug!(fault = %error, %name, "cannot store a recorded response; retrying");
+            tokio::time::sleep(self.cfg.poll_interval).await;
         }
         self.end(held, outcome);
-        self.storing.send_modify(|count| *count -= 1);
+        self.pending_stores.send_modify(|count| *count -= 1);
     }
 
     async fn read(&self, key: &ClaimRowKey) -> Option<FoundClaim> {
         let key = platform_api::RowKey {
-            table: CLAIMS.to_owned(),
+            table: CLAIMS_TABLE.to_owned(),
             key: key.as_str().to_owned(),
         };
         let rows = (self.platform.read)(vec![key]).await.ok()?;
@@ -263,18 +271,18 @@
     }
 
     fn verdict(&self, digest: &RequestDigest, found: FoundClaim) -> ClaimVerdict {
-        ClaimVerdict::from_row(digest, found, wall_now(), self.cfg.clocks_differ)
+        ClaimVerdict::from_row(digest, found, wall_now(), self.cfg.max_clock_skew)
     }
 }
 
-/// This VM's clock.
+/// Reads this VM's wall clock.
 pub(crate) fn wall_now() -> WallTime {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     WallTime::default().after(since.unwrap_or_default())
 }
 
-/// Name of the object with a claim's answer. It bears the token, so that no later request under the
-/// same key finds it.
+/// Returns the name of the object with a claim's response body. It contains the token, so that a
+/// later request under the same key does not find it.
 fn object_name(held: &HeldClaim) -> Arc<str> {
     format!("claims/{}/{}", held.key(), held.record().token).into()
 }
--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -6,16 +6,16 @@
     upstream_handle::UpstreamHandle,
 };
 
-/// Longest body of a refusal that is read, in bytes.
-const REFUSAL_LIMIT: usize = 64 * 1024;
+/// Maximum number of bytes that are read of a refusal's body.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// Header in which an engine may send its load report with a reply.
+/// Header in which an engine may send its load report with a response.
 const LOAD_HEADER: &str = "catkin-load";
 
-/// Starts an attempt on an engine, over a connection of its own: a kept one may have gone silent,
-/// and the caller would wait for the whole bound where a new connection costs one round trip.
+/// Starts an attempt on an engine over a new connection: a pooled one may be silently broken, and
+/// the caller would wait for the full timeout, while a new connection costs one round trip.
 ///
-/// It takes a handle that has proof that its upstream may get new work.
+/// The handle proves that its upstream may receive new work.
 pub(crate) async fn start_attempt(
     connections: &Connections,
     upstream: &UpstreamHandle,
@@ -40,23 +40,24 @@
     Ok(stream)
 }
 
-/// A running attempt to go on with.
+/// Parameters for reattaching to a running attempt.
 pub(crate) struct Reattach<'a> {
     pub(crate) address: SocketAddr,
     pub(crate) id: &'a RequestId,
-    /// The attempt as the engine knows it.
+    /// Current number of the attempt at the engine.
     pub(crate) attempt: Attempt,
-    /// Number that it has from now on. Where it differs, a VM takes over another's attempt: the
-    /// engine then ends the other's stream, and neither its cancel nor its re-attach is heard.
-    pub(crate) becomes: Attempt,
-    /// First token wanted.
+    /// Number of the attempt from now on. If it differs, this VM takes over the attempt of another
+    /// VM: the engine then ends the other VM's stream and ignores its cancellations and
+    /// reattachments.
+    pub(crate) new_attempt: Attempt,
+    /// Index of the first token to send.
     pub(crate) from: TokenIndex,
     pub(crate) bound: Duration,
 }
 
-/// Goes on with a running attempt over a new connection.
+/// Reattaches to a running attempt over a new connection.
 ///
-/// The connection is never a kept one: what made the old one silent may have silenced those too.
+/// No pooled connection is used: the cause that silenced the old connection may affect those too.
 pub(crate) async fn reattach(
     connections: &Connections,
     reattach: Reattach<'_>,
@@ -65,22 +66,23 @@
         address,
         id,
         attempt,
-        becomes,
+        new_attempt,
         from,
         bound,
     } = reattach;
     let call = HttpCall {
         address,
-        path: format!("/v1/streams/{id}?attempt={attempt}&as={becomes}&from={from}"),
+        path: format!("/v1/streams/{id}?attempt={attempt}&as={new_attempt}&from={from}"),
         bound,
         fresh: true,
         ..HttpCall::default()
     };
-    let (stream, _) = open_stream(connections, becomes, call).await?;
+    let (stream, _) = open_stream(connections, new_attempt, call).await?;
     Ok(stream)
 }
 
-/// Cancels all attempts of a request up to `attempt`; an engine that does not answer is left alone.
+/// Cancels all attempts of a request up to `attempt`, without a retry if the engine does not
+/// respond.
 async fn cancel(connections: &Connections, address: SocketAddr, id: &RequestId, attempt: Attempt) {
     let call = HttpCall {
         address,
@@ -89,13 +91,13 @@
         fresh: true,
         ..HttpCall::default()
     };
-    if let Err(fault) = connections.call_whole(call).await {
-        tracing::debug!(%address, %id, %attempt, %fault, "cancel got no answer");
+    if let Err(error) = connections.call_whole(call).await {
+        tracing::debug!(%address, %id, %attempt, fault = %error, "cancel got no answer");
     }
 }
 
-/// Cancels in the background.
-pub(crate) fn cancel_later(
+/// Cancels all attempts of a request up to `attempt` in a background task.
+pub(crate) fn spawn_cancel(
     connections: &Arc<Connections>,
     address: SocketAddr,
     id: &RequestId,
@@ -120,7 +122,7 @@
             .and_then(|value| serde_json::from_slice(value.as_bytes()).ok());
         return Ok((AttemptStream::new(attempt, response)?, load));
     }
-    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_LIMIT);
+    let body = http_body_util::Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
     let body = tokio::time::timeout(bound, http_body_util::BodyExt::collect(body))
         .await
         .map_err(|_| HttpError::Timeout { address, bound })?
--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -1,34 +1,34 @@
-//! Orders to engines over HTTP, and the states read back.
+//! Sends orders to engines and reads their states over HTTP.
 
 use super::*;
 use crate::http_client::{HttpError, json_bytes};
 use catkin_decisions::{EngineReport, EngineState, OrderPermit};
 
-/// Bound of a read of an engine's state.
-const READ_BOUND: Duration = Duration::from_millis(800);
+/// Timeout for reading an engine's state.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why an order may have had no effect.
+/// Reason that an order may have had no effect.
 #[derive(Debug, Display, StdError, From, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum OrderError {
-    /// The engine did not answer in time.
+    /// The engine did not respond in time.
     #[display("{_0}")]
     Call(HttpError),
-    /// The engine refused it.
+    /// The engine refused the order.
     #[display("the engine refused: {_0}")]
     #[from(skip)]
     Refused(#[error(not(source))] engine::EngineRefusalKind),
-    /// The engine knows a larger term.
-    #[display("the engine knows term {_0}")]
+    /// The engine has seen a larger term.
+    #[display("the engine has seen term {_0}")]
     #[from(skip)]
     StaleTerm(#[error(not(source))] Term),
-    /// Its refusal cannot be read.
+    /// The engine's refusal cannot be parsed.
     #[display("the engine's refusal cannot be read")]
     #[from(skip)]
     Form,
 }
 
-/// Client for orders.
+/// Client that sends orders to engines.
 pub(crate) struct EngineOrders {
     connections: Arc<Connections>,
     timer: Arc<Timer>,
@@ -44,21 +44,21 @@
         }
     }
 
-    /// The state of an engine, if it answers.
+    /// Reads the state of an engine; `None` if it does not respond.
     pub(crate) async fn report(&self, upstream: &Upstream) -> Option<(UpstreamId, EngineReport)> {
         let at = self.timer.now();
         let call = HttpCall {
             address: upstream.address,
             path: "/v1/load".to_owned(),
-            bound: READ_BOUND,
+            bound: REPORT_TIMEOUT,
             ..HttpCall::default()
         };
         let load: engine::UpstreamLoad = self.connections.call_json(call).await.ok()?;
         Some((upstream.id.clone(), engine_report(at, load)))
     }
 
-    /// Gives an order. It takes the permit: each one is for one order.
-    pub(crate) async fn order(
+    /// Sends an order. It consumes the permit, which is valid for a single order.
+    pub(crate) async fn send_order(
         &self,
         upstream: &Upstream,
         permit: OrderPermit,
@@ -66,7 +66,7 @@
     ) -> Result<(), OrderError> {
         let order = engine::EngineOrder {
             holder: self.vm.to_string(),
-            models: state.models.iter().map(border_model).collect(),
+            models: state.models.iter().map(to_loaded_model).collect(),
             role: engine::EngineRole::Serve,
             term: permit.term().0,
         };
@@ -96,12 +96,12 @@
     let mut loaded = load
         .models
         .iter()
-        // An engine that doesn't say how many streams run may run some.
-        .map(|entry| (decided_model(entry), entry.streams.unwrap_or(1)))
+        // An engine that does not report its number of streams may be running some.
+        .map(|entry| (to_model(entry), entry.streams.unwrap_or(1)))
         .collect::<Vec<_>>();
     loaded.sort();
     let loading = load.loading.map(|list| {
-        let mut models = list.models.iter().map(decided_model).collect::<Vec<_>>();
+        let mut models = list.models.iter().map(to_model).collect::<Vec<_>>();
         models.sort();
         models
     });
@@ -114,7 +114,7 @@
     }
 }
 
-fn decided_model(entry: &engine::LoadedModel) -> Model {
+fn to_model(entry: &engine::LoadedModel) -> Model {
     Model {
         name: entry.model.as_str().into(),
         version: entry.version.as_str().into(),
@@ -122,7 +122,7 @@
     }
 }
 
-fn border_model(model: &Model) -> engine::LoadedModel {
+fn to_loaded_model(model: &Model) -> engine::LoadedModel {
     engine::LoadedModel {
         adapter: model.adapter.as_deref().map(ToOwned::to_owned),
         model: model.name.to_string(),
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -84,7 +84,7 @@
     point: &ResumePoint,
     record: &ProgressRecord,
 ) -> Generation {
-    let request = request.going_on(record);
+    let request = request.resumed_from(record);
     let last = record.attempt.first_after_takeover(rand::random());
     let generation = Generation::resumed(request, record, last);
     if record.finish.is_some() {
