--- a/crates/catkinward/src/gossip.rs
+++ b/crates/catkinward/src/gossip.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// News that VMs exchange, about a kilobyte at most: state, so that a lost or repeated exchange
-/// does no harm.
+/// State that VMs exchange by gossip, at most about 1 KiB. It carries state rather than events, so
+/// a lost or repeated exchange does no harm.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Largest bundle version heard of, and its digest.
+    /// Largest bundle version received, and its digest.
     pub bundle: Option<(BundleVersion, BundleDigest)>,
     /// Upstreams that are leaving, by incarnation.
     pub leaving: Vec<(UpstreamId, Incarnation)>,
-    /// Requests that upstreams died under.
+    /// Crashes of upstreams while they were running requests.
     pub poison: Vec<PoisonRecord>,
-    /// Runs of suspects that the sender is about to start.
+    /// Runs of suspect requests that the sender is about to start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectRun>,
-    /// Runs of suspects on the sender that conflict with runs that were announced to it.
+    /// Runs of suspect requests on the sender that conflict with runs that were announced to it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub running: Vec<SuspectRun>,
-    /// Runs that the sender has announced, and whose orders it did not send.
+    /// Runs that the sender announced but whose orders it did not send.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub withdrawn: Vec<SuspectRun>,
-    /// Some VMs, each with the milliseconds since it was last heard from.
+    /// A selection of VMs, each with the milliseconds since it was last seen.
     pub vms: Vec<(PeerEntry, u32)>,
 }
 
@@ -27,7 +27,7 @@
 type Answerer = Box<dyn Fn(&Gossip, &mut Gossip) + Send + Sync>;
 type Hearer = Box<dyn Fn(&Gossip, &VmId) + Send + Sync>;
 
-/// Parts that have news to tell or want to hear it, as closures.
+/// Callbacks of the components that add state to gossip messages or process received ones.
 #[derive(Default)]
 pub struct GossipSources {
     tellers: RwLock<Vec<Teller>>,
@@ -36,17 +36,17 @@
 }
 
 impl GossipSources {
-    /// Has `teller` add its news to each message.
+    /// Registers a callback that adds state to each message that is sent.
     pub fn tell(&self, teller: impl Fn(&mut Gossip) + Send + Sync + 'static) {
         self.tellers.write().push(Box::new(teller));
     }
 
-    /// Has `answerer` add to the answer what a peer has to know that said this.
+    /// Registers a callback that adds to the reply what the received message calls for.
     pub fn answer(&self, answerer: impl Fn(&Gossip, &mut Gossip) + Send + Sync + 'static) {
         self.answerers.write().push(Box::new(answerer));
     }
 
-    /// Has `hearer` called with each message and its sender.
+    /// Registers a callback for received messages; it gets each message and its sender.
     pub fn hear(&self, hearer: impl Fn(&Gossip, &VmId) + Send + Sync + 'static) {
         self.hearers.write().push(Box::new(hearer));
     }
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -11,35 +11,35 @@
 };
 use volo_http::server::Server;
 
-/// A router with all its services, and quick ways to those that every request needs.
+/// A router with all its services. The services that every request needs are fields as well.
 pub struct Node {
-    /// Settings it was started with.
+    /// Settings that the process was started with.
     pub settings: Settings,
     /// All services by name.
     pub kernel: ServiceRegistry,
-    /// Tells the time.
+    /// Monotonic time and periodic ticks.
     pub timer: Arc<Timer>,
-    /// Events of this process.
+    /// Latest events of this process.
     pub timeline: Arc<Timeline>,
-    /// Connections to other processes.
+    /// HTTP connections to other processes.
     pub connections: Arc<Connections>,
-    /// The bundle in force.
+    /// The bundle in force on this VM.
     pub bundle: Arc<BundleInForce>,
-    /// Word of releases.
+    /// Watch for new releases.
     pub bundle_watch: Arc<BundleWatch>,
-    /// The platform, if there is one.
+    /// The platform, if the settings name its address.
     pub platform: Option<Arc<Platform>>,
-    /// Claims of idempotency keys, if there is a platform.
+    /// Claims of idempotency keys; `None` without a platform.
     pub claims: Option<Arc<Claims>>,
-    /// Upstreams and what is known of them.
+    /// Upstreams of the bundle with their observed state.
     pub upstreams: Arc<Upstreams>,
-    /// Queues and places of all services.
+    /// Queues and concurrency slots of all services.
     pub admission: Arc<Admission>,
-    /// Slices of the teams' limits.
+    /// This VM's slices of the teams' rate limits.
     pub limits: Arc<TeamLimits>,
-    /// Generations under way.
+    /// Generations in progress on this VM.
     pub generations: Arc<Generations>,
-    /// The other VMs, if this one takes calls of peers.
+    /// The other VMs; `None` if this VM does not listen for peers.
     pub peers: Option<Arc<Peers>>,
     /// The state of a graceful shutdown.
     pub drain: Arc<Drain>,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// If one cannot be started.
+    /// If a service cannot be started.
     pub fn start(settings: Settings) -> Result<Arc<Self>> {
         let kernel = ServiceRegistry::default();
         let timer = kernel.register(ServiceName::Timer, Timer::start())?;
@@ -138,25 +138,26 @@
         }))
     }
 
-    /// Reads a bundle and puts it in force under `version`, if that is larger than the present one.
+    /// Parses a bundle and puts it in force as `version` if that is larger than the version in force.
+    /// Returns whether the bundle was put in force.
     ///
     /// # Errors
     ///
-    /// Names the field of the bundle that is wrong.
+    /// If the bundle is invalid; the error names the field.
     pub fn put_bundle_in_force(&self, version: u64, json: &str) -> Result<bool> {
         let bundle = read_bundle(BundleVersion(version), json)?;
         Ok(self.bundle.advance(bundle))
     }
 
-    /// Serves callers until a signal, then drains.
+    /// Serves callers until a signal arrives, then drains.
     ///
-    /// The HTTP library ends by itself about 30 s after a signal, whatever is still open, and a
-    /// generation of minutes would be cut off. It runs its shutdown hook before that and goes on
-    /// accepting meanwhile, so the hook waits until nothing is in flight.
+    /// About 30 s after a signal the HTTP library stops even if connections are still open, which
+    /// would interrupt generations that take minutes. It runs its shutdown hook first and keeps
+    /// accepting connections meanwhile, so the hook waits until nothing is in flight.
     ///
     /// # Errors
     ///
-    /// If the server ends otherwise.
+    /// If the server fails.
     pub async fn serve(self: &Arc<Self>, listener: Listener) -> Result<()> {
         let address = listener.address()?;
         tracing::info!(%address, vm = %self.settings.vm, "serving callers");
@@ -170,14 +171,14 @@
         Ok(())
     }
 
-    /// Serves operators until the callers' server has drained, so that they can look on.
+    /// Serves operators until the callers' server has drained, so that they can observe the drain.
     ///
-    /// Each server of a process takes signals by itself. This one waits in its shutdown hook for
-    /// the end of the drain; without that it would close while generations still run.
+    /// Each server of a process handles signals independently. The shutdown hook of this one waits
+    /// for the end of the drain; otherwise it would close while generations are still running.
     ///
     /// # Errors
     ///
-    /// If no operator key is set, or the server ends otherwise.
+    /// If no operator key is set, or the server fails.
     pub async fn serve_operators(self: &Arc<Self>, listener: Listener) -> Result<()> {
         let address = listener.address()?;
         let key = self.settings.operator_key()?;
--- a/crates/catkinward/src/peer_error.rs
+++ b/crates/catkinward/src/peer_error.rs
@@ -1,38 +1,38 @@
 use super::*;
 
-/// Why a peer could not be talked with.
+/// Why communication with a peer failed.
 #[derive(Clone, Debug, Display, Eq, PartialEq, StdError)]
 pub enum PeerError {
-    /// The connection could not be had, or broke.
-    #[display("the connection to the peer broke")]
+    /// The connection could not be opened, or closed unexpectedly.
+    #[display("the connection to the peer could not be opened or was lost")]
     Broken,
-    /// Nothing came in time.
+    /// No reply arrived within the timeout.
     #[display("the peer did not answer in time")]
     Timeout,
-    /// A message is none, or not the one that is due.
-    #[display("the peer sent something else than was due")]
+    /// A message is malformed, or of an unexpected type.
+    #[display("the peer sent a malformed or unexpected message")]
     Form,
-    /// The other does not know the key.
+    /// The peer does not know the shared key.
     #[display("the peer did not prove that it knows the key")]
     Key,
-    /// The other speaks another version of the protocol.
-    #[display("the peer speaks version {theirs} of the protocol, this VM version {PEER_PROTOCOL}")]
+    /// The peer uses another version of the protocol.
+    #[display("the peer uses protocol version {theirs}, this VM version {PEER_PROTOCOL}")]
     Protocol {
-        /// Its version.
+        /// Protocol version of the peer.
         theirs: u16,
     },
     /// Another VM answered at this address.
-    #[display("`{found}` answered where `{expected}` was called")]
+    #[display("called VM `{expected}`, but VM `{found}` answered")]
     OtherVm {
-        /// Who was called.
+        /// The VM that was called.
         expected: VmId,
-        /// Who answered.
+        /// The VM that answered.
         found: VmId,
     },
-    /// No VM of that name is known.
+    /// No VM of this name is known.
     #[display("VM `{vm}` is not known")]
     Unknown {
-        /// Its name.
+        /// Name of the VM.
         vm: VmId,
     },
 }
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -1,31 +1,31 @@
-//! The exchange of news with neighbours.
+//! The exchange of gossip with neighbours.
 
 use super::*;
 use crate::peers::PROBE_TIMEOUT;
 
-/// How often this VM exchanges news with one of its neighbours.
+/// Interval at which this VM exchanges gossip with one of its neighbours.
 const GOSSIP_PERIOD: Duration = Duration::from_secs(1);
 
-/// VMs that are asked before a request is refused for the deaths under it. Eight VMs are usual today; where
-/// there are more, the others hear of it from those that were asked.
+/// Number of VMs that are queried for crash records before a request is refused as poisoned. A typical
+/// system has eight VMs; in a larger one the other VMs get the records by gossip from those queried.
 const MOST_CONFERRED: usize = 16;
 
-/// VMs named in one exchange.
+/// Number of VMs advertised in one message.
 const VMS_TOLD: usize = 6;
 
-/// How an exchange with several VMs went.
+/// Result of an exchange with several VMs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExchangeResult {
-    /// VMs that got the message.
+    /// Number of VMs that the message was sent to.
     pub(crate) asked: usize,
-    /// Those of them whose answers were awaited.
+    /// Number of them whose replies were awaited.
     pub(crate) awaited: usize,
-    /// Those that have answered in time.
+    /// Number of awaited replies that arrived in time.
     pub(crate) answered: usize,
 }
 
 impl Peers {
-    /// Fetches the content of a bundle from one of the neighbours that has it in force.
+    /// Fetches the content of a bundle from the first neighbour that has it in force.
     pub(crate) async fn fetch_bundle(self: &Arc<Self>, digest: BundleDigest) -> Option<Bytes> {
         let neighbours = self.table.lock().neighbours(self.timer.now());
         for peer in neighbours {
@@ -84,14 +84,14 @@
                     let connected_ms = asked.since(start).as_millis();
                     let took_ms = self.timer.now().since(start).as_millis();
                     tracing::info!(peer = %peer.vm, deaths, %connected_ms, %took_ms,
-                        "peer has heard of deaths");
+                        "peer received crash records");
                 }
                 self.hear(&gossip, &peer.vm);
                 Ok(())
             }
             Ok(_) => Err(PeerError::Form),
             Err(fault) => {
-                // A connection that went silent is not noticed by TCP for minutes.
+                // TCP takes minutes to detect that the other end of a connection is unreachable.
                 self.drop_link(&peer.vm, link.serial);
                 self.lost(&peer.vm);
                 Err(fault)
@@ -99,8 +99,9 @@
         }
     }
 
-    /// Sends VMs the deaths under a request, and takes what they know of these deaths: all VMs of a small
-    /// system, [`MOST_CONFERRED`] of a larger one. Waits for their answers up to [`PROBE_TIMEOUT`].
+    /// Sends the crash records of a request to other VMs and applies what they reply about these
+    /// crashes: all VMs of a small system, [`MOST_CONFERRED`] of a larger one. Waits for the replies up
+    /// to [`PROBE_TIMEOUT`].
     pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonRecord>) -> ExchangeResult {
         let now = self.timer.now();
         let peers = self
@@ -114,8 +115,9 @@
         self.exchange_all(&peers, &peers, &gossip).await
     }
 
-    /// Announces to VMs that a suspect is about to run, with the deaths under it. Waits up to [`PROBE_TIMEOUT`] for the
-    /// answers of those to which its caller may return; the others get it as well.
+    /// Announces to VMs that a suspect request is about to run, with its crash records. Waits up to
+    /// [`PROBE_TIMEOUT`] for the replies of the VMs that its caller may reconnect to; the other VMs get
+    /// the announcement as well.
     pub(crate) async fn announce(
         self: &Arc<Self>,
         run: SuspectRun,
@@ -137,7 +139,7 @@
         self.exchange_all(&peers, &awaited, &gossip).await
     }
 
-    /// Tells VMs that the order of a run which was announced to them was not sent. Waits for no answer.
+    /// Notifies VMs that the order of an announced run was not sent. Does not wait for replies.
     pub(crate) async fn withdraw(self: &Arc<Self>, run: SuspectRun) {
         let now = self.timer.now();
         let peers = self
@@ -151,7 +153,8 @@
         self.exchange_all(&peers, &[], &gossip).await;
     }
 
-    /// Exchanges with VMs, each in a task of its own: a message that is not answered in time is still on its way.
+    /// Exchanges gossip with several VMs, each in its own task, so that a message whose reply is not
+    /// awaited or late is still delivered.
     async fn exchange_all(
         self: &Arc<Self>,
         peers: &[PeerEntry],
@@ -175,7 +178,8 @@
         }
     }
 
-    /// Exchanges news with all neighbours at once: a change should not wait for the next round.
+    /// Exchanges gossip with all neighbours immediately, so that an update does not wait for the next
+    /// round.
     pub fn exchange_now(self: &Arc<Self>) {
         let now = self.timer.now();
         let neighbours = self.table.lock().neighbours(now);
@@ -186,7 +190,7 @@
     }
 }
 
-/// Exchanges news with one neighbour after the other.
+/// Exchanges gossip with one neighbour per round, in turn.
 pub(crate) async fn exchange_news(peers: Arc<Peers>, known: Vec<PeerEntry>) {
     let mut ticks = peers.timer.subscribe(GOSSIP_PERIOD);
     let mut round = rand::random_range(0..64_usize);
--- a/crates/catkinward/src/peer_handshake.rs
+++ b/crates/catkinward/src/peer_handshake.rs
@@ -2,18 +2,18 @@
 use crate::peer_socket::{PeerReceiver, PeerSender};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// How long each step of the handshake may take.
+/// Timeout of each step of the handshake.
 const STEP_BOUND: Duration = Duration::from_secs(1);
 
-/// What a VM shows of itself in a handshake.
+/// What a VM identifies itself with in a handshake.
 pub(crate) struct PeerIdentity {
     pub(crate) entry: PeerEntry,
     pub(crate) key: PeerKey,
 }
 
 impl PeerIdentity {
-    /// Handshake of the one that calls. Both prove that they know the key, over nonces that both
-    /// have drawn, so that a recorded handshake is of no use.
+    /// Performs the handshake as the caller. Both ends prove that they know the key, over random
+    /// nonces from both ends, so that a recorded handshake cannot be replayed.
     pub(crate) async fn call<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         callee: &VmId,
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Handshake of the one that was called; returns who calls.
+    /// Performs the handshake as the callee; returns the caller.
     pub(crate) async fn answer<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         tx: &mut PeerSender<S>,
--- a/crates/catkinward/src/peer_key.rs
+++ b/crates/catkinward/src/peer_key.rs
@@ -1,24 +1,26 @@
 use super::*;
 use hmac::{Hmac, KeyInit, Mac};
 
-/// The secret that all VMs of a system share; it never shows in logs.
+/// The secret that all VMs of a system share. Its `Debug` output does not reveal it, so it never
+/// gets into logs.
 #[derive(Clone, Default, Eq, PartialEq)]
 pub struct PeerKey(Arc<str>);
 
 impl PeerKey {
-    /// A key from its text.
+    /// Creates a key from its text.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
 
-    /// Proof of knowing the key, over parts that the two ends have just drawn.
+    /// Returns a proof of knowing the key: an HMAC over `parts`, which include the nonces of both
+    /// ends.
     #[must_use]
     pub fn prove(&self, parts: &[&[u8]]) -> Vec<u8> {
         self.mac(parts).finalize().into_bytes().to_vec()
     }
 
-    /// Whether `proof` was made with this key over these parts.
+    /// Returns whether `proof` was made with this key over `parts`.
     #[must_use]
     pub fn verify(&self, parts: &[&[u8]], proof: &[u8]) -> bool {
         self.mac(parts).verify_slice(proof).is_ok()
--- a/crates/catkinward/src/peer_link.rs
+++ b/crates/catkinward/src/peer_link.rs
@@ -8,21 +8,21 @@
     sync::oneshot,
 };
 
-/// Bound until a called peer has shown who it is.
+/// Timeout of opening a connection, including the handshake.
 const OPEN_BOUND: Duration = Duration::from_secs(1);
 
-/// Messages that may wait to leave.
+/// Capacity of the queue of outgoing messages.
 const QUEUE: usize = 1024;
 
-/// Most messages that leave in one write.
+/// Maximum number of messages in one write.
 const BATCH: usize = 256;
 
-/// How long a connection that nobody uses is kept.
+/// How long an unused connection stays open.
 const IDLE_BOUND: Duration = Duration::from_secs(10);
 
-/// A connection to a peer that this VM has opened.
+/// A connection that this VM has opened to a peer.
 pub(crate) struct PeerLink {
-    /// Tells this connection from a later one to the same VM.
+    /// Distinguishes this connection from later ones to the same VM.
     pub(crate) serial: u64,
     tx: mpsc::Sender<Outgoing>,
 }
@@ -32,18 +32,18 @@
     then: Then,
 }
 
-/// What the sender of a message waits for.
+/// What the sender of a message is waiting for.
 enum Then {
     Flushed(oneshot::Sender<()>),
     Answer(oneshot::Sender<PeerBody>),
 }
 
-/// Serials of connections.
+/// Serial of the next connection.
 static SERIAL: AtomicU64 = AtomicU64::new(1);
 
 impl PeerLink {
-    /// Opens a connection. `on_message` gets what the peer sends without being asked; `on_end` is
-    /// called when the connection is over.
+    /// Opens a connection. `on_message` gets the messages that are not replies; `on_end` is called
+    /// with the serial when the connection has closed.
     pub(crate) async fn open(
         peer: &PeerEntry,
         identity: &PeerIdentity,
@@ -73,13 +73,13 @@
         Ok(Self { serial, tx })
     }
 
-    /// Sends a message and waits until the operating system has it.
+    /// Sends a message and waits until it has been written to the socket.
     pub(crate) async fn send(&self, body: PeerBody, bound: Duration) -> Result<(), PeerError> {
         let (tx, rx) = oneshot::channel();
         self.queue(body, Then::Flushed(tx), rx, bound).await
     }
 
-    /// Sends a question and waits for its answer.
+    /// Sends a request and waits for its reply.
     pub(crate) async fn ask(&self, body: PeerBody, bound: Duration) -> Result<PeerBody, PeerError> {
         let (tx, rx) = oneshot::channel();
         self.queue(body, Then::Answer(tx), rx, bound).await
@@ -102,7 +102,7 @@
     }
 }
 
-/// Questions without an answer yet, by number.
+/// Requests that have not been answered yet, sorted by number.
 type Waiting = Mutex<Vec<(u64, oneshot::Sender<PeerBody>)>>;
 
 async fn write<S: AsyncRead + AsyncWrite + Unpin>(
@@ -145,7 +145,7 @@
     }
 }
 
-/// Adds a message; progress of several generations becomes one.
+/// Adds a message; consecutive progress updates are combined into one message.
 fn push_message(messages: &mut Vec<(u64, PeerBody)>, number: u64, body: PeerBody) {
     match (messages.last_mut(), body) {
         (Some((0, PeerBody::Progress(before))), PeerBody::Progress(more)) if number == 0 => {
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -1,10 +1,10 @@
-//! Connections that this VM opens to others.
+//! Connections that this VM opens to other VMs.
 
 use super::*;
 use crate::peer_link::PeerLink;
 
 impl Peers {
-    /// Asks a VM; `None` if it is not known or does not answer in time.
+    /// Sends a request to a VM; `None` if the VM is not known or does not answer in time.
     pub(crate) async fn ask(
         self: &Arc<Self>,
         vm: &VmId,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The open connection to a VM; opens one if there is none.
+    /// Returns the open connection to a VM, or opens one.
     pub(crate) async fn link(
         self: &Arc<Self>,
         peer: &PeerEntry,
@@ -32,14 +32,15 @@
         if let Some(link) = self.open_link(&peer.vm) {
             return Ok(link);
         }
-        // A caller that gives up must not abandon the connection: to a distant VM it would never open.
+        // The task continues if the caller stops waiting. Otherwise a connection to a distant VM would
+        // never open.
         let (peers, peer) = (self.clone(), peer.clone());
         let opening = tokio::spawn(async move { peers.open_once(&peer).await });
         opening.await.unwrap_or(Err(PeerError::Broken))
     }
 
-    /// Opens a connection to a VM unless another task has just done so: one at a time to each VM, or many streams that
-    /// lose a connection would open one each.
+    /// Opens a connection to a VM unless another task has just done so. Only one connection per VM is
+    /// opened at a time; otherwise many streams that lose a connection would open one each.
     async fn open_once(self: &Arc<Self>, peer: &PeerEntry) -> Result<Arc<PeerLink>, PeerError> {
         let opening = self.opening(&peer.vm);
         let _guard = opening.lock().await;
--- a/crates/catkinward/src/peer_message.rs
+++ b/crates/catkinward/src/peer_message.rs
@@ -1,96 +1,96 @@
 use super::*;
 
-/// Version of the protocol between VMs; two that differ do not talk.
+/// Version of the protocol between VMs. VMs with different versions do not communicate.
 pub const PEER_PROTOCOL: u16 = 1;
 
 /// A message between VMs: one CBOR value in one WebSocket message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// Number by which an answer finds its question; 0 where no answer is wanted.
+    /// Number that a reply shares with its request; 0 if no reply is expected.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Reading of the sender's clock: microseconds and count.
+    /// Reading of the sender's hybrid logical clock: microseconds and count.
     #[serde(rename = "c")]
     pub clock: (u64, u32),
-    /// What it is about.
+    /// Content of the message.
     #[serde(rename = "b")]
     pub body: PeerBody,
 }
 
-/// What a message between VMs is about.
+/// Content of a message between VMs.
 #[derive(Clone, Debug, Serialize, Deserialize, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum PeerBody {
-    /// First word of the one that was called.
+    /// First message of the handshake, from the callee.
     Challenge(PeerChallenge),
-    /// First word of the one that calls.
+    /// Second message of the handshake, from the caller.
     Hello(PeerHello),
-    /// The one that was called shows who it is.
+    /// Last message of the handshake, from the callee.
     Welcome(PeerWelcome),
-    /// News both ways; answered by [`PeerBody::Gossip`].
+    /// State of the sender; answered by [`PeerBody::Gossip`] with the state of the receiver.
     Gossip(Box<Gossip>),
-    /// News of generations whose copies the other keeps; answered by [`PeerBody::Superseded`] where
-    /// another VM has taken one over, else not at all.
+    /// Progress of generations that the receiver stores replicas of. Answered by
+    /// [`PeerBody::Superseded`] if another VM has taken one over, otherwise not answered.
     #[serde(rename = "p")]
     Progress(Vec<ProgressUpdate>),
-    /// Question for slices of teams' limits; answered by [`PeerBody::Slices`].
+    /// Request for slices of teams' limits; answered by [`PeerBody::Slices`].
     AskSlices(Vec<SliceRequest>),
-    /// Slices granted.
+    /// Granted slices of teams' limits.
     Slices(Vec<SliceGrant>),
-    /// Chains that another VM has taken over, each with the attempt that it goes on with.
+    /// Chains that another VM has taken over, each with the attempt that it continues with.
     Superseded(Vec<(RequestId, ChainId, Attempt)>),
-    /// Question for the best copy for a caller who has come so far, and from that chain; answered
-    /// by [`PeerBody::Found`].
+    /// Request for the best progress replica for a caller that reconnects: the next token it needs,
+    /// and the VM and chain that served it before. Answered by [`PeerBody::Found`].
     Find(RequestId, TokenIndex, Option<(VmId, ChainId)>),
-    /// A copy, if there is one.
+    /// The progress replica, if the VM has one.
     Found(Option<Box<ProgressRecord>>),
-    /// A VM has taken a generation over; the chains that it goes on from end. Not answered.
+    /// Notification that a VM has taken a generation over and the earlier chains end. Not answered.
     TakenOver(Box<ProgressUpdate>),
-    /// Question for the content of a bundle; answered by [`PeerBody::BundleContent`].
+    /// Request for the content of a bundle; answered by [`PeerBody::BundleContent`].
     FetchBundle(BundleDigest),
-    /// The content of a bundle, if it is the one in force.
+    /// The content of the bundle, if it is the one in force on the VM.
     BundleContent(Option<Arc<str>>),
 }
 
-/// First word of the one that was called.
+/// First message of the handshake, from the callee.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerChallenge {
-    /// Its protocol version.
+    /// Protocol version of the callee.
     pub protocol: u16,
-    /// Drawn for this connection.
+    /// Random nonce of the callee for this connection.
     #[serde(with = "serde_bytes")]
     pub nonce: Vec<u8>,
 }
 
-/// First word of the one that calls.
+/// Second message of the handshake, from the caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// Who it is and where it can be called.
+    /// Name, address and availability zone of the caller.
     pub entry: PeerEntry,
-    /// Drawn for this connection.
+    /// Random nonce of the caller for this connection.
     #[serde(with = "serde_bytes")]
     pub nonce: Vec<u8>,
-    /// Proof over both nonces and the name of the VM.
+    /// Proof of knowing the key, over both nonces and the caller's name.
     #[serde(with = "serde_bytes")]
     pub proof: Vec<u8>,
 }
 
-/// The one that was called shows who it is.
+/// Last message of the handshake, from the callee.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerWelcome {
-    /// Who it is.
+    /// Name of the callee.
     pub vm: VmId,
-    /// Proof over both nonces and the name of the VM.
+    /// Proof of knowing the key, over both nonces and the callee's name.
     #[serde(with = "serde_bytes")]
     pub proof: Vec<u8>,
 }
 
 impl PeerMessage {
-    /// Its bytes on the wire.
+    /// Encodes the message as CBOR.
     ///
     /// # Panics
     ///
-    /// Never: these types hold nothing that CBOR cannot express.
+    /// Never: CBOR can represent all values of these types.
     #[must_use]
     pub fn to_bytes(&self) -> Bytes {
         let mut buf = Vec::with_capacity(256);
@@ -98,11 +98,11 @@
         buf.into()
     }
 
-    /// Reads a message from the wire.
+    /// Decodes a message from CBOR.
     ///
     /// # Errors
     ///
-    /// If it is none.
+    /// [`PeerError::Form`] if the bytes are not a valid message.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, PeerError> {
         ciborium::from_reader(bytes).map_err(|_| PeerError::Form)
     }
--- a/crates/catkinward/src/peer_server.rs
+++ b/crates/catkinward/src/peer_server.rs
@@ -1,17 +1,18 @@
-//! Calls that other VMs make to this one.
+//! Server for connections from other VMs.
 
 use super::*;
 use crate::peer_socket;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections taken from peers at once.
+/// Maximum number of open connections from peers.
 const MOST_CONNECTIONS: usize = 256;
 
-/// How long a peer's connection may say nothing: longer than an idle one is kept by its opener.
+/// How long a connection may stay silent before it is closed. This is longer than the idle timeout
+/// at the peer that opened it.
 const SILENT_CALLER_BOUND: Duration = Duration::from_secs(30);
 
 impl Peers {
-    /// Answers what a peer asks or sends; `None` where no answer is due.
+    /// Handles a message from a peer; returns the reply, or `None` if the message gets none.
     pub(crate) fn answer(&self, peer: &VmId, body: PeerBody) -> Option<PeerBody> {
         match body {
             PeerBody::Gossip(gossip) => {
@@ -41,13 +42,13 @@
             | PeerBody::BundleContent(_)
             | PeerBody::Found(_) => {
                 let name: &str = (&body).into();
-                tracing::warn!(%peer, message = name, "peer sent what was not due");
+                tracing::warn!(%peer, message = name, "unexpected message from peer; ignored");
                 None
             }
         }
     }
 
-    /// Slices for a peer, which may ask for itself only.
+    /// Returns slices for a peer. A peer may request slices for itself only.
     pub(crate) fn slices(&self, peer: &VmId, requests: &[SliceRequest]) -> PeerBody {
         let own = requests.iter().filter(|request| request.vm == *peer);
         let granter = self.granter.get();
@@ -55,7 +56,7 @@
     }
 }
 
-/// Takes calls for as long as the process lives.
+/// Accepts connections from peers for the lifetime of the process.
 pub(crate) async fn accept_calls(peers: Arc<Peers>, listener: TcpListener) {
     let places = Arc::new(tokio::sync::Semaphore::new(MOST_CONNECTIONS));
     loop {
@@ -73,7 +74,7 @@
                 });
             }
             Err(fault) => {
-                tracing::warn!(%fault, "peer accept failed");
+                tracing::warn!(%fault, "cannot accept a peer connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
--- a/crates/catkinward/src/peer_socket.rs
+++ b/crates/catkinward/src/peer_socket.rs
@@ -9,20 +9,22 @@
     tungstenite::{Message, protocol::WebSocketConfig},
 };
 
-/// Longest message between VMs, in bytes: a copy of a very long answer.
+/// Maximum size of a message between VMs, in bytes. It fits the progress replica of a very long
+/// response.
 const MESSAGE_LIMIT: usize = 8 * 1024 * 1024;
 
-/// How long a message may take to leave. A peer that takes nothing for this long is given up.
+/// Timeout of writing messages. The connection to a peer that does not read for this long is
+/// closed.
 const WRITE_BOUND: Duration = Duration::from_secs(1);
 
-/// Writing half of a connection between VMs.
+/// Write half of a connection between VMs.
 pub(crate) struct PeerSender<S> {
     sink: SplitSink<WebSocketStream<S>, Message>,
     clock: Arc<ProcessClock>,
     sent: Arc<AtomicU64>,
 }
 
-/// Reading half of a connection between VMs.
+/// Read half of a connection between VMs.
 pub(crate) struct PeerReceiver<S> {
     stream: SplitStream<WebSocketStream<S>>,
     clock: Arc<ProcessClock>,
@@ -58,7 +60,7 @@
     (sender, receiver)
 }
 
-/// Calls a peer.
+/// Connects to a peer.
 pub(crate) async fn connect(
     address: SocketAddr,
     clock: &Arc<ProcessClock>,
@@ -67,7 +69,7 @@
     let stream = TcpStream::connect(address)
         .await
         .map_err(|_| PeerError::Broken)?;
-    // Progress must be on its way before the caller gets the token.
+    // Progress must be sent without delay: a token is released to the caller only after that.
     let _ = stream.set_nodelay(true);
     let (socket, _) = tokio_tungstenite::client_async_with_config(
         format!("ws://{address}/"),
@@ -79,7 +81,7 @@
     Ok(split(socket, clock, sent))
 }
 
-/// Takes a peer's call.
+/// Accepts the connection of a peer.
 pub(crate) async fn accept(
     stream: TcpStream,
     clock: &Arc<ProcessClock>,
@@ -96,7 +98,7 @@
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
-    /// Hands messages to the operating system, in order and in as few writes as they take.
+    /// Writes messages to the socket in order and flushes once, so that they need few writes.
     pub(crate) async fn send(&mut self, bodies: Vec<(u64, PeerBody)>) -> Result<(), PeerError> {
         let all = async {
             for (number, body) in bodies {
@@ -124,7 +126,7 @@
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
-    /// The next message.
+    /// Receives the next message.
     pub(crate) async fn receive(&mut self) -> Result<PeerMessage, PeerError> {
         loop {
             let message = self.stream.next().await;
@@ -146,7 +148,7 @@
         }
     }
 
-    /// The next message, within a bound.
+    /// Receives the next message, with a timeout.
     pub(crate) async fn receive_within(
         &mut self,
         bound: Duration,
--- a/crates/catkinward/src/peer_updates.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -1,18 +1,18 @@
-//! When VMs tell each other what is new: releases, upstreams that leave, requests that upstreams
-//! die under.
+//! Propagation of updates between VMs: releases, leaving upstreams, and crashes of upstreams while
+//! they were running a request.
 //!
-//! Each piece is told to all neighbours at once, and stays in the exchange of every second for a
-//! while, so that a lost message delays it by a round and no more. A VM that learns something tells
-//! it on; what it knew already ends there.
+//! An update is sent to all neighbours immediately. It also stays in the periodic exchange (once a
+//! second) for a while, so a lost message delays it by one round at most. A VM relays updates that
+//! are new to it and drops those that it has already applied.
 
 use super::*;
 
-/// Longest time between two reads of the platform's list of VMs. If only the list knows that an
-/// upstream is leaving, this and the bound of a call (1 s) pass until work to it ends; 400 VMs read
-/// it about 220 times a second.
+/// Longest interval between two reads of the platform's list of VMs. If only the list shows that an
+/// upstream is leaving, new work is sent to it for up to this interval plus the timeout of a call
+/// (1 s). 400 VMs read the list about 220 times a second.
 const LIST_PERIOD: Duration = Duration::from_secs(2);
 
-/// Joins the exchange between VMs with the parts that have news.
+/// Connects the components that have updates for peers with the gossip between VMs.
 pub(crate) fn start_peer_updates(
     peers: &Arc<Peers>,
     watch: &Arc<BundleWatch>,
@@ -42,8 +42,11 @@
     });
 }
 
-/// A caller of a request that killed an upstream sends it again at once, to another VM: one that
-/// hears of the death with the next round only would lose its upstreams to it as well.
+/// Exchanges state with all neighbours as soon as there is an update.
+///
+/// The caller of a request that crashed an upstream retries it immediately on another VM. If that
+/// VM received the crash record only with the next round, the request would crash its upstreams
+/// too.
 async fn tell_at_once(
     peers: Arc<Peers>,
     upstreams: Arc<Upstreams>,
@@ -58,8 +61,8 @@
     }
 }
 
-/// Joins the platform's list with what peers say. The list lags and may be out of reach; a VM that
-/// it does not name any more is forgotten once peers do not speak of it either.
+/// Merges the platform's list of VMs with what peers advertise. The list lags and may be
+/// unreachable; a VM that it no longer contains is removed once peers do not advertise it either.
 pub(crate) async fn read_list(
     platform: Arc<Platform>,
     peers: Option<Arc<Peers>>,
@@ -72,7 +75,7 @@
             Ok(list) => list
                 .into_iter()
                 .for_each(|entry| take_entry(peers.as_deref(), &upstreams, &entry)),
-            Err(fault) => tracing::debug!(%fault, "no list of VMs"),
+            Err(fault) => tracing::debug!(%fault, "cannot read the platform's list of VMs"),
         }
         if ticks.recv().await.is_none() {
             return;
--- a/crates/catkinward/src/peers.rs
+++ b/crates/catkinward/src/peers.rs
@@ -5,20 +5,21 @@
 };
 use tokio::net::TcpListener;
 
-/// Bound until a peer answers.
+/// Timeout of a request to a peer.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The other VMs: who they are, connections to a few of them, and copies kept for them.
+/// The other VMs: their addresses, connections to a few of them, and progress replicas stored for
+/// them.
 pub struct Peers {
     pub(crate) identity: PeerIdentity,
     pub(crate) timer: Arc<Timer>,
     pub(crate) timeline: Arc<Timeline>,
     pub(crate) bundle: Arc<BundleInForce>,
-    /// News that the exchange carries.
+    /// Callbacks that fill and process gossip messages.
     pub gossip: GossipSources,
     pub(crate) table: Mutex<PeerTable>,
     pub(crate) links: Mutex<Vec<(VmId, Arc<PeerLink>)>>,
-    /// Held, for each VM, while a connection to it is opened.
+    /// Locks by VM, each held while a connection to the VM is being opened.
     opening: Mutex<Vec<(VmId, Arc<tokio::sync::Mutex<()>>)>>,
     pub(crate) holders: ArcSwap<Vec<PeerEntry>>,
     pub(crate) store: Mutex<ProgressStore>,
@@ -27,29 +28,29 @@
     pub(crate) granter: std::sync::OnceLock<Granter>,
 }
 
-/// Grants a slice of a team's limit.
+/// Callback that grants a slice of a team's limit.
 type Granter = Box<dyn Fn(&SliceRequest) -> Option<SliceGrant> + Send + Sync>;
 
-/// What the service of the other VMs is made of.
+/// Dependencies and settings of [`Peers`].
 pub struct PeerParts {
-    /// This VM.
+    /// Name, advertised address and availability zone of this VM.
     pub entry: PeerEntry,
     /// The secret that all VMs share.
     pub key: PeerKey,
-    /// VMs to begin with.
+    /// VMs known from the settings, contacted first.
     pub known: Vec<PeerEntry>,
-    /// Tells the time.
+    /// Source of the time and of periodic ticks.
     pub timer: Arc<Timer>,
     /// Events of this process.
     pub timeline: Arc<Timeline>,
-    /// Generations under way here.
+    /// Generations in progress on this VM.
     pub generations: Arc<Generations>,
-    /// The bundle in force here.
+    /// The bundle in force on this VM.
     pub bundle: Arc<BundleInForce>,
 }
 
 impl Peers {
-    /// Starts to take peers' calls on `listener` and to exchange news.
+    /// Starts to accept connections of peers on `listener` and to exchange gossip.
     pub fn start(listener: TcpListener, parts: PeerParts) -> Arc<Self> {
         let PeerParts {
             entry, key, known, ..
@@ -80,25 +81,25 @@
         peers
     }
 
-    /// Notes that somebody, such as the platform's list, spoke of a VM.
+    /// Records that a VM was seen, for example in the platform's list.
     pub fn heard_of(&self, entry: PeerEntry) {
         self.table.lock().record_seen(self.timer.now(), entry);
         self.choose_holders();
     }
 
-    /// All VMs known.
+    /// Returns all known VMs except this one.
     #[must_use]
     pub fn entries(&self) -> Vec<PeerEntry> {
         self.table.lock().entries().cloned().collect()
     }
 
-    /// This VM.
+    /// Returns the entry of this VM.
     #[must_use]
     pub fn own(&self) -> &PeerEntry {
         &self.identity.entry
     }
 
-    /// The lock under which a connection to a VM is opened.
+    /// Returns the lock that is held while a connection to a VM is being opened.
     pub(crate) fn opening(&self, vm: &VmId) -> Arc<tokio::sync::Mutex<()>> {
         let mut opening = self.opening.lock();
         opening.retain(|(_, lock)| Arc::strong_count(lock) > 1);
@@ -112,12 +113,13 @@
         }
     }
 
-    /// The VMs that keep copies of what this one runs.
+    /// Returns the VMs that store progress replicas of the generations on this VM.
     pub(crate) fn holders(&self) -> Arc<Vec<PeerEntry>> {
         self.holders.load_full()
     }
 
-    /// Shows what peers cost this VM: bytes sent, copies kept and their bytes, open connections.
+    /// Updates the metrics of what peers cost this VM: bytes sent, replicas stored and their size,
+    /// open connections.
     pub(crate) fn show_cost(&self) {
         let (copies, size) = self.store.lock().usage();
         let links = self.links.lock().len();
@@ -128,7 +130,7 @@
         gauge("catkin_progress_copies_bytes", size);
     }
 
-    /// Has `granter` answer peers that ask for slices of teams' limits.
+    /// Sets the callback that grants peers slices of teams' limits.
     pub(crate) fn grant_slices(
         &self,
         granter: impl Fn(&SliceRequest) -> Option<SliceGrant> + Send + Sync + 'static,
@@ -136,7 +138,7 @@
         let _ = self.granter.set(Box::new(granter));
     }
 
-    /// VMs that somebody has heard of lately.
+    /// Returns the VMs that any VM has seen within the last `bound`.
     pub(crate) fn heard_within(&self, bound: Duration) -> Vec<PeerEntry> {
         let now = self.timer.now();
         self.table.lock().seen_within(now, bound)
--- a/crates/catkinward/src/process_clock.rs
+++ b/crates/catkinward/src/process_clock.rs
@@ -1,36 +1,36 @@
 use super::*;
 
-/// Header and field that carry a clock reading between processes.
+/// Name of the header and field that carry a clock reading between processes.
 pub const CLOCK_HEADER: &str = "catkin-clock";
 
 /// The process's hybrid logical clock. Every message to a peer, an engine, the platform or an
-/// operator carries a reading, and every reading received is taken in.
+/// operator carries a reading, and every received reading advances the clock.
 #[derive(Debug, Default)]
 pub struct ProcessClock {
     clock: Mutex<HybridClock>,
 }
 
 impl ProcessClock {
-    /// A reading for an event, or for a message about to be sent.
+    /// Returns a reading for an event, or for a message about to be sent.
     pub fn tick(&self) -> HybridTime {
         self.clock.lock().tick(wall())
     }
 
-    /// Takes in the reading of a received message.
+    /// Advances the clock by the reading of a received message.
     pub fn witness(&self, received: HybridTime) {
         if let Err(fault) = self.clock.lock().observe(wall(), received) {
-            tracing::warn!(%fault, "clock reading ignored");
+            tracing::warn!(%fault, "clock reading of a received message ignored");
         }
     }
 
-    /// Puts a reading into the headers of a message.
+    /// Adds a reading to the headers of a message.
     pub fn stamp(&self, headers: &mut HeaderMap) {
         if let Ok(value) = self.tick().to_string().parse() {
             headers.insert(CLOCK_HEADER, value);
         }
     }
 
-    /// Takes in the reading of a message's headers, if there is one.
+    /// Advances the clock by the reading in a message's headers, if there is one.
     pub fn witness_headers(&self, headers: &HeaderMap) {
         let received = headers.get(CLOCK_HEADER).and_then(|v| v.to_str().ok());
         if let Some(Ok(received)) = received.map(str::parse) {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Time since 1970 by the wall clock.
+/// Returns the wall clock time since the Unix epoch; zero if the clock is set before it.
 pub(crate) fn wall() -> Duration {
     std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
--- a/crates/catkinward/src/progress_replicas.rs
+++ b/crates/catkinward/src/progress_replicas.rs
@@ -1,22 +1,24 @@
-//! Copies of the progress of generations: kept for other VMs, looked for, and taken over.
+//! Replicas of the progress of generations: stored for other VMs, searched for, and taken over.
 
 use super::*;
 use crate::{peer_link::PeerLink, peers::PROBE_TIMEOUT};
 
-/// How long a token may wait until the copy of it is on its way: a peer that went silent must not hold up a caller.
+/// Longest time that a token waits until its replica has been written to the connection. A peer that
+/// stopped responding must not delay a caller.
 const PROGRESS_BOUND: Duration = Duration::from_millis(50);
 
-/// VMs that are asked for a copy.
+/// Number of VMs that are queried for a replica.
 const MOST_ASKED: usize = 4;
 
-/// VMs that are asked for a copy where the caller cannot say which VM it was on.
+/// Number of VMs that are queried for a replica if the caller cannot name the VM that served it.
 const MOST_ASKED_BLINDLY: usize = 16;
 
 impl Peers {
-    /// Sends progress to a holder and waits until it is on its way, or up to [`PROGRESS_BOUND`].
+    /// Sends progress to a replica holder and waits until it has been written to the connection, up to
+    /// [`PROGRESS_BOUND`].
     ///
-    /// A message that is still queued then keeps its place on the connection, which ends by itself if the peer takes
-    /// nothing: on a busy VM the write only waits for a processor.
+    /// A message that is still queued after that stays queued: on a busy VM the write only waits for
+    /// a CPU. If the peer reads nothing, the connection closes after its own write timeout.
     pub(crate) async fn send_progress(
         &self,
         peer: &PeerEntry,
@@ -40,9 +42,10 @@
         }
     }
 
-    /// The copy of a generation that this VM keeps.
+    /// Returns the replica of a generation that this VM stores.
     ///
-    /// Where none reaches as far as the caller has come, any of that key shows what it was used for.
+    /// If no replica reaches the caller's resume point, any replica of the key is returned: it shows
+    /// which request the key was used for.
     pub(crate) fn find_here(&self, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
         let store = self.store.lock();
         store
@@ -51,8 +54,8 @@
             .cloned()
     }
 
-    /// Looks for the copy of a generation, here and where it may be kept. The first one that reaches
-    /// as far as the caller has come is as good as any.
+    /// Searches for the replica of a generation, locally and on the VMs that may store it. Returns the
+    /// first replica found that reaches the caller's resume point; any such replica is sufficient.
     pub(crate) async fn find(
         self: &Arc<Self>,
         id: &RequestId,
@@ -77,7 +80,7 @@
         best
     }
 
-    /// Tells those that may run a generation or keep its copy that this VM has taken it over.
+    /// Notifies the VMs that may run a generation or store its replica that this VM has taken it over.
     pub(crate) fn tell_taken_over(self: &Arc<Self>, point: &ResumePoint, update: &ProgressUpdate) {
         self.take_over(update);
         for peer in self.to_be_asked(point) {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Keeps a copy of a generation that this VM has run, for a caller who comes back to it.
+    /// Stores a replica of a generation that this VM has run, for a caller that reconnects.
     pub(crate) fn keep_own(&self, update: &ProgressUpdate) {
         self.store.lock().apply(self.timer.now(), update);
     }
@@ -106,8 +109,8 @@
         asked
     }
 
-    /// Asks a peer for a copy. One that does not answer is passed over for a while: each new request
-    /// would wait for it again.
+    /// Queries a peer for a replica. A peer that does not answer is skipped for a while, because
+    /// otherwise each new request would wait for it again.
     pub(crate) async fn ask_for(
         self: Arc<Self>,
         peer: PeerEntry,
@@ -150,8 +153,8 @@
         reaching.or_else(|| self.find_here(id, point))
     }
 
-    /// Another VM has taken a generation over: this one ends it, if it runs it, and the copies of
-    /// the chains before refuse what the VMs before may still send.
+    /// Handles that another VM has taken a generation over. This VM ends the generation if it runs it;
+    /// replicas of the earlier chains reject updates that their VMs may still send.
     pub(crate) fn take_over(&self, update: &ProgressUpdate) {
         let lineage = update.head.iter().flat_map(|head| &head.lineage);
         let ended = lineage.map(|(chain, _)| (update.id.clone(), *chain, update.attempt));
--- a/crates/catkinward/src/progress_replicator.rs
+++ b/crates/catkinward/src/progress_replicator.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// Sends the progress of one generation to the VMs that keep copies, and only then lets its caller
-/// have the tokens.
+/// Sends the progress of one generation to the VMs that store replicas of it, and only then
+/// releases the tokens to the caller.
 ///
-/// A router may die right after a caller got a token. If the copy were sent after that, the caller
-/// would come back with an index that no one else has reached, and if the engine is gone too, its
-/// answer could not be gone on with. So the copy is handed to the operating system first; it is not
-/// waited for any longer, since a round trip for each token would cost more than it saves.
+/// A router may crash right after a caller received a token. If the replica were sent later, the
+/// caller would reconnect with an index that no other VM has reached, and if the engine is gone
+/// too, the response could not be resumed. So the update is written to the socket first. It is
+/// not acknowledged, because a round trip for each token would cost more than it saves.
 pub(crate) struct ProgressReplicator {
     node: Arc<Node>,
     generation: Arc<Generation>,
     kept: Vec<Kept>,
 }
 
-/// What a holder has been sent over one connection.
+/// What has been sent to a replica holder over one connection.
 struct Kept {
     vm: VmId,
     serial: u64,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Brings all copies up to date and releases what they hold.
+    /// Updates all replicas, then releases the tokens up to there to the caller.
     pub(crate) async fn release(&mut self) {
         let next = self.generation.next_index();
         if self.generation.request.keyed.is_some() {
@@ -48,12 +48,12 @@
         let kept = futures::future::join_all(updates).await;
         self.kept = kept.into_iter().flatten().collect();
         if self.kept.is_empty() && !holders.is_empty() {
-            tracing::warn!(id = %self.generation.request.id, "no copy of the progress is kept");
+            tracing::warn!(id = %self.generation.request.id, "no VM stores a replica of the progress");
         }
     }
 
-    /// Sends a holder what it lacks. Over a new connection that is everything: what was sent over
-    /// the old one may never have come.
+    /// Sends a replica holder what it lacks. Over a new connection that is everything, because what
+    /// was sent over the old one may never have arrived.
     async fn update(&self, peers: &Arc<Peers>, peer: &PeerEntry) -> Option<Kept> {
         let link = peers.link(peer).await.ok()?;
         let mut kept = self.kept.iter();
--- a/crates/catkinward/src/queued_request.rs
+++ b/crates/catkinward/src/queued_request.rs
@@ -5,7 +5,7 @@
 };
 use tokio::sync::oneshot;
 
-/// A request's place in the queue, given back when it is dropped: a caller that left frees it.
+/// A request's position in the queue, released on drop, for example when the caller disconnects.
 pub(crate) struct QueuedRequest {
     pool: Arc<AdmissionPool>,
     place: QueuePosition,
@@ -21,11 +21,11 @@
         Self { pool, place, rx }
     }
 
-    /// Waits for a place at an upstream.
+    /// Waits for a concurrency slot of an upstream.
     ///
     /// # Errors
     ///
-    /// If it cannot be had in time.
+    /// If the request gets no slot in time.
     pub(crate) async fn granted(mut self) -> Result<SlotGuard, Refusal> {
         (&mut self.rx).await.unwrap_or(Err(Refusal {
             reason: RefusalReason::NoUpstream,
@@ -36,7 +36,7 @@
 
 impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        // Of no effect once the request has left the queue.
+        // This has no effect if the request has already left the queue.
         self.pool.withdraw(self.place);
     }
 }
--- a/crates/catkinward/src/read_leader.rs
+++ b/crates/catkinward/src/read_leader.rs
@@ -2,15 +2,16 @@
 use crate::{admission_pool::AdmissionPool, plain_response::PlainResponse};
 use tokio::sync::oneshot;
 
-/// What a read that was merged with another gets.
+/// What a read that was coalesced with another read receives.
 pub(crate) enum CoalescedRead {
-    /// The other's answer.
+    /// The response of the leading read.
     Answer(PlainResponse),
-    /// The other failed; this one is sent by itself now.
+    /// The leading read failed; this read now takes the lead.
     Lead(ReadLeader),
 }
 
-/// A read that others follow. If it ends without an answer, the next follower leads.
+/// A read whose response is shared with the reads that follow it. If it ends without a response,
+/// the next follower takes the lead.
 pub(crate) struct ReadLeader {
     pool: Arc<AdmissionPool>,
     key: CallKey,
@@ -18,7 +19,8 @@
 }
 
 impl ReadLeader {
-    /// Leads the reads of this key, or gets a receiver for what their leader brings.
+    /// Becomes the leader of the reads of `key`, or returns a receiver for the result of their
+    /// leader.
     pub(crate) fn join(
         pool: &Arc<AdmissionPool>,
         key: &CallKey,
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Hands the answer on to all who followed.
+    /// Sends the response to all followers.
     pub(crate) fn answered(mut self, answer: &PlainResponse) {
         self.is_over = true;
         let followers = self.pool.reads.lock().complete(&self.key);
@@ -49,8 +51,8 @@
 }
 
 impl Drop for ReadLeader {
-    /// The lead travels as a value with this very drop: a follower who has left with the lead
-    /// undelivered would otherwise leave all behind it waiting for nobody.
+    /// Passes the lead to the next follower as a value with this same `Drop`. Otherwise, if that
+    /// follower left before it received the lead, the followers behind it would wait forever.
     fn drop(&mut self) {
         if self.is_over {
             return;
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -1,4 +1,5 @@
-//! How a generation meets the loss of a stream, of an answer to an order, or of the VM before.
+//! Recovery of a generation after the loss of a stream, of the response to an order, or of the VM
+//! that ran it before.
 
 use super::*;
 use crate::{
@@ -10,26 +11,26 @@
     slot_guard::SlotGuard,
 };
 
-/// Bound until a probe of a running attempt is answered.
+/// Timeout of re-attaching to a running attempt.
 const PROBE_BOUND: Duration = Duration::from_millis(500);
 
-/// Bound until a second attempt makes its first token or says that it is waiting.
+/// Timeout until a second attempt delivers its first token or reports that it is queued.
 const SECOND_BOUND: Duration = Duration::from_secs(1);
 
-/// Time that the probe of a running attempt has before a second attempt starts. A live engine answers
-/// within a round trip of a few milliseconds, and the second attempt would only be cancelled again.
+/// Head start of re-attaching to the running attempt over a second attempt. A live engine answers
+/// within a round trip of a few milliseconds, and the second attempt would only be cancelled.
 const HEAD_START: Duration = Duration::from_millis(25);
 
-/// What went on first after a lost stream.
+/// Attempt that made progress first after the loss of a stream.
 enum Raced {
-    /// The old attempt, over a new connection.
+    /// The original attempt, over a new connection.
     Old(Box<AttemptStream>),
     /// A second attempt on another upstream.
     Second(Box<RunningAttempt>),
 }
 
 impl Driver {
-    /// Goes on with the attempt of the VM before, if its engine still runs it: nothing is then
+    /// Continues the attempt of the previous VM if its engine is still running it, so that nothing is
     /// computed twice.
     pub(crate) async fn go_on_with_left_running(&mut self) -> Option<RunningAttempt> {
         let (id, attempt) = self.generation.take_left_running()?;
@@ -47,7 +48,7 @@
         };
         let stream = engine_client::reattach(&self.node.connections, reattach).await;
         let stream = stream.inspect_err(|fault| {
-            tracing::info!(id = %self.generation.request.id, upstream = %id, %fault, "not re-attached");
+            tracing::info!(id = %self.generation.request.id, upstream = %id, %fault, "cannot re-attach to the attempt of the previous VM");
         });
         let stream = stream.ok()?;
         self.record(EventKind::ReAttached, reserved.attempt(), &id, None);
@@ -64,8 +65,8 @@
         })
     }
 
-    /// After an order that brought no stream: the engine may run it all the same, unseen. Under the
-    /// policy of least work the attempt is looked for and gone on with.
+    /// Handles an order that returned no stream. The engine may be running the attempt nevertheless;
+    /// under the least-work policy this re-attaches to it.
     pub(crate) async fn find_started(
         &self,
         upstream: &SlotGuard,
@@ -87,8 +88,9 @@
         Some(stream)
     }
 
-    /// Goes on after a lost stream: with the same attempt if its engine still runs it, else with a
-    /// new attempt elsewhere. The service's policy says whether the second waits for the first.
+    /// Resumes after the loss of a stream: with the same attempt if its engine is still running it,
+    /// otherwise with a new attempt on another upstream. The service's recovery policy decides whether
+    /// the new attempt waits until re-attaching has failed.
     pub(crate) async fn recover(
         &mut self,
         attempt: RunningAttempt,
@@ -123,7 +125,7 @@
         found
     }
 
-    /// Asks an engine to go on with an attempt over a new connection.
+    /// Re-attaches to an attempt over a new connection.
     async fn reattach(
         &self,
         upstream: &SlotGuard,
--- a/crates/catkinward/src/resumable_state.rs
+++ b/crates/catkinward/src/resumable_state.rs
@@ -1,16 +1,17 @@
 use super::*;
 
-/// What a generation has whose caller gave an idempotency key, and can come back with it.
+/// State of a generation whose caller gave an idempotency key and may reconnect with it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResumableState {
-    /// The chain of the tokens that this VM delivers.
+    /// Chain of the tokens that this VM delivers.
     pub chain: ChainId,
-    /// Chains that it goes on from, the oldest first, each with the tokens taken over from it.
+    /// Chains that this one continues, oldest first, each with the number of tokens taken over from
+    /// it.
     pub lineage: Vec<(ChainId, TokenIndex)>,
 }
 
 impl ResumableState {
-    /// A chain of its own.
+    /// Starts a new chain without a lineage.
     #[must_use]
     pub fn begin() -> Self {
         Self {
@@ -19,7 +20,7 @@
         }
     }
 
-    /// A chain that goes on from a copy.
+    /// Starts a chain that continues the one in a progress replica.
     #[must_use]
     pub fn go_on(record: &ProgressRecord) -> Self {
         let mut lineage = record.head.lineage.clone();
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The chain that the generation began with, on whichever VM.
+    /// Returns the chain that the generation started with, on whichever VM that was.
     #[must_use]
     pub fn root(&self) -> ChainId {
         self.lineage.first().map_or(self.chain, |(chain, _)| *chain)
--- a/crates/catkinward/src/service_registry.rs
+++ b/crates/catkinward/src/service_registry.rs
@@ -3,8 +3,7 @@
 type AnyService = Arc<dyn Any + Send + Sync>;
 type StopHook = Box<dyn FnOnce() -> futures::future::BoxFuture<'static, ()> + Send>;
 
-/// The micro-kernel: services register under a name, find each other by it, and are stopped in
-/// reverse order of their registration.
+/// Services of the process by name. Stop hooks run in reverse order of their registration.
 #[derive(Default)]
 pub struct ServiceRegistry {
     services: RwLock<Vec<(ServiceName, AnyService)>>,
@@ -12,11 +11,11 @@
 }
 
 impl ServiceRegistry {
-    /// Registers a service.
+    /// Registers a service and returns it.
     ///
     /// # Errors
     ///
-    /// If the name is taken.
+    /// If a service of this name is registered already.
     pub fn register<T: Any + Send + Sync>(
         &self,
         name: ServiceName,
@@ -32,11 +31,11 @@
         }
     }
 
-    /// Finds a service.
+    /// Looks up a service by name.
     ///
     /// # Errors
     ///
-    /// If there is none of that name, or it is of another type.
+    /// If no service of this name is registered, or it is of another type.
     pub fn find<T: Any + Send + Sync>(&self, name: ServiceName) -> Result<Arc<T>> {
         let services = self.services.read();
         let i = services
@@ -48,7 +47,7 @@
             .map_err(|_| Error::ServiceOfOtherType { name })
     }
 
-    /// Has `hook` run when the kernel stops.
+    /// Registers a hook that [`ServiceRegistry::stop`] runs.
     pub fn on_stop<F>(&self, hook: impl FnOnce() -> F + Send + 'static)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -56,7 +55,7 @@
         self.stop_hooks.lock().push(Box::new(|| Box::pin(hook())));
     }
 
-    /// Runs the stop hooks, the last one first.
+    /// Runs the stop hooks one after the other, the last registered first.
     pub async fn stop(&self) {
         loop {
             let Some(hook) = self.stop_hooks.lock().pop() else {
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Bound of a question for slices.
+/// Timeout of a request for slices.
 const ASK_BOUND: Duration = Duration::from_millis(500);
 
-/// VMs that nobody has heard of for this long hand out no slices and get none.
+/// VMs that no VM has seen for this long neither allocate slices nor receive any.
 const SILENT_FOR: Duration = Duration::from_secs(30);
 
-/// Asks the homes of the limits in use for slices, and answers as the home of others.
+/// Requests slices of the limits in use from their allocators, and serves as allocator for others.
 ///
-/// Homes are VMs of the own availability zone, and share out the zone's part of each limit: that of
-/// its VMs among all. So a zone that is cut off from the others goes on as before.
+/// The allocator of a limit is a VM of the own availability zone. It allocates the zone's share of
+/// the limit, which is the number of the zone's VMs divided by that of all VMs. So a zone that is
+/// partitioned from the others continues as before.
 pub(crate) fn exchange_slices(peers: &Arc<Peers>, limits: &Arc<TeamLimits>, timer: &Arc<Timer>) {
     let (table, granting) = (Arc::downgrade(peers), limits.clone());
     peers.grant_slices(move |request| {
@@ -25,11 +26,11 @@
     });
 }
 
-/// Who shares the limits.
+/// VMs that share the limits.
 struct Sharers {
     /// VMs of the own availability zone, sorted.
     zone: Vec<VmId>,
-    /// Their part among all VMs.
+    /// Their fraction of all VMs.
     part: f64,
 }
 
@@ -63,7 +64,8 @@
     futures::future::join_all(questions).await;
 }
 
-/// Asks one home. Without an answer the slices run out, and the floors remain.
+/// Requests slices from one allocator. Without a reply the slices expire and the minimum quotas
+/// remain.
 async fn ask_home(
     peers: &Arc<Peers>,
     limits: &TeamLimits,
--- a/crates/catkinward/src/slot_guard.rs
+++ b/crates/catkinward/src/slot_guard.rs
@@ -2,7 +2,7 @@
 use crate::{admission_pool::AdmissionPool, upstream_handle::UpstreamHandle};
 use std::ops::Deref;
 
-/// A place at an upstream, given back when it is dropped.
+/// A concurrency slot of an upstream, released on drop.
 pub(crate) struct SlotGuard {
     pool: Arc<AdmissionPool>,
     lane: Lane,
@@ -24,24 +24,25 @@
         }
     }
 
-    /// Notes the first part of an answer, by which the limit of the upstream is found.
+    /// Records the first part of a response. Its latency adjusts the concurrency limit of the
+    /// upstream.
     pub(crate) fn begun(&mut self) {
         if !std::mem::replace(&mut self.has_begun, true) {
             self.pool.answered(self.upstream.id(), self.held());
         }
     }
 
-    /// Notes that the upstream refused for want of room, or did not answer in time.
+    /// Records that the upstream refused the request for lack of capacity, or timed out.
     pub(crate) fn overloaded(&self) {
         self.pool.overloaded(self.upstream.id());
     }
 
-    /// Notes a whole answer; how long it took counts for the waits of those in the queue.
+    /// Records a complete response. Its duration is used to estimate the waits of queued requests.
     pub(crate) fn ended(&mut self) {
         self.has_ended = true;
     }
 
-    /// How long it has been held.
+    /// Returns how long the slot has been held.
     pub(crate) fn held(&self) -> Duration {
         self.pool.timer.now().since(self.since)
     }
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Enforces this VM's slices of the teams' limits, and hands out slices as the home of others.
+/// Enforces this VM's slices of the teams' limits, and allocates slices of limits to other VMs.
 ///
-/// Until a slice is granted, a VM lets through an even share: the limit by the number of VMs that
-/// the settings name. Peers carry [`SliceRequest`] and [`SliceGrant`]: [`TeamLimits::asks`] says
-/// whom to ask for what, [`TeamLimits::grant`] answers as a home, [`TeamLimits::granted`] takes the
-/// answer in.
+/// Until a slice is granted, a VM admits an even share: the limit divided by the number of VMs in
+/// the settings. Peers exchange [`SliceRequest`] and [`SliceGrant`]: [`TeamLimits::asks`] returns the
+/// requests to send, [`TeamLimits::grant`] answers them as the allocator, [`TeamLimits::granted`]
+/// applies the grants.
 pub struct TeamLimits {
     timer: Arc<Timer>,
     bundle: Arc<BundleInForce>,
     vm: VmId,
-    /// VMs that share a limit as long as no slice is granted.
+    /// Number of VMs that share a limit as long as no slice is granted.
     sharers: u32,
     /// Sorted by team and kind.
     slices: Mutex<Vec<LimitSlice>>,
@@ -33,17 +33,17 @@
     home: SliceAllocator,
 }
 
-/// Average demand, a second, below which a slice is not asked for any more.
+/// Average demand per second below which no slice is requested any more.
 const LEAST_DEMAND: f64 = 0.05;
 
-/// A slice to ask for.
+/// A request for a slice, with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamSliceRequest {
-    /// The home of the limit.
+    /// The VM that allocates the slices of the limit.
     pub home: VmId,
-    /// What to ask it.
+    /// The request to send to it.
     pub request: SliceRequest,
-    /// Now; the grant lasts from here.
+    /// Time of the request; the validity of the grant starts here.
     pub asked: Instant,
 }
 
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Lets a request of a team through that costs `cost`.
+    /// Admits a request of a team and charges `cost` to the team's limit.
     ///
     /// # Errors
     ///
-    /// When to come back, if this VM's slice of the limit is used up.
+    /// The time to wait before a retry, if this VM's slice of the limit is used up.
     pub fn take(&self, team: &TeamId, kind: LimitKind, cost: u32) -> Result<(), Duration> {
         let Some(limit) = self.limit(team, kind) else {
             return Ok(());
@@ -74,7 +74,7 @@
         slice.take(cost.into(), now)
     }
 
-    /// Gives back what a request that was let through did not use.
+    /// Refunds the part of the cost that an admitted request did not use.
     pub fn give_back(&self, team: &TeamId, kind: LimitKind, cost: u32) {
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, team, kind) {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Slices to ask for, of the limits that callers lately used here, from their homes among
-    /// `vms`.
+    /// Returns requests for slices of the limits that callers have used recently on this VM, addressed
+    /// to their allocators among `vms`.
     #[must_use]
     pub fn asks(&self, vms: &[VmId]) -> Vec<TeamSliceRequest> {
         let now = self.timer.now();
@@ -104,8 +104,8 @@
         asks.collect()
     }
 
-    /// Grants a slice as the home of `part` of a limit over `vms`; `None` if there is no such limit, this VM
-    /// is not its home, or the one that asks is not among them.
+    /// Grants a slice as the allocator of the fraction `part` of a limit among `vms`. Returns `None` if
+    /// there is no such limit, this VM is not its allocator, or the requesting VM is not in `vms`.
     #[must_use]
     pub fn grant(&self, request: &SliceRequest, vms: &[VmId], part: f64) -> Option<SliceGrant> {
         let limit = part * f64::from(self.limit(&request.team, request.kind)?);
@@ -135,7 +135,7 @@
         homes[i].home.grant(request, now)
     }
 
-    /// Takes a grant that was asked for at `asked`.
+    /// Applies a grant that was requested at `asked`.
     pub fn granted(&self, grant: &SliceGrant, asked: Instant) {
         let now = self.timer.now();
         let mut slices = self.slices.lock();
@@ -144,7 +144,8 @@
         }
     }
 
-    /// What this VM lets through of a limit now, a second; `None` if it was not used here.
+    /// Returns the rate per second that this VM currently admits of a limit; `None` if the limit has
+    /// not been used on this VM.
     #[must_use]
     pub fn rate(&self, team: &TeamId, kind: LimitKind) -> Option<f64> {
         let slices = self.slices.lock();
@@ -189,7 +190,7 @@
     }
 }
 
-/// The VM among `vms` that hands out the slices of a limit.
+/// Returns the VM among `vms` that allocates the slices of a limit.
 fn home_of(team: &TeamId, kind: LimitKind, vms: &[VmId]) -> Option<VmId> {
     let key = format!("{kind} {team}");
     vms.iter()
--- a/crates/catkinward/src/timeline.rs
+++ b/crates/catkinward/src/timeline.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::collections::VecDeque;
 
-/// The latest events of this process, in memory: VMs have no disks.
+/// The latest events of this process, kept in memory because VMs have no disks.
 pub struct Timeline {
     vm: VmId,
     zone: AvailabilityZone,
@@ -16,37 +16,37 @@
     overwritten: u64,
 }
 
-/// An event with its place in the order over all processes.
+/// An event with its time, which orders events across all processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimelineRecord {
-    /// When, by the hybrid logical clock.
+    /// Time of the event by the hybrid logical clock.
     pub time: HybridTime,
-    /// What.
+    /// The recorded event.
     pub event: Event,
 }
 
-/// Which events of a time line are wanted; absent fields admit all.
+/// Filter for events of a timeline; an absent field matches all events.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimelineQuery {
-    /// Only those of this request.
+    /// Matches only events of this request.
     pub request: Option<RequestId>,
-    /// Only those on this upstream.
+    /// Matches only events on this upstream.
     pub upstream: Option<UpstreamId>,
-    /// Only those at or after this time.
+    /// Matches only events at or after this time.
     pub since: Option<HybridTime>,
 }
 
-/// Events that a query found.
+/// Result of a query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TimelineExtract {
-    /// Records in order.
+    /// Matching records, oldest first.
     pub records: Vec<TimelineRecord>,
-    /// Records that the ring has lost to newer ones since the process started.
+    /// Number of records that newer ones have overwritten since the process started.
     pub overwritten: u64,
 }
 
 impl Timeline {
-    /// An empty time line of `capacity` events at most.
+    /// Creates an empty timeline that retains at most `capacity` events.
     #[must_use]
     pub fn new(
         vm: VmId,
@@ -63,10 +63,10 @@
         }
     }
 
-    /// Records an event.
+    /// Records an event with the current time; overwrites the oldest one if the timeline is full.
     pub fn record(&self, event: Event) {
         let mut ring = self.ring.lock();
-        // Read under the lock, so that the ring is in the order of the clock.
+        // The clock is read under the lock so that the records are sorted by time.
         let time = self.clock.tick();
         if ring.records.len() == self.capacity {
             ring.records.pop_front();
@@ -75,7 +75,7 @@
         ring.records.push_back(TimelineRecord { time, event });
     }
 
-    /// The events that a query asks for.
+    /// Returns the events that match a query.
     #[must_use]
     pub fn extract(&self, query: &TimelineQuery) -> TimelineExtract {
         let ring = self.ring.lock();
@@ -93,19 +93,19 @@
         }
     }
 
-    /// VM whose events these are.
+    /// Returns the VM that recorded the events.
     #[must_use]
     pub fn vm(&self) -> &VmId {
         &self.vm
     }
 
-    /// Its availability zone.
+    /// Returns the availability zone of the VM.
     #[must_use]
     pub fn zone(&self) -> &AvailabilityZone {
         &self.zone
     }
 
-    /// The clock that orders them.
+    /// Returns the clock that gives the events their times.
     #[must_use]
     pub fn clock(&self) -> &Arc<ProcessClock> {
         &self.clock
--- a/crates/catkinward/src/timer.rs
+++ b/crates/catkinward/src/timer.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The timer service: tells the time, and ticks for parts that subscribe.
+/// The timer service: provides monotonic time and periodic ticks to subscribers.
 ///
-/// A tick that its subscriber has not taken yet is not repeated, so a slow subscriber gets one tick
-/// and no burst.
+/// No tick is sent while the previous one has not been received, so a slow subscriber gets one
+/// tick rather than a burst.
 pub struct Timer {
     start: tokio::time::Instant,
     subscriptions: Mutex<Vec<Subscription>>,
@@ -16,11 +16,11 @@
     tx: mpsc::Sender<Instant>,
 }
 
-/// Longest sleep of the timer while nothing is due.
+/// Longest sleep of the timer while there are no subscriptions.
 const IDLE: Duration = Duration::from_secs(3600);
 
 impl Timer {
-    /// Starts the timer's task.
+    /// Creates a timer and spawns its task, which ends when the timer is dropped.
     #[must_use]
     pub fn start() -> Arc<Self> {
         let timer = Arc::new(Self {
@@ -32,13 +32,13 @@
         timer
     }
 
-    /// Time since the timer started.
+    /// Returns the time since the timer started.
     #[must_use]
     pub fn now(&self) -> Instant {
         Instant(self.start.elapsed())
     }
 
-    /// Ticks every `period`, the first one period from now.
+    /// Returns a receiver of ticks every `period`, the first after one period.
     pub fn subscribe(&self, period: Duration) -> mpsc::Receiver<Instant> {
         let (tx, rx) = mpsc::channel(1);
         self.subscriptions.lock().push(Subscription {
@@ -55,7 +55,7 @@
         let mut subscriptions = self.subscriptions.lock();
         subscriptions.retain(|subscription| !subscription.tx.is_closed());
         for subscription in subscriptions.iter_mut().filter(|s| s.due <= now) {
-            // A full channel means that the last tick still waits there: one is enough.
+            // A full channel still contains the previous tick, which is enough.
             let _ = subscription.tx.try_send(Instant(now - self.start));
             subscription.due = now + subscription.period;
         }
--- a/crates/catkinward/src/upstream_gossip.rs
+++ b/crates/catkinward/src/upstream_gossip.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-/// Has VMs tell each other which upstreams are leaving and which requests upstreams died under, and
-/// share the watching of suspects among those of an availability zone.
+/// Registers gossip callbacks by which VMs advertise leaving upstreams and crash records of
+/// requests, and divide the probation runs of suspect requests among the VMs of an availability
+/// zone.
 pub(crate) fn gossip_upstreams(peers: &Arc<Peers>, upstreams: &Arc<Upstreams>) {
     let telling = upstreams.clone();
     peers.gossip.tell(move |gossip| {
@@ -30,7 +31,7 @@
     });
 }
 
-/// VMs of the own availability zone.
+/// Returns the VMs of the own availability zone, including this one.
 fn watchers(peers: &Peers) -> Vec<VmId> {
     let own = peers.own();
     let entries = peers.entries().into_iter().chain([own.clone()]);
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -6,25 +6,26 @@
     upstream_state::{UpstreamState, read_report},
 };
 
-/// One request's hold on an upstream: counted there until it is dropped.
+/// Handle of one request on an upstream. The request counts as running there until the handle is
+/// dropped.
 ///
-/// It is made from an [`Eligible`] only, and orders are sent to handles only, so that no work goes
-/// to an upstream that may get none.
+/// A handle for new work requires an [`Eligible`], and orders are only sent through handles, so no
+/// new work is sent to an upstream that must not receive any.
 pub struct UpstreamHandle {
     known: Arc<UpstreamObserver>,
     state: Arc<UpstreamState>,
     incarnation: Incarnation,
-    /// None for a request that runs there already and is only held.
+    /// `None` for a request that is already running on the upstream.
     eligible: Option<Eligible>,
     sent: Instant,
-    /// Whether its answer is still due.
+    /// Whether the response is still outstanding.
     awaits: AtomicBool,
     asked: AskedReport,
     run: Option<TrackedRunId>,
 }
 
 impl UpstreamHandle {
-    /// A hold for new work.
+    /// Creates a handle for new work.
     pub(crate) fn new(
         known: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
@@ -39,7 +40,7 @@
         handle
     }
 
-    /// A hold for a request that runs there already.
+    /// Creates a handle for a request that is already running on the upstream.
     pub(crate) fn held(
         known: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
@@ -60,11 +61,11 @@
         }
     }
 
-    /// Checks that the upstream may get new work now.
+    /// Checks that the upstream may receive new work now.
     ///
     /// # Errors
     ///
-    /// If the hold is not for new work, or the proof that the upstream may get it is too old.
+    /// If the handle is not for new work, or its [`Eligible`] has expired.
     pub(crate) fn check_eligible(&self) -> Result<(), AttemptError> {
         let now = self.known.timer.now();
         match &self.eligible {
@@ -73,19 +74,19 @@
         }
     }
 
-    /// The upstream's id.
+    /// Returns the id of the upstream.
     #[must_use]
     pub fn id(&self) -> &UpstreamId {
         &self.state.entry.id
     }
 
-    /// Where it listens.
+    /// Returns the address that the upstream listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.state.entry.address
     }
 
-    /// Notes that it failed this request.
+    /// Records that the upstream failed this request.
     pub fn failed(&self) {
         self.state
             .record
@@ -93,7 +94,7 @@
             .record_failure(self.known.timer.now());
     }
 
-    /// Notes that it has begun to answer.
+    /// Records that the upstream has started its response.
     pub fn answered(&self) {
         let now = self.known.timer.now();
         let mut record = self.state.record.lock();
@@ -111,20 +112,20 @@
         }
     }
 
-    /// Takes the load report that came with the reply.
+    /// Records the load report that came with the response.
     pub(crate) fn reported(&self, load: engine::UpstreamLoad) {
         self.known
             .reported(&self.state, self.asked, read_report(load));
     }
 
-    /// Notes some tokens delivered.
+    /// Records that some tokens have been delivered.
     pub fn progressed(&self) {
         if let Some(run) = self.run {
             self.known.poison.lock().progressed(run);
         }
     }
 
-    /// Notes that it served this request to its end.
+    /// Records that the upstream completed this request.
     pub fn succeeded(&self) {
         let now = self.known.timer.now();
         self.state
@@ -137,24 +138,24 @@
         }
     }
 
-    /// Takes in why the upstream did not take the request, or broke off its answer, and finds out
-    /// whether it died; only a death bears on whether the request is poisoned.
+    /// Records why the upstream refused the request or interrupted its response, and probes whether
+    /// the upstream crashed. Only a crash counts towards quarantining the request.
     ///
-    /// This comes before the handle is dropped: only a request that is still counted as running
-    /// there is known to have been there when the upstream died.
+    /// Call this before the handle is dropped: a crash is only recorded for requests that count as
+    /// running on the upstream.
     pub(crate) async fn lost(&self, fault: &AttemptError) {
         match fault {
             AttemptError::Refused { kind } => self.refused(*kind),
             AttemptError::NotEligible | AttemptError::Held { .. } => {}
             AttemptError::Unproven => {
                 self.failed();
-                // Nothing was sent, so the request was not there when the upstream died.
+                // Nothing was sent, so the request was not running there if the upstream crashed.
                 self.forget_run();
                 self.find_out().await;
             }
             AttemptError::Http(fault) if fault.never_connected() => {
                 self.failed();
-                // No connection was made, so the request was not there when the upstream died.
+                // No connection was made, so the request was not running there if the upstream crashed.
                 self.forget_run();
                 self.find_out().await;
             }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Takes in that it refused the request.
+    /// Records that the upstream refused the request.
     pub(crate) fn refused(&self, kind: engine::EngineRefusalKind) {
         if kind == engine::EngineRefusalKind::Leaving {
             let source = LeavingSource::Refusal;
@@ -176,15 +177,15 @@
         }
     }
 
-    /// Asks the upstream whether it lives, if its request is a suspect; called right before the order
-    /// is sent.
+    /// Probes whether the upstream is alive if the request is a suspect; called immediately before the
+    /// order is sent.
     ///
-    /// A request that kills its upstream may do so before any answer is read, and then looks like one
-    /// that was sent to an upstream that was dead already. Only this proof tells them apart.
+    /// A request may crash its upstream before any response is read, which looks the same as a request
+    /// sent to an upstream that was already dead. Only this probe distinguishes the two cases.
     ///
     /// # Errors
     ///
-    /// If it does not answer, or another process of it does.
+    /// If the upstream does not answer, or a different process answers.
     pub(crate) async fn prove_alive(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
@@ -203,7 +204,7 @@
             .call_json(load_call(self.address()))
             .await
             .map_err(|fault| {
-                tracing::info!(upstream = %self.id(), %fault, "no proof that the upstream lives");
+                tracing::info!(upstream = %self.id(), %fault, "liveness probe before a suspect request failed");
                 AttemptError::Unproven
             })?;
         let report = read_report(load);
@@ -216,16 +217,17 @@
         Ok(())
     }
 
-    /// The run as it is announced to other VMs, if its request is a suspect.
+    /// Returns the run as announced to other VMs, if the request is a suspect.
     pub(crate) fn suspect_run(&self) -> Option<SuspectRun> {
         self.known.poison.lock().suspect_run(self.run?)
     }
 
-    /// Commits the request to this upstream: its order is sent next.
+    /// Commits the request to this upstream; its order is sent next.
     ///
     /// # Errors
     ///
-    /// If deaths under the request or its run on another VM became known since the upstream was chosen.
+    /// If a crash under the request, or a run of it on another VM, has become known since the
+    /// upstream was selected.
     pub(crate) fn commit(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -4,30 +4,30 @@
     upstream_state::{UpstreamState, read_report},
 };
 
-/// Bound of a call for a load report.
+/// Timeout of a poll for a load report.
 const POLL_BOUND: Duration = Duration::from_millis(400);
 
-/// Bound of the call that finds out whether an upstream died.
+/// Timeout of the probe that determines whether an upstream process has crashed.
 const DEATH_PROBE_BOUND: Duration = Duration::from_millis(300);
 
-/// Words of leaving kept for peers.
+/// Maximum number of pending advertisements of leaving upstreams.
 const MOST_UNTOLD: usize = 255;
 
-/// Words of leaving told to a peer at a time: about half a kilobyte.
+/// Maximum number of leaving upstreams in one message: about 512 bytes.
 const MOST_TOLD: usize = 12;
 
-/// How often each is told, as marks of poison are.
+/// Number of messages that advertise each leaving upstream; the same as for poison records.
 const TELLINGS: u32 = 8;
 
-/// What requests and polls tell of upstreams.
+/// Records what requests and polls reveal about upstreams, and collects it for peers.
 pub(crate) struct UpstreamObserver {
     pub(crate) timer: Arc<Timer>,
     pub(crate) connections: Arc<Connections>,
     timeline: Arc<Timeline>,
     pub(crate) poison: Mutex<PoisonTracker>,
-    /// Rings when there is something new for peers.
+    /// Notified when there is an update for peers.
     pub(crate) news: Notify,
-    /// Processes lately known to be leaving, and how often peers were told.
+    /// Processes that started leaving recently, each with the number of messages that advertised it.
     untold: Mutex<Vec<(UpstreamId, Incarnation, u32)>>,
 }
 
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Processes lately known to be leaving, for a peer, sorted.
+    /// Returns processes that started leaving recently, for a message to a peer, sorted. Prefers those
+    /// that have been advertised least often.
     pub(crate) fn tell_leaving(&self) -> Vec<(UpstreamId, Incarnation)> {
         let mut untold = self.untold.lock();
         untold.sort_by_key(|(_, _, told)| *told);
@@ -64,7 +65,8 @@
         news
     }
 
-    /// Takes a load report; the first one of another process proves the former's death.
+    /// Records a load report. The first report of a new process proves that the previous process has
+    /// ended.
     pub(crate) fn reported(
         &self,
         state: &UpstreamState,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Notes that a process of an upstream died, under whatever runs there.
+    /// Records that a process of an upstream has crashed, with the requests that were running on it.
     pub(crate) fn died(&self, state: &UpstreamState, incarnation: Incarnation) {
         state.record.lock().evidence.record_gone(incarnation);
         let now = self.timer.now();
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Asks an upstream whether a process of it lives.
+    /// Probes an upstream to determine whether the process `incarnation` is still alive.
     pub(crate) async fn find_out(&self, state: &UpstreamState, incarnation: Incarnation) {
         let asked = state.record.lock().report_requested(self.timer.now());
         let load = self
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Asks an upstream for its load, after a random part of `jitter`.
+    /// Polls an upstream for its load, after a random delay of up to `jitter`.
     pub(crate) async fn poll(&self, state: &UpstreamState, jitter: Duration) {
         tokio::time::sleep(jitter.mul_f64(rand::random())).await;
         let asked = state.record.lock().report_requested(self.timer.now());
@@ -161,7 +163,8 @@
             Ok(load) => self.reported(state, asked, read_report(load)),
             Err(fault) => {
                 tracing::debug!(upstream = %state.entry.id, %fault, "no load report");
-                // New work goes elsewhere at once, and not only when its last word is too old.
+                // Select other upstreams for new work immediately, not only once the last report has
+                // become stale.
                 if matches!(fault, http_client::HttpError::Call { .. }) {
                     state.record.lock().record_failure(self.timer.now());
                 }
@@ -170,7 +173,7 @@
     }
 }
 
-/// A call that asks an upstream whether it lives.
+/// Returns the call that probes whether an upstream is alive.
 pub(crate) fn load_call(address: SocketAddr) -> HttpCall {
     HttpCall {
         address,
@@ -181,7 +184,7 @@
     }
 }
 
-/// Whether the network, not the upstream, is to blame.
+/// Returns whether the error shows a failure of the network rather than of the upstream.
 fn is_unreachable(error: &(dyn std::error::Error + 'static)) -> bool {
     matches!(
         io_kind(error),
--- a/crates/catkinward/src/upstream_query.rs
+++ b/crates/catkinward/src/upstream_query.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// What a request wants of an upstream.
+/// Requirements of a request on its upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamQuery<'a> {
-    /// The service asked for.
+    /// The service that the upstream must serve.
     pub service: &'a ServiceId,
-    /// The model that must be loaded; none for a plain service.
+    /// The model that must be loaded; `None` for a plain service.
     pub model: Option<&'a Model>,
-    /// Upstreams that have failed this request.
+    /// Upstreams to exclude because they have failed this request.
     pub avoid: &'a [UpstreamId],
-    /// Digest by which a request that kills upstreams is known.
+    /// Digest that identifies a request that crashes upstreams.
     pub digest: Option<RequestDigest>,
-    /// Text whose beginning an upstream may have cached.
+    /// Text whose beginning may be in an upstream's prefix cache.
     pub prefix: &'a str,
-    /// True once the request has waited long: as a suspect it may then run on upstreams that
-    /// another VM watches.
+    /// Whether the request has waited for long. As a suspect it may then also run on upstreams
+    /// whose suspect requests another VM supervises.
     pub urgent: bool,
 }
 
-/// Bytes of a text that decide where it is cached.
+/// Number of leading bytes of a text that determine which upstream caches it.
 const PREFIX_LEN: usize = 256;
 
 impl<'a> UpstreamQuery<'a> {
-    /// A request of a service that wants nothing else.
+    /// Creates a query for any upstream of a service.
     #[must_use]
     pub fn new(service: &'a ServiceId) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Key of the prefix in rendezvous hashing; `None` without a prefix.
+    /// Returns the key of the prefix for rendezvous hashing; `None` without a prefix.
     pub(crate) fn prefix_key(&self) -> Option<String> {
         let bytes = self.prefix.as_bytes();
         let start = &bytes[..bytes.len().min(PREFIX_LEN)];
@@ -46,10 +46,10 @@
 /// Why a request got no upstream.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError)]
 pub enum NoUpstream {
-    /// None may get it now; a later try may find one.
+    /// No upstream may receive the request now; a retry may find one.
     #[display("no upstream may get the request now")]
     Now,
-    /// Upstreams died under it.
+    /// The request is poisoned: upstreams crashed while running it.
     #[display("upstreams died under this request")]
     Poisoned,
 }
--- a/crates/catkinward/src/upstream_state.rs
+++ b/crates/catkinward/src/upstream_state.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// An upstream of the bundle and what is known of it.
+/// An upstream of the bundle with its observed state.
 pub(crate) struct UpstreamState {
     pub(crate) entry: Upstream,
     pub(crate) record: Mutex<UpstreamRecord>,
-    /// Held by the one who finds out whether the upstream died.
+    /// Held by the task that probes whether the upstream has crashed.
     pub(crate) probing: tokio::sync::Mutex<()>,
-    /// True once a poll on a kept connection failed. Such a connection may have gone silent for
-    /// good; if polls stayed on it, a healthy upstream would look gone.
+    /// Whether the next poll opens a new connection, as after a failed poll. A reused connection may
+    /// be dead without an error; if polls stayed on it, a healthy upstream would appear gone.
     pub(crate) poll_fresh: AtomicBool,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A load report as decisions take it.
+/// Converts a load report from its wire format.
 pub(crate) fn read_report(load: engine::UpstreamLoad) -> UpstreamReport {
     UpstreamReport {
         incarnation: Incarnation(load.incarnation),
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -4,27 +4,27 @@
     upstream_state::UpstreamState,
 };
 
-/// How often each upstream of the subset is asked for its load.
+/// Interval at which each upstream of the subset is polled for its load.
 const POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// Longest random wait before such a call, so that VMs do not ask all at once.
+/// Longest random delay before such a poll, so that VMs do not poll all at the same time.
 const POLL_JITTER: Duration = Duration::from_millis(80);
 
-/// The upstreams of the bundle in force and what is known of them.
+/// The upstreams of the bundle in force with their observed state.
 pub struct Upstreams {
     known: Arc<UpstreamObserver>,
     vm: VmId,
     zone: AvailabilityZone,
-    /// Of the whole bundle, sorted by id.
+    /// All upstreams of the bundle, sorted by id.
     states: RwLock<Vec<Arc<UpstreamState>>>,
-    /// Those that this VM keeps in touch with.
+    /// The upstreams that this VM polls and sends work to.
     subset: RwLock<Vec<Arc<UpstreamState>>>,
-    /// VMs that share the watching of suspects; none means this one alone.
+    /// VMs among which the probation runs on upstreams are divided; if empty, only this VM.
     watchers: RwLock<Vec<VmId>>,
 }
 
 impl Upstreams {
-    /// Starts to follow the bundle's upstreams.
+    /// Starts to poll the upstreams of the bundle and to follow its changes.
     pub fn start(
         timer: &Arc<Timer>,
         connections: &Arc<Connections>,
@@ -44,11 +44,11 @@
         upstreams
     }
 
-    /// Chooses an upstream for a request.
+    /// Selects an upstream for a request.
     ///
     /// # Errors
     ///
-    /// If none may get it.
+    /// If no upstream may receive the request.
     pub fn choose(&self, want: &UpstreamQuery<'_>) -> Result<UpstreamHandle, NoUpstream> {
         let now = self.known.timer.now();
         let mut poison = self.known.poison.lock();
@@ -79,7 +79,7 @@
         Ok(UpstreamHandle::new(&self.known, state, eligible, run))
     }
 
-    /// Whether upstreams died under a request, so that it runs nowhere for now.
+    /// Returns whether a request is refused for now because upstreams crashed while running it.
     #[must_use]
     pub fn refuses(&self, digest: RequestDigest) -> bool {
         self.known
@@ -88,7 +88,8 @@
             .refuses(digest, self.known.timer.now())
     }
 
-    /// Holds an upstream on which a request runs already, whether or not it may get new work.
+    /// Returns a handle of an upstream that is already running a request, whether or not it may
+    /// receive new work.
     #[must_use]
     pub fn hold(&self, id: &UpstreamId) -> Option<UpstreamHandle> {
         let state = self.state(id)?;
@@ -97,7 +98,7 @@
         Some(UpstreamHandle::held(&self.known, &state, incarnation))
     }
 
-    /// What an operator is told of each.
+    /// Returns the status of each upstream for operators.
     pub(crate) fn statuses(&self) -> Vec<operator::UpstreamStatus> {
         let now = self.known.timer.now();
         let states = self.states.read();
@@ -113,7 +114,7 @@
         states.iter().map(tell).collect()
     }
 
-    /// What the upstreams that this VM keeps in touch with report of their room, sorted by id.
+    /// Returns the capacity that the upstreams of this VM's subset report, sorted by id.
     #[must_use]
     pub fn capacity_reports(&self) -> Vec<(UpstreamId, CapacityReport)> {
         let subset = self.subset.read();
@@ -129,7 +130,7 @@
         reports.collect()
     }
 
-    /// The model that a new request of a service gets while its wanted one is being rolled out.
+    /// Returns the model for a new request of a service while the wanted model is being rolled out.
     #[must_use]
     pub fn serving_model(&self, service: &ServiceId, wanted: &Model) -> Model {
         let now = self.known.timer.now();
@@ -142,34 +143,35 @@
         serving_model(wanted, &engines, rand::random())
     }
 
-    /// The process of an upstream that was last heard of.
+    /// Returns the last observed incarnation of an upstream.
     #[must_use]
     pub fn incarnation(&self, id: &UpstreamId) -> Option<Incarnation> {
         self.state(id)?.record.lock().evidence.incarnation()
     }
 
-    /// Notes that a process of an upstream is leaving, as `source` says.
+    /// Records that a process of an upstream is leaving, according to `source`.
     pub fn note_leaving(&self, id: &UpstreamId, incarnation: Incarnation, source: LeavingSource) {
         if let Some(state) = self.state(id) {
             self.known.note_leaving(&state, incarnation, source);
         }
     }
 
-    /// Takes an upstream's state in the platform's list, which knows no incarnations.
+    /// Records an upstream's state in the platform's list, which does not contain incarnations.
     pub fn listed(&self, id: &UpstreamId, leaving: bool) {
         if let Some(state) = self.state(id) {
             state.record.lock().evidence.record_listed(leaving);
         }
     }
 
-    /// Processes of upstreams lately known to be leaving, for a peer, sorted; each is told eight
-    /// times.
+    /// Returns processes of upstreams that started leaving recently, for a message to a peer, sorted.
+    /// Each is sent in eight messages.
     #[must_use]
     pub fn leaving_deltas(&self) -> Vec<(UpstreamId, Incarnation)> {
         self.known.tell_leaving()
     }
 
-    /// Processes of upstreams known to be leaving, sorted, as for a peer that has just started.
+    /// Returns all processes of upstreams that are known to be leaving, sorted, as needed by a peer
+    /// that has just started.
     #[must_use]
     pub fn leaving(&self) -> Vec<(UpstreamId, Incarnation)> {
         let states = self.states.read();
@@ -187,35 +189,36 @@
         all
     }
 
-    /// Marks of requests that upstreams died under, for a peer; each is told eight times.
+    /// Returns poison records for a message to a peer. Each is sent in eight messages.
     #[must_use]
     pub fn poison_deltas(&self) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().deltas(now)
     }
 
-    /// Such marks of one request.
+    /// Returns the poison records of one request.
     #[must_use]
     pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().records_of(digest, now)
     }
 
-    /// Marks of the requests that are refused here, for a peer that tells of deaths which they explain.
+    /// Returns the poison records of requests that are refused on this VM and explain the crashes in
+    /// `marks`, for the peer that sent these.
     #[must_use]
     pub fn culprits(&self, marks: &[PoisonRecord]) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().explaining_records(marks, now)
     }
 
-    /// All such marks.
+    /// Returns all poison records.
     #[must_use]
     pub fn poison_marks(&self) -> Vec<PoisonRecord> {
         let now = self.known.timer.now();
         self.known.poison.lock().records(now)
     }
 
-    /// Takes such marks from a peer.
+    /// Merges poison records from a peer.
     pub fn merge_poison(&self, marks: &[PoisonRecord], peer: &VmId) {
         let now = self.known.timer.now();
         let new = self.known.poison.lock().merge(marks, now);
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Takes the announcements of a peer that it is about to send suspects to upstreams.
+    /// Records announcements of a peer that it is about to send suspect requests to upstreams.
     pub fn suspects_announced(&self, runs: &[SuspectRun], peer: &VmId) {
         let now = self.known.timer.now();
         for run in runs {
@@ -238,7 +241,8 @@
         }
     }
 
-    /// Takes the answers of a peer that suspects run there which this VM has announced, or other ones beside these.
+    /// Records replies of a peer that it is running suspect requests which this VM has announced, or
+    /// other ones that conflict with them.
     pub fn suspects_run_elsewhere(&self, runs: &[SuspectRun], peer: &VmId) {
         let now = self.known.timer.now();
         for run in runs {
@@ -248,7 +252,8 @@
         }
     }
 
-    /// Takes the withdrawals of a peer: orders of suspects that it has announced were not sent.
+    /// Records withdrawals of a peer: it did not send the orders of suspect requests that it had
+    /// announced.
     pub fn suspects_withdrawn(&self, runs: &[SuspectRun], peer: &VmId) {
         for run in runs {
             tracing::info!(%peer, body = %run.digest, upstream = %run.upstream,
@@ -257,13 +262,14 @@
         }
     }
 
-    /// Runs of suspects here that conflict with runs that a peer announces.
+    /// Returns runs of suspect requests on this VM that conflict with runs that a peer announces.
     #[must_use]
     pub fn suspect_conflicts(&self, announced: &[SuspectRun]) -> SuspectConflicts {
         self.known.poison.lock().conflicts(announced)
     }
 
-    /// Asks the upstreams to which other VMs have sent a suspect whether they live: one that died, died under it.
+    /// Probes the upstreams to which other VMs have sent a suspect request. One that has crashed
+    /// counts as crashed while running it.
     pub(crate) async fn check_suspect(&self, digest: RequestDigest) {
         let now = self.known.timer.now();
         let runs = self.known.poison.lock().unchecked(digest, now);
@@ -276,19 +282,20 @@
         futures::future::join_all(checks).await;
     }
 
-    /// Whether a request is a suspect.
+    /// Returns whether a request is a suspect.
     pub(crate) fn suspects(&self, digest: RequestDigest) -> bool {
         let now = self.known.timer.now();
         self.known.poison.lock().is_suspect(digest, now)
     }
 
-    /// Waits until there is something new for peers.
+    /// Waits until there is an update for peers.
     pub(crate) async fn has_news(&self) {
         self.known.news.notified().await;
     }
 
-    /// Sets the VMs, this one among them, that share the watching of suspects on the upstreams of
-    /// this availability zone. Without them two VMs may watch suspects on the same upstream.
+    /// Sets the VMs, including this one, among which the probation runs of suspect requests on the
+    /// upstreams of this availability zone are divided. Without it two VMs may supervise suspect
+    /// requests on the same upstream.
     pub fn set_watchers(&self, vms: Vec<VmId>) {
         *self.watchers.write() = vms;
     }
@@ -308,7 +315,7 @@
         poison.may_start(digest, id, watches, now).is_ok()
     }
 
-    /// Whether this VM is the one of the watchers that watches suspects on an upstream.
+    /// Returns whether this VM is the one that supervises suspect requests on an upstream.
     fn watches(&self, id: &UpstreamId) -> bool {
         self.watchers
             .read()
@@ -356,7 +363,7 @@
             .collect();
     }
 
-    /// Ids of the upstreams to keep in touch with: the union over all services, sorted.
+    /// Returns the ids of the upstreams in this VM's subset: the union over all services, sorted.
     fn near<'a>(&self, bundle: &'a Bundle) -> Vec<&'a UpstreamId> {
         let mut near = bundle
             .services
--- a/crates/catkinward/tests/connections.rs
+++ b/crates/catkinward/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Callers that hold connections without sending requests.
+//! Callers that keep connections open without sending complete requests.
 
 use catkinward::http_server::Listener;
 use googletest::prelude::*;
@@ -13,8 +13,8 @@
     (listener, address)
 }
 
-/// Callers connect and send nothing, or the beginning of a request only. The server must go on
-/// taking others, and must not be handed those.
+/// Callers connect and send nothing, or only the beginning of a request. Guards against a listener
+/// that waits for them instead of accepting others, or passes their connections to the server.
 #[gtest]
 #[tokio::test]
 async fn silent_and_trickling_callers_hold_up_no_other() {
--- a/crates/catkinward/tests/fresh_connections.rs
+++ b/crates/catkinward/tests/fresh_connections.rs
@@ -1,4 +1,4 @@
-//! Calls that ask for a connection of their own.
+//! Calls that request a new connection each.
 
 use catkinward::http_client::{Connections, HttpCall};
 use googletest::prelude::*;
@@ -14,7 +14,8 @@
     net::{TcpListener, TcpStream},
 };
 
-/// A server that keeps its connections open, and the most requests that one connection brought.
+/// Starts a server that keeps its connections open. Returns its address and the maximum number of
+/// requests received on one connection.
 async fn server() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -43,9 +44,9 @@
     }
 }
 
-/// Several calls run at once, and one ends while another waits for its connection. The HTTP library
-/// would hand the used connection on, also with a pool that keeps none. It may have gone silent, and
-/// an order sent on it would be lost without a trace.
+/// Calls run concurrently, and one ends while another waits for its connection. The HTTP library
+/// would reuse the first one's connection, even with a pool that retains none. That connection may
+/// be dead without an error, and an order sent on it would be lost unnoticed.
 #[gtest]
 #[tokio::test]
 async fn no_connection_is_used_twice() {
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Says hello with a proof made with `key` over a challenge's nonce, as `shown`.
+/// Sends a hello as VM `shown`, with a proof made with `key` over the nonce of a challenge.
 async fn hello(socket: &mut Socket, key: &str, nonce: &[u8], shown: &str) {
     let own = vec![1; 16];
     let entry = entry(shown, SocketAddr::from(([127, 0, 0, 1], 1)));
@@ -105,8 +105,8 @@
     expect_that!(challenge.protocol, eq(PEER_PROTOCOL));
 }
 
-/// Somebody on the network calls a VM without knowing the key. It could ask for answers of any
-/// caller, or end generations.
+/// A client on the network connects without knowing the key. If it were accepted, it could read the
+/// responses of any caller, or end generations.
 #[gtest]
 #[tokio::test]
 async fn peer_without_the_key_is_refused() {
@@ -120,7 +120,8 @@
     expect_that!(peers.entries(), is_empty());
 }
 
-/// Somebody recorded a handshake and sends it again. The nonce of the new connection differs.
+/// A recorded handshake is replayed. It must be refused because the nonce of the new connection
+/// differs.
 #[gtest]
 #[tokio::test]
 async fn recorded_handshake_is_refused() {
@@ -135,7 +136,7 @@
     expect_that!(receive(&mut second).await.is_none(), eq(true));
 }
 
-/// A peer skips the handshake and asks at once.
+/// A client skips the handshake and sends a request immediately.
 #[gtest]
 #[tokio::test]
 async fn question_before_the_handshake_is_refused() {
@@ -152,7 +153,7 @@
     expect_that!(receive(&mut socket).await.is_none(), eq(true));
 }
 
-/// VMs are told of one other only, and learn of the rest from it.
+/// Each VM is configured with one other at most, and discovers the rest by gossip.
 #[gtest]
 #[tokio::test]
 async fn vms_learn_of_each_other() {
@@ -171,7 +172,7 @@
     expect_that!(known, contains(eq(third.own())));
 }
 
-/// Guards against VMs that accept connections and then say nothing holding up connections to all others.
+/// VMs that accept connections and then send nothing must not delay connections to other VMs.
 #[gtest]
 #[tokio::test]
 async fn silent_vms_do_not_hold_up_connections_to_others() {
@@ -197,9 +198,10 @@
     expect_that!(heard, ok(some(eq(&answering.own().vm))));
 }
 
-/// A VM is about to refuse a request under which two upstreams died, and asks the others first. One of them has
-/// refused another request for the same deaths, and said so to everybody long ago; it says so again. Without
-/// that the request that only ran beside it is refused as well.
+/// A VM is about to refuse a request under which two upstreams crashed, and queries its peers first.
+/// One peer has quarantined another request for these crashes and no longer gossips the records. It
+/// must send them again in its reply; otherwise the request that only ran at the same time would be
+/// refused as well.
 #[gtest]
 #[tokio::test]
 async fn a_vm_that_asks_about_deaths_is_told_who_caused_them() {
@@ -244,7 +246,7 @@
 }
 
 proptest! {
-    /// Whatever comes over the network is a message or a typed error, never a panic.
+    /// Any bytes from the network decode to a message or a typed error, never to a panic.
     #[test]
     fn any_bytes_are_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = PeerMessage::from_bytes(&bytes);
@@ -252,7 +254,7 @@
         prop_assert!(read.is_ok() || matches!(read, Err(PeerError::Form)));
     }
 
-    /// A message is damaged on its way. What is read from it is still sound, or refused.
+    /// A message with one changed byte either decodes to a message or is refused.
     #[test]
     fn damaged_message_is_sound_or_refused(at in 0..200_usize, to in any::<u8>()) {
         let challenge = PeerChallenge { protocol: PEER_PROTOCOL, nonce: vec![7; 16] };
--- a/crates/catkinward/tests/timeline.rs
+++ b/crates/catkinward/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The ring of events.
+//! The ring buffer of events and its queries.
 
 use catkinward::{
     Event, EventKind, HybridTime, ProcessClock, Timeline, TimelineExtract, TimelineQuery,
@@ -24,8 +24,8 @@
     extract.records.iter().map(|r| r.event.kind).collect()
 }
 
-/// A VM has no disk and little memory. When more happens than the ring holds, the newest events
-/// stay, and the reader is told that there were more.
+/// A VM has no disk and little memory. When there are more events than the ring buffer holds, it
+/// keeps the newest and reports how many it has overwritten.
 #[gtest]
 fn full_ring_keeps_the_newest_and_says_so() {
     let timeline = timeline(2);
@@ -77,8 +77,8 @@
     );
 }
 
-/// A message comes from a VM whose wall clock is a minute ahead. What this VM records after it must
-/// stand after it in the merged time line.
+/// A message arrives from a VM whose wall clock is a minute ahead. Events that this VM records after
+/// it must come after it in the merged timeline.
 #[gtest]
 fn events_after_a_message_stand_after_it() {
     let timeline = timeline(10);
