--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -33,9 +33,9 @@
         ..HttpCall::default()
     };
     let (stream, load) = open_stream(connections, Attempt(order.attempt), call).await?;
-    upstream.answered();
+    upstream.record_response_start();
     if let Some(load) = load {
-        upstream.reported(load);
+        upstream.record_report(load);
     }
     Ok(stream)
 }
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -160,7 +160,7 @@
             if upstreams.refuses(body) {
                 return;
             }
-            let wait = if upstreams.suspects(body) {
+            let wait = if upstreams.is_suspect(body) {
                 RETRY_PERIOD
             } else {
                 SUSPECT_PATIENCE
@@ -211,7 +211,7 @@
         else {
             return true;
         };
-        let (marks, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
+        let (marks, start) = (upstreams.poison_records_of(body), self.node.timer.now());
         let deaths = marks.len();
         let ExchangeResult {
             asked, answered, ..
@@ -228,7 +228,7 @@
             return;
         };
         let (body, start) = (run.digest, self.node.timer.now());
-        let marks = self.node.upstreams.poison_marks_of(body);
+        let marks = self.node.upstreams.poison_records_of(body);
         let tally = peers.announce(run, marks).await;
         let ExchangeResult {
             asked,
@@ -322,7 +322,7 @@
                 Ok(finish) => return Ok(finish),
                 Err(fault) => fault,
             };
-            attempt.upstream.lost(&fault).await;
+            attempt.upstream.record_error(&fault).await;
             self.record(
                 EventKind::Suspected,
                 attempt.stream.attempt(),
@@ -380,17 +380,17 @@
         match event {
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
-                attempt.upstream.begun();
+                attempt.upstream.record_first_part();
                 if token.index.0 % PROGRESS_TOKENS == 0 {
-                    attempt.upstream.progressed();
+                    attempt.upstream.record_progress();
                 }
                 self.generation.token(token)?;
             }
             EngineEvent::End(end) => {
                 if let Delivery::End(finish) = self.generation.end(&end)? {
                     attempt.guard.release();
-                    attempt.upstream.ended();
-                    attempt.upstream.succeeded();
+                    attempt.upstream.record_completion();
+                    attempt.upstream.record_success();
                     return Ok(Some(finish));
                 }
             }
--- a/crates/catkinward/src/gossip.rs
+++ b/crates/catkinward/src/gossip.rs
@@ -23,54 +23,54 @@
     pub vms: Vec<(PeerEntry, u32)>,
 }
 
-type Teller = Box<dyn Fn(&mut Gossip) + Send + Sync>;
-type Answerer = Box<dyn Fn(&Gossip, &mut Gossip) + Send + Sync>;
-type Hearer = Box<dyn Fn(&Gossip, &VmId) + Send + Sync>;
+type SendHook = Box<dyn Fn(&mut Gossip) + Send + Sync>;
+type ReplyHook = Box<dyn Fn(&Gossip, &mut Gossip) + Send + Sync>;
+type ReceiveHook = Box<dyn Fn(&Gossip, &VmId) + Send + Sync>;
 
 /// Callbacks of the components that add state to gossip messages or process received ones.
 #[derive(Default)]
-pub struct GossipSources {
-    tellers: RwLock<Vec<Teller>>,
-    answerers: RwLock<Vec<Answerer>>,
-    hearers: RwLock<Vec<Hearer>>,
+pub struct GossipHooks {
+    send_hooks: RwLock<Vec<SendHook>>,
+    reply_hooks: RwLock<Vec<ReplyHook>>,
+    receive_hooks: RwLock<Vec<ReceiveHook>>,
 }
 
-impl GossipSources {
+impl GossipHooks {
     /// Registers a callback that adds state to each message that is sent.
-    pub fn tell(&self, teller: impl Fn(&mut Gossip) + Send + Sync + 'static) {
-        self.tellers.write().push(Box::new(teller));
+    pub fn on_send(&self, hook: impl Fn(&mut Gossip) + Send + Sync + 'static) {
+        self.send_hooks.write().push(Box::new(hook));
     }
 
     /// Registers a callback that adds to the reply what the received message calls for.
-    pub fn answer(&self, answerer: impl Fn(&Gossip, &mut Gossip) + Send + Sync + 'static) {
-        self.answerers.write().push(Box::new(answerer));
+    pub fn on_reply(&self, hook: impl Fn(&Gossip, &mut Gossip) + Send + Sync + 'static) {
+        self.reply_hooks.write().push(Box::new(hook));
     }
 
     /// Registers a callback for received messages; it gets each message and its sender.
-    pub fn hear(&self, hearer: impl Fn(&Gossip, &VmId) + Send + Sync + 'static) {
-        self.hearers.write().push(Box::new(hearer));
+    pub fn on_receive(&self, hook: impl Fn(&Gossip, &VmId) + Send + Sync + 'static) {
+        self.receive_hooks.write().push(Box::new(hook));
     }
 
     pub(crate) fn collect(&self) -> Gossip {
         let mut gossip = Gossip::default();
-        self.tellers
+        self.send_hooks
             .read()
             .iter()
-            .for_each(|tell| tell(&mut gossip));
+            .for_each(|hook| hook(&mut gossip));
         gossip
     }
 
-    pub(crate) fn add_answers(&self, heard: &Gossip, answer: &mut Gossip) {
-        self.answerers
+    pub(crate) fn extend_reply(&self, received: &Gossip, reply: &mut Gossip) {
+        self.reply_hooks
             .read()
             .iter()
-            .for_each(|add| add(heard, answer));
+            .for_each(|hook| hook(received, reply));
     }
 
-    pub(crate) fn spread(&self, gossip: &Gossip, sender: &VmId) {
-        self.hearers
+    pub(crate) fn dispatch(&self, gossip: &Gossip, sender: &VmId) {
+        self.receive_hooks
             .read()
             .iter()
-            .for_each(|hear| hear(gossip, sender));
+            .for_each(|hook| hook(gossip, sender));
     }
 }
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -72,7 +72,7 @@
     event::{Event, EventKind},
     generation::Generation,
     generations::Generations,
-    gossip::{Gossip, GossipSources},
+    gossip::{Gossip, GossipHooks},
     leases::{LeaseHandle, Leases, PermitError},
     logging::{start_decision_log, start_logging},
     metrics_endpoint::metrics_text,
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -5,7 +5,7 @@
     http_server::Listener,
     metrics_endpoint::start_metrics,
     operator_api::OperatorApi,
-    peer_updates::{read_list, start_peer_updates},
+    peer_updates::{poll_vm_list, start_peer_updates},
     slice_exchange::exchange_slices,
     upstream_gossip::gossip_upstreams,
 };
@@ -116,7 +116,12 @@
         }
         if let Some(platform) = platform.clone() {
             let upstreams = upstreams.clone();
-            tokio::spawn(read_list(platform, peers.clone(), upstreams, timer.clone()));
+            tokio::spawn(poll_vm_list(
+                platform,
+                peers.clone(),
+                upstreams,
+                timer.clone(),
+            ));
         }
         let drain = kernel.register(ServiceName::Drain, Arc::default())?;
         Ok(Arc::new(Self {
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -64,7 +64,7 @@
         table.record_answer(now, sender);
         drop(table);
         self.choose_holders();
-        self.gossip.spread(gossip, sender);
+        self.gossip.dispatch(gossip, sender);
     }
 
     pub(crate) async fn exchange_with(self: &Arc<Self>, peer: &PeerEntry) -> Result<(), PeerError> {
--- a/crates/catkinward/src/peer_server.rs
+++ b/crates/catkinward/src/peer_server.rs
@@ -18,7 +18,7 @@
             PeerBody::Gossip(gossip) => {
                 self.hear(&gossip, peer);
                 let mut news = self.news();
-                self.gossip.add_answers(&gossip, &mut news);
+                self.gossip.extend_reply(&gossip, &mut news);
                 Some(PeerBody::Gossip(Box::new(news)))
             }
             PeerBody::AskSlices(requests) => Some(self.slices(peer, &requests)),
@@ -68,7 +68,7 @@
                 let peers = peers.clone();
                 tokio::spawn(async move {
                     if let Err(fault) = serve_call(&peers, stream).await {
-                        tracing::info!(%address, %fault, "peer connection ended");
+                        tracing::info!(%address, %fault, "peer connection closed after an error");
                     }
                     drop(place);
                 });
--- a/crates/catkinward/src/peer_updates.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -10,7 +10,7 @@
 /// Longest interval between two reads of the platform's list of VMs. If only the list shows that an
 /// upstream is leaving, new work is sent to it for up to this interval plus the timeout of a call
 /// (1 s). 400 VMs read the list about 220 times a second.
-const LIST_PERIOD: Duration = Duration::from_secs(2);
+const VM_LIST_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Connects the components that have updates for peers with the gossip between VMs.
 pub(crate) fn start_peer_updates(
@@ -19,25 +19,25 @@
     upstreams: &Arc<Upstreams>,
     bundle: &Arc<BundleInForce>,
 ) {
-    tell_releases(peers, watch);
+    gossip_releases(peers, watch);
     let fetcher = Arc::downgrade(peers);
     watch.add_source(Box::new(move |digest| {
         let peers = fetcher.upgrade();
         Box::pin(async move { peers?.fetch_bundle(digest).await })
     }));
-    let news = tell_at_once(peers.clone(), upstreams.clone(), bundle.changes());
-    tokio::spawn(news);
+    let exchange = exchange_on_update(peers.clone(), upstreams.clone(), bundle.changes());
+    tokio::spawn(exchange);
 }
 
-fn tell_releases(peers: &Arc<Peers>, watch: &Arc<BundleWatch>) {
-    let teller = watch.clone();
+fn gossip_releases(peers: &Arc<Peers>, watch: &Arc<BundleWatch>) {
+    let advertiser = watch.clone();
     peers
         .gossip
-        .tell(move |gossip| gossip.bundle = teller.in_force());
-    let hearer = watch.clone();
-    peers.gossip.hear(move |gossip, _| {
+        .on_send(move |gossip| gossip.bundle = advertiser.in_force());
+    let receiver = watch.clone();
+    peers.gossip.on_receive(move |gossip, _| {
         if let Some((version, digest)) = gossip.bundle {
-            hearer.heard(version, digest);
+            receiver.heard(version, digest);
         }
     });
 }
@@ -47,14 +47,14 @@
 /// The caller of a request that crashed an upstream retries it immediately on another VM. If that
 /// VM received the crash record only with the next round, the request would crash its upstreams
 /// too.
-async fn tell_at_once(
+async fn exchange_on_update(
     peers: Arc<Peers>,
     upstreams: Arc<Upstreams>,
     mut releases: watch::Receiver<BundleVersion>,
 ) {
     loop {
         tokio::select! {
-            () = upstreams.has_news() => {}
+            () = upstreams.wait_for_update() => {}
             release = releases.changed() => if release.is_err() { return },
         }
         peers.exchange_now();
@@ -63,18 +63,18 @@
 
 /// Merges the platform's list of VMs with what peers advertise. The list lags and may be
 /// unreachable; a VM that it no longer contains is removed once peers do not advertise it either.
-pub(crate) async fn read_list(
+pub(crate) async fn poll_vm_list(
     platform: Arc<Platform>,
     peers: Option<Arc<Peers>>,
     upstreams: Arc<Upstreams>,
     timer: Arc<Timer>,
 ) {
-    let mut ticks = timer.subscribe(LIST_PERIOD.mul_f64(rand::random_range(0.8..1.0)));
+    let mut ticks = timer.subscribe(VM_LIST_POLL_INTERVAL.mul_f64(rand::random_range(0.8..1.0)));
     loop {
         match (platform.vms)(()).await {
             Ok(list) => list
                 .into_iter()
-                .for_each(|entry| take_entry(peers.as_deref(), &upstreams, &entry)),
+                .for_each(|entry| apply_entry(peers.as_deref(), &upstreams, &entry)),
             Err(fault) => tracing::debug!(%fault, "cannot read the platform's list of VMs"),
         }
         if ticks.recv().await.is_none() {
@@ -83,7 +83,7 @@
     }
 }
 
-fn take_entry(peers: Option<&Peers>, upstreams: &Upstreams, entry: &platform_api::VmEntry) {
+fn apply_entry(peers: Option<&Peers>, upstreams: &Upstreams, entry: &platform_api::VmEntry) {
     let leaving = entry.state == platform_api::VmState::Leaving;
     match entry.kind {
         platform_api::VmKind::Router if leaving => {}
@@ -103,7 +103,7 @@
         }
         platform_api::VmKind::Upstream => {
             if let Ok(id) = entry.id.parse() {
-                upstreams.listed(&id, leaving);
+                upstreams.record_listed(&id, leaving);
             }
         }
     }
--- a/crates/catkinward/src/peers.rs
+++ b/crates/catkinward/src/peers.rs
@@ -16,7 +16,7 @@
     pub(crate) timeline: Arc<Timeline>,
     pub(crate) bundle: Arc<BundleInForce>,
     /// Callbacks that fill and process gossip messages.
-    pub gossip: GossipSources,
+    pub gossip: GossipHooks,
     pub(crate) table: Mutex<PeerTable>,
     pub(crate) links: Mutex<Vec<(VmId, Arc<PeerLink>)>>,
     /// Locks by VM, each held while a connection to the VM is being opened.
@@ -65,7 +65,7 @@
             timer: parts.timer,
             timeline: parts.timeline,
             bundle: parts.bundle,
-            gossip: GossipSources::default(),
+            gossip: GossipHooks::default(),
             table: Mutex::new(table),
             links: Mutex::default(),
             opening: Mutex::default(),
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -42,12 +42,12 @@
     match answer {
         Ok(Ok(answer)) => answered(place, answer),
         Ok(Err(fault)) => {
-            place.failed();
+            place.record_failure();
             Err(fault)
         }
         Err(_) => {
-            place.failed();
-            place.overloaded();
+            place.record_failure();
+            place.record_overload();
             Err(SendError::Lost)
         }
     }
@@ -69,15 +69,15 @@
 fn answered(place: &mut SlotGuard, answer: PlainResponse) -> Result<PlainResponse, SendError> {
     if let Some(kind) = refusal_kind(&answer) {
         if kind == engine::EngineRefusalKind::Full {
-            place.overloaded();
+            place.record_overload();
         }
-        place.refused(kind);
+        place.record_refusal(kind);
         return Err(SendError::NotRun(NotRunEvidence::UpstreamRefused));
     }
-    place.begun();
-    place.answered();
-    place.ended();
-    place.succeeded();
+    place.record_first_part();
+    place.record_response_start();
+    place.record_completion();
+    place.record_success();
     Ok(answer)
 }
 
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -36,7 +36,7 @@
         let (id, attempt) = self.generation.take_left_running()?;
         let request = &self.generation.request;
         let pool = self.node.admission.pool(&request.service);
-        let upstream = pool.hold(request.lane(), self.node.upstreams.hold(&id)?);
+        let upstream = pool.hold(request.lane(), self.node.upstreams.handle_running(&id)?);
         let (reserved, _) = self.generation.reserve();
         let reattach = Reattach {
             address: upstream.address(),
@@ -75,9 +75,9 @@
     ) -> Option<AttemptStream> {
         let full = engine::EngineRefusalKind::Full;
         if matches!(fault, AttemptError::Refused { kind } if *kind == full) {
-            upstream.overloaded();
+            upstream.record_overload();
         }
-        upstream.lost(fault).await;
+        upstream.record_error(fault).await;
         let least_work = self.generation.request.recovery == RecoveryPolicy::LeastWork;
         if !least_work || !fault.may_have_started() {
             return None;
@@ -120,7 +120,7 @@
         let found: Result<_, AttemptError> = found.await;
         match &found {
             Ok(_) => self.record(EventKind::ReAttached, number, upstream.id(), None),
-            Err(fault) => upstream.lost(fault).await,
+            Err(fault) => upstream.record_error(fault).await,
         }
         found
     }
@@ -199,7 +199,7 @@
         match attempt.stream.wait_for_progress(SECOND_BOUND).await {
             Ok(()) => Ok(attempt),
             Err(fault) => {
-                attempt.upstream.lost(&fault).await;
+                attempt.upstream.record_error(&fault).await;
                 Err(fault)
             }
         }
--- a/crates/catkinward/src/slot_guard.rs
+++ b/crates/catkinward/src/slot_guard.rs
@@ -7,44 +7,44 @@
     pool: Arc<AdmissionPool>,
     lane: Lane,
     upstream: UpstreamHandle,
-    since: Instant,
-    has_begun: bool,
-    has_ended: bool,
+    acquired_at: Instant,
+    has_started: bool,
+    is_complete: bool,
 }
 
 impl SlotGuard {
     pub(crate) fn new(pool: Arc<AdmissionPool>, lane: Lane, upstream: UpstreamHandle) -> Self {
         Self {
-            since: pool.timer.now(),
+            acquired_at: pool.timer.now(),
             pool,
             lane,
             upstream,
-            has_begun: false,
-            has_ended: false,
+            has_started: false,
+            is_complete: false,
         }
     }
 
     /// Records the first part of a response. Its latency adjusts the concurrency limit of the
     /// upstream.
-    pub(crate) fn begun(&mut self) {
-        if !std::mem::replace(&mut self.has_begun, true) {
-            self.pool.answered(self.upstream.id(), self.held());
+    pub(crate) fn record_first_part(&mut self) {
+        if !std::mem::replace(&mut self.has_started, true) {
+            self.pool.answered(self.upstream.id(), self.elapsed());
         }
     }
 
     /// Records that the upstream refused the request for lack of capacity, or timed out.
-    pub(crate) fn overloaded(&self) {
+    pub(crate) fn record_overload(&self) {
         self.pool.overloaded(self.upstream.id());
     }
 
     /// Records a complete response. Its duration is used to estimate the waits of queued requests.
-    pub(crate) fn ended(&mut self) {
-        self.has_ended = true;
+    pub(crate) fn record_completion(&mut self) {
+        self.is_complete = true;
     }
 
     /// Returns how long the slot has been held.
-    pub(crate) fn held(&self) -> Duration {
-        self.pool.timer.now().since(self.since)
+    pub(crate) fn elapsed(&self) -> Duration {
+        self.pool.timer.now().since(self.acquired_at)
     }
 }
 
@@ -58,7 +58,7 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let held = self.has_ended.then(|| self.held());
+        let held = self.is_complete.then(|| self.elapsed());
         self.pool.leave(self.lane, self.upstream.id(), held);
     }
 }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -2,7 +2,7 @@
 use crate::{
     engine_event::AttemptError,
     http_client::HttpError,
-    upstream_observer::{UpstreamObserver, load_call},
+    upstream_observer::{UpstreamObserver, liveness_probe},
     upstream_state::{UpstreamState, read_report},
 };
 
@@ -12,51 +12,51 @@
 /// A handle for new work requires an [`Eligible`], and orders are only sent through handles, so no
 /// new work is sent to an upstream that must not receive any.
 pub struct UpstreamHandle {
-    known: Arc<UpstreamObserver>,
+    observer: Arc<UpstreamObserver>,
     state: Arc<UpstreamState>,
     incarnation: Incarnation,
     /// `None` for a request that is already running on the upstream.
     eligible: Option<Eligible>,
     sent: Instant,
     /// Whether the response is still outstanding.
-    awaits: AtomicBool,
-    asked: AskedReport,
+    awaits_response: AtomicBool,
+    requested: AskedReport,
     run: Option<TrackedRunId>,
 }
 
 impl UpstreamHandle {
     /// Creates a handle for new work.
     pub(crate) fn new(
-        known: &Arc<UpstreamObserver>,
+        observer: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         eligible: Eligible,
         run: Option<TrackedRunId>,
     ) -> Self {
-        let mut handle = Self::held(known, state, eligible.incarnation());
+        let mut handle = Self::for_running(observer, state, eligible.incarnation());
         handle.eligible = Some(eligible);
-        handle.awaits.store(true, Ordering::Relaxed);
+        handle.awaits_response.store(true, Ordering::Relaxed);
         handle.state.record.lock().response_awaited(handle.sent);
         handle.run = run;
         handle
     }
 
     /// Creates a handle for a request that is already running on the upstream.
-    pub(crate) fn held(
-        known: &Arc<UpstreamObserver>,
+    pub(crate) fn for_running(
+        observer: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         incarnation: Incarnation,
     ) -> Self {
-        let now = known.timer.now();
+        let now = observer.timer.now();
         let mut record = state.record.lock();
         record.record_dispatch();
         Self {
-            known: known.clone(),
+            observer: observer.clone(),
             state: state.clone(),
             incarnation,
             eligible: None,
             sent: now,
-            awaits: AtomicBool::new(false),
-            asked: record.report_requested(now),
+            awaits_response: AtomicBool::new(false),
+            requested: record.report_requested(now),
             run: None,
         }
     }
@@ -67,7 +67,7 @@
     ///
     /// If the handle is not for new work, or its [`Eligible`] has expired.
     pub(crate) fn check_eligible(&self) -> Result<(), AttemptError> {
-        let now = self.known.timer.now();
+        let now = self.observer.timer.now();
         match &self.eligible {
             Some(eligible) if eligible.is_valid(now) => Ok(()),
             _ => Err(AttemptError::NotEligible),
@@ -87,54 +87,54 @@
     }
 
     /// Records that the upstream failed this request.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.state
             .record
             .lock()
-            .record_failure(self.known.timer.now());
+            .record_failure(self.observer.timer.now());
     }
 
     /// Records that the upstream has started its response.
-    pub fn answered(&self) {
-        let now = self.known.timer.now();
+    pub fn record_response_start(&self) {
+        let now = self.observer.timer.now();
         let mut record = self.state.record.lock();
         record.record_response(self.incarnation, self.sent, now);
-        self.awaits_no_more(&mut record);
+        self.settle_response(&mut record);
         drop(record);
         if let Some(run) = self.run {
-            self.known.poison.lock().response_started(run);
+            self.observer.poison.lock().response_started(run);
         }
     }
 
-    fn awaits_no_more(&self, record: &mut UpstreamRecord) {
-        if self.awaits.swap(false, Ordering::Relaxed) {
+    fn settle_response(&self, record: &mut UpstreamRecord) {
+        if self.awaits_response.swap(false, Ordering::Relaxed) {
             record.response_settled(self.sent);
         }
     }
 
     /// Records the load report that came with the response.
-    pub(crate) fn reported(&self, load: engine::UpstreamLoad) {
-        self.known
-            .reported(&self.state, self.asked, read_report(load));
+    pub(crate) fn record_report(&self, load: engine::UpstreamLoad) {
+        self.observer
+            .record_report(&self.state, self.requested, read_report(load));
     }
 
     /// Records that some tokens have been delivered.
-    pub fn progressed(&self) {
+    pub fn record_progress(&self) {
         if let Some(run) = self.run {
-            self.known.poison.lock().progressed(run);
+            self.observer.poison.lock().progressed(run);
         }
     }
 
     /// Records that the upstream completed this request.
-    pub fn succeeded(&self) {
-        let now = self.known.timer.now();
+    pub fn record_success(&self) {
+        let now = self.observer.timer.now();
         self.state
             .record
             .lock()
             .evidence
             .record_reply(self.incarnation, now);
         if let Some(run) = self.run {
-            self.known.poison.lock().finished(run);
+            self.observer.poison.lock().finished(run);
         }
     }
 
@@ -143,37 +143,37 @@
     ///
     /// Call this before the handle is dropped: a crash is only recorded for requests that count as
     /// running on the upstream.
-    pub(crate) async fn lost(&self, fault: &AttemptError) {
+    pub(crate) async fn record_error(&self, fault: &AttemptError) {
         match fault {
-            AttemptError::Refused { kind } => self.refused(*kind),
+            AttemptError::Refused { kind } => self.record_refusal(*kind),
             AttemptError::NotEligible | AttemptError::Held { .. } => {}
             AttemptError::Unproven => {
-                self.failed();
+                self.record_failure();
                 // Nothing was sent, so the request was not running there if the upstream crashed.
-                self.forget_run();
-                self.find_out().await;
+                self.abandon_run();
+                self.probe().await;
             }
             AttemptError::Http(fault) if fault.never_connected() => {
-                self.failed();
+                self.record_failure();
                 // No connection was made, so the request was not running there if the upstream crashed.
-                self.forget_run();
-                self.find_out().await;
+                self.abandon_run();
+                self.probe().await;
             }
             AttemptError::Http(HttpError::Call { .. } | HttpError::Body { .. })
             | AttemptError::Broken => {
-                self.failed();
-                self.find_out().await;
+                self.record_failure();
+                self.probe().await;
             }
-            _ => self.failed(),
+            _ => self.record_failure(),
         }
     }
 
     /// Records that the upstream refused the request.
-    pub(crate) fn refused(&self, kind: engine::EngineRefusalKind) {
+    pub(crate) fn record_refusal(&self, kind: engine::EngineRefusalKind) {
         if kind == engine::EngineRefusalKind::Leaving {
             let source = LeavingSource::Refusal;
-            self.known
-                .note_leaving(&self.state, self.incarnation, source);
+            self.observer
+                .record_leaving(&self.state, self.incarnation, source);
         }
     }
 
@@ -190,36 +190,36 @@
         let Some(run) = self.run else {
             return Ok(());
         };
-        if !self.known.poison.lock().needs_liveness_check(run) {
+        if !self.observer.poison.lock().needs_liveness_check(run) {
             return Ok(());
         }
-        let asked = self
+        let requested = self
             .state
             .record
             .lock()
-            .report_requested(self.known.timer.now());
+            .report_requested(self.observer.timer.now());
         let load = self
-            .known
+            .observer
             .connections
-            .call_json(load_call(self.address()))
+            .call_json(liveness_probe(self.address()))
             .await
             .map_err(|fault| {
                 tracing::info!(upstream = %self.id(), %fault, "liveness probe before a suspect request failed");
                 AttemptError::Unproven
             })?;
         let report = read_report(load);
-        let same = report.incarnation == self.incarnation;
-        self.known.reported(&self.state, asked, report);
-        if !same {
+        let is_same_process = report.incarnation == self.incarnation;
+        self.observer.record_report(&self.state, requested, report);
+        if !is_same_process {
             return Err(AttemptError::Unproven);
         }
-        self.known.poison.lock().liveness_confirmed(run);
+        self.observer.poison.lock().liveness_confirmed(run);
         Ok(())
     }
 
     /// Returns the run as announced to other VMs, if the request is a suspect.
     pub(crate) fn suspect_run(&self) -> Option<SuspectRun> {
-        self.known.poison.lock().suspect_run(self.run?)
+        self.observer.poison.lock().suspect_run(self.run?)
     }
 
     /// Commits the request to this upstream; its order is sent next.
@@ -232,22 +232,22 @@
         let Some(run) = self.run else {
             return Ok(());
         };
-        let now = self.known.timer.now();
-        let committed = self.known.poison.lock().commit(run, now);
+        let now = self.observer.timer.now();
+        let committed = self.observer.poison.lock().commit(run, now);
         committed.map_err(|hold| AttemptError::Held { hold })
     }
 
-    async fn find_out(&self) {
+    async fn probe(&self) {
         let _probing = self.state.probing.lock().await;
         let current = self.state.record.lock().evidence.incarnation();
         if current == Some(self.incarnation) {
-            self.known.find_out(&self.state, self.incarnation).await;
+            self.observer.probe(&self.state, self.incarnation).await;
         }
     }
 
-    fn forget_run(&self) {
+    fn abandon_run(&self) {
         if let Some(run) = self.run {
-            self.known.poison.lock().abandoned(run);
+            self.observer.poison.lock().abandoned(run);
         }
     }
 }
@@ -256,8 +256,8 @@
     fn drop(&mut self) {
         let mut record = self.state.record.lock();
         record.record_end();
-        self.awaits_no_more(&mut record);
+        self.settle_response(&mut record);
         drop(record);
-        self.forget_run();
+        self.abandon_run();
     }
 }
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -5,19 +5,19 @@
 };
 
 /// Timeout of a poll for a load report.
-const POLL_BOUND: Duration = Duration::from_millis(400);
+const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Timeout of the probe that determines whether an upstream process has crashed.
-const DEATH_PROBE_BOUND: Duration = Duration::from_millis(300);
+const CRASH_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Maximum number of pending advertisements of leaving upstreams.
-const MOST_UNTOLD: usize = 255;
+const MAX_PENDING_LEAVING: usize = 255;
 
 /// Maximum number of leaving upstreams in one message: about 512 bytes.
-const MOST_TOLD: usize = 12;
+const MAX_LEAVING_PER_MESSAGE: usize = 12;
 
 /// Number of messages that advertise each leaving upstream; the same as for poison records.
-const TELLINGS: u32 = 8;
+const MESSAGES_PER_LEAVING: u32 = 8;
 
 /// Records what requests and polls reveal about upstreams, and collects it for peers.
 pub(crate) struct UpstreamObserver {
@@ -26,9 +26,9 @@
     timeline: Arc<Timeline>,
     pub(crate) poison: Mutex<PoisonTracker>,
     /// Notified when there is an update for peers.
-    pub(crate) news: Notify,
+    pub(crate) updated: Notify,
     /// Processes that started leaving recently, each with the number of messages that advertised it.
-    untold: Mutex<Vec<(UpstreamId, Incarnation, u32)>>,
+    pending_leaving: Mutex<Vec<(UpstreamId, Incarnation, u32)>>,
 }
 
 impl UpstreamObserver {
@@ -42,48 +42,48 @@
             connections: connections.clone(),
             timeline: timeline.clone(),
             poison: Mutex::default(),
-            news: Notify::new(),
-            untold: Mutex::default(),
+            updated: Notify::new(),
+            pending_leaving: Mutex::default(),
         }
     }
 
     /// Returns processes that started leaving recently, for a message to a peer, sorted. Prefers those
     /// that have been advertised least often.
-    pub(crate) fn tell_leaving(&self) -> Vec<(UpstreamId, Incarnation)> {
-        let mut untold = self.untold.lock();
-        untold.sort_by_key(|(_, _, told)| *told);
-        let mut news = untold
+    pub(crate) fn leaving_deltas(&self) -> Vec<(UpstreamId, Incarnation)> {
+        let mut pending_leaving = self.pending_leaving.lock();
+        pending_leaving.sort_by_key(|(_, _, times_sent)| *times_sent);
+        let mut selected = pending_leaving
             .iter_mut()
-            .take(MOST_TOLD)
-            .map(|(id, incarnation, told)| {
-                *told += 1;
+            .take(MAX_LEAVING_PER_MESSAGE)
+            .map(|(id, incarnation, times_sent)| {
+                *times_sent += 1;
                 (id.clone(), *incarnation)
             })
             .collect::<Vec<_>>();
-        untold.retain(|(_, _, told)| *told < TELLINGS);
-        news.sort();
-        news
+        pending_leaving.retain(|(_, _, times_sent)| *times_sent < MESSAGES_PER_LEAVING);
+        selected.sort();
+        selected
     }
 
     /// Records a load report. The first report of a new process proves that the previous process has
     /// ended.
-    pub(crate) fn reported(
+    pub(crate) fn record_report(
         &self,
         state: &UpstreamState,
-        asked: AskedReport,
+        requested: AskedReport,
         report: UpstreamReport,
     ) {
         let (incarnation, leaving) = (report.incarnation, report.leaving);
         if leaving {
-            self.note_leaving(state, incarnation, LeavingSource::Report);
+            self.record_leaving(state, incarnation, LeavingSource::Report);
         }
-        let former = state.record.lock().record_report(asked, report);
-        if let Some(former) = former {
-            self.died(state, former);
+        let previous = state.record.lock().record_report(requested, report);
+        if let Some(previous) = previous {
+            self.record_crash(state, previous);
         }
     }
 
-    pub(crate) fn note_leaving(
+    pub(crate) fn record_leaving(
         &self,
         state: &UpstreamState,
         incarnation: Incarnation,
@@ -97,51 +97,52 @@
                 detail: Some(source.to_string().into()),
                 ..Event::new(EventKind::UpstreamLeaving)
             });
-            let mut untold = self.untold.lock();
-            untold.truncate(MOST_UNTOLD);
-            untold.push((state.entry.id.clone(), incarnation, 0));
-            self.news.notify_one();
+            let mut pending_leaving = self.pending_leaving.lock();
+            pending_leaving.truncate(MAX_PENDING_LEAVING);
+            pending_leaving.push((state.entry.id.clone(), incarnation, 0));
+            self.updated.notify_one();
         }
     }
 
     /// Records that a process of an upstream has crashed, with the requests that were running on it.
-    pub(crate) fn died(&self, state: &UpstreamState, incarnation: Incarnation) {
+    pub(crate) fn record_crash(&self, state: &UpstreamState, incarnation: Incarnation) {
         state.record.lock().evidence.record_gone(incarnation);
         let now = self.timer.now();
-        let marks = self
+        let crash_records = self
             .poison
             .lock()
             .upstream_crashed(&state.entry.id, incarnation, now);
-        self.news.notify_one();
+        self.updated.notify_one();
         let upstream = &state.entry.id;
-        tracing::warn!(%upstream, incarnation = incarnation.0, under = marks.len(), "upstream died");
-        for mark in marks {
-            tracing::info!(%upstream, body = %mark.digest, death = %mark.crash,
+        tracing::warn!(%upstream, incarnation = incarnation.0, under = crash_records.len(),
+            "upstream process crashed");
+        for crash_record in crash_records {
+            tracing::info!(%upstream, body = %crash_record.digest, death = %crash_record.crash,
                 "request is a suspect: upstream died under it");
         }
     }
 
     /// Probes an upstream to determine whether the process `incarnation` is still alive.
-    pub(crate) async fn find_out(&self, state: &UpstreamState, incarnation: Incarnation) {
-        let asked = state.record.lock().report_requested(self.timer.now());
+    pub(crate) async fn probe(&self, state: &UpstreamState, incarnation: Incarnation) {
+        let requested = state.record.lock().report_requested(self.timer.now());
         let load = self
             .connections
-            .call_json(load_call(state.entry.address))
+            .call_json(liveness_probe(state.entry.address))
             .await;
         match load {
             Ok(load) => {
                 let report = read_report(load);
-                let lives = report.incarnation == incarnation;
-                self.reported(state, asked, report);
-                if !lives {
-                    self.died(state, incarnation);
+                let is_alive = report.incarnation == incarnation;
+                self.record_report(state, requested, report);
+                if !is_alive {
+                    self.record_crash(state, incarnation);
                 }
             }
             Err(HttpError::Call { source, .. }) if !is_unreachable(&source) => {
-                self.died(state, incarnation);
+                self.record_crash(state, incarnation);
             }
             Err(fault) => {
-                tracing::debug!(upstream = %state.entry.id, %fault, "no proof of a death");
+                tracing::debug!(upstream = %state.entry.id, %fault, "cannot determine whether the upstream crashed");
             }
         }
     }
@@ -149,20 +150,20 @@
     /// Polls an upstream for its load, after a random delay of up to `jitter`.
     pub(crate) async fn poll(&self, state: &UpstreamState, jitter: Duration) {
         tokio::time::sleep(jitter.mul_f64(rand::random())).await;
-        let asked = state.record.lock().report_requested(self.timer.now());
+        let requested = state.record.lock().report_requested(self.timer.now());
         let call = HttpCall {
             address: state.entry.address,
             path: "/v1/load".to_owned(),
-            bound: POLL_BOUND,
+            bound: POLL_TIMEOUT,
             fresh: state.poll_fresh.load(Ordering::Relaxed),
             ..HttpCall::default()
         };
         let reply = self.connections.call_json(call).await;
         state.poll_fresh.store(reply.is_err(), Ordering::Relaxed);
         match reply {
-            Ok(load) => self.reported(state, asked, read_report(load)),
+            Ok(load) => self.record_report(state, requested, read_report(load)),
             Err(fault) => {
-                tracing::debug!(upstream = %state.entry.id, %fault, "no load report");
+                tracing::debug!(upstream = %state.entry.id, %fault, "upstream did not send a load report");
                 // Select other upstreams for new work immediately, not only once the last report has
                 // become stale.
                 if matches!(fault, http_client::HttpError::Call { .. }) {
@@ -174,11 +175,11 @@
 }
 
 /// Returns the call that probes whether an upstream is alive.
-pub(crate) fn load_call(address: SocketAddr) -> HttpCall {
+pub(crate) fn liveness_probe(address: SocketAddr) -> HttpCall {
     HttpCall {
         address,
         path: "/v1/load".to_owned(),
-        bound: DEATH_PROBE_BOUND,
+        bound: CRASH_PROBE_TIMEOUT,
         fresh: true,
         ..HttpCall::default()
     }
--- a/crates/catkinward/src/upstream_query.rs
+++ b/crates/catkinward/src/upstream_query.rs
@@ -19,7 +19,7 @@
 }
 
 /// Number of leading bytes of a text that determine which upstream caches it.
-const PREFIX_LEN: usize = 256;
+const PREFIX_KEY_BYTES: usize = 256;
 
 impl<'a> UpstreamQuery<'a> {
     /// Creates a query for any upstream of a service.
@@ -38,7 +38,7 @@
     /// Returns the key of the prefix for rendezvous hashing; `None` without a prefix.
     pub(crate) fn prefix_key(&self) -> Option<String> {
         let bytes = self.prefix.as_bytes();
-        let start = &bytes[..bytes.len().min(PREFIX_LEN)];
+        let start = &bytes[..bytes.len().min(PREFIX_KEY_BYTES)];
         (!start.is_empty()).then(|| format!("{:016x}", xxhash_rust::xxh3::xxh3_64(start)))
     }
 }
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -5,14 +5,14 @@
 };
 
 /// Interval at which each upstream of the subset is polled for its load.
-const POLL_PERIOD: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest random delay before such a poll, so that VMs do not poll all at the same time.
 const POLL_JITTER: Duration = Duration::from_millis(80);
 
 /// The upstreams of the bundle in force with their observed state.
 pub struct Upstreams {
-    known: Arc<UpstreamObserver>,
+    observer: Arc<UpstreamObserver>,
     vm: VmId,
     zone: AvailabilityZone,
     /// All upstreams of the bundle, sorted by id.
@@ -20,7 +20,7 @@
     /// The upstreams that this VM polls and sends work to.
     subset: RwLock<Vec<Arc<UpstreamState>>>,
     /// VMs among which the probation runs on upstreams are divided; if empty, only this VM.
-    watchers: RwLock<Vec<VmId>>,
+    probation_vms: RwLock<Vec<VmId>>,
 }
 
 impl Upstreams {
@@ -33,14 +33,14 @@
         settings: &Settings,
     ) -> Arc<Self> {
         let upstreams = Arc::new(Self {
-            known: Arc::new(UpstreamObserver::new(timer, connections, timeline)),
+            observer: Arc::new(UpstreamObserver::new(timer, connections, timeline)),
             vm: settings.vm.clone(),
             zone: settings.zone.clone(),
             states: RwLock::default(),
             subset: RwLock::default(),
-            watchers: RwLock::default(),
+            probation_vms: RwLock::default(),
         });
-        tokio::spawn(follow(upstreams.clone(), bundle.clone()));
+        tokio::spawn(run(upstreams.clone(), bundle.clone()));
         upstreams
     }
 
@@ -49,23 +49,25 @@
     /// # Errors
     ///
     /// If no upstream may receive the request.
-    pub fn choose(&self, want: &UpstreamQuery<'_>) -> Result<UpstreamHandle, NoUpstream> {
-        let now = self.known.timer.now();
-        let mut poison = self.known.poison.lock();
-        if want
+    pub fn choose(&self, query: &UpstreamQuery<'_>) -> Result<UpstreamHandle, NoUpstream> {
+        let now = self.observer.timer.now();
+        let mut poison = self.observer.poison.lock();
+        if query
             .digest
             .is_some_and(|digest| poison.refuses(digest, now))
         {
             return Err(NoUpstream::Poisoned);
         }
         let subset = self.subset.read();
-        let prefix = want.prefix_key();
+        let prefix = query.prefix_key();
         let (mut candidates, states): (Vec<_>, Vec<_>) = subset
             .iter()
-            .filter(|state| state.entry.services.binary_search(want.service).is_ok())
-            .filter(|state| !want.avoid.contains(&state.entry.id))
-            .filter(|state| self.may_start(&poison, want, state, now))
-            .filter_map(|state| Some((self.candidate(state, want, prefix.as_deref(), now)?, state)))
+            .filter(|state| state.entry.services.binary_search(query.service).is_ok())
+            .filter(|state| !query.avoid.contains(&state.entry.id))
+            .filter(|state| self.may_start(&poison, query, state, now))
+            .filter_map(|state| {
+                Some((self.candidate(state, query, prefix.as_deref(), now)?, state))
+            })
             .unzip();
         let input = ChoiceInput {
             random: rand::random(),
@@ -73,36 +75,40 @@
         };
         let i = choose(&candidates, input).ok_or(NoUpstream::Now)?;
         let (eligible, state) = (candidates.swap_remove(i).eligible, states[i]);
-        let run = want.digest.map(|digest| {
+        let run = query.digest.map(|digest| {
             poison.started(digest, state.entry.id.clone(), eligible.incarnation(), now)
         });
-        Ok(UpstreamHandle::new(&self.known, state, eligible, run))
+        Ok(UpstreamHandle::new(&self.observer, state, eligible, run))
     }
 
     /// Returns whether a request is refused for now because upstreams crashed while running it.
     #[must_use]
     pub fn refuses(&self, digest: RequestDigest) -> bool {
-        self.known
+        self.observer
             .poison
             .lock()
-            .refuses(digest, self.known.timer.now())
+            .refuses(digest, self.observer.timer.now())
     }
 
     /// Returns a handle of an upstream that is already running a request, whether or not it may
     /// receive new work.
     #[must_use]
-    pub fn hold(&self, id: &UpstreamId) -> Option<UpstreamHandle> {
+    pub fn handle_running(&self, id: &UpstreamId) -> Option<UpstreamHandle> {
         let state = self.state(id)?;
         let incarnation = state.record.lock().evidence.incarnation();
         let incarnation = incarnation.unwrap_or_default();
-        Some(UpstreamHandle::held(&self.known, &state, incarnation))
+        Some(UpstreamHandle::for_running(
+            &self.observer,
+            &state,
+            incarnation,
+        ))
     }
 
     /// Returns the status of each upstream for operators.
     pub(crate) fn statuses(&self) -> Vec<operator::UpstreamStatus> {
-        let now = self.known.timer.now();
+        let now = self.observer.timer.now();
         let states = self.states.read();
-        let tell = |state: &Arc<UpstreamState>| {
+        let status = |state: &Arc<UpstreamState>| {
             let record = state.record.lock();
             operator::UpstreamStatus {
                 availability_zone: state.entry.zone.to_string(),
@@ -111,7 +117,7 @@
                 takes_new_work: record.candidate(None, now).is_ok(),
             }
         };
-        states.iter().map(tell).collect()
+        states.iter().map(status).collect()
     }
 
     /// Returns the capacity that the upstreams of this VM's subset report, sorted by id.
@@ -133,7 +139,7 @@
     /// Returns the model for a new request of a service while the wanted model is being rolled out.
     #[must_use]
     pub fn serving_model(&self, service: &ServiceId, wanted: &Model) -> Model {
-        let now = self.known.timer.now();
+        let now = self.observer.timer.now();
         let subset = self.subset.read();
         let engines = subset
             .iter()
@@ -150,14 +156,14 @@
     }
 
     /// Records that a process of an upstream is leaving, according to `source`.
-    pub fn note_leaving(&self, id: &UpstreamId, incarnation: Incarnation, source: LeavingSource) {
+    pub fn record_leaving(&self, id: &UpstreamId, incarnation: Incarnation, source: LeavingSource) {
         if let Some(state) = self.state(id) {
-            self.known.note_leaving(&state, incarnation, source);
+            self.observer.record_leaving(&state, incarnation, source);
         }
     }
 
     /// Records an upstream's state in the platform's list, which does not contain incarnations.
-    pub fn listed(&self, id: &UpstreamId, leaving: bool) {
+    pub fn record_listed(&self, id: &UpstreamId, leaving: bool) {
         if let Some(state) = self.state(id) {
             state.record.lock().evidence.record_listed(leaving);
         }
@@ -167,7 +173,7 @@
     /// Each is sent in eight messages.
     #[must_use]
     pub fn leaving_deltas(&self) -> Vec<(UpstreamId, Incarnation)> {
-        self.known.tell_leaving()
+        self.observer.leaving_deltas()
     }
 
     /// Returns all processes of upstreams that are known to be leaving, sorted, as needed by a peer
@@ -192,63 +198,66 @@
     /// Returns poison records for a message to a peer. Each is sent in eight messages.
     #[must_use]
     pub fn poison_deltas(&self) -> Vec<PoisonRecord> {
-        let now = self.known.timer.now();
-        self.known.poison.lock().deltas(now)
+        let now = self.observer.timer.now();
+        self.observer.poison.lock().deltas(now)
     }
 
     /// Returns the poison records of one request.
     #[must_use]
-    pub fn poison_marks_of(&self, digest: RequestDigest) -> Vec<PoisonRecord> {
-        let now = self.known.timer.now();
-        self.known.poison.lock().records_of(digest, now)
+    pub fn poison_records_of(&self, digest: RequestDigest) -> Vec<PoisonRecord> {
+        let now = self.observer.timer.now();
+        self.observer.poison.lock().records_of(digest, now)
     }
 
     /// Returns the poison records of requests that are refused on this VM and explain the crashes in
-    /// `marks`, for the peer that sent these.
+    /// `records`, for the peer that sent these.
     #[must_use]
-    pub fn culprits(&self, marks: &[PoisonRecord]) -> Vec<PoisonRecord> {
-        let now = self.known.timer.now();
-        self.known.poison.lock().explaining_records(marks, now)
+    pub fn explaining_records(&self, records: &[PoisonRecord]) -> Vec<PoisonRecord> {
+        let now = self.observer.timer.now();
+        self.observer.poison.lock().explaining_records(records, now)
     }
 
     /// Returns all poison records.
     #[must_use]
-    pub fn poison_marks(&self) -> Vec<PoisonRecord> {
-        let now = self.known.timer.now();
-        self.known.poison.lock().records(now)
+    pub fn poison_records(&self) -> Vec<PoisonRecord> {
+        let now = self.observer.timer.now();
+        self.observer.poison.lock().records(now)
     }
 
     /// Merges poison records from a peer.
-    pub fn merge_poison(&self, marks: &[PoisonRecord], peer: &VmId) {
-        let now = self.known.timer.now();
-        let new = self.known.poison.lock().merge(marks, now);
+    pub fn merge_poison(&self, records: &[PoisonRecord], peer: &VmId) {
+        let now = self.observer.timer.now();
+        let new = self.observer.poison.lock().merge(records, now);
         if !new.is_empty() {
-            self.known.news.notify_one();
+            self.observer.updated.notify_one();
         }
-        for mark in new {
-            tracing::info!(%peer, body = %mark.digest, death = %mark.crash, cleared = mark.cleared,
-                age_ms = mark.age_ms, "a peer tells of a death under a request");
+        for record in new {
+            tracing::info!(%peer, body = %record.digest, death = %record.crash,
+                cleared = record.cleared, age_ms = record.age_ms, "a peer tells of a death under a request");
         }
     }
 
     /// Records announcements of a peer that it is about to send suspect requests to upstreams.
     pub fn suspects_announced(&self, runs: &[SuspectRun], peer: &VmId) {
-        let now = self.known.timer.now();
+        let now = self.observer.timer.now();
         for run in runs {
             tracing::info!(%peer, body = %run.digest, upstream = %run.upstream,
                 incarnation = run.incarnation.0, "peer sends a suspect");
-            self.known.poison.lock().announced(run.clone(), now);
+            self.observer.poison.lock().announced(run.clone(), now);
         }
     }
 
     /// Records replies of a peer that it is running suspect requests which this VM has announced, or
     /// other ones that conflict with them.
-    pub fn suspects_run_elsewhere(&self, runs: &[SuspectRun], peer: &VmId) {
-        let now = self.known.timer.now();
+    pub fn suspects_running_on_peer(&self, runs: &[SuspectRun], peer: &VmId) {
+        let now = self.observer.timer.now();
         for run in runs {
             tracing::info!(%peer, body = %run.digest, upstream = %run.upstream,
                 incarnation = run.incarnation.0, "peer runs a suspect");
-            self.known.poison.lock().running_on_peer(run.clone(), now);
+            self.observer
+                .poison
+                .lock()
+                .running_on_peer(run.clone(), now);
         }
     }
 
@@ -258,66 +267,67 @@
         for run in runs {
             tracing::info!(%peer, body = %run.digest, upstream = %run.upstream,
                 incarnation = run.incarnation.0, "peer did not send a suspect");
-            self.known.poison.lock().withdrawn(run);
+            self.observer.poison.lock().withdrawn(run);
         }
     }
 
     /// Returns runs of suspect requests on this VM that conflict with runs that a peer announces.
     #[must_use]
     pub fn suspect_conflicts(&self, announced: &[SuspectRun]) -> SuspectConflicts {
-        self.known.poison.lock().conflicts(announced)
+        self.observer.poison.lock().conflicts(announced)
     }
 
     /// Probes the upstreams to which other VMs have sent a suspect request. One that has crashed
     /// counts as crashed while running it.
     pub(crate) async fn check_suspect(&self, digest: RequestDigest) {
-        let now = self.known.timer.now();
-        let runs = self.known.poison.lock().unchecked(digest, now);
+        let now = self.observer.timer.now();
+        let runs = self.observer.poison.lock().unchecked(digest, now);
         let checks = runs.iter().map(|run| async {
             if let Some(state) = self.state(&run.upstream) {
-                self.known.find_out(&state, run.incarnation).await;
+                self.observer.probe(&state, run.incarnation).await;
             }
-            self.known.poison.lock().checked(run);
+            self.observer.poison.lock().checked(run);
         });
         futures::future::join_all(checks).await;
     }
 
     /// Returns whether a request is a suspect.
-    pub(crate) fn suspects(&self, digest: RequestDigest) -> bool {
-        let now = self.known.timer.now();
-        self.known.poison.lock().is_suspect(digest, now)
+    pub(crate) fn is_suspect(&self, digest: RequestDigest) -> bool {
+        let now = self.observer.timer.now();
+        self.observer.poison.lock().is_suspect(digest, now)
     }
 
     /// Waits until there is an update for peers.
-    pub(crate) async fn has_news(&self) {
-        self.known.news.notified().await;
+    pub(crate) async fn wait_for_update(&self) {
+        self.observer.updated.notified().await;
     }
 
     /// Sets the VMs, including this one, among which the probation runs of suspect requests on the
     /// upstreams of this availability zone are divided. Without it two VMs may supervise suspect
     /// requests on the same upstream.
-    pub fn set_watchers(&self, vms: Vec<VmId>) {
-        *self.watchers.write() = vms;
+    pub fn set_probation_vms(&self, vms: Vec<VmId>) {
+        *self.probation_vms.write() = vms;
     }
 
     fn may_start(
         &self,
         poison: &PoisonTracker,
-        want: &UpstreamQuery<'_>,
+        query: &UpstreamQuery<'_>,
         state: &UpstreamState,
         now: Instant,
     ) -> bool {
-        let Some(digest) = want.digest else {
+        let Some(digest) = query.digest else {
             return true;
         };
         let id = &state.entry.id;
-        let watches = want.urgent || !poison.is_suspect(digest, now) || self.watches(id);
-        poison.may_start(digest, id, watches, now).is_ok()
+        let allows_probation =
+            query.urgent || !poison.is_suspect(digest, now) || self.allows_probation(id);
+        poison.may_start(digest, id, allows_probation, now).is_ok()
     }
 
     /// Returns whether this VM is the one that supervises suspect requests on an upstream.
-    fn watches(&self, id: &UpstreamId) -> bool {
-        self.watchers
+    fn allows_probation(&self, id: &UpstreamId) -> bool {
+        self.probation_vms
             .read()
             .iter()
             .max_by_key(|vm| rendezvous_score(id.as_str(), vm.as_str()))
@@ -327,11 +337,11 @@
     fn candidate(
         &self,
         state: &UpstreamState,
-        want: &UpstreamQuery<'_>,
+        query: &UpstreamQuery<'_>,
         prefix: Option<&str>,
         now: Instant,
     ) -> Option<Candidate> {
-        let candidate = state.record.lock().candidate(want.model, now).ok()?;
+        let candidate = state.record.lock().candidate(query.model, now).ok()?;
         Some(Candidate {
             own_zone: state.entry.zone == self.zone,
             affinity: prefix.map_or(0, |key| rendezvous_score(key, state.entry.id.as_str())),
@@ -355,17 +365,17 @@
                 None => Arc::new(UpstreamState::new(entry.clone())),
             })
             .collect();
-        let near = self.near(bundle);
+        let subset_ids = self.subset_ids(bundle);
         *self.subset.write() = states
             .iter()
-            .filter(|state| near.binary_search(&&state.entry.id).is_ok())
+            .filter(|state| subset_ids.binary_search(&&state.entry.id).is_ok())
             .cloned()
             .collect();
     }
 
     /// Returns the ids of the upstreams in this VM's subset: the union over all services, sorted.
-    fn near<'a>(&self, bundle: &'a Bundle) -> Vec<&'a UpstreamId> {
-        let mut near = bundle
+    fn subset_ids<'a>(&self, bundle: &'a Bundle) -> Vec<&'a UpstreamId> {
+        let mut subset_ids = bundle
             .services
             .iter()
             .flat_map(|service| {
@@ -377,20 +387,20 @@
             })
             .map(|upstream| &upstream.id)
             .collect::<Vec<_>>();
-        near.sort();
-        near.dedup();
-        near
+        subset_ids.sort();
+        subset_ids.dedup();
+        subset_ids
     }
 
     async fn poll(&self, jitter: Duration) {
         let subset = self.subset.read().clone();
-        let polls = subset.iter().map(|state| self.known.poll(state, jitter));
+        let polls = subset.iter().map(|state| self.observer.poll(state, jitter));
         futures::future::join_all(polls).await;
     }
 }
 
-async fn follow(upstreams: Arc<Upstreams>, bundle: Arc<BundleInForce>) {
-    let mut ticks = upstreams.known.timer.subscribe(POLL_PERIOD);
+async fn run(upstreams: Arc<Upstreams>, bundle: Arc<BundleInForce>) {
+    let mut ticks = upstreams.observer.timer.subscribe(POLL_INTERVAL);
     let mut changes = bundle.changes();
     let mut jitter = Duration::ZERO;
     loop {
@@ -399,7 +409,7 @@
         jitter = POLL_JITTER;
         tokio::select! {
             tick = ticks.recv() => if tick.is_none() { return },
-            news = changes.changed() => if news.is_err() { return },
+            change = changes.changed() => if change.is_err() { return },
         }
     }
 }
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -185,7 +185,7 @@
     let asking = peers("vm-9", "secret", known.collect()).await;
     let answering = peers("vm-8", "secret", Vec::new()).await;
     let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel();
-    asking.gossip.hear(move |_, sender| {
+    asking.gossip.on_receive(move |_, sender| {
         let _ = tx.send(sender.clone());
     });
 
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -196,7 +196,7 @@
     let incarnation = site.node.upstreams.incarnation(&id).expect("it was heard");
 
     let source = catkin_decisions::LeavingSource::Peer;
-    site.node.upstreams.note_leaving(&id, incarnation, source);
+    site.node.upstreams.record_leaving(&id, incarnation, source);
     let answers = site.menus(12).await;
 
     expect_that!(whole_menus(&answers), eq(12));
@@ -299,7 +299,7 @@
     /// Waits until this VM has all marks of the other.
     async fn hears_marks(&self, other: &Self) {
         let digests = |site: &Self| {
-            let marks = site.node.upstreams.poison_marks();
+            let marks = site.node.upstreams.poison_records();
             marks
                 .iter()
                 .map(|m| (m.digest, m.crash))
