--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -274,7 +274,7 @@
             if let (Some(peers), Some(update)) =
                 (&node.peers, generation.progress_from(TokenIndex(0)))
             {
-                peers.keep_own(&update);
+                peers.store_own_replica(&update);
             }
         });
     }
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -37,8 +37,8 @@
     let offered = pool.offer(&request.arrival(team), chooser(node, request));
     offered.inspect_err(|_| {
         let limits = &node.limits;
-        limits.give_back(&request.team, LimitKind::Requests, 1);
-        limits.give_back(&request.team, LimitKind::Tokens, request.max_tokens);
+        limits.refund(&request.team, LimitKind::Requests, 1);
+        limits.refund(&request.team, LimitKind::Tokens, request.max_tokens);
     })
 }
 
@@ -47,7 +47,7 @@
     let (limits, team) = (&node.limits, &request.team);
     limits.take(team, LimitKind::Requests, 1)?;
     let tokens = limits.take(team, LimitKind::Tokens, request.max_tokens);
-    tokens.inspect_err(|_| limits.give_back(team, LimitKind::Requests, 1))
+    tokens.inspect_err(|_| limits.refund(team, LimitKind::Requests, 1))
 }
 
 fn chooser(node: &Node, request: &GenerationRequest) -> ChooseUpstream {
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -53,8 +53,7 @@
     if admitted_here && outcome != GenerationOutcome::Failed(ProblemKind::Superseded) {
         let request = &generation.request;
         let unused = request.max_tokens.saturating_sub(generation.next_index().0);
-        node.limits
-            .give_back(&request.team, LimitKind::Tokens, unused);
+        node.limits.refund(&request.team, LimitKind::Tokens, unused);
     }
     generation.conclude(outcome);
 }
@@ -104,7 +103,7 @@
     }
 
     async fn run(&mut self, waiting: Option<QueuedRequest>) -> GenerationOutcome {
-        if let Some(attempt) = Box::pin(self.go_on_with_left_running()).await {
+        if let Some(attempt) = Box::pin(self.resume_left_running()).await {
             match self.follow(attempt).await {
                 Ok(finish) => return GenerationOutcome::Whole(finish),
                 Err(fault) => {
@@ -143,7 +142,7 @@
         };
         let queued = Queued::new(());
         tokio::select! {
-            granted = waiting.granted() => granted.map_err(|refusal| {
+            granted = waiting.wait_for_slot() => granted.map_err(|refusal| {
                 let not_run = queued.refuse(refusal.reason, refusal.retry_after);
                 Problem::not_run(&not_run).kind
             }),
@@ -215,7 +214,7 @@
         let deaths = marks.len();
         let ExchangeResult {
             asked, answered, ..
-        } = peers.confer(marks).await;
+        } = peers.query_crash_records(marks).await;
         let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
         tracing::info!(id = %self.generation.request.id, %body, deaths, asked, answered, refused,
             took_ms = %took.as_millis(), "peers were asked about deaths under a request");
@@ -301,7 +300,7 @@
                 {
                     peers.withdraw(run).await;
                 }
-                let found = Box::pin(self.find_started(&upstream, order, &fault)).await;
+                let found = Box::pin(self.reattach_after_order(&upstream, order, &fault)).await;
                 if !fault.may_have_started() {
                     guard.release();
                 }
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -73,7 +73,7 @@
 async fn find_copy(node: &Node, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
     let peers = node.peers.as_ref()?;
     if point.next == TokenIndex(0) && peers.entries().len() > SMALL_SYSTEM {
-        return peers.find_here(id, point);
+        return peers.find_local_replica(id, point);
     }
     peers.find(id, point).await
 }
@@ -92,7 +92,7 @@
     }
     let update = generation.progress_from(TokenIndex(0));
     if let (Some(peers), Some(update)) = (&node.peers, update) {
-        peers.tell_taken_over(point, &update);
+        peers.notify_taken_over(point, &update);
     }
     metrics::counter!("catkin_take_overs_total").increment(1);
     node.timeline.record(Event {
--- a/crates/catkinward/src/generation_request.rs
+++ b/crates/catkinward/src/generation_request.rs
@@ -68,7 +68,7 @@
     /// The request under an idempotency key.
     pub(crate) fn under_key(self, key: &str) -> Self {
         let id = RequestId::of_key(&self.team, key);
-        Self { id, ..self }.with_chain(ResumableState::begin())
+        Self { id, ..self }.with_chain(ResumableState::new_chain())
     }
 
     /// The request as it goes on after a copy: what the VM that accepted it had fixed stays.
@@ -79,7 +79,7 @@
             seed: record.head.seed,
             ..self
         };
-        request.with_chain(ResumableState::go_on(record))
+        request.with_chain(ResumableState::continue_from(record))
     }
 
     fn with_chain(self, keyed: ResumableState) -> Self {
--- a/crates/catkinward/src/http_client.rs
+++ b/crates/catkinward/src/http_client.rs
@@ -182,7 +182,7 @@
         match tokio::time::timeout(bound, req.send()).await {
             Ok(Ok(response)) => {
                 if let Some(clock) = &self.clock {
-                    clock.witness_headers(response.headers());
+                    clock.observe_headers(response.headers());
                 }
                 Ok(response)
             }
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -16,7 +16,7 @@
     /// Settings that the process was started with.
     pub settings: Settings,
     /// All services by name.
-    pub kernel: ServiceRegistry,
+    pub registry: ServiceRegistry,
     /// Monotonic time and periodic ticks.
     pub timer: Arc<Timer>,
     /// Latest events of this process.
@@ -52,23 +52,23 @@
     ///
     /// If a service cannot be started.
     pub fn start(settings: Settings) -> Result<Arc<Self>> {
-        let kernel = ServiceRegistry::default();
-        let timer = kernel.register(ServiceName::Timer, Timer::start())?;
-        let timeline = kernel.register(ServiceName::Timeline, new_timeline(&settings))?;
+        let registry = ServiceRegistry::default();
+        let timer = registry.register(ServiceName::Timer, Timer::start())?;
+        let timeline = registry.register(ServiceName::Timeline, new_timeline(&settings))?;
         timeline.record(Event::new(EventKind::Started));
         let connections = Connections::with_clock(timeline.clock().clone())?;
         let connections = Arc::new(connections);
-        let connections = kernel.register(ServiceName::Connections, connections)?;
+        let connections = registry.register(ServiceName::Connections, connections)?;
         let platform = match settings.platform {
             Some(address) => {
                 let cfg = PlatformSettings::shared_by(settings.entry_vms);
                 let platform =
                     Platform::over_http(connections.clone(), timer.clone(), address, cfg);
-                Some(kernel.register(ServiceName::Platform, Arc::new(platform))?)
+                Some(registry.register(ServiceName::Platform, Arc::new(platform))?)
             }
             None => None,
         };
-        let bundle = kernel.register(
+        let bundle = registry.register(
             ServiceName::Bundle,
             Arc::new(BundleInForce::new(timeline.clone())),
         )?;
@@ -76,7 +76,7 @@
             bundle.advance(read_bundle_file(path)?);
         }
         let bundle_watch = BundleWatch::start(platform.clone(), &timer, &bundle);
-        let bundle_watch = kernel.register(ServiceName::BundleWatch, bundle_watch)?;
+        let bundle_watch = registry.register(ServiceName::BundleWatch, bundle_watch)?;
         let claims = match &platform {
             Some(platform) => {
                 let parts = CoordinationParts {
@@ -86,19 +86,19 @@
                     connections: connections.clone(),
                     bundle: bundle.clone(),
                 };
-                Some(start_coordination(&kernel, &settings, parts)?)
+                Some(start_coordination(&registry, &settings, parts)?)
             }
             None => None,
         };
         let upstreams = Upstreams::start(&timer, &connections, &timeline, &bundle, &settings);
-        let upstreams = kernel.register(ServiceName::Upstreams, upstreams)?;
+        let upstreams = registry.register(ServiceName::Upstreams, upstreams)?;
         start_metrics();
         let admission = Admission::start(&timer, &bundle, &upstreams, &settings);
-        let admission = kernel.register(ServiceName::Admission, admission)?;
+        let admission = registry.register(ServiceName::Admission, admission)?;
         let limits = Arc::new(TeamLimits::new(&timer, &bundle, &settings));
-        let limits = kernel.register(ServiceName::TeamLimits, limits)?;
+        let limits = registry.register(ServiceName::TeamLimits, limits)?;
         let generations: Arc<Generations> =
-            kernel.register(ServiceName::Generations, Arc::default())?;
+            registry.register(ServiceName::Generations, Arc::default())?;
         let peers = start_peers(&settings, |entry| PeerParts {
             entry,
             key: settings.peer_key.clone(),
@@ -109,7 +109,7 @@
             bundle: bundle.clone(),
         })?;
         if let Some(peers) = &peers {
-            kernel.register(ServiceName::Peers, peers.clone())?;
+            registry.register(ServiceName::Peers, peers.clone())?;
             gossip_upstreams(peers, &upstreams);
             start_peer_updates(peers, &bundle_watch, &upstreams, &bundle);
             exchange_slices(peers, &limits, &timer);
@@ -123,10 +123,10 @@
                 timer.clone(),
             ));
         }
-        let drain = kernel.register(ServiceName::Drain, Arc::default())?;
+        let drain = registry.register(ServiceName::Drain, Arc::default())?;
         Ok(Arc::new(Self {
             settings,
-            kernel,
+            registry,
             timer,
             timeline,
             connections,
@@ -168,11 +168,11 @@
         tracing::info!(%address, vm = %self.settings.vm, "serving callers");
         let node = self.clone();
         Server::new(CallerApi::new(self.clone()))
-            .register_shutdown_hook(move || Box::pin(async move { node.drained().await }))
+            .register_shutdown_hook(move || Box::pin(async move { node.run_drain().await }))
             .run(listener)
             .await
             .map_err(|source| Error::Server { address, source })?;
-        self.kernel.stop().await;
+        self.registry.stop().await;
         Ok(())
     }
 
@@ -195,7 +195,7 @@
             .map_err(|source| Error::Server { address, source })
     }
 
-    async fn drained(&self) {
+    async fn run_drain(&self) {
         self.drain.begin();
         self.timeline.record(Event::new(EventKind::DrainBegan));
         tracing::info!(in_flight = self.drain.in_flight(), "draining");
@@ -218,12 +218,12 @@
         tokio::net::TcpListener::from_std(listener)
     };
     let listener = listen().map_err(|source| Error::Listen { address, source })?;
-    let bound = listener
+    let bound_address = listener
         .local_addr()
         .map_err(|source| Error::Listen { address, source })?;
     let entry = PeerEntry {
         vm: settings.vm.clone(),
-        address: settings.peer_advertise.unwrap_or(bound),
+        address: settings.peer_advertise.unwrap_or(bound_address),
         zone: settings.zone.clone(),
     };
     Ok(Some(Peers::start(listener, parts(entry))))
--- a/crates/catkinward/src/operator_api.rs
+++ b/crates/catkinward/src/operator_api.rs
@@ -30,7 +30,7 @@
     fn route(&self, req: &Request) -> Result<Response, OperatorProblem> {
         self.check_key(req.headers())?;
         // Only one who has the key may move the clock.
-        self.node.timeline.clock().witness_headers(req.headers());
+        self.node.timeline.clock().observe_headers(req.headers());
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/v1/status") => Ok(json_response(&self.status())),
             (&Method::GET, "/v1/timeline") => {
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -4,14 +4,15 @@
 use crate::peers::PROBE_TIMEOUT;
 
 /// Interval at which this VM exchanges gossip with one of its neighbours.
-const GOSSIP_PERIOD: Duration = Duration::from_secs(1);
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Number of VMs that are queried for crash records before a request is refused as poisoned. A typical
-/// system has eight VMs; in a larger one the other VMs get the records by gossip from those queried.
-const MOST_CONFERRED: usize = 16;
+/// Number of VMs that are queried for crash records before a request is refused as poisoned. A
+/// typical system has eight VMs; in a larger one the other VMs get the records by gossip from those
+/// queried.
+const MAX_QUERIED_PEERS: usize = 16;
 
 /// Number of VMs advertised in one message.
-const VMS_TOLD: usize = 6;
+const MAX_ADVERTISED_VMS: usize = 6;
 
 /// Result of an exchange with several VMs.
 #[derive(Clone, Copy, Debug)]
@@ -32,29 +33,31 @@
             let Ok(link) = self.link(&peer).await else {
                 continue;
             };
-            let answer = link.ask(PeerBody::FetchBundle(digest), PROBE_TIMEOUT).await;
-            if let Ok(PeerBody::BundleContent(Some(content))) = answer {
+            let reply = link
+                .request(PeerBody::FetchBundle(digest), PROBE_TIMEOUT)
+                .await;
+            if let Ok(PeerBody::BundleContent(Some(content))) = reply {
                 return Some(Bytes::copy_from_slice(content.as_bytes()));
             }
         }
         None
     }
 
-    pub(crate) fn news(&self) -> Gossip {
+    pub(crate) fn compose_gossip(&self) -> Gossip {
         let mut gossip = self.gossip.collect();
         let skip = rand::random_range(0..1024);
-        let told = self
+        let advertised = self
             .table
             .lock()
-            .to_advertise(self.timer.now(), skip, VMS_TOLD);
-        gossip.vms = told
+            .to_advertise(self.timer.now(), skip, MAX_ADVERTISED_VMS);
+        gossip.vms = advertised
             .into_iter()
             .map(|(entry, age)| (entry, u32::try_from(age.as_millis()).unwrap_or(u32::MAX)))
             .collect();
         gossip
     }
 
-    pub(crate) fn hear(&self, gossip: &Gossip, sender: &VmId) {
+    pub(crate) fn apply_gossip(&self, gossip: &Gossip, sender: &VmId) {
         let now = self.timer.now();
         let mut table = self.table.lock();
         for (entry, age) in &gossip.vms {
@@ -63,51 +66,58 @@
         }
         table.record_answer(now, sender);
         drop(table);
-        self.choose_holders();
+        self.update_holders();
         self.gossip.dispatch(gossip, sender);
     }
 
     pub(crate) async fn exchange_with(self: &Arc<Self>, peer: &PeerEntry) -> Result<(), PeerError> {
-        self.exchange(peer, self.news()).await
+        self.exchange(peer, self.compose_gossip()).await
     }
 
-    async fn exchange(self: &Arc<Self>, peer: &PeerEntry, news: Gossip) -> Result<(), PeerError> {
+    async fn exchange(
+        self: &Arc<Self>,
+        peer: &PeerEntry,
+        message: Gossip,
+    ) -> Result<(), PeerError> {
         let start = self.timer.now();
         let link = self.link(peer).await?;
-        let (deaths, asked) = (news.poison.len(), self.timer.now());
+        let (deaths, connected_at) = (message.poison.len(), self.timer.now());
         match link
-            .ask(PeerBody::Gossip(Box::new(news)), PROBE_TIMEOUT)
+            .request(PeerBody::Gossip(Box::new(message)), PROBE_TIMEOUT)
             .await
         {
             Ok(PeerBody::Gossip(gossip)) => {
                 if deaths > 0 {
-                    let connected_ms = asked.since(start).as_millis();
+                    let connected_ms = connected_at.since(start).as_millis();
                     let took_ms = self.timer.now().since(start).as_millis();
                     tracing::info!(peer = %peer.vm, deaths, %connected_ms, %took_ms,
                         "peer received crash records");
                 }
-                self.hear(&gossip, &peer.vm);
+                self.apply_gossip(&gossip, &peer.vm);
                 Ok(())
             }
             Ok(_) => Err(PeerError::Form),
             Err(fault) => {
                 // TCP takes minutes to detect that the other end of a connection is unreachable.
-                self.drop_link(&peer.vm, link.serial);
-                self.lost(&peer.vm);
+                self.remove_link(&peer.vm, link.serial);
+                self.mark_unreachable(&peer.vm);
                 Err(fault)
             }
         }
     }
 
     /// Sends the crash records of a request to other VMs and applies what they reply about these
-    /// crashes: all VMs of a small system, [`MOST_CONFERRED`] of a larger one. Waits for the replies up
-    /// to [`PROBE_TIMEOUT`].
-    pub(crate) async fn confer(self: &Arc<Self>, poison: Vec<PoisonRecord>) -> ExchangeResult {
+    /// crashes: all VMs of a small system, [`MAX_QUERIED_PEERS`] of a larger one. Waits for the
+    /// replies up to [`PROBE_TIMEOUT`].
+    pub(crate) async fn query_crash_records(
+        self: &Arc<Self>,
+        poison: Vec<PoisonRecord>,
+    ) -> ExchangeResult {
         let now = self.timer.now();
         let peers = self
             .table
             .lock()
-            .nearest_including_silent(now, MOST_CONFERRED);
+            .nearest_including_silent(now, MAX_QUERIED_PEERS);
         let gossip = Gossip {
             poison,
             ..Gossip::default()
@@ -116,8 +126,8 @@
     }
 
     /// Announces to VMs that a suspect request is about to run, with its crash records. Waits up to
-    /// [`PROBE_TIMEOUT`] for the replies of the VMs that its caller may reconnect to; the other VMs get
-    /// the announcement as well.
+    /// [`PROBE_TIMEOUT`] for the replies of the VMs that its caller may reconnect to; the other VMs
+    /// get the announcement as well.
     pub(crate) async fn announce(
         self: &Arc<Self>,
         run: SuspectRun,
@@ -126,7 +136,7 @@
         let now = self.timer.now();
         let (peers, awaited) = {
             let table = self.table.lock();
-            let peers = table.nearest_including_silent(now, MOST_CONFERRED);
+            let peers = table.nearest_including_silent(now, MAX_QUERIED_PEERS);
             let mut awaited = peers.clone();
             awaited.retain(|peer| table.may_serve(now, &peer.vm));
             (peers, awaited)
@@ -145,7 +155,7 @@
         let peers = self
             .table
             .lock()
-            .nearest_including_silent(now, MOST_CONFERRED);
+            .nearest_including_silent(now, MAX_QUERIED_PEERS);
         let gossip = Gossip {
             withdrawn: vec![run],
             ..Gossip::default()
@@ -191,8 +201,8 @@
 }
 
 /// Exchanges gossip with one neighbour per round, in turn.
-pub(crate) async fn exchange_news(peers: Arc<Peers>, known: Vec<PeerEntry>) {
-    let mut ticks = peers.timer.subscribe(GOSSIP_PERIOD);
+pub(crate) async fn run_gossip(peers: Arc<Peers>, known: Vec<PeerEntry>) {
+    let mut ticks = peers.timer.subscribe(GOSSIP_INTERVAL);
     let mut round = rand::random_range(0..64_usize);
     while let Some(now) = ticks.recv().await {
         round += 1;
@@ -205,8 +215,8 @@
             table.neighbours(now)
         };
         peers.store.lock().expire(now);
-        peers.show_cost();
-        peers.choose_holders();
+        peers.update_metrics();
+        peers.update_holders();
         if let Some(peer) = neighbours.get(round % neighbours.len().max(1)) {
             let (peers, peer) = (peers.clone(), peer.clone());
             tokio::spawn(async move {
--- a/crates/catkinward/src/peer_handshake.rs
+++ b/crates/catkinward/src/peer_handshake.rs
@@ -3,7 +3,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 
 /// Timeout of each step of the handshake.
-const STEP_BOUND: Duration = Duration::from_secs(1);
+const STEP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a VM identifies itself with in a handshake.
 pub(crate) struct PeerIdentity {
@@ -20,11 +20,11 @@
         tx: &mut PeerSender<S>,
         rx: &mut PeerReceiver<S>,
     ) -> Result<(), PeerError> {
-        let PeerBody::Challenge(challenge) = rx.receive_within(STEP_BOUND).await?.body else {
+        let PeerBody::Challenge(challenge) = rx.receive_within(STEP_TIMEOUT).await?.body else {
             return Err(PeerError::Form);
         };
         check_protocol(challenge.protocol)?;
-        let nonce = draw_nonce();
+        let nonce = random_nonce();
         let hello = PeerHello {
             entry: self.entry.clone(),
             proof: self.key.prove(&[
@@ -36,7 +36,7 @@
             nonce: nonce.clone(),
         };
         tx.send(vec![(0, PeerBody::Hello(hello))]).await?;
-        let PeerBody::Welcome(welcome) = rx.receive_within(STEP_BOUND).await?.body else {
+        let PeerBody::Welcome(welcome) = rx.receive_within(STEP_TIMEOUT).await?.body else {
             return Err(PeerError::Key);
         };
         let vm = welcome.vm.as_str().as_bytes();
@@ -59,13 +59,13 @@
         tx: &mut PeerSender<S>,
         rx: &mut PeerReceiver<S>,
     ) -> Result<PeerEntry, PeerError> {
-        let nonce = draw_nonce();
+        let nonce = random_nonce();
         let challenge = PeerChallenge {
             protocol: PEER_PROTOCOL,
             nonce: nonce.clone(),
         };
         tx.send(vec![(0, PeerBody::Challenge(challenge))]).await?;
-        let PeerBody::Hello(hello) = rx.receive_within(STEP_BOUND).await?.body else {
+        let PeerBody::Hello(hello) = rx.receive_within(STEP_TIMEOUT).await?.body else {
             return Err(PeerError::Form);
         };
         let vm = hello.entry.vm.as_str().as_bytes();
@@ -90,6 +90,6 @@
     Err(PeerError::Protocol { theirs })
 }
 
-fn draw_nonce() -> Vec<u8> {
+fn random_nonce() -> Vec<u8> {
     rand::random::<[u8; 16]>().to_vec()
 }
--- a/crates/catkinward/src/peer_link.rs
+++ b/crates/catkinward/src/peer_link.rs
@@ -9,16 +9,16 @@
 };
 
 /// Timeout of opening a connection, including the handshake.
-const OPEN_BOUND: Duration = Duration::from_secs(1);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Capacity of the queue of outgoing messages.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// Maximum number of messages in one write.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 
 /// How long an unused connection stays open.
-const IDLE_BOUND: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A connection that this VM has opened to a peer.
 pub(crate) struct PeerLink {
@@ -29,17 +29,17 @@
 
 struct Outgoing {
     body: PeerBody,
-    then: Then,
+    completion: Completion,
 }
 
 /// What the sender of a message is waiting for.
-enum Then {
+enum Completion {
     Flushed(oneshot::Sender<()>),
-    Answer(oneshot::Sender<PeerBody>),
+    Reply(oneshot::Sender<PeerBody>),
 }
 
 /// Serial of the next connection.
-static SERIAL: AtomicU64 = AtomicU64::new(1);
+static NEXT_SERIAL: AtomicU64 = AtomicU64::new(1);
 
 impl PeerLink {
     /// Opens a connection. `on_message` gets the messages that are not replies; `on_end` is called
@@ -57,16 +57,16 @@
             identity.call(&peer.vm, &mut tx, &mut rx).await?;
             Ok((tx, rx))
         };
-        let (sender, receiver) = tokio::time::timeout(OPEN_BOUND, open)
+        let (sender, receiver) = tokio::time::timeout(OPEN_TIMEOUT, open)
             .await
             .unwrap_or(Err(PeerError::Timeout))?;
-        let (tx, rx) = mpsc::channel(QUEUE);
-        let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
+        let serial = NEXT_SERIAL.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            let waiting = Mutex::new(Vec::new());
+            let pending = Mutex::new(Vec::new());
             tokio::select! {
-                () = write(sender, rx, &waiting) => {}
-                () = read(receiver, &waiting, on_message) => {}
+                () = write(sender, rx, &pending) => {}
+                () = read(receiver, &pending, on_message) => {}
             }
             on_end(serial);
         });
@@ -74,28 +74,33 @@
     }
 
     /// Sends a message and waits until it has been written to the socket.
-    pub(crate) async fn send(&self, body: PeerBody, bound: Duration) -> Result<(), PeerError> {
+    pub(crate) async fn send(&self, body: PeerBody, max_wait: Duration) -> Result<(), PeerError> {
         let (tx, rx) = oneshot::channel();
-        self.queue(body, Then::Flushed(tx), rx, bound).await
+        self.queue(body, Completion::Flushed(tx), rx, max_wait)
+            .await
     }
 
     /// Sends a request and waits for its reply.
-    pub(crate) async fn ask(&self, body: PeerBody, bound: Duration) -> Result<PeerBody, PeerError> {
+    pub(crate) async fn request(
+        &self,
+        body: PeerBody,
+        max_wait: Duration,
+    ) -> Result<PeerBody, PeerError> {
         let (tx, rx) = oneshot::channel();
-        self.queue(body, Then::Answer(tx), rx, bound).await
+        self.queue(body, Completion::Reply(tx), rx, max_wait).await
     }
 
     async fn queue<T>(
         &self,
         body: PeerBody,
-        then: Then,
+        completion: Completion,
         rx: oneshot::Receiver<T>,
-        bound: Duration,
+        max_wait: Duration,
     ) -> Result<T, PeerError> {
-        let outgoing = Outgoing { body, then };
+        let outgoing = Outgoing { body, completion };
         self.tx.try_send(outgoing).map_err(|_| PeerError::Broken)?;
-        match tokio::time::timeout(bound, rx).await {
-            Ok(Ok(answer)) => Ok(answer),
+        match tokio::time::timeout(max_wait, rx).await {
+            Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) => Err(PeerError::Broken),
             Err(_) => Err(PeerError::Timeout),
         }
@@ -103,34 +108,35 @@
 }
 
 /// Requests that have not been answered yet, sorted by number.
-type Waiting = Mutex<Vec<(u64, oneshot::Sender<PeerBody>)>>;
+type PendingRequests = Mutex<Vec<(u64, oneshot::Sender<PeerBody>)>>;
 
 async fn write<S: AsyncRead + AsyncWrite + Unpin>(
     mut sender: PeerSender<S>,
     mut rx: mpsc::Receiver<Outgoing>,
-    waiting: &Waiting,
+    pending: &PendingRequests,
 ) {
     let mut next_number = 1;
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
     loop {
-        let received = tokio::time::timeout(IDLE_BOUND, rx.recv_many(&mut batch, BATCH)).await;
+        let received =
+            tokio::time::timeout(IDLE_TIMEOUT, rx.recv_many(&mut batch, MAX_BATCH)).await;
         if !received.is_ok_and(|count| count > 0) {
             return;
         }
         let mut messages = Vec::with_capacity(batch.len());
         let mut flushed = Vec::new();
-        for Outgoing { body, then } in batch.drain(..) {
-            let number = match then {
-                Then::Flushed(tx) => {
+        for Outgoing { body, completion } in batch.drain(..) {
+            let number = match completion {
+                Completion::Flushed(tx) => {
                     flushed.push(tx);
                     0
                 }
-                Then::Answer(tx) => {
+                Completion::Reply(tx) => {
                     let number = next_number;
                     next_number += 1;
-                    let mut waiting = waiting.lock();
-                    waiting.retain(|(_, tx)| !tx.is_closed());
-                    waiting.push((number, tx));
+                    let mut pending = pending.lock();
+                    pending.retain(|(_, tx)| !tx.is_closed());
+                    pending.push((number, tx));
                     number
                 }
             };
@@ -157,7 +163,7 @@
 
 async fn read<S: AsyncRead + AsyncWrite + Unpin>(
     mut receiver: PeerReceiver<S>,
-    waiting: &Waiting,
+    pending: &PendingRequests,
     on_message: impl Fn(PeerBody),
 ) {
     while let Ok(PeerMessage { number, body, .. }) = receiver.receive().await {
@@ -165,9 +171,9 @@
             on_message(body);
             continue;
         }
-        let mut waiting = waiting.lock();
-        if let Ok(i) = waiting.binary_search_by_key(&number, |(number, _)| *number) {
-            let _ = waiting.remove(i).1.send(body);
+        let mut pending = pending.lock();
+        if let Ok(i) = pending.binary_search_by_key(&number, |(number, _)| *number) {
+            let _ = pending.remove(i).1.send(body);
         }
     }
 }
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -5,20 +5,20 @@
 
 impl Peers {
     /// Sends a request to a VM; `None` if the VM is not known or does not answer in time.
-    pub(crate) async fn ask(
+    pub(crate) async fn request(
         self: &Arc<Self>,
         vm: &VmId,
-        question: PeerBody,
-        bound: Duration,
+        message: PeerBody,
+        max_wait: Duration,
     ) -> Option<PeerBody> {
         let peer = self.table.lock().find(vm).cloned()?;
         let link = self.link(&peer).await.ok()?;
-        match link.ask(question, bound).await {
-            Ok(answer) => Some(answer),
+        match link.request(message, max_wait).await {
+            Ok(reply) => Some(reply),
             Err(fault) => {
                 tracing::debug!(peer = %vm, %fault, "peer did not answer");
-                self.drop_link(vm, link.serial);
-                self.lost(vm);
+                self.remove_link(vm, link.serial);
+                self.mark_unreachable(vm);
                 None
             }
         }
@@ -60,7 +60,7 @@
             }
             Err(fault) => {
                 tracing::info!(peer = %peer.vm, %fault, "peer cannot be reached");
-                self.lost(&peer.vm);
+                self.mark_unreachable(&peer.vm);
             }
         }
         opened
@@ -76,7 +76,7 @@
         self: &Arc<Self>,
         peer: &PeerEntry,
     ) -> Result<Arc<PeerLink>, PeerError> {
-        let (receiver, ender) = (Arc::downgrade(self), Arc::downgrade(self));
+        let (receiver, closer) = (Arc::downgrade(self), Arc::downgrade(self));
         let vm = peer.vm.clone();
         let link = PeerLink::open(
             peer,
@@ -85,19 +85,19 @@
             &self.sent,
             move |body| {
                 if let (Some(peers), PeerBody::Superseded(list)) = (receiver.upgrade(), body) {
-                    peers.superseded(&list);
+                    peers.end_superseded(&list);
                 }
             },
             move |serial| {
-                if let Some(peers) = ender.upgrade() {
-                    peers.drop_link(&vm, serial);
+                if let Some(peers) = closer.upgrade() {
+                    peers.remove_link(&vm, serial);
                 }
             },
         );
         link.await.map(Arc::new)
     }
 
-    pub(crate) fn drop_link(&self, vm: &VmId, serial: u64) {
+    pub(crate) fn remove_link(&self, vm: &VmId, serial: u64) {
         let mut links = self.links.lock();
         let found = links.binary_search_by(|(other, _)| other.cmp(vm));
         if let Ok(i) = found.map_err(|_| ()).and_then(|i| {
@@ -111,16 +111,16 @@
         }
     }
 
-    pub(crate) fn lost(&self, vm: &VmId) {
+    pub(crate) fn mark_unreachable(&self, vm: &VmId) {
         self.timeline.record(Event {
             detail: Some(vm.as_str().into()),
             ..Event::new(EventKind::PeerLost)
         });
         self.table.lock().record_failure(self.timer.now(), vm);
-        self.choose_holders();
+        self.update_holders();
     }
 
-    pub(crate) fn choose_holders(&self) {
+    pub(crate) fn update_holders(&self) {
         let now = self.timer.now();
         let own = self.own();
         let holders = self.table.lock().holders(now, &own.vm, &own.zone);
--- a/crates/catkinward/src/peer_server.rs
+++ b/crates/catkinward/src/peer_server.rs
@@ -5,27 +5,27 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Maximum number of open connections from peers.
-const MOST_CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// How long a connection may stay silent before it is closed. This is longer than the idle timeout
 /// at the peer that opened it.
-const SILENT_CALLER_BOUND: Duration = Duration::from_secs(30);
+const IDLE_PEER_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Peers {
     /// Handles a message from a peer; returns the reply, or `None` if the message gets none.
-    pub(crate) fn answer(&self, peer: &VmId, body: PeerBody) -> Option<PeerBody> {
+    pub(crate) fn handle_message(&self, peer: &VmId, body: PeerBody) -> Option<PeerBody> {
         match body {
             PeerBody::Gossip(gossip) => {
-                self.hear(&gossip, peer);
-                let mut news = self.news();
-                self.gossip.extend_reply(&gossip, &mut news);
-                Some(PeerBody::Gossip(Box::new(news)))
+                self.apply_gossip(&gossip, peer);
+                let mut reply = self.compose_gossip();
+                self.gossip.extend_reply(&gossip, &mut reply);
+                Some(PeerBody::Gossip(Box::new(reply)))
             }
-            PeerBody::AskSlices(requests) => Some(self.slices(peer, &requests)),
-            PeerBody::Progress(updates) => self.keep(&updates),
+            PeerBody::AskSlices(requests) => Some(self.slices_for(peer, &requests)),
+            PeerBody::Progress(updates) => self.store_replicas(&updates),
             PeerBody::Find(id, next, from) => {
-                let copy = self.copy(&id, &ResumePoint { next, origin: from });
-                Some(PeerBody::Found(copy.map(Box::new)))
+                let replica = self.find_replica(&id, &ResumePoint { next, origin: from });
+                Some(PeerBody::Found(replica.map(Box::new)))
             }
             PeerBody::FetchBundle(digest) => {
                 Some(PeerBody::BundleContent(self.bundle.body(digest)))
@@ -49,28 +49,28 @@
     }
 
     /// Returns slices for a peer. A peer may request slices for itself only.
-    pub(crate) fn slices(&self, peer: &VmId, requests: &[SliceRequest]) -> PeerBody {
+    pub(crate) fn slices_for(&self, peer: &VmId, requests: &[SliceRequest]) -> PeerBody {
         let own = requests.iter().filter(|request| request.vm == *peer);
-        let granter = self.granter.get();
-        PeerBody::Slices(own.filter_map(|request| granter?(request)).collect())
+        let slice_granter = self.slice_granter.get();
+        PeerBody::Slices(own.filter_map(|request| slice_granter?(request)).collect())
     }
 }
 
 /// Accepts connections from peers for the lifetime of the process.
-pub(crate) async fn accept_calls(peers: Arc<Peers>, listener: TcpListener) {
-    let places = Arc::new(tokio::sync::Semaphore::new(MOST_CONNECTIONS));
+pub(crate) async fn accept_connections(peers: Arc<Peers>, listener: TcpListener) {
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         match listener.accept().await {
             Ok((stream, address)) => {
                 let peers = peers.clone();
                 tokio::spawn(async move {
-                    if let Err(fault) = serve_call(&peers, stream).await {
+                    if let Err(fault) = serve_connection(&peers, stream).await {
                         tracing::info!(%address, %fault, "peer connection closed after an error");
                     }
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(fault) => {
@@ -81,26 +81,26 @@
     }
 }
 
-async fn serve_call(peers: &Arc<Peers>, stream: TcpStream) -> Result<(), PeerError> {
+async fn serve_connection(peers: &Arc<Peers>, stream: TcpStream) -> Result<(), PeerError> {
     let open = async {
         let clock = peers.timeline.clock();
         let (mut tx, mut rx) = peer_socket::accept(stream, clock, &peers.sent).await?;
         let entry = peers.identity.answer(&mut tx, &mut rx).await?;
         Ok((entry, tx, rx))
     };
-    let bound = Duration::from_secs(2);
-    let (entry, mut tx, mut rx) = tokio::time::timeout(bound, open)
+    let max_wait = Duration::from_secs(2);
+    let (entry, mut tx, mut rx) = tokio::time::timeout(max_wait, open)
         .await
         .unwrap_or(Err(PeerError::Timeout))?;
-    peers.heard_of(entry.clone());
+    peers.record_seen(entry.clone());
     loop {
-        let message = match rx.receive_within(SILENT_CALLER_BOUND).await {
+        let message = match rx.receive_within(IDLE_PEER_TIMEOUT).await {
             Ok(message) => message,
             Err(PeerError::Broken) => return Ok(()),
             Err(fault) => return Err(fault),
         };
-        if let Some(answer) = peers.answer(&entry.vm, message.body) {
-            tx.send(vec![(message.number, answer)]).await?;
+        if let Some(reply) = peers.handle_message(&entry.vm, message.body) {
+            tx.send(vec![(message.number, reply)]).await?;
         }
     }
 }
--- a/crates/catkinward/src/peer_socket.rs
+++ b/crates/catkinward/src/peer_socket.rs
@@ -11,11 +11,11 @@
 
 /// Maximum size of a message between VMs, in bytes. It fits the progress replica of a very long
 /// response.
-const MESSAGE_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Timeout of writing messages. The connection to a peer that does not read for this long is
 /// closed.
-const WRITE_BOUND: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Write half of a connection between VMs.
 pub(crate) struct PeerSender<S> {
@@ -35,8 +35,8 @@
 
 fn config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MESSAGE_LIMIT))
-        .max_frame_size(Some(MESSAGE_LIMIT))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 fn split<S>(
@@ -100,7 +100,7 @@
 {
     /// Writes messages to the socket in order and flushes once, so that they need few writes.
     pub(crate) async fn send(&mut self, bodies: Vec<(u64, PeerBody)>) -> Result<(), PeerError> {
-        let all = async {
+        let write = async {
             for (number, body) in bodies {
                 let time = self.clock.tick();
                 let message = PeerMessage {
@@ -115,7 +115,7 @@
             }
             self.sink.flush().await
         };
-        match tokio::time::timeout(WRITE_BOUND, all).await {
+        match tokio::time::timeout(WRITE_TIMEOUT, write).await {
             Ok(sent) => sent.map_err(|_| PeerError::Broken),
             Err(_) => Err(PeerError::Timeout),
         }
@@ -137,7 +137,7 @@
                 Message::Binary(bytes) => {
                     let message = PeerMessage::from_bytes(&bytes)?;
                     let (micros, count) = message.clock;
-                    self.clock.witness(HybridTime { micros, count });
+                    self.clock.observe(HybridTime { micros, count });
                     return Ok(message);
                 }
                 Message::Ping(_) | Message::Pong(_) => {}
@@ -151,9 +151,9 @@
     /// Receives the next message, with a timeout.
     pub(crate) async fn receive_within(
         &mut self,
-        bound: Duration,
+        max_wait: Duration,
     ) -> Result<PeerMessage, PeerError> {
-        tokio::time::timeout(bound, self.receive())
+        tokio::time::timeout(max_wait, self.receive())
             .await
             .unwrap_or(Err(PeerError::Timeout))
     }
--- a/crates/catkinward/src/peer_updates.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -95,7 +95,7 @@
             );
             if let (Ok(vm), Ok(address), Ok(zone)) = parsed {
                 if let Some(peers) = peers {
-                    peers.heard_of(PeerEntry { vm, address, zone });
+                    peers.record_seen(PeerEntry { vm, address, zone });
                 }
             } else {
                 tracing::warn!(id = entry.id, "an entry of the list of VMs cannot be read");
--- a/crates/catkinward/src/peers.rs
+++ b/crates/catkinward/src/peers.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
-    peer_exchange::exchange_news, peer_handshake::PeerIdentity, peer_link::PeerLink,
-    peer_server::accept_calls,
+    peer_exchange::run_gossip, peer_handshake::PeerIdentity, peer_link::PeerLink,
+    peer_server::accept_connections,
 };
 use tokio::net::TcpListener;
 
@@ -25,11 +25,11 @@
     pub(crate) store: Mutex<ProgressStore>,
     pub(crate) generations: Arc<Generations>,
     pub(crate) sent: Arc<AtomicU64>,
-    pub(crate) granter: std::sync::OnceLock<Granter>,
+    pub(crate) slice_granter: std::sync::OnceLock<SliceGranter>,
 }
 
 /// Callback that grants a slice of a team's limit.
-type Granter = Box<dyn Fn(&SliceRequest) -> Option<SliceGrant> + Send + Sync>;
+type SliceGranter = Box<dyn Fn(&SliceRequest) -> Option<SliceGrant> + Send + Sync>;
 
 /// Dependencies and settings of [`Peers`].
 pub struct PeerParts {
@@ -73,18 +73,18 @@
             store: Mutex::new(ProgressStore::new(ProgressLimits::default())),
             generations: parts.generations,
             sent: Arc::default(),
-            granter: std::sync::OnceLock::new(),
+            slice_granter: std::sync::OnceLock::new(),
         });
-        peers.choose_holders();
-        tokio::spawn(accept_calls(peers.clone(), listener));
-        tokio::spawn(exchange_news(peers.clone(), known));
+        peers.update_holders();
+        tokio::spawn(accept_connections(peers.clone(), listener));
+        tokio::spawn(run_gossip(peers.clone(), known));
         peers
     }
 
     /// Records that a VM was seen, for example in the platform's list.
-    pub fn heard_of(&self, entry: PeerEntry) {
+    pub fn record_seen(&self, entry: PeerEntry) {
         self.table.lock().record_seen(self.timer.now(), entry);
-        self.choose_holders();
+        self.update_holders();
     }
 
     /// Returns all known VMs except this one.
@@ -120,7 +120,7 @@
 
     /// Updates the metrics of what peers cost this VM: bytes sent, replicas stored and their size,
     /// open connections.
-    pub(crate) fn show_cost(&self) {
+    pub(crate) fn update_metrics(&self) {
         let (copies, size) = self.store.lock().usage();
         let links = self.links.lock().len();
         metrics::counter!("catkin_peer_sent_bytes_total")
@@ -131,17 +131,17 @@
     }
 
     /// Sets the callback that grants peers slices of teams' limits.
-    pub(crate) fn grant_slices(
+    pub(crate) fn set_slice_granter(
         &self,
-        granter: impl Fn(&SliceRequest) -> Option<SliceGrant> + Send + Sync + 'static,
+        slice_granter: impl Fn(&SliceRequest) -> Option<SliceGrant> + Send + Sync + 'static,
     ) {
-        let _ = self.granter.set(Box::new(granter));
+        let _ = self.slice_granter.set(Box::new(slice_granter));
     }
 
-    /// Returns the VMs that any VM has seen within the last `bound`.
-    pub(crate) fn heard_within(&self, bound: Duration) -> Vec<PeerEntry> {
+    /// Returns the VMs that any VM has seen within the last `max_age`.
+    pub(crate) fn seen_within(&self, max_age: Duration) -> Vec<PeerEntry> {
         let now = self.timer.now();
-        self.table.lock().seen_within(now, bound)
+        self.table.lock().seen_within(now, max_age)
     }
 }
 
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -114,7 +114,7 @@
 
     async fn place(&self, call: &PlainCall) -> Result<SlotGuard, Refusal> {
         let waiting = self.pool.offer(&call.arrival(), self.chooser(Vec::new()))?;
-        waiting.granted().await
+        waiting.wait_for_slot().await
     }
 
     fn claim_request(&self, call: &PlainCall, key: IdempotencyKey) -> ClaimRequest {
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -88,7 +88,7 @@
             Ok(waiting) => waiting,
             Err(refusal) => return Err(refused(queued, refusal)),
         };
-        match waiting.granted().await {
+        match waiting.wait_for_slot().await {
             Ok(place) => Ok((queued, place)),
             Err(refusal) => Err(refused(queued, refusal)),
         }
--- a/crates/catkinward/src/process_clock.rs
+++ b/crates/catkinward/src/process_clock.rs
@@ -17,7 +17,7 @@
     }
 
     /// Advances the clock by the reading of a received message.
-    pub fn witness(&self, received: HybridTime) {
+    pub fn observe(&self, received: HybridTime) {
         if let Err(fault) = self.clock.lock().observe(wall(), received) {
             tracing::warn!(%fault, "clock reading of a received message ignored");
         }
@@ -31,10 +31,10 @@
     }
 
     /// Advances the clock by the reading in a message's headers, if there is one.
-    pub fn witness_headers(&self, headers: &HeaderMap) {
+    pub fn observe_headers(&self, headers: &HeaderMap) {
         let received = headers.get(CLOCK_HEADER).and_then(|v| v.to_str().ok());
         if let Some(Ok(received)) = received.map(str::parse) {
-            self.witness(received);
+            self.observe(received);
         }
     }
 }
--- a/crates/catkinward/src/progress_replicas.rs
+++ b/crates/catkinward/src/progress_replicas.rs
@@ -3,19 +3,19 @@
 use super::*;
 use crate::{peer_link::PeerLink, peers::PROBE_TIMEOUT};
 
-/// Longest time that a token waits until its replica has been written to the connection. A peer that
-/// stopped responding must not delay a caller.
-const PROGRESS_BOUND: Duration = Duration::from_millis(50);
+/// Longest time that a token waits until its replica has been written to the connection. A peer
+/// that stopped responding must not delay a caller.
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Number of VMs that are queried for a replica.
-const MOST_ASKED: usize = 4;
+const MAX_QUERIED: usize = 4;
 
 /// Number of VMs that are queried for a replica if the caller cannot name the VM that served it.
-const MOST_ASKED_BLINDLY: usize = 16;
+const MAX_QUERIED_WITHOUT_ORIGIN: usize = 16;
 
 impl Peers {
     /// Sends progress to a replica holder and waits until it has been written to the connection, up to
-    /// [`PROGRESS_BOUND`].
+    /// [`PROGRESS_TIMEOUT`].
     ///
     /// A message that is still queued after that stays queued: on a busy VM the write only waits for
     /// a CPU. If the peer reads nothing, the connection closes after its own write timeout.
@@ -26,7 +26,7 @@
         update: ProgressUpdate,
     ) -> Result<(), PeerError> {
         let sent = link
-            .send(PeerBody::Progress(vec![update]), PROGRESS_BOUND)
+            .send(PeerBody::Progress(vec![update]), PROGRESS_TIMEOUT)
             .await;
         match sent {
             Ok(()) => Ok(()),
@@ -35,8 +35,8 @@
                 Ok(())
             }
             Err(fault) => {
-                self.drop_link(&peer.vm, link.serial);
-                self.lost(&peer.vm);
+                self.remove_link(&peer.vm, link.serial);
+                self.mark_unreachable(&peer.vm);
                 Err(fault)
             }
         }
@@ -46,7 +46,11 @@
     ///
     /// If no replica reaches the caller's resume point, any replica of the key is returned: it shows
     /// which request the key was used for.
-    pub(crate) fn find_here(&self, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
+    pub(crate) fn find_local_replica(
+        &self,
+        id: &RequestId,
+        point: &ResumePoint,
+    ) -> Option<ProgressRecord> {
         let store = self.store.lock();
         store
             .find(id, point)
@@ -61,17 +65,17 @@
         id: &RequestId,
         point: &ResumePoint,
     ) -> Option<ProgressRecord> {
-        let mut best = self.find_here(id, point);
+        let mut best = self.find_local_replica(id, point);
         if best.as_ref().is_some_and(|record| record.can_resume(point)) {
             return best;
         }
-        let mut answers = self
-            .to_be_asked(point)
+        let mut replies = self
+            .replica_candidates(point)
             .into_iter()
-            .map(|peer| self.clone().ask_for(peer, id.clone(), point.clone()))
+            .map(|peer| self.clone().fetch_replica(peer, id.clone(), point.clone()))
             .collect::<futures::stream::FuturesUnordered<_>>();
-        while let Some(answer) = futures::StreamExt::next(&mut answers).await {
-            let Some(record) = answer else { continue };
+        while let Some(reply) = futures::StreamExt::next(&mut replies).await {
+            let Some(record) = reply else { continue };
             if record.can_resume(point) {
                 return Some(record);
             }
@@ -80,10 +84,15 @@
         best
     }
 
-    /// Notifies the VMs that may run a generation or store its replica that this VM has taken it over.
-    pub(crate) fn tell_taken_over(self: &Arc<Self>, point: &ResumePoint, update: &ProgressUpdate) {
+    /// Notifies the VMs that may run a generation or store its replica that this VM has taken it
+    /// over.
+    pub(crate) fn notify_taken_over(
+        self: &Arc<Self>,
+        point: &ResumePoint,
+        update: &ProgressUpdate,
+    ) {
         self.take_over(update);
-        for peer in self.to_be_asked(point) {
+        for peer in self.replica_candidates(point) {
             let (peers, update) = (self.clone(), update.clone());
             tokio::spawn(async move {
                 let link = peers.link(&peer).await?;
@@ -94,47 +103,47 @@
     }
 
     /// Stores a replica of a generation that this VM has run, for a caller that reconnects.
-    pub(crate) fn keep_own(&self, update: &ProgressUpdate) {
+    pub(crate) fn store_own_replica(&self, update: &ProgressUpdate) {
         self.store.lock().apply(self.timer.now(), update);
     }
 
-    pub(crate) fn to_be_asked(&self, point: &ResumePoint) -> Vec<PeerEntry> {
+    pub(crate) fn replica_candidates(&self, point: &ResumePoint) -> Vec<PeerEntry> {
         let now = self.timer.now();
         let table = self.table.lock();
         let Some((vm, _)) = &point.origin else {
-            return table.nearest(now, MOST_ASKED_BLINDLY);
+            return table.nearest(now, MAX_QUERIED_WITHOUT_ORIGIN);
         };
-        let mut asked = table.likely_holders(now, vm, MOST_ASKED);
-        asked.extend(table.find(vm).cloned());
-        asked
+        let mut candidates = table.likely_holders(now, vm, MAX_QUERIED);
+        candidates.extend(table.find(vm).cloned());
+        candidates
     }
 
     /// Queries a peer for a replica. A peer that does not answer is skipped for a while, because
     /// otherwise each new request would wait for it again.
-    pub(crate) async fn ask_for(
+    pub(crate) async fn fetch_replica(
         self: Arc<Self>,
         peer: PeerEntry,
         id: RequestId,
         point: ResumePoint,
     ) -> Option<ProgressRecord> {
-        let asked = async {
+        let query = async {
             let link = self.link(&peer).await.ok()?;
-            let answer = link
-                .ask(PeerBody::Find(id, point.next, point.origin), PROBE_TIMEOUT)
+            let reply = link
+                .request(PeerBody::Find(id, point.next, point.origin), PROBE_TIMEOUT)
                 .await;
-            if answer.is_err() {
-                self.drop_link(&peer.vm, link.serial);
+            if reply.is_err() {
+                self.remove_link(&peer.vm, link.serial);
             }
-            answer.ok()
+            reply.ok()
         };
-        if let Ok(Some(PeerBody::Found(found))) = tokio::time::timeout(PROBE_TIMEOUT, asked).await {
+        if let Ok(Some(PeerBody::Found(found))) = tokio::time::timeout(PROBE_TIMEOUT, query).await {
             return found.map(|record| *record);
         }
-        self.lost(&peer.vm);
+        self.mark_unreachable(&peer.vm);
         None
     }
 
-    pub(crate) fn keep(&self, updates: &[ProgressUpdate]) -> Option<PeerBody> {
+    pub(crate) fn store_replicas(&self, updates: &[ProgressUpdate]) -> Option<PeerBody> {
         let now = self.timer.now();
         let mut store = self.store.lock();
         let mut superseded = Vec::new();
@@ -146,11 +155,15 @@
         (!superseded.is_empty()).then_some(PeerBody::Superseded(superseded))
     }
 
-    pub(crate) fn copy(&self, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
+    pub(crate) fn find_replica(
+        &self,
+        id: &RequestId,
+        point: &ResumePoint,
+    ) -> Option<ProgressRecord> {
         let running = self.generations.of(id);
         let reaching = running.iter().find(|generation| generation.reaches(point));
         let reaching = reaching.and_then(|generation| generation.progress());
-        reaching.or_else(|| self.find_here(id, point))
+        reaching.or_else(|| self.find_local_replica(id, point))
     }
 
     /// Handles that another VM has taken a generation over. This VM ends the generation if it runs it;
@@ -158,11 +171,11 @@
     pub(crate) fn take_over(&self, update: &ProgressUpdate) {
         let lineage = update.head.iter().flat_map(|head| &head.lineage);
         let ended = lineage.map(|(chain, _)| (update.id.clone(), *chain, update.attempt));
-        self.superseded(&ended.collect::<Vec<_>>());
+        self.end_superseded(&ended.collect::<Vec<_>>());
         self.store.lock().apply(self.timer.now(), update);
     }
 
-    pub(crate) fn superseded(&self, list: &[(RequestId, ChainId, Attempt)]) {
+    pub(crate) fn end_superseded(&self, list: &[(RequestId, ChainId, Attempt)]) {
         for (id, chain, attempt) in list {
             for generation in self.generations.of(id) {
                 let keyed = generation.request.keyed.as_ref();
--- a/crates/catkinward/src/progress_replicator.rs
+++ b/crates/catkinward/src/progress_replicator.rs
@@ -1,20 +1,19 @@
 use super::*;
 
-/// Sends the progress of one generation to the VMs that store replicas of it, and only then
-/// releases the tokens to the caller.
+/// Sends the progress of one generation to its replicas before releasing the tokens to the caller.
 ///
-/// A router may crash right after a caller received a token. If the replica were sent later, the
-/// caller would reconnect with an index that no other VM has reached, and if the engine is gone
-/// too, the response could not be resumed. So the update is written to the socket first. It is
-/// not acknowledged, because a round trip for each token would cost more than it saves.
+/// If a router crashed between releasing a token and sending its replica, the caller would
+/// reconnect with an index that no other VM has reached, and the response could not be resumed if
+/// the engine is gone too. Writing the update to the socket first suffices; waiting for an
+/// acknowledgement would cost a round trip for each token, which is more than it saves.
 pub(crate) struct ProgressReplicator {
     node: Arc<Node>,
     generation: Arc<Generation>,
-    kept: Vec<Kept>,
+    sent: Vec<SentProgress>,
 }
 
 /// What has been sent to a replica holder over one connection.
-struct Kept {
+struct SentProgress {
     vm: VmId,
     serial: u64,
     next: TokenIndex,
@@ -26,7 +25,7 @@
         Self {
             node,
             generation,
-            kept: Vec::new(),
+            sent: Vec::new(),
         }
     }
 
@@ -34,38 +33,38 @@
     pub(crate) async fn release(&mut self) {
         let next = self.generation.next_index();
         if self.generation.request.keyed.is_some() {
-            self.bring_up_to_date().await;
+            self.update_replicas().await;
         }
         self.generation.release(next);
     }
 
-    async fn bring_up_to_date(&mut self) {
+    async fn update_replicas(&mut self) {
         let Some(peers) = self.node.peers.clone() else {
             return;
         };
         let holders = peers.holders();
-        let updates = holders.iter().map(|peer| self.update(&peers, peer));
-        let kept = futures::future::join_all(updates).await;
-        self.kept = kept.into_iter().flatten().collect();
-        if self.kept.is_empty() && !holders.is_empty() {
+        let updates = holders.iter().map(|peer| self.send_update(&peers, peer));
+        let sent = futures::future::join_all(updates).await;
+        self.sent = sent.into_iter().flatten().collect();
+        if self.sent.is_empty() && !holders.is_empty() {
             tracing::warn!(id = %self.generation.request.id, "no VM stores a replica of the progress");
         }
     }
 
     /// Sends a replica holder what it lacks. Over a new connection that is everything, because what
     /// was sent over the old one may never have arrived.
-    async fn update(&self, peers: &Arc<Peers>, peer: &PeerEntry) -> Option<Kept> {
+    async fn send_update(&self, peers: &Arc<Peers>, peer: &PeerEntry) -> Option<SentProgress> {
         let link = peers.link(peer).await.ok()?;
-        let mut kept = self.kept.iter();
-        let kept = kept.find(|kept| kept.vm == peer.vm && kept.serial == link.serial);
-        let from = kept.map_or(TokenIndex(0), |kept| kept.next);
+        let mut sent = self.sent.iter();
+        let sent = sent.find(|sent| sent.vm == peer.vm && sent.serial == link.serial);
+        let from = sent.map_or(TokenIndex(0), |sent| sent.next);
         let mut update = self.generation.progress_from(from)?;
         let (attempt, next) = (update.attempt, TokenIndex(from.0 + update.tokens.len().0));
-        if kept.is_some_and(|kept| kept.attempt == attempt) {
+        if sent.is_some_and(|sent| sent.attempt == attempt) {
             update.upstream = None;
         }
         peers.send_progress(peer, &link, update).await.ok()?;
-        Some(Kept {
+        Some(SentProgress {
             vm: peer.vm.clone(),
             serial: link.serial,
             next,
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -12,19 +12,19 @@
 };
 
 /// Timeout of re-attaching to a running attempt.
-const PROBE_BOUND: Duration = Duration::from_millis(500);
+const REATTACH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Timeout until a second attempt delivers its first token or reports that it is queued.
-const SECOND_BOUND: Duration = Duration::from_secs(1);
+const SECOND_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Head start of re-attaching to the running attempt over a second attempt. A live engine answers
 /// within a round trip of a few milliseconds, and the second attempt would only be cancelled.
-const HEAD_START: Duration = Duration::from_millis(25);
+const REATTACH_HEAD_START: Duration = Duration::from_millis(25);
 
 /// Attempt that made progress first after the loss of a stream.
-enum Raced {
+enum RaceWinner {
     /// The original attempt, over a new connection.
-    Old(Box<AttemptStream>),
+    Original(Box<AttemptStream>),
     /// A second attempt on another upstream.
     Second(Box<RunningAttempt>),
 }
@@ -32,7 +32,7 @@
 impl Driver {
     /// Continues the attempt of the previous VM if its engine is still running it, so that nothing is
     /// computed twice.
-    pub(crate) async fn go_on_with_left_running(&mut self) -> Option<RunningAttempt> {
+    pub(crate) async fn resume_left_running(&mut self) -> Option<RunningAttempt> {
         let (id, attempt) = self.generation.take_left_running()?;
         let request = &self.generation.request;
         let pool = self.node.admission.pool(&request.service);
@@ -44,7 +44,7 @@
             attempt,
             becomes: reserved.attempt(),
             from: self.generation.next_index(),
-            bound: PROBE_BOUND,
+            bound: REATTACH_TIMEOUT,
         };
         let stream = engine_client::reattach(&self.node.connections, reattach).await;
         let stream = stream.inspect_err(|fault| {
@@ -67,7 +67,7 @@
 
     /// Handles an order that returned no stream. The engine may be running the attempt nevertheless;
     /// under the least-work policy this re-attaches to it.
-    pub(crate) async fn find_started(
+    pub(crate) async fn reattach_after_order(
         &self,
         upstream: &SlotGuard,
         order: &engine::EngineGenerate,
@@ -96,25 +96,31 @@
         attempt: RunningAttempt,
     ) -> Result<RunningAttempt, AttemptError> {
         match self.generation.request.recovery {
-            RecoveryPolicy::LeastWork => self.probe(attempt).await,
+            RecoveryPolicy::LeastWork => self.reattach_or_fail(attempt).await,
             RecoveryPolicy::LeastWait => match self.choose(false) {
                 Some(other) => self.race(attempt, other).await,
-                None => self.probe(attempt).await,
+                None => self.reattach_or_fail(attempt).await,
             },
         }
     }
 
-    async fn probe(&self, mut attempt: RunningAttempt) -> Result<RunningAttempt, AttemptError> {
-        attempt.stream = self.reattached(&attempt).await?;
+    async fn reattach_or_fail(
+        &self,
+        mut attempt: RunningAttempt,
+    ) -> Result<RunningAttempt, AttemptError> {
+        attempt.stream = self.reattach_with_progress(&attempt).await?;
         Ok(attempt)
     }
 
-    async fn reattached(&self, attempt: &RunningAttempt) -> Result<AttemptStream, AttemptError> {
+    async fn reattach_with_progress(
+        &self,
+        attempt: &RunningAttempt,
+    ) -> Result<AttemptStream, AttemptError> {
         let upstream = &attempt.upstream;
         let number = attempt.stream.attempt();
         let found = async {
             let mut stream = self.reattach(upstream, number).await?;
-            stream.wait_for_progress(PROBE_BOUND).await?;
+            stream.wait_for_progress(REATTACH_TIMEOUT).await?;
             Ok(stream)
         };
         let found: Result<_, AttemptError> = found.await;
@@ -137,23 +143,23 @@
             attempt,
             becomes: attempt,
             from: self.generation.next_index(),
-            bound: PROBE_BOUND,
+            bound: REATTACH_TIMEOUT,
         };
         engine_client::reattach(&self.node.connections, reattach).await
     }
 
     async fn race(
         &mut self,
-        mut old: RunningAttempt,
+        mut original: RunningAttempt,
         other: SlotGuard,
     ) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
-        let second = match self.first_to_go_on(&old, other, &order).await? {
-            Raced::Old(stream) => {
-                old.stream = *stream;
-                return Ok(old);
+        let second = match self.first_to_progress(&original, other, &order).await? {
+            RaceWinner::Original(stream) => {
+                original.stream = *stream;
+                return Ok(original);
             }
-            Raced::Second(second) => second,
+            RaceWinner::Second(second) => second,
         };
         self.avoid.push(second.upstream.id().clone());
         if self.generation.adopt(reserved) {
@@ -162,29 +168,29 @@
         Err(AttemptError::Broken)
     }
 
-    async fn first_to_go_on(
+    async fn first_to_progress(
         &self,
-        old: &RunningAttempt,
+        original: &RunningAttempt,
         other: SlotGuard,
         order: &engine::EngineGenerate,
-    ) -> Result<Raced, AttemptError> {
-        let mut probe = std::pin::pin!(self.reattached(old));
+    ) -> Result<RaceWinner, AttemptError> {
+        let mut reattaching = std::pin::pin!(self.reattach_with_progress(original));
         let mut second = std::pin::pin!(self.second_attempt(other, order));
         tokio::select! {
-            probed = &mut probe => return match probed {
-                Ok(stream) => Ok(Raced::Old(Box::new(stream))),
-                Err(_) => Ok(Raced::Second(Box::new(second.await?))),
+            reattached = &mut reattaching => return match reattached {
+                Ok(stream) => Ok(RaceWinner::Original(Box::new(stream))),
+                Err(_) => Ok(RaceWinner::Second(Box::new(second.await?))),
             },
-            () = tokio::time::sleep(HEAD_START) => {}
+            () = tokio::time::sleep(REATTACH_HEAD_START) => {}
         }
         tokio::select! {
-            probed = &mut probe => match probed {
-                Ok(stream) => Ok(Raced::Old(Box::new(stream))),
-                Err(_) => Ok(Raced::Second(Box::new(second.await?))),
+            reattached = &mut reattaching => match reattached {
+                Ok(stream) => Ok(RaceWinner::Original(Box::new(stream))),
+                Err(_) => Ok(RaceWinner::Second(Box::new(second.await?))),
             },
             started = &mut second => match started {
-                Ok(second) => Ok(Raced::Second(Box::new(second))),
-                Err(_) => Ok(Raced::Old(Box::new(probe.await?))),
+                Ok(second) => Ok(RaceWinner::Second(Box::new(second))),
+                Err(_) => Ok(RaceWinner::Original(Box::new(reattaching.await?))),
             },
         }
     }
@@ -196,7 +202,11 @@
     ) -> Result<RunningAttempt, AttemptError> {
         let mut driver = Driver::new(self.node.clone(), self.generation.clone());
         let mut attempt = driver.open(upstream, order).await?;
-        match attempt.stream.wait_for_progress(SECOND_BOUND).await {
+        match attempt
+            .stream
+            .wait_for_progress(SECOND_ATTEMPT_TIMEOUT)
+            .await
+        {
             Ok(()) => Ok(attempt),
             Err(fault) => {
                 attempt.upstream.record_error(&fault).await;
--- a/crates/catkinward/src/resumable_state.rs
+++ b/crates/catkinward/src/resumable_state.rs
@@ -13,7 +13,7 @@
 impl ResumableState {
     /// Starts a new chain without a lineage.
     #[must_use]
-    pub fn begin() -> Self {
+    pub fn new_chain() -> Self {
         Self {
             chain: ChainId(rand::random()),
             lineage: Vec::new(),
@@ -22,12 +22,12 @@
 
     /// Starts a chain that continues the one in a progress replica.
     #[must_use]
-    pub fn go_on(record: &ProgressRecord) -> Self {
+    pub fn continue_from(record: &ProgressRecord) -> Self {
         let mut lineage = record.head.lineage.clone();
         lineage.push((record.chain, record.tokens.len()));
         Self {
             lineage,
-            ..Self::begin()
+            ..Self::new_chain()
         }
     }
 
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 /// Timeout of a request for slices.
-const ASK_BOUND: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// VMs that no VM has seen for this long neither allocate slices nor receive any.
-const SILENT_FOR: Duration = Duration::from_secs(30);
+const MAX_SILENCE: Duration = Duration::from_secs(30);
 
 /// Requests slices of the limits in use from their allocators, and serves as allocator for others.
 ///
@@ -12,32 +12,32 @@
 /// the limit, which is the number of the zone's VMs divided by that of all VMs. So a zone that is
 /// partitioned from the others continues as before.
 pub(crate) fn exchange_slices(peers: &Arc<Peers>, limits: &Arc<TeamLimits>, timer: &Arc<Timer>) {
-    let (table, granting) = (Arc::downgrade(peers), limits.clone());
-    peers.grant_slices(move |request| {
-        let sharers = Sharers::of(&*table.upgrade()?);
-        granting.grant(request, &sharers.zone, sharers.part)
+    let (table, granter) = (Arc::downgrade(peers), limits.clone());
+    peers.set_slice_granter(move |request| {
+        let sharers = LimitSharers::of(&*table.upgrade()?);
+        granter.grant(request, &sharers.zone, sharers.fraction)
     });
     let mut ticks = timer.subscribe(SLICE_RENEWAL_INTERVAL);
     let (peers, limits) = (peers.clone(), limits.clone());
     tokio::spawn(async move {
         while ticks.recv().await.is_some() {
-            ask_for_slices(&peers, &limits).await;
+            request_slices(&peers, &limits).await;
         }
     });
 }
 
 /// VMs that share the limits.
-struct Sharers {
+struct LimitSharers {
     /// VMs of the own availability zone, sorted.
     zone: Vec<VmId>,
     /// Their fraction of all VMs.
-    part: f64,
+    fraction: f64,
 }
 
-impl Sharers {
+impl LimitSharers {
     fn of(peers: &Peers) -> Self {
         let own = peers.own();
-        let mut all = peers.heard_within(SILENT_FOR);
+        let mut all = peers.seen_within(MAX_SILENCE);
         all.push(own.clone());
         let count = |n: usize| u32::try_from(n).map_or(f64::MAX, f64::from);
         let total = count(all.len());
@@ -48,46 +48,51 @@
             .collect::<Vec<_>>();
         zone.sort();
         Self {
-            part: count(zone.len()) / total,
+            fraction: count(zone.len()) / total,
             zone,
         }
     }
 }
 
-async fn ask_for_slices(peers: &Arc<Peers>, limits: &TeamLimits) {
-    let sharers = Sharers::of(peers);
-    let mut asks = limits.asks(&sharers.zone);
-    asks.sort_by(|a, b| a.home.cmp(&b.home));
-    let questions = asks
-        .chunk_by(|a, b| a.home == b.home)
-        .map(|asks| ask_home(peers, limits, &sharers, asks));
-    futures::future::join_all(questions).await;
+async fn request_slices(peers: &Arc<Peers>, limits: &TeamLimits) {
+    let sharers = LimitSharers::of(peers);
+    let mut requests = limits.slice_requests(&sharers.zone);
+    requests.sort_by(|a, b| a.allocator.cmp(&b.allocator));
+    let exchanges = requests
+        .chunk_by(|a, b| a.allocator == b.allocator)
+        .map(|requests| request_from_allocator(peers, limits, &sharers, requests));
+    futures::future::join_all(exchanges).await;
 }
 
 /// Requests slices from one allocator. Without a reply the slices expire and the minimum quotas
 /// remain.
-async fn ask_home(
+async fn request_from_allocator(
     peers: &Arc<Peers>,
     limits: &TeamLimits,
-    sharers: &Sharers,
-    asks: &[TeamSliceRequest],
+    sharers: &LimitSharers,
+    requests: &[TeamSliceRequest],
 ) {
-    let Some(TeamSliceRequest { home, asked, .. }) = asks.first() else {
+    let Some(TeamSliceRequest {
+        allocator,
+        requested_at,
+        ..
+    }) = requests.first()
+    else {
         return;
     };
-    let requests = asks.iter().map(|ask| ask.request.clone());
-    let grants = if *home == peers.own().vm {
+    let requests = requests.iter().map(|request| request.request.clone());
+    let grants = if *allocator == peers.own().vm {
         requests
-            .filter_map(|request| limits.grant(&request, &sharers.zone, sharers.part))
+            .filter_map(|request| limits.grant(&request, &sharers.zone, sharers.fraction))
             .collect()
     } else {
-        let question = PeerBody::AskSlices(requests.collect());
-        match peers.ask(home, question, ASK_BOUND).await {
+        let message = PeerBody::AskSlices(requests.collect());
+        match peers.request(allocator, message, REQUEST_TIMEOUT).await {
             Some(PeerBody::Slices(grants)) => grants,
             _ => return,
         }
     };
     for grant in &grants {
-        limits.granted(grant, *asked);
+        limits.apply_grant(grant, *requested_at);
     }
 }
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -3,9 +3,9 @@
 /// Enforces this VM's slices of the teams' limits, and allocates slices of limits to other VMs.
 ///
 /// Until a slice is granted, a VM admits an even share: the limit divided by the number of VMs in
-/// the settings. Peers exchange [`SliceRequest`] and [`SliceGrant`]: [`TeamLimits::asks`] returns the
-/// requests to send, [`TeamLimits::grant`] answers them as the allocator, [`TeamLimits::granted`]
-/// applies the grants.
+/// the settings. [`TeamLimits::slice_requests`] returns the requests to send to peers,
+/// [`TeamLimits::grant`] answers them as the allocator, [`TeamLimits::apply_grant`] applies the
+/// grants.
 pub struct TeamLimits {
     timer: Arc<Timer>,
     bundle: Arc<BundleInForce>,
@@ -15,7 +15,7 @@
     /// Sorted by team and kind.
     slices: Mutex<Vec<LimitSlice>>,
     /// Sorted by team and kind.
-    homes: Mutex<Vec<LimitHome>>,
+    allocators: Mutex<Vec<LimitAllocator>>,
 }
 
 struct LimitSlice {
@@ -25,26 +25,26 @@
     slice: TeamSlice,
 }
 
-struct LimitHome {
+struct LimitAllocator {
     team: TeamId,
     kind: LimitKind,
     limit: f64,
     vms: Vec<VmId>,
-    home: SliceAllocator,
+    allocator: SliceAllocator,
 }
 
 /// Average demand per second below which no slice is requested any more.
-const LEAST_DEMAND: f64 = 0.05;
+const MIN_DEMAND: f64 = 0.05;
 
 /// A request for a slice, with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamSliceRequest {
     /// The VM that allocates the slices of the limit.
-    pub home: VmId,
+    pub allocator: VmId,
     /// The request to send to it.
     pub request: SliceRequest,
     /// Time of the request; the validity of the grant starts here.
-    pub asked: Instant,
+    pub requested_at: Instant,
 }
 
 impl TeamLimits {
@@ -55,7 +55,7 @@
             vm: cfg.vm.clone(),
             sharers: cfg.entry_vms.max(1),
             slices: Mutex::default(),
-            homes: Mutex::default(),
+            allocators: Mutex::default(),
         }
     }
 
@@ -75,72 +75,74 @@
     }
 
     /// Refunds the part of the cost that an admitted request did not use.
-    pub fn give_back(&self, team: &TeamId, kind: LimitKind, cost: u32) {
+    pub fn refund(&self, team: &TeamId, kind: LimitKind, cost: u32) {
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, team, kind) {
             slices[i].slice.refund(cost.into());
         }
     }
 
-    /// Returns requests for slices of the limits that callers have used recently on this VM, addressed
-    /// to their allocators among `vms`.
+    /// Returns requests for slices of the limits that callers have used recently on this VM,
+    /// addressed to their allocators among `vms`.
     #[must_use]
-    pub fn asks(&self, vms: &[VmId]) -> Vec<TeamSliceRequest> {
+    pub fn slice_requests(&self, vms: &[VmId]) -> Vec<TeamSliceRequest> {
         let now = self.timer.now();
         let mut slices = self.slices.lock();
-        let asks = slices.iter_mut().filter_map(|entry| {
+        let requests = slices.iter_mut().filter_map(|entry| {
             let demand = entry.slice.demand(now);
             Some(TeamSliceRequest {
-                home: home_of(&entry.team, entry.kind, vms)?,
+                allocator: allocator_of(&entry.team, entry.kind, vms)?,
                 request: SliceRequest {
                     team: entry.team.clone(),
                     kind: entry.kind,
                     vm: self.vm.clone(),
-                    demand: (demand > LEAST_DEMAND).then_some(demand)?,
+                    demand: (demand > MIN_DEMAND).then_some(demand)?,
                 },
-                asked: now,
+                requested_at: now,
             })
         });
-        asks.collect()
+        requests.collect()
     }
 
-    /// Grants a slice as the allocator of the fraction `part` of a limit among `vms`. Returns `None` if
-    /// there is no such limit, this VM is not its allocator, or the requesting VM is not in `vms`.
+    /// Grants a slice as the allocator of `fraction` of a limit among `vms`. Returns `None` if there
+    /// is no such limit, this VM is not its allocator, or the requesting VM is not in `vms`.
     #[must_use]
-    pub fn grant(&self, request: &SliceRequest, vms: &[VmId], part: f64) -> Option<SliceGrant> {
-        let limit = part * f64::from(self.limit(&request.team, request.kind)?);
-        if home_of(&request.team, request.kind, vms)? != self.vm {
+    pub fn grant(&self, request: &SliceRequest, vms: &[VmId], fraction: f64) -> Option<SliceGrant> {
+        let limit = fraction * f64::from(self.limit(&request.team, request.kind)?);
+        if allocator_of(&request.team, request.kind, vms)? != self.vm {
             return None;
         }
         let now = self.timer.now();
-        let fresh = || LimitHome {
+        let new_entry = || LimitAllocator {
             team: request.team.clone(),
             kind: request.kind,
             limit,
             vms: vms.to_vec(),
-            home: SliceAllocator::new(limit, vms.to_vec(), now),
+            allocator: SliceAllocator::new(limit, vms.to_vec(), now),
         };
-        let mut homes = self.homes.lock();
+        let mut allocators = self.allocators.lock();
         let key = (&request.team, request.kind);
-        let i = match homes.binary_search_by(|home| (&home.team, home.kind).cmp(&key)) {
+        let i = match allocators
+            .binary_search_by(|allocator| (&allocator.team, allocator.kind).cmp(&key))
+        {
             Ok(i) => i,
             Err(i) => {
-                homes.insert(i, fresh());
+                allocators.insert(i, new_entry());
                 i
             }
         };
-        if homes[i].limit.total_cmp(&limit).is_ne() || homes[i].vms != vms {
-            homes[i] = fresh();
+        if allocators[i].limit.total_cmp(&limit).is_ne() || allocators[i].vms != vms {
+            allocators[i] = new_entry();
         }
-        homes[i].home.grant(request, now)
+        allocators[i].allocator.grant(request, now)
     }
 
-    /// Applies a grant that was requested at `asked`.
-    pub fn granted(&self, grant: &SliceGrant, asked: Instant) {
+    /// Applies a grant that was requested at `requested_at`.
+    pub fn apply_grant(&self, grant: &SliceGrant, requested_at: Instant) {
         let now = self.timer.now();
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, &grant.team, grant.kind) {
-            slices[i].slice.apply_grant(grant, asked, now);
+            slices[i].slice.apply_grant(grant, requested_at, now);
         }
     }
 
@@ -170,7 +172,7 @@
         limit: u32,
         now: Instant,
     ) -> &'a mut TeamSlice {
-        let fresh = || LimitSlice {
+        let new_entry = || LimitSlice {
             team: team.clone(),
             kind,
             limit,
@@ -179,19 +181,19 @@
         let i = match find(slices, team, kind) {
             Ok(i) => i,
             Err(i) => {
-                slices.insert(i, fresh());
+                slices.insert(i, new_entry());
                 i
             }
         };
         if slices[i].limit != limit {
-            slices[i] = fresh();
+            slices[i] = new_entry();
         }
         &mut slices[i].slice
     }
 }
 
 /// Returns the VM among `vms` that allocates the slices of a limit.
-fn home_of(team: &TeamId, kind: LimitKind, vms: &[VmId]) -> Option<VmId> {
+fn allocator_of(team: &TeamId, kind: LimitKind, vms: &[VmId]) -> Option<VmId> {
     let key = format!("{kind} {team}");
     vms.iter()
         .max_by_key(|vm| rendezvous_score(&key, vm.as_str()))
--- a/crates/catkinward/src/timeline.rs
+++ b/crates/catkinward/src/timeline.rs
@@ -86,7 +86,7 @@
         let records = ring.records.range(start..);
         TimelineExtract {
             records: records
-                .filter(|r| query.admits(&r.event))
+                .filter(|r| query.matches(&r.event))
                 .cloned()
                 .collect(),
             overwritten: ring.overwritten,
@@ -113,7 +113,7 @@
 }
 
 impl TimelineQuery {
-    fn admits(&self, event: &Event) -> bool {
+    fn matches(&self, event: &Event) -> bool {
         let request = self.request.is_none() || event.request == self.request;
         let upstream = self.upstream.is_none() || event.upstream == self.upstream;
         request && upstream
--- a/crates/catkinward/src/timer.rs
+++ b/crates/catkinward/src/timer.rs
@@ -17,7 +17,7 @@
 }
 
 /// Longest sleep of the timer while there are no subscriptions.
-const IDLE: Duration = Duration::from_secs(3600);
+const MAX_IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
 impl Timer {
     /// Creates a timer and spawns its task, which ends when the timer is dropped.
@@ -63,7 +63,7 @@
             .iter()
             .map(|subscription| subscription.due)
             .min()
-            .unwrap_or(now + IDLE)
+            .unwrap_or(now + MAX_IDLE_SLEEP)
     }
 }
 
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -177,11 +177,12 @@
         }
     }
 
-    /// Probes whether the upstream is alive if the request is a suspect; called immediately before the
-    /// order is sent.
+    /// Probes whether the upstream is alive if the request is a suspect; called immediately before
+    /// the order is sent.
     ///
-    /// A request may crash its upstream before any response is read, which looks the same as a request
-    /// sent to an upstream that was already dead. Only this probe distinguishes the two cases.
+    /// A request may crash its upstream before any response is read, which looks the same as a
+    /// request sent to an upstream that was already dead. Only this probe distinguishes the two
+    /// cases.
     ///
     /// # Errors
     ///
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -115,7 +115,7 @@
         self.updated.notify_one();
         let upstream = &state.entry.id;
         tracing::warn!(%upstream, incarnation = incarnation.0, under = crash_records.len(),
-            "upstream process crashed");
+            "upstream died");
         for crash_record in crash_records {
             tracing::info!(%upstream, body = %crash_record.digest, death = %crash_record.crash,
                 "request is a suspect: upstream died under it");
--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -323,7 +323,7 @@
     /// What a message from this VM to another does.
     fn tell(&self, other: &Self) {
         let sent = self.node.timeline.clock().tick();
-        other.node.timeline.clock().witness(sent);
+        other.node.timeline.clock().observe(sent);
     }
 
     fn entry(&self) -> VmEntry {
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -191,7 +191,7 @@
 
     asking.exchange_now();
     tokio::task::yield_now().await;
-    asking.heard_of(answering.own().clone());
+    asking.record_seen(answering.own().clone());
     asking.exchange_now();
 
     let heard = tokio::time::timeout(Duration::from_millis(2500), rx.recv()).await;
--- a/crates/catkinward/tests/timeline.rs
+++ b/crates/catkinward/tests/timeline.rs
@@ -88,7 +88,7 @@
         ..ahead
     };
 
-    timeline.clock().witness(sent);
+    timeline.clock().observe(sent);
     timeline.record(Event::new(EventKind::Accepted));
 
     let extract = timeline.extract(&TimelineQuery::default());
--- a/crates/standins/tests/team_limits.rs
+++ b/crates/standins/tests/team_limits.rs
@@ -129,7 +129,7 @@
     };
     site.answer().await;
 
-    let home = site.node.limits.asks(&vms())[0].home.clone();
+    let home = site.node.limits.slice_requests(&vms())[0].allocator.clone();
     let only_vm = &vms()[..1];
     let granted = site
         .node
