--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -97,11 +97,11 @@
                 Ok(())
             }
             Ok(_) => Err(PeerError::Form),
-            Err(fault) => {
+            Err(error) => {
                 // TCP takes minutes to detect that the other end of a connection is unreachable.
                 self.remove_link(&peer.vm, link.serial);
                 self.mark_unreachable(&peer.vm);
-                Err(fault)
+                Err(error)
             }
         }
     }
@@ -220,8 +220,8 @@
         if let Some(peer) = neighbours.get(round % neighbours.len().max(1)) {
             let (peers, peer) = (peers.clone(), peer.clone());
             tokio::spawn(async move {
-                if let Err(fault) = peers.exchange_with(&peer).await {
-                    tracing::debug!(peer = %peer.vm, %fault, "no news");
+                if let Err(error) = peers.exchange_with(&peer).await {
+                    tracing::debug!(peer = %peer.vm, fault = %error, "no news");
                 }
             });
         }
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -15,8 +15,8 @@
         let link = self.link(&peer).await.ok()?;
         match link.request(message, max_wait).await {
             Ok(reply) => Some(reply),
-            Err(fault) => {
-                tracing::debug!(peer = %vm, %fault, "peer did not answer");
+            Err(error) => {
+                tracing::debug!(peer = %vm, fault = %error, "peer did not answer");
                 self.remove_link(vm, link.serial);
                 self.mark_unreachable(vm);
                 None
@@ -58,8 +58,8 @@
                     Err(i) => links.insert(i, (peer.vm.clone(), link.clone())),
                 }
             }
-            Err(fault) => {
-                tracing::info!(peer = %peer.vm, %fault, "peer cannot be reached");
+            Err(error) => {
+                tracing::info!(peer = %peer.vm, fault = %error, "peer cannot be reached");
                 self.mark_unreachable(&peer.vm);
             }
         }
--- a/crates/catkinward/src/peer_server.rs
+++ b/crates/catkinward/src/peer_server.rs
@@ -67,14 +67,15 @@
             Ok((stream, address)) => {
                 let peers = peers.clone();
                 tokio::spawn(async move {
-                    if let Err(fault) = serve_connection(&peers, stream).await {
-                        tracing::info!(%address, %fault, "peer connection closed after an error");
+                    if let Err(error) = serve_connection(&peers, stream).await {
+                        tracing::info!(%address, fault = %error,
+                            "peer connection closed after an error");
                     }
                     drop(permit);
                 });
             }
-            Err(fault) => {
-                tracing::warn!(%fault, "cannot accept a peer connection");
+            Err(error) => {
+                tracing::warn!(fault = %error, "cannot accept a peer connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -97,7 +98,7 @@
         let message = match rx.receive_within(IDLE_PEER_TIMEOUT).await {
             Ok(message) => message,
             Err(PeerError::Broken) => return Ok(()),
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         };
         if let Some(reply) = peers.handle_message(&entry.vm, message.body) {
             tx.send(vec![(message.number, reply)]).await?;
--- a/crates/catkinward/src/peer_updates.rs
+++ b/crates/catkinward/src/peer_updates.rs
@@ -75,7 +75,7 @@
             Ok(list) => list
                 .into_iter()
                 .for_each(|entry| apply_entry(peers.as_deref(), &upstreams, &entry)),
-            Err(fault) => tracing::debug!(%fault, "cannot read the platform's list of VMs"),
+            Err(error) => tracing::debug!(fault = %error, "cannot read the platform's list of VMs"),
         }
         if ticks.recv().await.is_none() {
             return;
--- a/crates/catkinward/src/process_clock.rs
+++ b/crates/catkinward/src/process_clock.rs
@@ -18,8 +18,8 @@
 
     /// Advances the clock by the reading of a received message.
     pub fn observe(&self, received: HybridTime) {
-        if let Err(fault) = self.clock.lock().observe(wall(), received) {
-            tracing::warn!(%fault, "clock reading of a received message ignored");
+        if let Err(error) = self.clock.lock().observe(wall(), received) {
+            tracing::warn!(fault = %error, "clock reading of a received message ignored");
         }
     }
 
--- a/crates/catkinward/src/progress_replicas.rs
+++ b/crates/catkinward/src/progress_replicas.rs
@@ -34,10 +34,10 @@
                 metrics::counter!("catkin_progress_copies_late_total").increment(1);
                 Ok(())
             }
-            Err(fault) => {
+            Err(error) => {
                 self.remove_link(&peer.vm, link.serial);
                 self.mark_unreachable(&peer.vm);
-                Err(fault)
+                Err(error)
             }
         }
     }
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -47,8 +47,9 @@
             bound: REATTACH_TIMEOUT,
         };
         let stream = engine_client::reattach(&self.node.connections, reattach).await;
-        let stream = stream.inspect_err(|fault| {
-            tracing::info!(id = %self.generation.request.id, upstream = %id, %fault, "cannot re-attach to the attempt of the previous VM");
+        let stream = stream.inspect_err(|error| {
+            tracing::info!(id = %self.generation.request.id, upstream = %id, fault = %error,
+                "cannot re-attach to the attempt of the previous VM");
         });
         let stream = stream.ok()?;
         self.record(EventKind::ReAttached, reserved.attempt(), &id, None);
@@ -71,15 +72,15 @@
         &self,
         upstream: &SlotGuard,
         order: &engine::EngineGenerate,
-        fault: &AttemptError,
+        error: &AttemptError,
     ) -> Option<AttemptStream> {
         let full = engine::EngineRefusalKind::Full;
-        if matches!(fault, AttemptError::Refused { kind } if *kind == full) {
+        if matches!(error, AttemptError::Refused { kind } if *kind == full) {
             upstream.record_overload();
         }
-        upstream.record_error(fault).await;
+        upstream.record_error(error).await;
         let least_work = self.generation.request.recovery == RecoveryPolicy::LeastWork;
-        if !least_work || !fault.may_have_started() {
+        if !least_work || !error.may_have_started() {
             return None;
         }
         let attempt = Attempt(order.attempt);
@@ -126,7 +127,7 @@
         let found: Result<_, AttemptError> = found.await;
         match &found {
             Ok(_) => self.record(EventKind::ReAttached, number, upstream.id(), None),
-            Err(fault) => upstream.record_error(fault).await,
+            Err(error) => upstream.record_error(error).await,
         }
         found
     }
@@ -208,9 +209,9 @@
             .await
         {
             Ok(()) => Ok(attempt),
-            Err(fault) => {
-                attempt.upstream.record_error(&fault).await;
-                Err(fault)
+            Err(error) => {
+                attempt.upstream.record_error(&error).await;
+                Err(error)
             }
         }
     }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -143,8 +143,8 @@
     ///
     /// Call this before the handle is dropped: a crash is only recorded for requests that count as
     /// running on the upstream.
-    pub(crate) async fn record_error(&self, fault: &AttemptError) {
-        match fault {
+    pub(crate) async fn record_error(&self, error: &AttemptError) {
+        match error {
             AttemptError::Refused { kind } => self.record_refusal(*kind),
             AttemptError::NotEligible | AttemptError::Held { .. } => {}
             AttemptError::Unproven => {
@@ -153,7 +153,7 @@
                 self.abandon_run();
                 self.probe().await;
             }
-            AttemptError::Http(fault) if fault.never_connected() => {
+            AttemptError::Http(error) if error.never_connected() => {
                 self.record_failure();
                 // No connection was made, so the request was not running there if the upstream crashed.
                 self.abandon_run();
@@ -204,8 +204,9 @@
             .connections
             .call_json(liveness_probe(self.address()))
             .await
-            .map_err(|fault| {
-                tracing::info!(upstream = %self.id(), %fault, "liveness probe before a suspect request failed");
+            .map_err(|error| {
+                tracing::info!(upstream = %self.id(), fault = %error,
+                    "liveness probe before a suspect request failed");
                 AttemptError::Unproven
             })?;
         let report = read_report(load);
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -141,8 +141,9 @@
             Err(HttpError::Call { source, .. }) if !is_unreachable(&source) => {
                 self.record_crash(state, incarnation);
             }
-            Err(fault) => {
-                tracing::debug!(upstream = %state.entry.id, %fault, "cannot determine whether the upstream crashed");
+            Err(error) => {
+                tracing::debug!(upstream = %state.entry.id, fault = %error,
+                    "cannot determine whether the upstream crashed");
             }
         }
     }
@@ -162,11 +163,12 @@
         state.poll_fresh.store(reply.is_err(), Ordering::Relaxed);
         match reply {
             Ok(load) => self.record_report(state, requested, read_report(load)),
-            Err(fault) => {
-                tracing::debug!(upstream = %state.entry.id, %fault, "upstream did not send a load report");
+            Err(error) => {
+                tracing::debug!(upstream = %state.entry.id, fault = %error,
+                    "upstream did not send a load report");
                 // Select other upstreams for new work immediately, not only once the last report has
                 // become stale.
-                if matches!(fault, http_client::HttpError::Call { .. }) {
+                if matches!(error, http_client::HttpError::Call { .. }) {
                     state.record.lock().record_failure(self.timer.now());
                 }
             }
