--- a/crates/catkinward/src/peer_key.rs
+++ b/crates/catkinward/src/peer_key.rs
@@ -28,7 +28,7 @@
 
     fn mac(&self, parts: &[&[u8]]) -> Hmac<sha2::Sha256> {
         let mut mac = Hmac::<sha2::Sha256>::new_from_slice(self.0.as_bytes())
-            .expect("HMAC takes keys of any length");
+            .expect("HMAC accepts keys of any length");
         for part in parts {
             mac.update(&part.len().to_le_bytes());
             mac.update(part);
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -29,7 +29,7 @@
         self: &Arc<Self>,
         peer: &PeerEntry,
     ) -> Result<Arc<PeerLink>, PeerError> {
-        if let Some(link) = self.open_link(&peer.vm) {
+        if let Some(link) = self.existing_link(&peer.vm) {
             return Ok(link);
         }
         // The task continues if the caller stops waiting. Otherwise a connection to a distant VM would
@@ -44,7 +44,7 @@
     async fn open_once(self: &Arc<Self>, peer: &PeerEntry) -> Result<Arc<PeerLink>, PeerError> {
         let opening = self.opening(&peer.vm);
         let _guard = opening.lock().await;
-        if let Some(link) = self.open_link(&peer.vm) {
+        if let Some(link) = self.existing_link(&peer.vm) {
             return Ok(link);
         }
         let opened = self.open(peer).await;
@@ -66,7 +66,7 @@
         opened
     }
 
-    pub(crate) fn open_link(&self, vm: &VmId) -> Option<Arc<PeerLink>> {
+    pub(crate) fn existing_link(&self, vm: &VmId) -> Option<Arc<PeerLink>> {
         let links = self.links.lock();
         let i = links.binary_search_by(|(other, _)| other.cmp(vm)).ok()?;
         Some(links[i].1.clone())
--- a/crates/catkinward/src/peer_message.rs
+++ b/crates/catkinward/src/peer_message.rs
@@ -94,7 +94,7 @@
     #[must_use]
     pub fn to_bytes(&self) -> Bytes {
         let mut buf = Vec::with_capacity(256);
-        ciborium::into_writer(self, &mut buf).expect("peer messages can be written as CBOR");
+        ciborium::into_writer(self, &mut buf).expect("peer messages can be encoded as CBOR");
         buf.into()
     }
 
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -78,7 +78,7 @@
             dispatch.pool.count("catkin_merged_reads_total");
             let until_deadline = call.deadline.since(dispatch.pool.timer.now());
             match tokio::time::timeout(until_deadline, rx).await {
-                Ok(Ok(CoalescedRead::Answer(answer))) => return Ok(answer),
+                Ok(Ok(CoalescedRead::Response(answer))) => return Ok(answer),
                 Ok(Ok(CoalescedRead::Lead(leader))) => leader,
                 _ => return Err(ProblemKind::AnswerLost.into()),
             }
@@ -87,7 +87,7 @@
     let answer = dispatch.call_repeatedly(call).await?;
     // An upstream's failure is the leader's alone: the next one asks by itself.
     if !answer.status.is_server_error() {
-        leader.answered(&answer);
+        leader.share_response(&answer);
     }
     Ok(answer)
 }
--- a/crates/catkinward/src/read_leader.rs
+++ b/crates/catkinward/src/read_leader.rs
@@ -5,7 +5,7 @@
 /// What a read that was coalesced with another read receives.
 pub(crate) enum CoalescedRead {
     /// The response of the leading read.
-    Answer(PlainResponse),
+    Response(PlainResponse),
     /// The leading read failed; this read now takes the lead.
     Lead(ReadLeader),
 }
@@ -33,11 +33,11 @@
     }
 
     /// Sends the response to all followers.
-    pub(crate) fn answered(mut self, answer: &PlainResponse) {
+    pub(crate) fn share_response(mut self, response: &PlainResponse) {
         self.is_over = true;
         let followers = self.pool.reads.lock().complete(&self.key);
         for follower in followers {
-            let _ = follower.send(CoalescedRead::Answer(answer.clone()));
+            let _ = follower.send(CoalescedRead::Response(response.clone()));
         }
     }
 
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -155,7 +155,8 @@
             }
             AttemptError::Http(error) if error.never_connected() => {
                 self.record_failure();
-                // No connection was made, so the request was not running there if the upstream crashed.
+                // No connection was made, so the request was not running there if the upstream
+                // crashed.
                 self.abandon_run();
                 self.probe().await;
             }
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -233,7 +233,8 @@
         }
         for record in new {
             tracing::info!(%peer, body = %record.digest, death = %record.crash,
-                cleared = record.cleared, age_ms = record.age_ms, "a peer tells of a death under a request");
+                cleared = record.cleared, age_ms = record.age_ms,
+                "a peer tells of a death under a request");
         }
     }
 
--- a/crates/catkinward/tests/connections.rs
+++ b/crates/catkinward/tests/connections.rs
@@ -17,22 +17,32 @@
 /// that waits for them instead of accepting others, or passes their connections to the server.
 #[gtest]
 #[tokio::test]
-async fn silent_and_trickling_callers_hold_up_no_other() {
+async fn idle_and_slow_callers_do_not_block_others() {
     let (listener, address) = listener().await;
-    let mut incoming = listener.make_incoming().await.expect("it listens");
-    let mut held = Vec::new();
+    let mut incoming = listener
+        .make_incoming()
+        .await
+        .expect("the listener is open");
+    let mut idle = Vec::new();
     for sent in ["", "GET / HT", "GET / HTTP/1.1\r\nhost: a\r\n"] {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         stream.write_all(sent.as_bytes()).await.expect("sent");
-        held.push(stream);
+        idle.push(stream);
     }
-    let mut whole = TcpStream::connect(address).await.expect("a connection");
-    whole.write_all(b"GET / HTTP/1.1\r\n").await.expect("sent");
-    whole.write_all(b"host: a\r\n\r\n").await.expect("sent");
+    let mut complete = TcpStream::connect(address).await.expect("a connection");
+    complete
+        .write_all(b"GET / HTTP/1.1\r\n")
+        .await
+        .expect("sent");
+    complete.write_all(b"host: a\r\n\r\n").await.expect("sent");
 
-    let accepted = incoming.accept().await.expect("accepted").expect("one");
+    let accepted = incoming
+        .accept()
+        .await
+        .expect("accepted")
+        .expect("a connection");
 
     let peer = accepted.info.peer_addr.expect("a peer").to_string();
-    let expected = whole.local_addr().expect("an address").to_string();
+    let expected = complete.local_addr().expect("an address").to_string();
     expect_that!(peer, contains_substring(expected.as_str()));
 }
--- a/crates/catkinward/tests/fresh_connections.rs
+++ b/crates/catkinward/tests/fresh_connections.rs
@@ -17,28 +17,28 @@
 /// Starts a server that keeps its connections open. Returns its address and the maximum number of
 /// requests received on one connection.
 async fn server() -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let most = Arc::new(AtomicUsize::new(0));
-    let seen = most.clone();
+    let max_requests = Arc::new(AtomicUsize::new(0));
+    let counter = max_requests.clone();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(answer_all(stream, seen.clone()));
+            tokio::spawn(respond_to_all(stream, counter.clone()));
         }
     });
-    (address, most)
+    (address, max_requests)
 }
 
-async fn answer_all(mut stream: TcpStream, most: Arc<AtomicUsize>) {
+async fn respond_to_all(mut stream: TcpStream, max_requests: Arc<AtomicUsize>) {
     let mut buf = vec![0; 4096];
     for requests in 1.. {
         match stream.read(&mut buf).await {
             Ok(n) if n > 0 => {}
             _ => return,
         }
-        most.fetch_max(requests, Ordering::Relaxed);
-        let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-        if stream.write_all(answer).await.is_err() {
+        max_requests.fetch_max(requests, Ordering::Relaxed);
+        let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+        if stream.write_all(response).await.is_err() {
             return;
         }
     }
@@ -49,8 +49,8 @@
 /// be dead without an error, and an order sent on it would be lost unnoticed.
 #[gtest]
 #[tokio::test]
-async fn no_connection_is_used_twice() {
-    let (address, most) = server().await;
+async fn fresh_calls_do_not_reuse_connections() {
+    let (address, max_requests) = server().await;
     let connections = Connections::new().expect("a client");
     let calls = |_| async {
         for _ in 0..25 {
@@ -59,11 +59,11 @@
                 fresh: true,
                 ..HttpCall::default()
             };
-            connections.call_whole(call).await.expect("an answer");
+            connections.call_whole(call).await.expect("a response");
         }
     };
 
     futures::future::join_all((0..8).map(calls)).await;
 
-    expect_that!(most.load(Ordering::Relaxed), eq(1));
+    expect_that!(max_requests.load(Ordering::Relaxed), eq(1));
 }
--- a/crates/catkinward/tests/peers.rs
+++ b/crates/catkinward/tests/peers.rs
@@ -16,14 +16,16 @@
 
 fn entry(vm: &str, address: SocketAddr) -> PeerEntry {
     PeerEntry {
-        vm: vm.parse().expect("a name"),
+        vm: vm.parse().expect("a valid name"),
         address,
-        zone: "zone-1".parse().expect("a name"),
+        zone: "zone-1".parse().expect("a valid name"),
     }
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
+    let listener = TcpListener::bind(("127.0.0.1", 0))
+        .await
+        .expect("a free port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
@@ -74,14 +76,14 @@
 async fn challenge(socket: &mut Socket) -> PeerChallenge {
     match receive(socket).await.map(|message| message.body) {
         Some(PeerBody::Challenge(challenge)) => challenge,
-        other => panic!("a challenge was due, not {other:?}"),
+        other => panic!("expected a challenge, got {other:?}"),
     }
 }
 
-/// Sends a hello as VM `shown`, with a proof made with `key` over the nonce of a challenge.
-async fn hello(socket: &mut Socket, key: &str, nonce: &[u8], shown: &str) {
+/// Sends a hello as VM `claimed_vm`, with a proof made with `key` over the nonce of a challenge.
+async fn hello(socket: &mut Socket, key: &str, nonce: &[u8], claimed_vm: &str) {
     let own = vec![1; 16];
-    let entry = entry(shown, SocketAddr::from(([127, 0, 0, 1], 1)));
+    let entry = entry(claimed_vm, SocketAddr::from(([127, 0, 0, 1], 1)));
     let proof = PeerKey::new(key).prove(&[b"hello", nonce, &own, entry.vm.as_str().as_bytes()]);
     let hello = PeerHello {
         entry,
@@ -93,15 +95,15 @@
 
 #[gtest]
 #[tokio::test]
-async fn peer_with_the_key_is_welcome() {
+async fn peer_with_the_key_is_accepted() {
     let peers = peers("vm-1", "secret", Vec::new()).await;
     let mut socket = call(peers.own().address).await;
     let challenge = challenge(&mut socket).await;
 
     hello(&mut socket, "secret", &challenge.nonce, "vm-2").await;
 
-    let answer = receive(&mut socket).await.map(|message| message.body);
-    expect_that!(answer, some(matches_pattern!(PeerBody::Welcome(_))));
+    let reply = receive(&mut socket).await.map(|message| message.body);
+    expect_that!(reply, some(matches_pattern!(PeerBody::Welcome(_))));
     expect_that!(challenge.protocol, eq(PEER_PROTOCOL));
 }
 
@@ -124,7 +126,7 @@
 /// differs.
 #[gtest]
 #[tokio::test]
-async fn recorded_handshake_is_refused() {
+async fn replayed_handshake_is_refused() {
     let peers = peers("vm-1", "secret", Vec::new()).await;
     let mut first = call(peers.own().address).await;
     let recorded = challenge(&mut first).await;
@@ -139,14 +141,14 @@
 /// A client skips the handshake and sends a request immediately.
 #[gtest]
 #[tokio::test]
-async fn question_before_the_handshake_is_refused() {
+async fn request_before_the_handshake_is_refused() {
     let peers = peers("vm-1", "secret", Vec::new()).await;
     let mut socket = call(peers.own().address).await;
     challenge(&mut socket).await;
 
     send(
         &mut socket,
-        PeerBody::Find("request".parse().expect("an id"), TokenIndex(0), None),
+        PeerBody::Find("request".parse().expect("a valid id"), TokenIndex(0), None),
     )
     .await;
 
@@ -156,7 +158,7 @@
 /// Each VM is configured with one other at most, and discovers the rest by gossip.
 #[gtest]
 #[tokio::test]
-async fn vms_learn_of_each_other() {
+async fn vms_discover_each_other_by_gossip() {
     let first = peers("vm-1", "secret", Vec::new()).await;
     let second = peers("vm-2", "secret", vec![first.own().clone()]).await;
     let third = peers("vm-3", "secret", vec![second.own().clone()]).await;
@@ -175,27 +177,27 @@
 /// VMs that accept connections and then send nothing must not delay connections to other VMs.
 #[gtest]
 #[tokio::test]
-async fn silent_vms_do_not_hold_up_connections_to_others() {
-    let mut silent = Vec::new();
+async fn unresponsive_vms_do_not_delay_connections_to_others() {
+    let mut unresponsive = Vec::new();
     for _ in 0..4 {
-        silent.push(listener().await);
+        unresponsive.push(listener().await);
     }
-    let entries = silent.iter().enumerate();
+    let entries = unresponsive.iter().enumerate();
     let known = entries.map(|(n, (_, address))| entry(&format!("vm-{n}"), *address));
-    let asking = peers("vm-9", "secret", known.collect()).await;
-    let answering = peers("vm-8", "secret", Vec::new()).await;
+    let requester = peers("vm-9", "secret", known.collect()).await;
+    let responder = peers("vm-8", "secret", Vec::new()).await;
     let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel();
-    asking.gossip.on_receive(move |_, sender| {
+    requester.gossip.on_receive(move |_, sender| {
         let _ = tx.send(sender.clone());
     });
 
-    asking.exchange_now();
+    requester.exchange_now();
     tokio::task::yield_now().await;
-    asking.record_seen(answering.own().clone());
-    asking.exchange_now();
+    requester.record_seen(responder.own().clone());
+    requester.exchange_now();
 
-    let heard = tokio::time::timeout(Duration::from_millis(2500), rx.recv()).await;
-    expect_that!(heard, ok(some(eq(&answering.own().vm))));
+    let received = tokio::time::timeout(Duration::from_millis(2500), rx.recv()).await;
+    expect_that!(received, ok(some(eq(&responder.own().vm))));
 }
 
 /// A VM is about to refuse a request under which two upstreams crashed, and queries its peers first.
@@ -204,51 +206,52 @@
 /// refused as well.
 #[gtest]
 #[tokio::test]
-async fn a_vm_that_asks_about_deaths_is_told_who_caused_them() {
-    let mark = |digest: u64, crash: u64| PoisonRecord {
-        digest: format!("{digest:032x}").parse().expect("a digest"),
+async fn reply_to_crash_records_names_the_request_that_caused_them() {
+    let record = |digest: u64, crash: u64| PoisonRecord {
+        digest: format!("{digest:032x}").parse().expect("a valid digest"),
         crash: UpstreamCrashId(crash),
         cleared: false,
         age_ms: 0,
     };
-    let (culprit, beside) = ([mark(1, 1), mark(1, 2)], [mark(2, 2), mark(2, 3)]);
+    let (quarantined, concurrent) = ([record(1, 1), record(1, 2)], [record(2, 2), record(2, 3)]);
     let node = Node::start(Settings {
-        vm: "vm-1".parse().expect("a name"),
+        vm: "vm-1".parse().expect("a valid name"),
         peer_listen: Some(SocketAddr::from(([127, 0, 0, 1], 0))),
         peer_key: PeerKey::new("secret"),
         ..Settings::default()
     });
-    let node = node.expect("a node starts");
-    let teller = "vm-3".parse().expect("a name");
-    node.upstreams.merge_poison(&culprit, &teller);
+    let node = node.expect("the node starts");
+    let sender = "vm-3".parse().expect("a valid name");
+    node.upstreams.merge_poison(&quarantined, &sender);
     while !node.upstreams.poison_deltas().is_empty() {}
-    let peers = node.peers.as_ref().expect("it has peers");
+    let peers = node.peers.as_ref().expect("the node listens for peers");
     let mut socket = call(peers.own().address).await;
     let challenge = challenge(&mut socket).await;
     hello(&mut socket, "secret", &challenge.nonce, "vm-2").await;
     receive(&mut socket).await;
 
-    let news = Gossip {
-        poison: beside.to_vec(),
+    let message = Gossip {
+        poison: concurrent.to_vec(),
         ..Gossip::default()
     };
-    send(&mut socket, PeerBody::Gossip(Box::new(news))).await;
+    send(&mut socket, PeerBody::Gossip(Box::new(message))).await;
 
-    let Some(PeerBody::Gossip(told)) = receive(&mut socket).await.map(|message| message.body)
+    let Some(PeerBody::Gossip(reply)) = receive(&mut socket).await.map(|message| message.body)
     else {
-        panic!("no news");
+        panic!("expected gossip in reply");
     };
-    let named = culprit.map(|mark| {
-        let same = |told: &PoisonRecord| (told.digest, told.crash) == (mark.digest, mark.crash);
-        told.poison.iter().any(same)
+    let contained = quarantined.map(|record| {
+        let is_same =
+            |reply: &PoisonRecord| (reply.digest, reply.crash) == (record.digest, record.crash);
+        reply.poison.iter().any(is_same)
     });
-    expect_that!(named, eq([true, true]));
+    expect_that!(contained, eq([true, true]));
 }
 
 proptest! {
     /// Any bytes from the network decode to a message or a typed error, never to a panic.
     #[test]
-    fn any_bytes_are_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_decode_to_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = PeerMessage::from_bytes(&bytes);
 
         prop_assert!(read.is_ok() || matches!(read, Err(PeerError::Form)));
@@ -256,7 +259,7 @@
 
     /// A message with one changed byte either decodes to a message or is refused.
     #[test]
-    fn damaged_message_is_sound_or_refused(at in 0..200_usize, to in any::<u8>()) {
+    fn corrupted_message_decodes_or_is_refused(at in 0..200_usize, to in any::<u8>()) {
         let challenge = PeerChallenge { protocol: PEER_PROTOCOL, nonce: vec![7; 16] };
         let message = PeerMessage {
             number: 1,
--- a/crates/catkinward/tests/timeline.rs
+++ b/crates/catkinward/tests/timeline.rs
@@ -27,7 +27,7 @@
 /// A VM has no disk and little memory. When there are more events than the ring buffer holds, it
 /// keeps the newest and reports how many it has overwritten.
 #[gtest]
-fn full_ring_keeps_the_newest_and_says_so() {
+fn full_ring_keeps_the_newest_events_and_counts_the_overwritten() {
     let timeline = timeline(2);
 
     timeline.record(event(EventKind::Accepted, "a", "e"));
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn queries_narrow_by_request_upstream_and_time() {
+fn queries_filter_by_request_upstream_and_time() {
     let timeline = timeline(10);
     timeline.record(event(EventKind::Accepted, "a", "e"));
     timeline.record(event(EventKind::Dispatched, "b", "e"));
@@ -80,7 +80,7 @@
 /// A message arrives from a VM whose wall clock is a minute ahead. Events that this VM records after
 /// it must come after it in the merged timeline.
 #[gtest]
-fn events_after_a_message_stand_after_it() {
+fn events_after_a_message_have_later_times() {
     let timeline = timeline(10);
     let ahead = ProcessClock::default().tick();
     let sent = HybridTime {
