--- a/crates/catkinward/src/gossip.rs
+++ b/crates/catkinward/src/gossip.rs
@@ -30,45 +30,42 @@
 /// Callbacks of the components that add state to gossip messages or process received ones.
 #[derive(Default)]
 pub struct GossipHooks {
-    send_hooks: RwLock<Vec<SendHook>>,
-    reply_hooks: RwLock<Vec<ReplyHook>>,
-    receive_hooks: RwLock<Vec<ReceiveHook>>,
+    send: RwLock<Vec<SendHook>>,
+    reply: RwLock<Vec<ReplyHook>>,
+    receive: RwLock<Vec<ReceiveHook>>,
 }
 
 impl GossipHooks {
     /// Registers a callback that adds state to each message that is sent.
     pub fn on_send(&self, hook: impl Fn(&mut Gossip) + Send + Sync + 'static) {
-        self.send_hooks.write().push(Box::new(hook));
+        self.send.write().push(Box::new(hook));
     }
 
     /// Registers a callback that adds to the reply what the received message calls for.
     pub fn on_reply(&self, hook: impl Fn(&Gossip, &mut Gossip) + Send + Sync + 'static) {
-        self.reply_hooks.write().push(Box::new(hook));
+        self.reply.write().push(Box::new(hook));
     }
 
     /// Registers a callback for received messages; it gets each message and its sender.
     pub fn on_receive(&self, hook: impl Fn(&Gossip, &VmId) + Send + Sync + 'static) {
-        self.receive_hooks.write().push(Box::new(hook));
+        self.receive.write().push(Box::new(hook));
     }
 
     pub(crate) fn collect(&self) -> Gossip {
         let mut gossip = Gossip::default();
-        self.send_hooks
-            .read()
-            .iter()
-            .for_each(|hook| hook(&mut gossip));
+        self.send.read().iter().for_each(|hook| hook(&mut gossip));
         gossip
     }
 
     pub(crate) fn extend_reply(&self, received: &Gossip, reply: &mut Gossip) {
-        self.reply_hooks
+        self.reply
             .read()
             .iter()
             .for_each(|hook| hook(received, reply));
     }
 
     pub(crate) fn dispatch(&self, gossip: &Gossip, sender: &VmId) {
-        self.receive_hooks
+        self.receive
             .read()
             .iter()
             .for_each(|hook| hook(gossip, sender));
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -108,7 +108,7 @@
     pub(crate) fn statuses(&self) -> Vec<operator::UpstreamStatus> {
         let now = self.observer.timer.now();
         let states = self.states.read();
-        let status = |state: &Arc<UpstreamState>| {
+        let to_status = |state: &Arc<UpstreamState>| {
             let record = state.record.lock();
             operator::UpstreamStatus {
                 availability_zone: state.entry.zone.to_string(),
@@ -117,7 +117,7 @@
                 takes_new_work: record.candidate(None, now).is_ok(),
             }
         };
-        states.iter().map(status).collect()
+        states.iter().map(to_status).collect()
     }
 
     /// Returns the capacity that the upstreams of this VM's subset report, sorted by id.
