--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -6,12 +6,12 @@
 /// Interval at which this VM exchanges gossip with one of its neighbours.
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Number of VMs that are queried for crash records before a request is refused as poisoned. A
-/// typical system has eight VMs; in a larger one the other VMs get the records by gossip from those
-/// queried.
+/// Maximum number of VMs that are queried for crash records before a request is refused as
+/// poisoned. A typical system has eight VMs; in a larger one the other VMs get the records by gossip
+/// from those queried.
 const MAX_QUERIED_PEERS: usize = 16;
 
-/// Number of VMs advertised in one message.
+/// Maximum number of VMs advertised in one message.
 const MAX_ADVERTISED_VMS: usize = 6;
 
 /// Result of an exchange with several VMs.
--- a/crates/catkinward/src/peers.rs
+++ b/crates/catkinward/src/peers.rs
@@ -121,12 +121,12 @@
     /// Updates the metrics of what peers cost this VM: bytes sent, replicas stored and their size,
     /// open connections.
     pub(crate) fn update_metrics(&self) {
-        let (copies, size) = self.store.lock().usage();
+        let (replicas, size) = self.store.lock().usage();
         let links = self.links.lock().len();
         metrics::counter!("catkin_peer_sent_bytes_total")
             .absolute(self.sent.load(Ordering::Relaxed));
         gauge("catkin_peer_connections", links);
-        gauge("catkin_progress_copies", copies);
+        gauge("catkin_progress_copies", replicas);
         gauge("catkin_progress_copies_bytes", size);
     }
 
--- a/crates/catkinward/src/progress_replicas.rs
+++ b/crates/catkinward/src/progress_replicas.rs
@@ -7,10 +7,11 @@
 /// that stopped responding must not delay a caller.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Number of VMs that are queried for a replica.
+/// Maximum number of likely holders that are queried for a replica.
 const MAX_QUERIED: usize = 4;
 
-/// Number of VMs that are queried for a replica if the caller cannot name the VM that served it.
+/// Maximum number of VMs that are queried for a replica if the caller cannot name the VM that
+/// served it.
 const MAX_QUERIED_WITHOUT_ORIGIN: usize = 16;
 
 impl Peers {
--- a/crates/catkinward/src/timer.rs
+++ b/crates/catkinward/src/timer.rs
@@ -20,7 +20,7 @@
 const MAX_IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
 impl Timer {
-    /// Creates a timer and spawns its task, which ends when the timer is dropped.
+    /// Creates a timer and spawns the task that sends its ticks.
     #[must_use]
     pub fn start() -> Arc<Self> {
         let timer = Arc::new(Self {
