--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -38,8 +38,8 @@
     let result = pool.offer(&request.arrival(team), upstream_selector(node, request));
     result.inspect_err(|_| {
         let limits = &node.limits;
-        limits.give_back(&request.team, LimitKind::Requests, 1);
-        limits.give_back(&request.team, LimitKind::Tokens, request.max_tokens);
+        limits.refund(&request.team, LimitKind::Requests, 1);
+        limits.refund(&request.team, LimitKind::Tokens, request.max_tokens);
     })
 }
 
@@ -48,7 +48,7 @@
     let (limits, team) = (&node.limits, &request.team);
     limits.take(team, LimitKind::Requests, 1)?;
     let tokens = limits.take(team, LimitKind::Tokens, request.max_tokens);
-    tokens.inspect_err(|_| limits.give_back(team, LimitKind::Requests, 1))
+    tokens.inspect_err(|_| limits.refund(team, LimitKind::Requests, 1))
 }
 
 fn upstream_selector(node: &Node, request: &GenerationRequest) -> ChooseUpstream {
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -53,8 +53,7 @@
     if admitted_here && outcome != GenerationOutcome::Failed(ProblemKind::Superseded) {
         let request = &generation.request;
         let unused = request.max_tokens.saturating_sub(generation.next_index().0);
-        node.limits
-            .give_back(&request.team, LimitKind::Tokens, unused);
+        node.limits.refund(&request.team, LimitKind::Tokens, unused);
     }
     generation.conclude(outcome);
 }
@@ -144,7 +143,7 @@
         };
         let queued = Queued::new(());
         tokio::select! {
-            granted = waiting.granted() => granted.map_err(|refusal| {
+            granted = waiting.wait_for_slot() => granted.map_err(|refusal| {
                 let not_run = queued.refuse(refusal.reason, refusal.retry_after);
                 Problem::not_run(&not_run).kind
             }),
@@ -161,7 +160,7 @@
             if upstreams.refuses(body) {
                 return;
             }
-            let delay = if upstreams.suspects(body) {
+            let delay = if upstreams.is_suspect(body) {
                 RETRY_INTERVAL
             } else {
                 SUSPECT_MAX_WAIT
@@ -210,11 +209,11 @@
         else {
             return true;
         };
-        let (records, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
+        let (records, start) = (upstreams.poison_records_of(body), self.node.timer.now());
         let crashes = records.len();
         let ExchangeResult {
             asked, answered, ..
-        } = peers.confer(records).await;
+        } = peers.query_crash_records(records).await;
         let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
         tracing::info!(id = %self.generation.request.id, %body, deaths = crashes, asked, answered,
             refused, took_ms = %took.as_millis(), "peers were asked about deaths under a request");
@@ -227,7 +226,7 @@
             return;
         };
         let (body, start) = (run.digest, self.node.timer.now());
-        let records = self.node.upstreams.poison_marks_of(body);
+        let records = self.node.upstreams.poison_records_of(body);
         let result = peers.announce(run, records).await;
         let ExchangeResult {
             asked,
@@ -300,7 +299,7 @@
                 {
                     peers.withdraw(run).await;
                 }
-                let found = Box::pin(self.find_started(&upstream, order, &error)).await;
+                let found = Box::pin(self.reattach_after_order(&upstream, order, &error)).await;
                 if !error.may_have_started() {
                     guard.release();
                 }
@@ -321,7 +320,7 @@
                 Ok(finish) => return Ok(finish),
                 Err(error) => error,
             };
-            attempt.upstream.lost(&error).await;
+            attempt.upstream.record_error(&error).await;
             self.record(
                 EventKind::Suspected,
                 attempt.stream.attempt(),
@@ -380,17 +379,17 @@
         match event {
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
-                attempt.upstream.begun();
+                attempt.upstream.record_first_part();
                 if token.index.0 % TOKENS_PER_PROGRESS_REPORT == 0 {
-                    attempt.upstream.progressed();
+                    attempt.upstream.record_progress();
                 }
                 self.generation.token(token)?;
             }
             EngineEvent::End(end) => {
                 if let Delivery::End(finish) = self.generation.end(&end)? {
                     attempt.guard.release();
-                    attempt.upstream.ended();
-                    attempt.upstream.succeeded();
+                    attempt.upstream.record_completion();
+                    attempt.upstream.record_success();
                     return Ok(Some(finish));
                 }
             }
--- a/crates/catkinward/src/generation_request.rs
+++ b/crates/catkinward/src/generation_request.rs
@@ -68,7 +68,7 @@
     /// Returns the request under an idempotency key, with a new chain.
     pub(crate) fn with_key(self, key: &str) -> Self {
         let id = RequestId::of_key(&self.team, key);
-        Self { id, ..self }.with_resumable(ResumableState::begin())
+        Self { id, ..self }.with_resumable(ResumableState::new_chain())
     }
 
     /// Returns the request resumed from a progress record; the bundle version, model and seed
@@ -80,7 +80,7 @@
             seed: record.head.seed,
             ..self
         };
-        request.with_resumable(ResumableState::go_on(record))
+        request.with_resumable(ResumableState::continue_from(record))
     }
 
     fn with_resumable(self, resumable: ResumableState) -> Self {
--- a/crates/catkinward/src/peer_link.rs
+++ b/crates/catkinward/src/peer_link.rs
@@ -8,42 +8,42 @@
     sync::oneshot,
 };
 
-/// Bound until a called peer has shown who it is.
-const OPEN_BOUND: Duration = Duration::from_secs(1);
+/// Timeout of opening a connection, including the handshake.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Messages that may wait to leave.
-const QUEUE: usize = 1024;
+/// Capacity of the queue of outgoing messages.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// Most messages that leave in one write.
-const BATCH: usize = 256;
+/// Maximum number of messages in one write.
+const MAX_BATCH: usize = 256;
 
-/// How long a connection that nobody uses is kept.
-const IDLE_BOUND: Duration = Duration::from_secs(10);
+/// How long an unused connection stays open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A connection to a peer that this VM has opened.
+/// A connection that this VM has opened to a peer.
 pub(crate) struct PeerLink {
-    /// Tells this connection from a later one to the same VM.
+    /// Distinguishes this connection from later ones to the same VM.
     pub(crate) serial: u64,
     tx: mpsc::Sender<Outgoing>,
 }
 
 struct Outgoing {
     body: PeerBody,
-    then: Then,
+    completion: Completion,
 }
 
-/// What the sender of a message waits for.
-enum Then {
+/// What the sender of a message is waiting for.
+enum Completion {
     Flushed(oneshot::Sender<()>),
-    Answer(oneshot::Sender<PeerBody>),
+    Reply(oneshot::Sender<PeerBody>),
 }
 
-/// Serials of connections.
-static SERIAL: AtomicU64 = AtomicU64::new(1);
+/// Serial of the next connection.
+static NEXT_SERIAL: AtomicU64 = AtomicU64::new(1);
 
 impl PeerLink {
-    /// Opens a connection. `on_message` gets what the peer sends without being asked; `on_end` is
-    /// called when the connection is over.
+    /// Opens a connection. `on_message` gets the messages that are not replies; `on_end` is called
+    /// with the serial when the connection has closed.
     pub(crate) async fn open(
         peer: &PeerEntry,
         identity: &PeerIdentity,
@@ -57,80 +57,86 @@
             identity.call(&peer.vm, &mut tx, &mut rx).await?;
             Ok((tx, rx))
         };
-        let (sender, receiver) = tokio::time::timeout(OPEN_BOUND, open)
+        let (sender, receiver) = tokio::time::timeout(OPEN_TIMEOUT, open)
             .await
             .unwrap_or(Err(PeerError::Timeout))?;
-        let (tx, rx) = mpsc::channel(QUEUE);
-        let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
+        let serial = NEXT_SERIAL.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            let waiting = Mutex::new(Vec::new());
+            let pending = Mutex::new(Vec::new());
             tokio::select! {
-                () = write(sender, rx, &waiting) => {}
-                () = read(receiver, &waiting, on_message) => {}
+                () = write(sender, rx, &pending) => {}
+                () = read(receiver, &pending, on_message) => {}
             }
             on_end(serial);
         });
         Ok(Self { serial, tx })
     }
 
-    /// Sends a message and waits until the operating system has it.
-    pub(crate) async fn send(&self, body: PeerBody, bound: Duration) -> Result<(), PeerError> {
+    /// Sends a message and waits until it has been written to the socket.
+    pub(crate) async fn send(&self, body: PeerBody, max_wait: Duration) -> Result<(), PeerError> {
         let (tx, rx) = oneshot::channel();
-        self.queue(body, Then::Flushed(tx), rx, bound).await
+        self.queue(body, Completion::Flushed(tx), rx, max_wait)
+            .await
     }
 
-    /// Sends a question and waits for its answer.
-    pub(crate) async fn ask(&self, body: PeerBody, bound: Duration) -> Result<PeerBody, PeerError> {
+    /// Sends a request and waits for its reply.
+    pub(crate) async fn request(
+        &self,
+        body: PeerBody,
+        max_wait: Duration,
+    ) -> Result<PeerBody, PeerError> {
         let (tx, rx) = oneshot::channel();
-        self.queue(body, Then::Answer(tx), rx, bound).await
+        self.queue(body, Completion::Reply(tx), rx, max_wait).await
     }
 
     async fn queue<T>(
         &self,
         body: PeerBody,
-        then: Then,
+        completion: Completion,
         rx: oneshot::Receiver<T>,
-        bound: Duration,
+        max_wait: Duration,
     ) -> Result<T, PeerError> {
-        let outgoing = Outgoing { body, then };
+        let outgoing = Outgoing { body, completion };
         self.tx.try_send(outgoing).map_err(|_| PeerError::Broken)?;
-        match tokio::time::timeout(bound, rx).await {
-            Ok(Ok(answer)) => Ok(answer),
+        match tokio::time::timeout(max_wait, rx).await {
+            Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) => Err(PeerError::Broken),
             Err(_) => Err(PeerError::Timeout),
         }
     }
 }
 
-/// Questions without an answer yet, by number.
-type Waiting = Mutex<Vec<(u64, oneshot::Sender<PeerBody>)>>;
+/// Requests that have not been answered yet, sorted by number.
+type PendingRequests = Mutex<Vec<(u64, oneshot::Sender<PeerBody>)>>;
 
 async fn write<S: AsyncRead + AsyncWrite + Unpin>(
     mut sender: PeerSender<S>,
     mut rx: mpsc::Receiver<Outgoing>,
-    waiting: &Waiting,
+    pending: &PendingRequests,
 ) {
     let mut next_number = 1;
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
     loop {
-        let received = tokio::time::timeout(IDLE_BOUND, rx.recv_many(&mut batch, BATCH)).await;
+        let received =
+            tokio::time::timeout(IDLE_TIMEOUT, rx.recv_many(&mut batch, MAX_BATCH)).await;
         if !received.is_ok_and(|count| count > 0) {
             return;
         }
         let mut messages = Vec::with_capacity(batch.len());
         let mut flushed = Vec::new();
-        for Outgoing { body, then } in batch.drain(..) {
-            let number = match then {
-                Then::Flushed(tx) => {
+        for Outgoing { body, completion } in batch.drain(..) {
+            let number = match completion {
+                Completion::Flushed(tx) => {
                     flushed.push(tx);
                     0
                 }
-                Then::Answer(tx) => {
+                Completion::Reply(tx) => {
                     let number = next_number;
                     next_number += 1;
-                    let mut waiting = waiting.lock();
-                    waiting.retain(|(_, tx)| !tx.is_closed());
-                    waiting.push((number, tx));
+                    let mut pending = pending.lock();
+                    pending.retain(|(_, tx)| !tx.is_closed());
+                    pending.push((number, tx));
                     number
                 }
             };
@@ -145,7 +151,7 @@
     }
 }
 
-/// Adds a message; progress of several generations becomes one.
+/// Adds a message; consecutive progress updates are combined into one message.
 fn push_message(messages: &mut Vec<(u64, PeerBody)>, number: u64, body: PeerBody) {
     match (messages.last_mut(), body) {
         (Some((0, PeerBody::Progress(before))), PeerBody::Progress(more)) if number == 0 => {
@@ -157,7 +163,7 @@
 
 async fn read<S: AsyncRead + AsyncWrite + Unpin>(
     mut receiver: PeerReceiver<S>,
-    waiting: &Waiting,
+    pending: &PendingRequests,
     on_message: impl Fn(PeerBody),
 ) {
     while let Ok(PeerMessage { number, body, .. }) = receiver.receive().await {
@@ -165,9 +171,9 @@
             on_message(body);
             continue;
         }
-        let mut waiting = waiting.lock();
-        if let Ok(i) = waiting.binary_search_by_key(&number, |(number, _)| *number) {
-            let _ = waiting.remove(i).1.send(body);
+        let mut pending = pending.lock();
+        if let Ok(i) = pending.binary_search_by_key(&number, |(number, _)| *number) {
+            let _ = pending.remove(i).1.send(body);
         }
     }
 }
--- a/crates/catkinward/src/peer_socket.rs
+++ b/crates/catkinward/src/peer_socket.rs
@@ -9,20 +9,22 @@
     tungstenite::{Message, protocol::WebSocketConfig},
 };
 
-/// Longest message between VMs, in bytes: a copy of a very long answer.
-const MESSAGE_LIMIT: usize = 8 * 1024 * 1024;
+/// Maximum size of a message between VMs, in bytes. It fits the progress replica of a very long
+/// response.
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// How long a message may take to leave. A peer that takes nothing for this long is given up.
-const WRITE_BOUND: Duration = Duration::from_secs(1);
+/// Timeout of writing messages. The connection to a peer that does not read for this long is
+/// closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Writing half of a connection between VMs.
+/// Write half of a connection between VMs.
 pub(crate) struct PeerSender<S> {
     sink: SplitSink<WebSocketStream<S>, Message>,
     clock: Arc<ProcessClock>,
     sent: Arc<AtomicU64>,
 }
 
-/// Reading half of a connection between VMs.
+/// Read half of a connection between VMs.
 pub(crate) struct PeerReceiver<S> {
     stream: SplitStream<WebSocketStream<S>>,
     clock: Arc<ProcessClock>,
@@ -33,8 +35,8 @@
 
 fn config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MESSAGE_LIMIT))
-        .max_frame_size(Some(MESSAGE_LIMIT))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 fn split<S>(
@@ -58,7 +60,7 @@
     (sender, receiver)
 }
 
-/// Calls a peer.
+/// Connects to a peer.
 pub(crate) async fn connect(
     address: SocketAddr,
     clock: &Arc<ProcessClock>,
@@ -67,7 +69,7 @@
     let stream = TcpStream::connect(address)
         .await
         .map_err(|_| PeerError::Broken)?;
-    // Progress must be on its way before the caller gets the token.
+    // Progress must be sent without delay: a token is released to the caller only after that.
     let _ = stream.set_nodelay(true);
     let (socket, _) = tokio_tungstenite::client_async_with_config(
         format!("ws://{address}/"),
@@ -79,7 +81,7 @@
     Ok(split(socket, clock, sent))
 }
 
-/// Takes a peer's call.
+/// Accepts the connection of a peer.
 pub(crate) async fn accept(
     stream: TcpStream,
     clock: &Arc<ProcessClock>,
@@ -96,9 +98,9 @@
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
-    /// Hands messages to the operating system, in order and in as few writes as they take.
+    /// Writes messages to the socket in order and flushes once, so that they need few writes.
     pub(crate) async fn send(&mut self, bodies: Vec<(u64, PeerBody)>) -> Result<(), PeerError> {
-        let all = async {
+        let write = async {
             for (number, body) in bodies {
                 let time = self.clock.tick();
                 let message = PeerMessage {
@@ -113,7 +115,7 @@
             }
             self.sink.flush().await
         };
-        match tokio::time::timeout(WRITE_BOUND, all).await {
+        match tokio::time::timeout(WRITE_TIMEOUT, write).await {
             Ok(sent) => sent.map_err(|_| PeerError::Broken),
             Err(_) => Err(PeerError::Timeout),
         }
@@ -124,7 +126,7 @@
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
-    /// The next message.
+    /// Receives the next message.
     pub(crate) async fn receive(&mut self) -> Result<PeerMessage, PeerError> {
         loop {
             let message = self.stream.next().await;
@@ -135,7 +137,7 @@
                 Message::Binary(bytes) => {
                     let message = PeerMessage::from_bytes(&bytes)?;
                     let (micros, count) = message.clock;
-                    self.clock.witness(HybridTime { micros, count });
+                    self.clock.observe(HybridTime { micros, count });
                     return Ok(message);
                 }
                 Message::Ping(_) | Message::Pong(_) => {}
@@ -146,12 +148,12 @@
         }
     }
 
-    /// The next message, within a bound.
+    /// Receives the next message, with a timeout.
     pub(crate) async fn receive_within(
         &mut self,
-        bound: Duration,
+        max_wait: Duration,
     ) -> Result<PeerMessage, PeerError> {
-        tokio::time::timeout(bound, self.receive())
+        tokio::time::timeout(max_wait, self.receive())
             .await
             .unwrap_or(Err(PeerError::Timeout))
     }
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -1,4 +1,5 @@
-//! How a generation meets the loss of a stream, of an answer to an order, or of the VM before.
+//! Recovery of a generation after the loss of a stream, of the response to an order, or of the VM
+//! that ran it before.
 
 use super::*;
 use crate::{
@@ -10,32 +11,32 @@
     slot_guard::SlotGuard,
 };
 
-/// Bound until a probe of a running attempt is answered.
-const PROBE_BOUND: Duration = Duration::from_millis(500);
+/// Timeout of re-attaching to a running attempt.
+const REATTACH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bound until a second attempt makes its first token or says that it is waiting.
-const SECOND_BOUND: Duration = Duration::from_secs(1);
+/// Timeout until a second attempt delivers its first token or reports that it is queued.
+const SECOND_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time that the probe of a running attempt has before a second attempt starts. A live engine answers
-/// within a round trip of a few milliseconds, and the second attempt would only be cancelled again.
-const HEAD_START: Duration = Duration::from_millis(25);
+/// Head start of re-attaching to the running attempt over a second attempt. A live engine answers
+/// within a round trip of a few milliseconds, and the second attempt would only be cancelled.
+const REATTACH_HEAD_START: Duration = Duration::from_millis(25);
 
-/// What went on first after a lost stream.
-enum Raced {
-    /// The old attempt, over a new connection.
-    Old(Box<AttemptStream>),
+/// Attempt that made progress first after the loss of a stream.
+enum RaceWinner {
+    /// The original attempt, over a new connection.
+    Original(Box<AttemptStream>),
     /// A second attempt on another upstream.
     Second(Box<RunningAttempt>),
 }
 
 impl Driver {
-    /// Goes on with the attempt of the VM before, if its engine still runs it: nothing is then
+    /// Continues the attempt of the previous VM if its engine is still running it, so that nothing is
     /// computed twice.
     pub(crate) async fn resume_orphaned_attempt(&mut self) -> Option<RunningAttempt> {
         let (id, attempt) = self.generation.take_orphaned_attempt()?;
         let request = &self.generation.request;
         let pool = self.node.admission.pool(&request.service);
-        let upstream = pool.hold_slot(request.lane(), self.node.upstreams.hold(&id)?);
+        let upstream = pool.hold_slot(request.lane(), self.node.upstreams.handle_running(&id)?);
         let (reserved, _) = self.generation.reserve();
         let reattach = Reattach {
             address: upstream.address(),
@@ -43,11 +44,12 @@
             attempt,
             new_attempt: reserved.attempt(),
             from: self.generation.next_index(),
-            bound: PROBE_BOUND,
+            bound: REATTACH_TIMEOUT,
         };
         let stream = engine_client::reattach(&self.node.connections, reattach).await;
-        let stream = stream.inspect_err(|fault| {
-            tracing::info!(id = %self.generation.request.id, upstream = %id, %fault, "not re-attached");
+        let stream = stream.inspect_err(|error| {
+            tracing::info!(id = %self.generation.request.id, upstream = %id, fault = %error,
+                "cannot re-attach to the attempt of the previous VM");
         });
         let stream = stream.ok()?;
         self.record(EventKind::ReAttached, reserved.attempt(), &id, None);
@@ -64,21 +66,21 @@
         })
     }
 
-    /// After an order that brought no stream: the engine may run it all the same, unseen. Under the
-    /// policy of least work the attempt is looked for and gone on with.
-    pub(crate) async fn find_started(
+    /// Handles an order that returned no stream. The engine may be running the attempt nevertheless;
+    /// under the least-work policy this re-attaches to it.
+    pub(crate) async fn reattach_after_order(
         &self,
         upstream: &SlotGuard,
         order: &engine::EngineGenerate,
-        fault: &AttemptError,
+        error: &AttemptError,
     ) -> Option<AttemptStream> {
         let full = engine::EngineRefusalKind::Full;
-        if matches!(fault, AttemptError::Refused { kind } if *kind == full) {
-            upstream.overloaded();
+        if matches!(error, AttemptError::Refused { kind } if *kind == full) {
+            upstream.record_overload();
         }
-        upstream.lost(fault).await;
+        upstream.record_error(error).await;
         let least_work = self.generation.request.recovery == RecoveryPolicy::LeastWork;
-        if !least_work || !fault.may_have_started() {
+        if !least_work || !error.may_have_started() {
             return None;
         }
         let attempt = Attempt(order.attempt);
@@ -87,43 +89,50 @@
         Some(stream)
     }
 
-    /// Goes on after a lost stream: with the same attempt if its engine still runs it, else with a
-    /// new attempt elsewhere. The service's policy says whether the second waits for the first.
+    /// Resumes after the loss of a stream: with the same attempt if its engine is still running it,
+    /// otherwise with a new attempt on another upstream. The service's recovery policy decides whether
+    /// the new attempt waits until re-attaching has failed.
     pub(crate) async fn recover(
         &mut self,
         attempt: RunningAttempt,
     ) -> Result<RunningAttempt, AttemptError> {
         match self.generation.request.recovery {
-            RecoveryPolicy::LeastWork => self.probe(attempt).await,
+            RecoveryPolicy::LeastWork => self.reattach_or_fail(attempt).await,
             RecoveryPolicy::LeastWait => match self.choose(false) {
                 Some(other) => self.race(attempt, other).await,
-                None => self.probe(attempt).await,
+                None => self.reattach_or_fail(attempt).await,
             },
         }
     }
 
-    async fn probe(&self, mut attempt: RunningAttempt) -> Result<RunningAttempt, AttemptError> {
-        attempt.stream = self.reattached(&attempt).await?;
+    async fn reattach_or_fail(
+        &self,
+        mut attempt: RunningAttempt,
+    ) -> Result<RunningAttempt, AttemptError> {
+        attempt.stream = self.reattach_with_progress(&attempt).await?;
         Ok(attempt)
     }
 
-    async fn reattached(&self, attempt: &RunningAttempt) -> Result<AttemptStream, AttemptError> {
+    async fn reattach_with_progress(
+        &self,
+        attempt: &RunningAttempt,
+    ) -> Result<AttemptStream, AttemptError> {
         let upstream = &attempt.upstream;
         let number = attempt.stream.attempt();
         let found = async {
             let mut stream = self.reattach(upstream, number).await?;
-            stream.wait_for_progress(PROBE_BOUND).await?;
+            stream.wait_for_progress(REATTACH_TIMEOUT).await?;
             Ok(stream)
         };
         let found: Result<_, AttemptError> = found.await;
         match &found {
             Ok(_) => self.record(EventKind::ReAttached, number, upstream.id(), None),
-            Err(fault) => upstream.lost(fault).await,
+            Err(error) => upstream.record_error(error).await,
         }
         found
     }
 
-    /// Asks an engine to go on with an attempt over a new connection.
+    /// Re-attaches to an attempt over a new connection.
     async fn reattach(
         &self,
         upstream: &SlotGuard,
@@ -135,23 +144,23 @@
             attempt,
             new_attempt: attempt,
             from: self.generation.next_index(),
-            bound: PROBE_BOUND,
+            bound: REATTACH_TIMEOUT,
         };
         engine_client::reattach(&self.node.connections, reattach).await
     }
 
     async fn race(
         &mut self,
-        mut old: RunningAttempt,
+        mut original: RunningAttempt,
         other: SlotGuard,
     ) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
-        let second = match self.first_to_go_on(&old, other, &order).await? {
-            Raced::Old(stream) => {
-                old.stream = *stream;
-                return Ok(old);
+        let second = match self.first_to_progress(&original, other, &order).await? {
+            RaceWinner::Original(stream) => {
+                original.stream = *stream;
+                return Ok(original);
             }
-            Raced::Second(second) => second,
+            RaceWinner::Second(second) => second,
         };
         self.avoid.push(second.upstream.id().clone());
         if self.generation.adopt(reserved) {
@@ -160,29 +169,29 @@
         Err(AttemptError::Broken)
     }
 
-    async fn first_to_go_on(
+    async fn first_to_progress(
         &self,
-        old: &RunningAttempt,
+        original: &RunningAttempt,
         other: SlotGuard,
         order: &engine::EngineGenerate,
-    ) -> Result<Raced, AttemptError> {
-        let mut probe = std::pin::pin!(self.reattached(old));
+    ) -> Result<RaceWinner, AttemptError> {
+        let mut reattaching = std::pin::pin!(self.reattach_with_progress(original));
         let mut second = std::pin::pin!(self.second_attempt(other, order));
         tokio::select! {
-            probed = &mut probe => return match probed {
-                Ok(stream) => Ok(Raced::Old(Box::new(stream))),
-                Err(_) => Ok(Raced::Second(Box::new(second.await?))),
+            reattached = &mut reattaching => return match reattached {
+                Ok(stream) => Ok(RaceWinner::Original(Box::new(stream))),
+                Err(_) => Ok(RaceWinner::Second(Box::new(second.await?))),
             },
-            () = tokio::time::sleep(HEAD_START) => {}
+            () = tokio::time::sleep(REATTACH_HEAD_START) => {}
         }
         tokio::select! {
-            probed = &mut probe => match probed {
-                Ok(stream) => Ok(Raced::Old(Box::new(stream))),
-                Err(_) => Ok(Raced::Second(Box::new(second.await?))),
+            reattached = &mut reattaching => match reattached {
+                Ok(stream) => Ok(RaceWinner::Original(Box::new(stream))),
+                Err(_) => Ok(RaceWinner::Second(Box::new(second.await?))),
             },
             started = &mut second => match started {
-                Ok(second) => Ok(Raced::Second(Box::new(second))),
-                Err(_) => Ok(Raced::Old(Box::new(probe.await?))),
+                Ok(second) => Ok(RaceWinner::Second(Box::new(second))),
+                Err(_) => Ok(RaceWinner::Original(Box::new(reattaching.await?))),
             },
         }
     }
@@ -194,11 +203,15 @@
     ) -> Result<RunningAttempt, AttemptError> {
         let mut driver = Driver::new(self.node.clone(), self.generation.clone());
         let mut attempt = driver.open(upstream, order).await?;
-        match attempt.stream.wait_for_progress(SECOND_BOUND).await {
+        match attempt
+            .stream
+            .wait_for_progress(SECOND_ATTEMPT_TIMEOUT)
+            .await
+        {
             Ok(()) => Ok(attempt),
-            Err(fault) => {
-                attempt.upstream.lost(&fault).await;
-                Err(fault)
+            Err(error) => {
+                attempt.upstream.record_error(&error).await;
+                Err(error)
             }
         }
     }
--- a/crates/catkinward/src/slice_exchange.rs
+++ b/crates/catkinward/src/slice_exchange.rs
@@ -1,42 +1,43 @@
 use super::*;
 
-/// Bound of a question for slices.
-const ASK_BOUND: Duration = Duration::from_millis(500);
+/// Timeout of a request for slices.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// VMs that nobody has heard of for this long hand out no slices and get none.
-const SILENT_FOR: Duration = Duration::from_secs(30);
+/// VMs that no VM has seen for this long neither allocate slices nor receive any.
+const MAX_SILENCE: Duration = Duration::from_secs(30);
 
-/// Asks the homes of the limits in use for slices, and answers as the home of others.
+/// Requests slices of the limits in use from their allocators, and serves as allocator for others.
 ///
-/// Homes are VMs of the own availability zone, and share out the zone's part of each limit: that of
-/// its VMs among all. So a zone that is cut off from the others goes on as before.
+/// The allocator of a limit is a VM of the own availability zone. It allocates the zone's share of
+/// the limit, which is the number of the zone's VMs divided by that of all VMs. So a zone that is
+/// partitioned from the others continues as before.
 pub(crate) fn exchange_slices(peers: &Arc<Peers>, limits: &Arc<TeamLimits>, timer: &Arc<Timer>) {
-    let (table, granting) = (Arc::downgrade(peers), limits.clone());
-    peers.grant_slices(move |request| {
-        let sharers = Sharers::of(&*table.upgrade()?);
-        granting.grant(request, &sharers.zone, sharers.part)
+    let (table, granter) = (Arc::downgrade(peers), limits.clone());
+    peers.set_slice_granter(move |request| {
+        let sharers = LimitSharers::of(&*table.upgrade()?);
+        granter.grant(request, &sharers.zone, sharers.fraction)
     });
     let mut ticks = timer.subscribe(SLICE_RENEWAL_INTERVAL);
     let (peers, limits) = (peers.clone(), limits.clone());
     tokio::spawn(async move {
         while ticks.recv().await.is_some() {
-            ask_for_slices(&peers, &limits).await;
+            request_slices(&peers, &limits).await;
         }
     });
 }
 
-/// Who shares the limits.
-struct Sharers {
+/// VMs that share the limits.
+struct LimitSharers {
     /// VMs of the own availability zone, sorted.
     zone: Vec<VmId>,
-    /// Their part among all VMs.
-    part: f64,
+    /// Their fraction of all VMs.
+    fraction: f64,
 }
 
-impl Sharers {
+impl LimitSharers {
     fn of(peers: &Peers) -> Self {
         let own = peers.own();
-        let mut all = peers.heard_within(SILENT_FOR);
+        let mut all = peers.seen_within(MAX_SILENCE);
         all.push(own.clone());
         let count = |n: usize| u32::try_from(n).map_or(f64::MAX, f64::from);
         let total = count(all.len());
@@ -47,45 +48,51 @@
             .collect::<Vec<_>>();
         zone.sort();
         Self {
-            part: count(zone.len()) / total,
+            fraction: count(zone.len()) / total,
             zone,
         }
     }
 }
 
-async fn ask_for_slices(peers: &Arc<Peers>, limits: &TeamLimits) {
-    let sharers = Sharers::of(peers);
-    let mut asks = limits.asks(&sharers.zone);
-    asks.sort_by(|a, b| a.home.cmp(&b.home));
-    let questions = asks
-        .chunk_by(|a, b| a.home == b.home)
-        .map(|asks| ask_home(peers, limits, &sharers, asks));
-    futures::future::join_all(questions).await;
+async fn request_slices(peers: &Arc<Peers>, limits: &TeamLimits) {
+    let sharers = LimitSharers::of(peers);
+    let mut requests = limits.slice_requests(&sharers.zone);
+    requests.sort_by(|a, b| a.allocator.cmp(&b.allocator));
+    let exchanges = requests
+        .chunk_by(|a, b| a.allocator == b.allocator)
+        .map(|requests| request_from_allocator(peers, limits, &sharers, requests));
+    futures::future::join_all(exchanges).await;
 }
 
-/// Asks one home. Without an answer the slices run out, and the floors remain.
-async fn ask_home(
+/// Requests slices from one allocator. Without a reply the slices expire and the minimum quotas
+/// remain.
+async fn request_from_allocator(
     peers: &Arc<Peers>,
     limits: &TeamLimits,
-    sharers: &Sharers,
-    asks: &[TeamSliceRequest],
+    sharers: &LimitSharers,
+    requests: &[TeamSliceRequest],
 ) {
-    let Some(TeamSliceRequest { home, asked, .. }) = asks.first() else {
+    let Some(TeamSliceRequest {
+        allocator,
+        requested_at,
+        ..
+    }) = requests.first()
+    else {
         return;
     };
-    let requests = asks.iter().map(|ask| ask.request.clone());
-    let grants = if *home == peers.own().vm {
+    let requests = requests.iter().map(|request| request.request.clone());
+    let grants = if *allocator == peers.own().vm {
         requests
-            .filter_map(|request| limits.grant(&request, &sharers.zone, sharers.part))
+            .filter_map(|request| limits.grant(&request, &sharers.zone, sharers.fraction))
             .collect()
     } else {
-        let question = PeerBody::AskSlices(requests.collect());
-        match peers.ask(home, question, ASK_BOUND).await {
+        let message = PeerBody::AskSlices(requests.collect());
+        match peers.request(allocator, message, REQUEST_TIMEOUT).await {
             Some(PeerBody::Slices(grants)) => grants,
             _ => return,
         }
     };
     for grant in &grants {
-        limits.granted(grant, *asked);
+        limits.apply_grant(grant, *requested_at);
     }
 }
--- a/crates/catkinward/src/slot_guard.rs
+++ b/crates/catkinward/src/slot_guard.rs
@@ -2,48 +2,49 @@
 use crate::{admission_pool::AdmissionPool, upstream_handle::UpstreamHandle};
 use std::ops::Deref;
 
-/// A place at an upstream, given back when it is dropped.
+/// A concurrency slot of an upstream, released on drop.
 pub(crate) struct SlotGuard {
     pool: Arc<AdmissionPool>,
     lane: Lane,
     upstream: UpstreamHandle,
-    since: Instant,
-    has_begun: bool,
-    has_ended: bool,
+    acquired_at: Instant,
+    has_started: bool,
+    is_complete: bool,
 }
 
 impl SlotGuard {
     pub(crate) fn new(pool: Arc<AdmissionPool>, lane: Lane, upstream: UpstreamHandle) -> Self {
         Self {
-            since: pool.timer.now(),
+            acquired_at: pool.timer.now(),
             pool,
             lane,
             upstream,
-            has_begun: false,
-            has_ended: false,
+            has_started: false,
+            is_complete: false,
         }
     }
 
-    /// Notes the first part of an answer, by which the limit of the upstream is found.
-    pub(crate) fn begun(&mut self) {
-        if !std::mem::replace(&mut self.has_begun, true) {
-            self.pool.record_latency(self.upstream.id(), self.held());
+    /// Records the first part of a response. Its latency adjusts the concurrency limit of the
+    /// upstream.
+    pub(crate) fn record_first_part(&mut self) {
+        if !std::mem::replace(&mut self.has_started, true) {
+            self.pool.record_latency(self.upstream.id(), self.elapsed());
         }
     }
 
-    /// Notes that the upstream refused for want of room, or did not answer in time.
-    pub(crate) fn overloaded(&self) {
+    /// Records that the upstream refused the request for lack of capacity, or timed out.
+    pub(crate) fn record_overload(&self) {
         self.pool.record_overload(self.upstream.id());
     }
 
-    /// Notes a whole answer; how long it took counts for the waits of those in the queue.
-    pub(crate) fn ended(&mut self) {
-        self.has_ended = true;
+    /// Records a complete response. Its duration is used to estimate the waits of queued requests.
+    pub(crate) fn record_completion(&mut self) {
+        self.is_complete = true;
     }
 
-    /// How long it has been held.
-    pub(crate) fn held(&self) -> Duration {
-        self.pool.timer.now().since(self.since)
+    /// Returns how long the slot has been held.
+    pub(crate) fn elapsed(&self) -> Duration {
+        self.pool.timer.now().since(self.acquired_at)
     }
 }
 
@@ -57,7 +58,7 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let held = self.has_ended.then(|| self.held());
+        let held = self.is_complete.then(|| self.elapsed());
         self.pool.release_slot(self.lane, self.upstream.id(), held);
     }
 }
--- a/crates/catkinward/tests/timeline.rs
+++ b/crates/catkinward/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The ring of events.
+//! The ring buffer of events and its queries.
 
 use catkinward::{
     Event, EventKind, HybridTime, ProcessClock, Timeline, TimelineExtract, TimelineQuery,
@@ -24,10 +24,10 @@
     extract.records.iter().map(|r| r.event.kind).collect()
 }
 
-/// A VM has no disk and little memory. When more happens than the ring holds, the newest events
-/// stay, and the reader is told that there were more.
+/// A VM has no disk and little memory. When there are more events than the ring buffer holds, it
+/// keeps the newest and reports how many it has overwritten.
 #[gtest]
-fn full_ring_keeps_the_newest_and_says_so() {
+fn full_ring_keeps_the_newest_events_and_counts_the_overwritten() {
     let timeline = timeline(2);
 
     timeline.record(event(EventKind::Accepted, "a", "e"));
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn queries_narrow_by_request_upstream_and_time() {
+fn queries_filter_by_request_upstream_and_time() {
     let timeline = timeline(10);
     timeline.record(event(EventKind::Accepted, "a", "e"));
     timeline.record(event(EventKind::Dispatched, "b", "e"));
@@ -77,10 +77,10 @@
     );
 }
 
-/// A message comes from a VM whose wall clock is a minute ahead. What this VM records after it must
-/// stand after it in the merged time line.
+/// A message arrives from a VM whose wall clock is a minute ahead. Events that this VM records after
+/// it must come after it in the merged timeline.
 #[gtest]
-fn events_after_a_message_stand_after_it() {
+fn events_after_a_message_have_later_times() {
     let timeline = timeline(10);
     let ahead = ProcessClock::default().tick();
     let sent = HybridTime {
@@ -88,7 +88,7 @@
         ..ahead
     };
 
-    timeline.clock().witness(sent);
+    timeline.clock().observe(sent);
     timeline.record(Event::new(EventKind::Accepted));
 
     let extract = timeline.extract(&TimelineQuery::default());
