--- a/crates/catkinward/src/gateway/reply.rs
+++ b/crates/catkinward/src/gateway/reply.rs
@@ -1,58 +1,58 @@
 use super::*;
 
-/// What a caller gets.
+/// The gateway's reply to a call.
 #[derive(Debug)]
 pub enum Reply {
-    /// An upstream's whole answer, as it came.
+    /// The complete response of an upstream, unchanged.
     Whole {
-        /// Its status.
+        /// HTTP status of the response.
         status: StatusCode,
-        /// Its headers.
+        /// Headers that the upstream sent for the caller.
         headers: HeaderMap,
-        /// Its body.
+        /// The complete body.
         body: Bytes,
     },
-    /// An upstream's stream, of which the first event is there.
+    /// An event stream whose first event has been received.
     Events {
-        /// Its status.
+        /// HTTP status of the first run.
         status: StatusCode,
-        /// Headers of the first upstream.
+        /// Headers from the upstream of the first run.
         headers: HeaderMap,
-        /// Its events.
+        /// Events, from one or more runs.
         body: EventBody,
     },
-    /// It has not run and will not.
+    /// The call has not run and will not run, so the caller may safely retry it.
     NotRun {
-        /// Proof and reason.
+        /// Evidence that the call has not run, and the reason of the refusal.
         not_run: NotRun<RequestId>,
     },
-    /// It may have run; no answer is to be had.
+    /// The call may have run, but no response is available.
     Unknown,
-    /// It may have run; its time is over.
+    /// The deadline passed; the call may have run.
     TimedOut,
-    /// No route takes it.
+    /// No route matches the call's host and path.
     NoRoute,
-    /// Its key is not known.
+    /// The caller's API key is missing or unknown.
     UnknownKey,
 }
 
-/// Events of a stream; an error means that it ends without being whole.
+/// Events of a stream. An error means that the stream ends incomplete.
 pub struct EventBody(pub BoxStream<'static, Result<Bytes, StreamCut>>);
 
-/// A stream that ended before it was whole.
+/// Why a stream ended before it was complete.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError)]
 pub enum StreamCut {
-    /// No upstream could go on with it.
-    #[display("no upstream could go on with the stream")]
+    /// No upstream could resume the stream.
+    #[display("no upstream could resume the stream")]
     NoUpstream,
-    /// Its time was over.
-    #[display("the time of the stream is over")]
+    /// The deadline of the call passed.
+    #[display("the stream reached its deadline")]
     TimedOut,
-    /// Upstreams died as they began to run it.
-    #[display("upstreams died as they began to run the stream")]
+    /// Upstreams crashed before they produced an event of the stream.
+    #[display("upstreams crashed when they started to run the stream")]
     Poisoned,
-    /// It may not go on elsewhere.
-    #[display("the stream was cut and may not go on elsewhere")]
+    /// The run was lost, and the route does not allow a resume on another upstream.
+    #[display("the run of the stream was lost and its route does not allow a resume")]
     NotResumable,
 }
 
--- a/crates/catkinward/src/gateway/reply_log.rs
+++ b/crates/catkinward/src/gateway/reply_log.rs
@@ -1,9 +1,9 @@
-//! What the log and the metrics say of how calls end.
+//! Logs and counts the outcomes of calls.
 
 use super::*;
 
-/// Says that a caller has left, if it is dropped before there is an answer: the door drops a call with
-/// its connection, and its lines would just end.
+/// Logs that a caller has left if it is dropped before there is a reply. The caller server drops a call
+/// together with its connection, so otherwise the log would show no end of the call.
 pub(crate) struct CallerWatch {
     pub(crate) call: Arc<Call>,
     pub(crate) stays: bool,
@@ -17,13 +17,13 @@
     }
 }
 
-/// Logs that a caller left before its answer was whole.
+/// Logs that a caller left before its response was complete.
 pub(crate) fn log_caller_left(call: &Call, last_event: Option<u64>) {
     metrics::counter!("catkin_callers_left_total").increment(1);
     tracing::info!(request = %call.id, last_event, "caller left");
 }
 
-/// Milliseconds, for the log.
+/// Milliseconds of a duration for log lines; saturates.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/catkinward/src/gateway/rollout_store.rs
+++ b/crates/catkinward/src/gateway/rollout_store.rs
@@ -1,40 +1,40 @@
 use super::*;
 
-/// The durable state of rollouts in the platform's store.
+/// Access to the rollout records in the platform store.
 pub struct RolloutStore {
-    /// Reads the record of a service.
+    /// Reads the rollout record of a service.
     pub read: ReadRecord,
-    /// Writes a record, and the status that operators read, both or neither.
+    /// Writes a record together with the status that operators read, in one transaction.
     pub write: WriteRecord,
 }
 
-/// Reads the record of a service's rollout.
+/// Function that reads the rollout record of a service.
 pub type ReadRecord =
     Box<dyn Fn(ServiceId) -> BoxFuture<'static, Result<StoredRecord, FeedError>> + Send + Sync>;
 
-/// Writes the record of a service's rollout.
+/// Function that writes a rollout record if the row and the order have the expected versions.
 pub type WriteRecord = Box<
     dyn Fn(RolloutWrite) -> BoxFuture<'static, Result<RolloutWriteResult, FeedError>> + Send + Sync,
 >;
 
-/// A write of a record.
+/// A conditional write of a rollout record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutWrite {
-    /// The service.
+    /// Service whose rollout the record describes.
     pub service: ServiceId,
-    /// What is written.
+    /// New content of the row.
     pub record: RolloutRecord,
-    /// Version that the row must have; 0 if there must be none.
+    /// Version that the row must have; 0 if the row must not exist.
     pub expected: u64,
-    /// Version that the order must have; 0 if it must be gone.
+    /// Version that the order must have; 0 if the order must not exist.
     pub order: u64,
 }
 
-/// What came of a write.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RolloutWriteResult {
-    /// It was done, at this version.
+    /// The record was written; the row now has this version.
     Done(u64),
-    /// The row or the order has another version than expected.
+    /// Nothing was written: the row or the order does not have the expected version.
     Conflict,
 }
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -1,32 +1,34 @@
-//! Drives the rollouts: reports to their owners, takes over those that have none, and decides those of its own.
+//! Background task for rollouts. It sends this VM's reports to the owners of rollouts, takes over
+//! rollouts without an owner, and decides the rollouts that this VM owns.
 
 use super::{rollouts::OwnedRollout, *};
 
-/// How often a running rollout is looked after.
+/// Interval at which running rollouts are processed.
 const ROLLOUT_TICK: Duration = Duration::from_millis(100);
 
-/// How often a VM reports in a small fleet.
+/// Minimum interval between the reports of a VM.
 const REPORT_PERIOD: Duration = Duration::from_millis(400);
 
-/// Reports that an owner takes from each of many VMs: one in so long for each live VM.
+/// Time for each live VM in the interval between reports, which bounds the rate at which an owner of a
+/// large fleet receives them.
 const REPORT_SPACING: Duration = Duration::from_millis(4);
 
-/// Bound of a call of the store.
+/// Timeout of a platform store call.
 const STORE_BOUND: Duration = Duration::from_millis(900);
 
-/// How often an owner asks the store whether it still is the owner.
+/// Interval at which an owner checks in the store that it still is the owner.
 const CONFIRM_PERIOD: Duration = Duration::from_secs(1);
 
-/// Wait after the store did not answer, or another VM was faster.
+/// Delay after the store did not answer, or after another VM wrote the record first.
 const STORE_RETRY: Duration = Duration::from_millis(300);
 
-/// Wait before a new version is to take over once more, in which requests go on as before.
+/// Delay before another attempt to complete a rollout. Requests are served as before meanwhile.
 const COMPLETE_RETRY: Duration = Duration::from_millis(500);
 
-/// How often the end of a rollout is sent to all VMs: datagrams get lost.
+/// Number of times the end of a rollout is sent to all VMs, because datagrams may be lost.
 const END_SENT: u32 = 3;
 
-/// Looks after rollouts for good.
+/// Runs the rollout task; it does not return.
 pub async fn follow_rollouts(gateway: Arc<Gateway>, store: RolloutStore) {
     let mut driver = Driver {
         gateway,
@@ -39,14 +41,14 @@
     }
 }
 
-/// What an owner has to do at the store.
+/// Store access that an owned rollout needs now.
 enum Due {
     Nothing,
-    /// To ask whether it still is the owner.
+    /// Check that this VM still is the owner.
     Confirm {
         term: u64,
     },
-    /// To write how the rollout has ended.
+    /// Write the end of the rollout.
     End {
         record: RolloutRecord,
         /// Version that the row must have.
@@ -57,12 +59,12 @@
 struct Driver {
     gateway: Arc<Gateway>,
     store: RolloutStore,
-    /// When the next report is due.
+    /// Time of the next report.
     report_at: Instant,
 }
 
 impl Driver {
-    /// Goes on until no rollout runs any more.
+    /// Processes rollouts until none is running.
     async fn run(&mut self) {
         let mut ticks = self.gateway.timer.subscribe(ROLLOUT_TICK);
         loop {
@@ -84,7 +86,7 @@
                 tick = ticks.recv() => if tick.is_none() { return },
                 () = gateway.rollouts_changed.notified() => {
                     if !reported {
-                        // Failures of a moment are reported together.
+                        // Failed responses that come shortly after one another go into one report.
                         tokio::time::sleep(ROLLOUT_TICK / 4).await;
                         self.report_at = Instant::default();
                     }
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Rollouts that are not settled, or whose end this VM has yet to write.
+    /// Rollouts whose end is not stored, and those that this VM owns.
     fn running(&self) -> Vec<Rollout> {
         let mut state = self.gateway.state.lock();
         let mut rollouts = state
@@ -106,7 +108,7 @@
         rollouts
     }
 
-    /// Reports if it is time; whether it did.
+    /// Sends reports if they are due; returns whether it did.
     fn report(&mut self, running: &[Rollout]) -> bool {
         let now = self.gateway.timer.now();
         if now < self.report_at || running.is_empty() {
@@ -119,7 +121,7 @@
         true
     }
 
-    /// Whether it is this VM's turn to take a rollout over.
+    /// Whether this VM is the one that should take over the rollout now.
     fn is_due(&self, rollout: &Rollout) -> bool {
         let now = self.gateway.timer.now();
         let gateway = &self.gateway;
@@ -135,7 +137,7 @@
         rollout.needs_owner(rank, now)
     }
 
-    /// Claims a rollout without an owner, or learns who owns it or how it has ended.
+    /// Claims a rollout without an owner, or reads from the store who owns it or how it ended.
     async fn take_over(&mut self, rollout: &Rollout) {
         let service = &rollout.order.service;
         let Some(stored) = self.read(service).await else {
@@ -176,13 +178,14 @@
         }
     }
 
-    /// Takes in what the store says of a rollout that others own or have ended; `false` if nobody looks after it.
+    /// Applies the stored record of a rollout that another VM owns or has ended. Returns `false` if the
+    /// record names no other active owner, so that this VM may claim the rollout.
     fn learn(&self, rollout: &Rollout, record: &RolloutRecord, now_ms: u64, now: Instant) -> bool {
         let left = Duration::from_millis(record.deadline_ms.saturating_sub(now_ms));
         if record.owner.as_ref() == self.gateway.life.to_string()
             && !record.progress.phase.is_final()
         {
-            // The answer to its own claim was lost.
+            // The response to this VM's own claim was lost.
             return false;
         }
         let known = rollout.progress.term >= record.progress.term;
@@ -203,7 +206,7 @@
         true
     }
 
-    /// Begins to own a rollout.
+    /// Starts to own a rollout after its claim was written.
     fn begin(&self, rollout: &Rollout, record: &RolloutRecord, version: u64, left: Duration) {
         let gateway = &self.gateway;
         let service = rollout.order.service.clone();
@@ -233,7 +236,7 @@
         self.announce(&service, record.progress, 1);
     }
 
-    /// Sets how far a rollout is, and tells all VMs.
+    /// Sets the progress of a rollout and sends it to all VMs, `times` times.
     fn announce(&self, service: &ServiceId, progress: RolloutProgress, times: u32) {
         let gateway = &self.gateway;
         let now = gateway.timer.now();
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Decides a rollout of its own, and writes what was decided.
+    /// Decides the next step of an owned rollout and writes the decision to the store.
     async fn drive(&mut self, rollout: &Rollout) {
         match self.decide(rollout) {
             Due::Nothing => {}
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Decides a rollout of its own; returns what is due at the store.
+    /// Decides the next step of an owned rollout; returns the store access that it needs.
     fn decide(&self, rollout: &Rollout) -> Due {
         let service = &rollout.order.service;
         let now = self.gateway.timer.now();
@@ -281,7 +284,7 @@
         let own = &mut all[index].1;
         let term = own.owner.term;
         if rollout.order.written > own.order {
-            tracing::warn!(%service, order = own.order, by = rollout.order.written, "rollout replaced by another order");
+            tracing::warn!(%service, order = own.order, by = rollout.order.written, "rollout order superseded by a newer order");
             all.remove(index);
             return Due::Nothing;
         }
@@ -292,7 +295,7 @@
         }
         let is_rolled_back = rollout.progress.phase == RolloutPhase::RolledBack;
         if is_rolled_back && own.ending.is_none() {
-            // Decided by the owner before, which did not come to write it.
+            // The previous owner decided to roll back but did not write it.
             own.ending = Some(RolloutPhase::RolledBack);
             own.not_before = now;
         }
@@ -335,7 +338,7 @@
         due
     }
 
-    /// Asks the store whether this VM still owns a rollout.
+    /// Checks in the store that this VM still owns a rollout.
     async fn confirm(&mut self, rollout: &Rollout, term: u64) {
         let service = &rollout.order.service;
         let read = self.read(service).await;
@@ -355,7 +358,7 @@
         }
     }
 
-    /// Finds out what became of a write without an answer, or one that met another row or order.
+    /// Resolves a write that got no response or a conflict by reading the record again.
     async fn read_back(&mut self, rollout: &Rollout, record: &RolloutRecord, expected: u64) {
         let service = &rollout.order.service;
         let read = self.read(service).await;
@@ -372,7 +375,7 @@
             }
             Some(found) if found.written == rollout.order.written => {
                 if stored.version == expected {
-                    // The record is as it was, so it is the order that has changed.
+                    // The record is unchanged, so the conflict is due to a changed order.
                     return self.end_without_order(rollout).await;
                 }
                 self.change(service, |own| {
@@ -407,11 +410,11 @@
                 order: 0,
             };
             let written = tokio::time::timeout(STORE_BOUND, (self.store.write)(write)).await;
-            tracing::warn!(%service, order = rollout.order.written, ?written, "rollout without order");
+            tracing::warn!(%service, order = rollout.order.written, ?written, "ending rollout whose order no longer exists");
             if !matches!(written, Ok(Ok(_))) {
                 return self.retry_without_order(service);
             }
-            // On a conflict another order is in force, and the status is that of its rollout.
+            // A conflict means that another order is in force; the stored status belongs to its rollout.
         }
         self.ended(rollout, progress);
     }
@@ -422,7 +425,8 @@
         self.wait_before_claim(service);
     }
 
-    /// Lets requests go on as before while the end of a rollout cannot be written.
+    /// Returns the rollout to the running phase while its end cannot be written, so that requests are
+    /// served as before.
     fn retry_end(&self, rollout: &Rollout, now: Instant) {
         let service = &rollout.order.service;
         let mut was_completing = false;
@@ -480,7 +484,7 @@
     }
 
     fn step_down_for_another_order(&self, service: &ServiceId) {
-        tracing::warn!(%service, "rollout replaced by another order");
+        tracing::warn!(%service, "rollout order superseded by a newer order");
         self.disown(service);
     }
 
@@ -489,7 +493,8 @@
         owned.retain(|(s, _)| s != service);
     }
 
-    /// Ends rollouts whose order was withdrawn: those of its own in the store, and those of others at their owners.
+    /// Ends rollouts whose order was withdrawn. Owned ones are ended in the store; for others the owners
+    /// are notified.
     async fn end_withdrawn(&mut self) {
         let withdrawn = std::mem::take(&mut *self.gateway.withdrawn_rollouts.lock());
         for rollout in withdrawn {
@@ -513,7 +518,8 @@
         }
     }
 
-    /// What is wrong with an order. Later owners do not look at the versions: the old one may be down.
+    /// Validates an order. Only the first owner checks the versions of the upstreams, because the old
+    /// version may be down by the time a later owner takes over.
     fn fault(&self, rollout: &Rollout, term: u64) -> Option<RolloutOrderError> {
         let config = self.gateway.config()?;
         let now = self.gateway.timer.now();
@@ -551,7 +557,7 @@
         }
     }
 
-    /// Has the rollout claimed a little later, and by then perhaps by another VM.
+    /// Delays the next claim of the rollout; another VM may claim it first.
     fn wait_before_claim(&self, service: &ServiceId) {
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
@@ -571,7 +577,7 @@
             Ok(stored) => Some(stored),
             Err(fault) => {
                 let fault: &str = fault.into();
-                tracing::warn!(%service, fault, "rollout record not read");
+                tracing::warn!(%service, fault, "cannot read the rollout record");
                 None
             }
         }
@@ -594,7 +600,7 @@
             Ok(written) => Some(written),
             Err(fault) => {
                 let fault: &str = fault.into();
-                tracing::warn!(service = %rollout.order.service, fault, "rollout record not written");
+                tracing::warn!(service = %rollout.order.service, fault, "cannot write the rollout record");
                 None
             }
         }
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -1,40 +1,41 @@
-//! Rollouts in the way of calls: what goes to a version under trial, and what came of it.
+//! Rollouts on the call path: selects canary requests, records responses by version, and exchanges
+//! reports and grants with the owners of rollouts.
 
 use super::{accepted_call::AcceptedCall, *};
 
-/// How long a call waits at most for a new version to take over.
+/// Maximum time a call waits for a rollout to complete.
 const LONGEST_HOLD: Duration = Duration::from_millis(500);
 
-/// Routes in one report: some 200 bytes each, within a datagram.
+/// Maximum number of routes in one report. A route takes some 200 bytes, and a report must fit in a datagram.
 const ROUTES_REPORTED: usize = 3;
 
-/// Routes named in a grant.
+/// Maximum number of undersampled routes named in a grant.
 const ROUTES_WANTED: usize = 4;
 
-/// How long an owner grants exposures after it last read that it still is the owner.
+/// Time after the last confirmed ownership during which an owner still grants exposures.
 const CONFIRMED_FOR: Duration = Duration::from_secs(4);
 
 /// A rollout that this VM owns.
 pub(crate) struct OwnedRollout {
-    /// Version of the store at which its order was written.
+    /// Store version of its order.
     pub(crate) order: u64,
     pub(crate) owner: RolloutOwner,
-    /// When the store last confirmed that this VM is the owner.
+    /// Time when the store last confirmed that this VM is the owner.
     pub(crate) confirmed: Instant,
-    /// Since when requests wait for the new version to take over.
+    /// Time since which requests have waited for the rollout to complete.
     pub(crate) completing: Option<Instant>,
-    /// The end that was decided and is not in the store yet.
+    /// Final phase that was decided but is not yet in the store.
     pub(crate) ending: Option<RolloutPhase>,
-    /// What is wrong with the order.
+    /// Error found when the order was validated.
     pub(crate) fault: Option<RolloutOrderError>,
-    /// Not before this time the store is called again.
+    /// Earliest time of the next store call.
     pub(crate) not_before: Instant,
-    /// Not before this time the new version is to take over, after that could not be written.
+    /// Earliest time of the next attempt to complete the rollout, after a failed write.
     pub(crate) not_complete_before: Instant,
 }
 
 impl OwnedRollout {
-    /// Decides how the rollout goes on; the phase that the VMs are to be told, if it is a new one.
+    /// Decides the next step; returns a new phase that must be sent to the VMs, if there is one.
     pub(crate) fn advance(
         &mut self,
         rollout: &Rollout,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// What the store is to hold now; none while requests wait for a new version to take over.
+    /// Phase that the store should hold now; `None` while requests wait for the rollout to complete.
     pub(crate) fn phase_to_write(&self, now: Instant) -> Option<RolloutPhase> {
         match (self.ending, self.completing) {
             (Some(phase), _) => Some(phase),
@@ -86,7 +87,7 @@
 }
 
 impl Gateway {
-    /// Takes in an order of the operator's table.
+    /// Applies a rollout order read from the operator's table, and sends it to the VMs of the zone if it is new.
     pub fn put_rollout_order(&self, order: RolloutOrder) {
         let notice = RolloutNotice {
             left_ms: u32::try_from(order.duration.as_millis()).unwrap_or(u32::MAX),
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Takes in that a service has no order any more, at a version of the operator's table.
+    /// Withdraws the rollout of a service whose order is gone as of version `at` of the operator's table.
     pub fn rollout_order_withdrawn(&self, service: &ServiceId, at: u64) {
         let withdrawn = self.state.lock().rollouts.withdraw(service, at);
         if let Some(rollout) = withdrawn {
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Takes in that all orders were read as of a version of the operator's table: the services without one.
+    /// Withdraws the rollouts of all services that are not in `with_order`, the complete set of services with an
+    /// order as of a version of the operator's table.
     pub fn rollout_orders_read(&self, with_order: &[ServiceId], version: u64) {
         let mut state = self.state.lock();
         let services = state.rollouts.iter_mut().map(|r| r.order.service.clone());
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Takes in what another VM knows of a rollout; whether that is news.
+    /// Merges another VM's state of a rollout; returns whether it changed this VM's state.
     pub(crate) fn take_rollout(&self, notice: &RolloutNotice) -> bool {
         let now = self.timer.now();
         let news = self.state.lock().rollouts.merge(notice, now);
@@ -141,7 +143,7 @@
         news
     }
 
-    /// Sends a notice of a rollout.
+    /// Sends a rollout notice to the given addresses.
     pub(crate) fn send_notice(&self, notice: &RolloutNotice, to: &[SocketAddr]) {
         for address in to {
             self.outbox
@@ -149,8 +151,7 @@
         }
     }
 
-    /// Waits while a new version is about to take over the service, so that the call is not cut off with the old
-    /// one.
+    /// Waits while a rollout of the service completes, so that the call is not interrupted with the old version.
     pub(crate) async fn wait_for_rollout(&self, service: &ServiceId) {
         let mut phases = self.rollout_phases.subscribe();
         let completing = || {
@@ -161,14 +162,15 @@
         if !completing() {
             return;
         }
-        // Only a bound: the call goes on with what is known then.
+        // After the timeout the call proceeds with the current state.
         let _ = tokio::time::timeout(LONGEST_HOLD, async {
             while completing() && phases.changed().await.is_ok() {}
         })
         .await;
     }
 
-    /// Counts a call of a service under rollout; an upstream of the new version, if the call is to go to one.
+    /// Counts a call of a service under rollout. Returns an upstream of the new version if the call is a
+    /// canary request.
     pub(crate) fn place_trial(&self, accepted: &AcceptedCall) -> Option<Arc<UpstreamEntry>> {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -204,7 +206,7 @@
         entry
     }
 
-    /// Counts an upstream's answer for the judgement of a rollout.
+    /// Records an upstream's response as a sample of the rollout.
     pub(crate) fn rollout_answer(
         &self,
         accepted: &AcceptedCall,
@@ -234,7 +236,7 @@
         }
     }
 
-    /// This VM's reports for the owners of rollouts. Its own are taken in at once.
+    /// Sends this VM's reports to the owners of rollouts; those for its own rollouts are applied directly.
     pub(crate) fn report_rollouts(&self) {
         let mut reports = Vec::new();
         for rollout in self.state.lock().rollouts.iter_mut() {
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Takes in another VM's report. A VM that is not the owner any more says what it knows.
+    /// Handles another VM's report. If this VM is no longer the owner, it replies with its state of the rollout.
     pub(crate) fn take_report(&self, report: &RolloutReport, from: SocketAddr) {
         if let Some(grant) = self.account(report) {
             self.outbox.send(from, PeerDatagram::RolloutGrant(grant));
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Enters a report into the account of its rollout and answers it, if this VM owns that.
+    /// Adds a report to its rollout and returns the grant, if this VM owns the rollout.
     fn account(&self, report: &RolloutReport) -> Option<RolloutGrant> {
         let now = self.timer.now();
         let mut owned = self.owned_rollouts.lock();
@@ -320,7 +322,7 @@
         })
     }
 
-    /// Takes in an owner's answer; `from` is its address if it is another VM.
+    /// Applies an owner's grant; `from` is the owner's address if it is another VM.
     pub(crate) fn take_grant(&self, grant: &RolloutGrant, from: Option<SocketAddr>) {
         if from.is_some() {
             self.take_rollout(&grant.notice);
@@ -349,9 +351,9 @@
     }
 }
 
-/// Logs a report with bad answers of a version under trial, and what they were held against.
+/// Logs a report with failed responses of a new version, and the baseline that they were compared with.
 fn log_bad_answers(report: &RolloutReport, route: &str, judged: &JudgedReport) {
     tracing::info!(service = %report.service, route, vm = %report.vm.vm, new = judged.new, new_bad = judged.new_bad,
         old = judged.old, old_bad = judged.old_bad, usual = judged.expected_bad, slowest = judged.max_good_bucket, sum = judged.sum,
-        "rollout: bad answers reported");
+        "rollout: failed responses reported");
 }
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A run of a call on an upstream, counted there until it is dropped. The counts decide where other
-/// calls go; one that is never taken back would make an upstream look busy for good.
+/// Guard of a run of a call on an upstream: the run counts as in flight there until the guard is
+/// dropped. Placement uses the counts, so a count that leaked would make the upstream look busy for ever.
 pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) entry: Arc<UpstreamEntry>,
-    /// Changes when the upstream is given up.
+    /// Changes when the runs on the upstream are abandoned.
     pub(crate) given_up: watch::Receiver<u64>,
 }
 
 impl RunGuard {
-    /// Counts a run.
+    /// Counts a run, with the prompt tokens that its upstream has to prefill.
     pub(crate) fn begin(
         gateway: &Arc<Gateway>,
         entry: Arc<UpstreamEntry>,
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Waits until the upstream is given up.
+    /// Waits until the runs on the upstream are abandoned.
     pub(crate) async fn lost(&mut self) {
         if self.given_up.changed().await.is_err() {
-            // The sender is gone with the state of an upstream that no longer exists.
+            // The sender was dropped with the state of an upstream that no longer exists.
             std::future::pending::<()>().await;
         }
     }
--- a/crates/catkinward/src/gateway/shutdown.rs
+++ b/crates/catkinward/src/gateway/shutdown.rs
@@ -1,39 +1,40 @@
 use super::*;
 
-/// Time after the signal in which callers still come: the platform takes a VM out after two questions
-/// for readiness, one a second, and a caller's connection may take some more to arrive.
+/// Time after the signal during which callers still arrive: the platform takes a VM out of rotation after
+/// two failed readiness checks, one a second, and a caller's connection may take a little longer.
 const LEAVES_ROTATION: Duration = Duration::from_millis(2600);
 
-/// Quiet time that ends the shutdown early: requests on their way when the last one ended have come
-/// by then (a millisecond away, and one second of a connection's patience at most is rare).
+/// Idle time that ends the shutdown early. Requests that were on the network when the last one ended have
+/// normally arrived by then: they take about a millisecond, and a connection attempt that takes up to its
+/// timeout of one second is rare.
 const QUIET: Duration = Duration::from_millis(150);
 
-/// Part of the grace time after which the process ends whatever is in flight, so that it ends by
-/// itself and can say what it cut.
+/// Margin before the end of the grace time at which the process ends what is still in flight, so that it
+/// exits by itself and can log what it interrupted.
 const LAST_MOMENT: Duration = Duration::from_millis(150);
 
-/// A shutdown that has begun.
+/// Times of a shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    /// Until when callers still come that could not know of it.
+    /// Until this time all calls are accepted, because callers may not know of the shutdown yet.
     served_until: Instant,
-    /// When the process ends at the latest.
+    /// Latest time at which the process ends.
     ends: Instant,
 }
 
 impl Shutdown {
-    /// Whether a call may still be taken that takes up to `needs`.
+    /// Whether a call that takes up to `needs` may still be accepted.
     ///
-    /// Where most VMs of an availability zone shut down together, the platform sends callers to them
-    /// for as long as they answer. A stream taken near the end would be cut in the middle; its caller
-    /// is better off elsewhere at once, and so it is told that it has not run.
+    /// If most VMs of an availability zone shut down together, the platform sends callers to them for as
+    /// long as they respond. A stream accepted near the end would be cut in the middle, so it is refused
+    /// as not run and its caller can retry on another VM at once.
     fn takes(&self, needs: Duration, now: Instant) -> bool {
         now < self.served_until || now.after(needs) < self.ends
     }
 }
 
 impl Gateway {
-    /// Whether a call that takes up to `needs` may be taken now.
+    /// Whether a call that takes up to `needs` may be accepted now.
     pub(crate) fn takes(&self, needs: Duration) -> bool {
         let now = self.timer.now();
         self.leaving
@@ -41,8 +42,8 @@
             .is_none_or(|leaving| leaving.takes(needs, now))
     }
 
-    /// Shuts down gracefully: not ready at once, callers are served until they are sent elsewhere,
-    /// then `close_idle` is called, and what is in flight runs to its end within `grace`.
+    /// Shuts down gracefully. Readiness ends at once; callers are served until the VM is out of rotation;
+    /// then `close_idle` is called, and calls in flight may finish within `grace`.
     pub async fn shut_down(&self, grace: Duration, close_idle: impl FnOnce()) {
         tracing::info!(in_flight = self.drain.in_flight(), "shutdown begun");
         self.drain.begin();
--- a/crates/catkinward/src/gateway/stream_call.rs
+++ b/crates/catkinward/src/gateway/stream_call.rs
@@ -2,12 +2,12 @@
     accepted_call::AcceptedCall, core::refused, reply::StreamCut, stream_run::StreamRun, *,
 };
 
-/// When a caller may come back with a stream that no upstream took: about the time in which crashed
-/// engines are back, spread so that those refused together do not return together.
+/// Minimum retry delay for the caller of a stream that no upstream accepted. Crashed engines are back after
+/// about this time; it is randomized so that callers refused together do not retry together.
 const REFUSED_RETRY: Duration = Duration::from_millis(400);
 
-/// Serves a stream of events. The head of the answer waits for the first event: until then another
-/// upstream may begin anew, and nothing has been promised.
+/// Serves an event stream. The response head is sent only with the first event, so that until then the
+/// call can restart on another upstream without the caller having received anything.
 pub(crate) async fn call_stream(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
     let call = accepted.call.clone();
     let mut run = StreamRun::new(gateway.clone(), accepted);
@@ -44,13 +44,13 @@
     }
 }
 
-/// Why a stream does not go on.
+/// Why a stream ends without being complete.
 pub(crate) enum StreamStop {
     /// No upstream ran it.
     NotRun(RefusalReason),
-    /// Its time is over.
+    /// The deadline passed.
     TimedOut,
-    /// It was cut.
+    /// Its run was lost and it cannot be resumed.
     Cut(StreamCut),
 }
 
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -11,58 +11,59 @@
     *,
 };
 
-/// Silence of a stream that has begun, after which it goes on elsewhere although its upstream answers
-/// questions: its connection has gone silent for good, or it was put aside for a more urgent one.
-/// Events come every 30 to 200 ms; with the resume a caller waits less than 0.7 s.
+/// Time without data from a started run after which the stream resumes on another upstream although this
+/// one answers health checks: the connection is dead, or the engine preempted the run for a more urgent
+/// one. Events come every 30 to 200 ms; with the resume a caller waits less than 0.7 s.
 const STALL: Duration = Duration::from_millis(450);
 
-/// Silence before the first event after which the prompt is read elsewhere. Reading and waiting for
-/// other prompts takes one to four seconds, and to begin anew costs as much, so this is only for
-/// connections that have gone silent for good.
+/// Time without a first event after which the prompt is prefilled on another upstream. Prefill, with the
+/// wait for other prompts, takes one to four seconds, and a restart costs as much again, so this timeout
+/// only covers dead connections.
 pub(super) const STALL_BEFORE_FIRST: Duration = Duration::from_secs(6);
 
-/// A stream on its way to a caller.
+/// A stream that is being served to a caller.
 pub(crate) struct StreamRun {
     pub(super) gateway: Arc<Gateway>,
     pub(super) accepted: AcceptedCall,
     pub(super) relay: EventRelay,
     pub(super) active: Option<ActiveRun>,
-    /// A copy of the memory of the run before.
+    /// KV copy of the previous run.
     pub(super) copy: Option<KvCopy>,
-    /// Tokens of its prompt that engines hold, sorted by engine.
+    /// Number of prompt tokens that each engine has cached, sorted by engine.
     pub(super) cached: Vec<(UpstreamIncarnation, u32)>,
-    /// Upstreams that lost or refused it.
+    /// Upstreams that lost or refused the stream.
     pub(super) avoid: Vec<UpstreamIncarnation>,
     pub(super) sends: u32,
-    /// Whether the next send is paid for: the one before did not arrive.
+    /// Whether the next send takes nothing from the retry budget, because the previous one did not arrive.
     pub(super) send_paid: bool,
-    /// Upstreams that may have run it, the present one included.
+    /// Upstreams that may have run the stream, including the current one.
     pub(super) ran_on: Vec<UpstreamIncarnation>,
-    /// Upstreams whose connections broke before they made an event, since one last did.
+    /// Upstreams whose connections broke before they produced an event, since the last run that produced one.
     pub(super) broke_beginning: Vec<Arc<UpstreamEntry>>,
-    /// Whether the caller has got an event.
+    /// Whether the caller has received an event.
     pub(super) delivered: bool,
-    /// When the caller got its first event.
+    /// Time when the caller received its first event.
     pub(super) first_event_at: Option<Instant>,
     pub(super) head: Option<(StatusCode, HeaderMap)>,
-    /// When the run before was lost.
+    /// Time when the previous run was lost.
     pub(super) lost_at: Option<Instant>,
-    /// When the run was sent, until its first event; none if its first event does not tell how fast its upstream is.
+    /// Time when the run was sent, until its first event. `None` if the time to its first event does not measure
+    /// the speed of its upstream.
     pub(super) judged_since: Option<Instant>,
-    /// Whether the stream is whole or cut.
+    /// Whether the stream is complete or cut.
     pub(super) ended: bool,
 }
 
 impl Drop for StreamRun {
     fn drop(&mut self) {
-        // Before the first event whoever waits for it says so.
+        // Before the first event, the guard of the waiting call logs it.
         if self.delivered && !self.ended {
             log_caller_left(&self.accepted.call, self.relay.last());
         }
     }
 }
 
-/// The run that the caller gets events from.
+/// The run that currently produces the events.
 pub(super) struct ActiveRun {
     pub(super) number: EventRun,
     pub(super) guard: RunGuard,
@@ -70,33 +71,33 @@
     pub(super) body: ResponseBody,
     pub(super) splitter: EventSplitter,
     pub(super) gave_events: bool,
-    /// When something came last.
+    /// Time of the last received data.
     pub(super) progress: tokio::time::Instant,
 }
 
-/// What came from the active run.
+/// What was received from the active run.
 enum Received {
     Bytes(Bytes),
     End,
     Broken(Loss),
     TimedOut,
-    /// Nothing, but the copies of the run may need a look.
+    /// No data, but the KV copies of the run must be checked.
     Look,
 }
 
-/// How a run was lost.
+/// Why a run was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(super) enum Loss {
-    /// Its connection broke.
+    /// The connection broke.
     Broken,
-    /// Its upstream did not answer a question.
+    /// The upstream did not answer a health check.
     Silent,
-    /// It ended in the middle of an event.
+    /// The stream ended within an event, or its data could not be split into events.
     Torn,
-    /// It left events out.
+    /// The run skipped events.
     Gap,
-    /// Its upstream lives, but nothing comes.
+    /// The upstream answers health checks, but the run sends no data.
     Stalled,
 }
 
@@ -123,12 +124,12 @@
         }
     }
 
-    /// Head of the first upstream's answer, once there is an event or the end.
+    /// Response head of the first upstream; set once there is an event or the end of the stream.
     pub(crate) fn take_head(&mut self) -> Option<(StatusCode, HeaderMap)> {
         self.head.take()
     }
 
-    /// The next whole events; `None` at the end of the whole stream.
+    /// Returns the next complete events, or `None` at the end of the complete stream.
     pub(crate) async fn next_events(&mut self) -> Result<Option<Bytes>, StreamStop> {
         loop {
             if self.active.is_none() {
@@ -178,7 +179,7 @@
         while let Some(CompleteEvent { id, bytes }) = active.splitter.next_event() {
             let fate = match id {
                 Some(id) => self.relay.decide(active.number, id),
-                // An event without a number cannot be told from one that was handed on before.
+                // An event without an ID cannot be distinguished from one that was already delivered.
                 None if self.ran_on.len() > 1 => EventDecision::Drop,
                 None => EventDecision::Deliver,
             };
@@ -234,7 +235,7 @@
         Ok(())
     }
 
-    /// Has a new copy made if there is none. Before the first event an engine may not run the call.
+    /// Requests a new KV copy if there is none. Not before the first event: the engine may not run the call yet.
     fn look_at_copies(&mut self) {
         let has_copies = self.gateway.has_copies(&self.accepted.service);
         if let (Some(active), true) = (&mut self.active, self.delivered && has_copies) {
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Notes how long a stream took that was made here as a whole.
+    /// Records the duration of a stream that was generated from its first event on.
     fn note_pace(&self) {
         let (Some(first), Some(last), None) = (
             self.first_event_at,
@@ -298,8 +299,8 @@
         state.pace.record_complete(last, now.since(first));
     }
 
-    /// Notes the loss of the active run. Its connection is closed before another run can begin, so
-    /// that its upstream does not go on with it.
+    /// Handles the loss of the active run. Its connection is closed before another run can begin, so
+    /// that its upstream stops running it.
     fn lost(&mut self, loss: Loss) -> Result<(), StreamStop> {
         let Some(active) = self.active.take() else {
             return Ok(());
@@ -314,7 +315,7 @@
         drop(body);
         let entry = guard.entry.clone();
         drop(guard);
-        // Until it makes its first event a run's memory is not copied; to ask for it costs a repeat.
+        // The KV cache of a run is not copied before its first event, and a resume from a missing copy costs a retry.
         self.copy = copies
             .into_best(loss == Loss::Silent)
             .filter(|_| gave_events);
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -1,4 +1,5 @@
-//! How a stream's runs begin: which upstream, from which copy, and what its answer means.
+//! Starts the runs of a stream: selects the upstream and the KV copy, sends the call and interprets the
+//! response.
 
 use super::{
     health_check::probe,
@@ -15,15 +16,15 @@
     *,
 };
 
-/// How often a stream is sent at most, refusals counted in. Each costs a few milliseconds; a resume
-/// that finds no place is worth several.
+/// Maximum number of sends of a stream, including refused ones. A send costs a few milliseconds, which is
+/// cheap compared with a resume that finds no free slot.
 const MOST_SENDS: u32 = 12;
 
-/// Wait before upstreams are tried again after all refused.
+/// Delay before upstreams are tried again after all of them refused.
 const REFUSED_WAIT: Duration = Duration::from_millis(60);
 
 impl StreamRun {
-    /// Begins a run: from the copy of the one before if that can be, else where it fits best.
+    /// Starts a run: from the KV copy of the previous run if it is usable, otherwise on the best upstream.
     pub(super) async fn open(&mut self) -> Result<(), StreamStop> {
         loop {
             let now = self.gateway.timer.now();
@@ -55,12 +56,11 @@
         }
     }
 
-    /// Whether so many upstreams have died as they began to run this stream that it is the cause.
-    ///
-    /// Dead upstreams do not count against a stream otherwise, so it would go on from one to the next and
-    /// end all that runs there; one sees `run of a stream lost` with `loss=broken` twelve times under one
-    /// request. Connections also break while their upstreams live, so these are asked first: it costs a
-    /// round trip, and only those whose third run ends before its first event.
+    /// Whether so many upstreams crashed when they started to run this stream that it must be the cause.
+    /// Crashed upstreams otherwise do not count against a stream, so it would crash one upstream after the
+    /// other, and the log would show `run of a stream lost` with `loss=broken` up to twelve times for one request.
+    /// Connections also break while their upstreams live, so the upstreams are probed first. That costs a round
+    /// trip, only for streams whose third run ends before its first event.
     async fn kills_upstreams(&mut self) -> bool {
         if self.broke_beginning.len() < MAX_CRASHES_PER_BODY {
             return false;
@@ -75,7 +75,7 @@
     }
 
     async fn may_send_again(&mut self) -> bool {
-        // Upstreams that died or were cut off do not count: their loss is no fault of the call.
+        // Upstreams that crashed or are unreachable do not count, since the call did not cause their loss.
         let alive = self.gateway.count_usable(&self.ran_on);
         self.sends < MOST_SENDS
             && alive < self.accepted.route.max_upstreams
@@ -94,15 +94,15 @@
             .await
     }
 
-    /// Tokens that an engine has to read before the next event.
+    /// Number of tokens that an engine must prefill before the next event.
     fn tokens_to_read(&self, entry: &UpstreamEntry) -> u32 {
         let prompt = self.accepted.call.prompt.as_ref().map_or(0, |p| p.tokens);
         prompt.saturating_sub(cached_tokens(&self.cached, &entry.id))
     }
 
-    /// Whether the stream cannot be whole in the time that is left, even with nothing else to do. Sent all the same, it
-    /// would take an engine's time from others, and its caller would leave with nothing. One that has begun goes on
-    /// for as long as its prompt can be read.
+    /// Whether the stream cannot complete in the remaining time even on an idle upstream. If it were sent
+    /// nevertheless, it would take engine time from other calls, and its caller would leave with nothing. A
+    /// started stream continues as long as there is time to prefill its prompt.
     fn is_too_late(&self, entry: &UpstreamEntry) -> bool {
         let policy = &self.gateway.settings.policy;
         if !policy.refuse_late {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// An upstream that has not failed this stream, or after a wait any.
+    /// Selects an upstream that has not lost or refused this stream; if there is none, any upstream after a delay.
     async fn choose(&mut self) -> Option<Arc<UpstreamEntry>> {
         if self.sends == 0 && self.gateway.settings.policy.prompt_search {
             self.cached = self.gateway.search_prompt(&self.accepted).await;
@@ -158,7 +158,7 @@
         self.gateway.place(&self.accepted, &[], &self.cached)
     }
 
-    /// Sends it to an upstream; whether a run began.
+    /// Sends the stream to an upstream; returns whether a run started.
     async fn send(
         &mut self,
         entry: Arc<UpstreamEntry>,
@@ -170,7 +170,7 @@
         let copy = gateway.place_copy(&self.accepted, &entry);
         let now = gateway.timer.now();
         let time_left = self.accepted.time_left(now);
-        // What goes on from a copy, or in the middle, is answered sooner than what begins.
+        // A resumed run produces its first event sooner than a new one, so it is no sample for the rollout.
         self.judged_since = (!from_copy && self.relay.last().is_none()).then_some(now);
         let call = UpstreamCall {
             call: self.accepted.call.clone(),
@@ -195,7 +195,7 @@
         let repeat = self.accepted.route.kind.may_retry();
         let answer = tokio::select! {
             answer = (gateway.transport.send)(call) => answer,
-            // An answer may have no head before its first event.
+            // An upstream may send the response head only with the first event.
             () = tokio::time::sleep(STALL_BEFORE_FIRST), if repeat => {
                 self.ran_on.push(entry.id.clone());
                 drop((guard, copy));
@@ -245,7 +245,7 @@
             return self.unless_once();
         }
         if !self.delivered {
-            // Nothing of a run before was handed on, so the caller gets the head of this one.
+            // No event of an earlier run was delivered, so the caller gets the head of this one.
             self.head = Some((answer.status, answer.headers));
         }
         self.active = Some(ActiveRun {
@@ -263,7 +263,7 @@
     fn refused(&mut self, entry: &UpstreamEntry, status: StatusCode) {
         self.avoid.push(entry.id.clone());
         tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
-            status = status.as_u16(), "refused by the upstream");
+            status = status.as_u16(), "upstream refused the stream");
     }
 
     fn send_failed(
@@ -273,7 +273,7 @@
     ) -> Result<bool, StreamStop> {
         if fault == SendError::NoConnection {
             self.avoid.push(entry.id.clone());
-            // Nothing arrived there, so the next send is the same one still.
+            // Nothing was sent, so the next send does not count as another retry.
             self.send_paid = true;
             let fault_name: &str = fault.into();
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
@@ -287,7 +287,7 @@
         self.unless_once()
     }
 
-    /// Whether the stream may go on elsewhere after it may have run.
+    /// Allows another run if the route may be retried; fails otherwise, because the call may have run.
     fn unless_once(&self) -> Result<bool, StreamStop> {
         if self.accepted.route.kind.may_retry() {
             return Ok(false);
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -1,159 +1,158 @@
 use super::*;
 
-/// How upstreams are reached. The adapter speaks the protocol; it repeats nothing and gives up
-/// nothing by itself.
+/// Functions that reach upstreams. The adapter implements the protocol; it neither retries nor abandons
+/// calls by itself.
 pub struct UpstreamTransport {
-    /// Sends a call. The future ends with the head of the answer; dropping it, or the body, closes
-    /// the connection, so that the upstream stops.
+    /// Sends a call. The future resolves with the response head; dropping it, or the body, closes the
+    /// connection, so that the upstream stops.
     pub send: SendCall,
-    /// Has an engine copy the memory of a run to another one while it goes on.
+    /// Requests that an engine copies the KV cache of a running call to another engine.
     pub copy: CopyMemory,
-    /// Has an engine free a copy that nobody will use.
+    /// Requests that an engine frees a KV copy that will not be used.
     pub free: FreeCopy,
-    /// Asks an engine which parts of prompts it holds, the latest word on a part last.
+    /// Queries which prompt parts an engine has cached; the latest report of a part comes last.
     pub cached: AskCached,
-    /// Asks an upstream over a connection of its own whether it lives and how busy it is.
+    /// Queries the health and load of an upstream over a separate connection.
     pub probe: ProbeUpstream,
 }
 
-/// Sends a call to an upstream.
+/// Function that sends a call to an upstream.
 pub type SendCall = Box<
     dyn Fn(UpstreamCall) -> BoxFuture<'static, Result<UpstreamResponse, SendError>> + Send + Sync,
 >;
 
-/// Asks an engine which parts of prompts it holds.
+/// Function that queries which prompt parts an engine has cached.
 pub type AskCached = Box<
     dyn Fn(Arc<UpstreamEntry>) -> BoxFuture<'static, Result<Vec<PromptPart>, SendError>>
         + Send
         + Sync,
 >;
 
-/// Asks an upstream a question.
+/// Function that probes the health of an upstream.
 pub type ProbeUpstream =
     Box<dyn Fn(HealthProbe) -> BoxFuture<'static, Result<HealthReport, SendError>> + Send + Sync>;
 
-/// Has an engine copy the memory of a run.
+/// Function that requests a KV copy of a run.
 pub type CopyMemory =
     Box<dyn Fn(CopyOrder) -> BoxFuture<'static, Result<CopySource, CopyError>> + Send + Sync>;
 
-/// Has an engine free a copy. Nothing depends on its success: an engine frees it by itself later.
+/// Function that frees a KV copy. It may fail without consequences, because engines free unused copies
+/// by themselves later.
 pub type FreeCopy = Box<dyn Fn(CopySource) -> BoxFuture<'static, ()> + Send + Sync>;
 
-/// Which memory is to be copied, and where to.
+/// Request for a KV copy of a run.
 #[derive(Clone, Debug)]
 pub struct CopyOrder {
     /// The engine that runs the call.
     pub source: Arc<UpstreamEntry>,
-    /// The call.
+    /// Call whose KV cache is copied.
     pub call: RequestId,
-    /// The engine that is to keep the copy.
+    /// The engine that receives the copy.
     pub holder: Arc<UpstreamEntry>,
 }
 
-/// Why memory was not copied.
+/// Why no KV copy was made.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum CopyError {
-    /// The engine does not run the call, or not yet.
+    /// The engine does not run the call, or has not started it yet.
     #[display("the engine does not run the call")]
     NoRun,
-    /// The engine copies it already.
-    #[display("the engine copies it already")]
+    /// The engine is already copying the run.
+    #[display("the engine is already copying the run")]
     Busy,
-    /// The other engine has no room, or cannot be reached.
-    #[display("the other engine has no room or cannot be reached")]
+    /// The holder has no free memory or is unreachable.
+    #[display("the copy holder has no free memory or is unreachable")]
     NoRoom,
-    /// No answer came.
-    #[display("no answer came")]
+    /// The engine did not respond.
+    #[display("the engine did not respond")]
     NoAnswer,
 }
 
-/// A question to an upstream.
+/// A health check of an upstream.
 #[derive(Clone, Debug)]
 pub struct HealthProbe {
-    /// The upstream.
+    /// Upstream to check.
     pub entry: Arc<UpstreamEntry>,
-    /// Whether it is an engine, which is asked for its load report. Elsewhere a connection that opens
-    /// is the answer: a health answer waits for a place like any call, and says little on a full one.
+    /// Whether the upstream is an engine, whose load report is requested. For other upstreams an open
+    /// connection suffices: a health request would wait for a slot like any call, so it says little about a
+    /// full upstream.
     pub engine: bool,
 }
 
-/// An upstream's answer to a question.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HealthReport {
-    /// How busy it is, if it says so.
+    /// Load of the upstream, if it reports one.
     pub load: Option<LoadSample>,
-    /// When the process that answers started, if it says so.
+    /// Start time of the process that answered, if it reports one.
     pub born: Option<ProcessStart>,
 }
 
-/// How long a connection to an upstream may take to open: many times what it takes within a region, and short
-/// against a caller's patience.
-///
-/// Nothing answers from beyond a cut, from a VM without power or from a full accept queue. A call that is to run
-/// once waited there until its time was over, and its caller was told that it may have run and could not come
-/// back: `timed_out` under a request that no upstream ever saw. Until the connection is open nothing was sent, so
-/// whatever the call is, it may go elsewhere.
+/// Connect timeout for upstreams: many times what a connection takes within a region, and short compared with a
+/// caller's timeout. A partitioned VM, one without power or a full accept queue never answers. Without the timeout a
+/// non-idempotent call would wait until its deadline and end as `timed_out`, as if it might have run, although no
+/// upstream ever saw it. Nothing is sent before the connection is open, so any call may fail over to another upstream.
 pub(crate) const CONNECT_BOUND: Duration = Duration::from_millis(200);
 
-/// A call on its way to an upstream.
+/// A call as it is sent to one upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamCall {
-    /// The caller's call.
+    /// The call as received from the caller.
     pub call: Arc<Call>,
-    /// Where it goes.
+    /// Upstream that the call is sent to.
     pub entry: Arc<UpstreamEntry>,
-    /// Team of the caller.
+    /// Team of the caller, if known.
     pub team: Option<TeamId>,
-    /// Its rank among calls, by which engines take and put aside runs; 0 is the highest.
+    /// Priority by which engines admit and preempt runs; 0 is the highest.
     pub priority: u8,
-    /// Time that is left for it.
+    /// Time until the deadline of the call.
     pub time_left: Duration,
-    /// Number of the last event that the caller has.
+    /// ID of the last event that the caller has received.
     pub last_event: Option<u64>,
-    /// Upstream to which the run's memory is to be copied as it grows.
+    /// Upstream to which the KV cache of the run is copied as it grows.
     pub copy_to: Option<SocketAddr>,
-    /// Copy of the run's memory to go on from.
+    /// KV copy that the run resumes from.
     pub copy_from: Option<CopySource>,
-    /// How long the connection may have been idle; zero for a fresh one.
+    /// Maximum idle time of a reused connection; zero requires a new one.
     pub longest_idle: Duration,
-    /// How long a fresh connection may take to open; [`SendError::NoConnection`] afterwards.
+    /// Timeout for opening a new connection; the send fails with [`SendError::NoConnection`] afterwards.
     pub connect_bound: Duration,
 }
 
-/// Names a copy of a run's memory.
+/// Identifies a KV copy of a run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CopySource {
-    /// The upstream that gave it its name.
+    /// Address of the upstream that issued the handle.
     pub address: SocketAddr,
-    /// Its name there.
+    /// Handle of the copy, unique at that upstream.
     pub handle: Arc<str>,
 }
 
-/// The head of an upstream's answer, and its body to come.
+/// Head of an upstream's response, with the body as a stream.
 pub struct UpstreamResponse {
-    /// Its status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// Headers that go to the caller as they are.
+    /// Headers that are passed to the caller unchanged.
     pub headers: HeaderMap,
-    /// Whether it bears the upstream's signature.
+    /// Whether the response carries the upstream's signature.
     pub signed: bool,
-    /// Whether the upstream says that it did not run the call.
+    /// Whether the upstream states that it did not run the call.
     pub not_executed: bool,
-    /// Whether another incarnation has the address now.
+    /// Whether another incarnation now has the address.
     pub other_incarnation: bool,
-    /// Which incarnation answered, if it says so.
+    /// Incarnation that responded, if it identified itself.
     pub incarnation: Option<UpstreamId>,
-    /// The upstream's word on its load.
+    /// Load that the upstream reported with the response.
     pub load: Option<LoadSample>,
-    /// Its body.
+    /// Body of the response.
     pub body: ResponseBody,
 }
 
-/// The body of an upstream's answer.
+/// Body of an upstream's response.
 pub type ResponseBody = BoxStream<'static, Result<Bytes, BodyError>>;
 
-/// Why a call got no answer.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum SendError {
@@ -163,15 +162,15 @@
     /// The connection broke after something may have been sent.
     #[display("the connection to the upstream broke")]
     Lost,
-    /// The upstream answered with something that belongs to another call, or to none.
-    #[display("the upstream answered another call")]
+    /// The response belongs to another call, or to none.
+    #[display("the upstream's response does not belong to this call")]
     Crossed,
-    /// No answer came in the time that could be waited for it.
-    #[display("no answer came in time")]
+    /// No response arrived before the stall timeout.
+    #[display("the upstream did not respond in time")]
     Stalled,
 }
 
-/// Why a body ended early.
+/// The connection broke before the body was complete.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError)]
-#[display("the connection to the upstream broke within the answer")]
+#[display("the connection to the upstream broke within the response")]
 pub struct BodyError;
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -4,40 +4,40 @@
 };
 use std::pin::pin;
 
-/// How often a call is sent at most beyond once to each zone that has upstreams of its service, refusals counted in:
-/// one full upstream in each zone does not end it.
+/// Number of sends of a call allowed beyond one per zone with upstreams of its service, including refused ones. One
+/// full upstream in each zone must not end the call.
 const SENDS_BEYOND_ZONES: u32 = 2;
 
-/// Largest answer that is taken in whole. Answers of plain services have some kilobytes.
+/// Maximum size of a buffered response in bytes. Responses of plain services have some kilobytes.
 const LARGEST_ANSWER: usize = 8 << 20;
 
-/// When a caller may come back after all upstreams refused: a few calls' time, in which places become
-/// free, spread so that those refused together do not return together.
+/// Minimum retry delay for the caller after all upstreams refused: the duration of a few calls, in which slots
+/// become free. It is randomized so that callers refused together do not retry together.
 const REFUSED_RETRY: Duration = Duration::from_millis(100);
 
-/// Time after which an idempotent call without an answer is sent elsewhere, as a part of the time that
-/// it has: its connection may have gone silent for good although its upstream lives. Calls take a
-/// twentieth of that time; the rest is left for the second send.
+/// Fraction of the remaining time after which an idempotent call without a response is sent to another
+/// upstream, because the connection may be dead although the upstream lives. Calls take a twentieth of
+/// their time; the rest is left for the second send.
 const STALL_PART: f64 = 0.5;
 
-/// How a send ended.
+/// Outcome of a send.
 enum Sent {
-    /// With an answer for the caller.
+    /// The upstream responded; the reply is for the caller.
     Answered(Reply),
-    /// With an upstream's own failure, which the caller gets unless another upstream does better.
+    /// The upstream failed; its response goes to the caller unless another upstream succeeds.
     Failed(Reply),
-    /// It has not run.
+    /// The call has not run.
     NotRun(NotRunEvidence),
-    /// Without an answer for so long that it is sent to another upstream.
+    /// No response came before the stall timeout; the call goes to this upstream next.
     Moved(Arc<UpstreamEntry>),
-    /// It may have run.
+    /// The call may have run.
     Lost,
-    /// Its time is over.
+    /// The deadline passed.
     TimedOut,
 }
 
-/// Serves a call whose answer is taken in whole before the caller gets any of it, so that one that
-/// breaks off can still be replaced.
+/// Serves a call whose response is buffered completely before the caller gets any of it, so that a truncated
+/// response can still be replaced by that of another upstream.
 pub(crate) async fn call_whole(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
     let most_sends = gateway.zones_with(&accepted.service) + SENDS_BEYOND_ZONES;
     WholeCall {
@@ -56,11 +56,11 @@
 struct WholeCall {
     gateway: Arc<Gateway>,
     accepted: AcceptedCall,
-    /// Upstreams that refused or failed it.
+    /// Upstreams that the call was already sent to.
     avoid: Vec<UpstreamIncarnation>,
     sends: u32,
     most_sends: u32,
-    /// Whether the next send is paid for: the one before did not arrive.
+    /// Whether the next send takes nothing from the retry budget, because the previous one did not arrive.
     send_paid: bool,
     runs: u32,
 }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Where a call goes that may have run: nowhere, unless it may be repeated.
+    /// Selects the next upstream of a call that may have run; `None` if the route does not allow a retry.
     async fn next_for_repeat(&self) -> Option<Arc<UpstreamEntry>> {
         let repeat = self.accepted.route.kind.may_retry();
         if !repeat || self.runs >= self.accepted.route.max_upstreams {
@@ -178,10 +178,10 @@
             let stall = tokio::time::sleep_until(stalls_at.unwrap_or(deadline));
             tokio::select! {
                 answer = &mut answer => break answer,
-                // A call that runs once at most stays with its upstream: it may yet answer.
+                // A non-idempotent call stays with its upstream, which may still respond.
                 () = guard.lost(), if repeat => break Err(SendError::Lost),
                 () = stall, if repeat && stalls_at.is_some() => {
-                    // Without another try left it is better to wait on.
+                    // If no retry is left, keep waiting for the response.
                     self.runs += 1;
                     if let Some(next) = self.next_for_repeat().await {
                         self.log_fault(entry, SendError::Stalled);
@@ -226,8 +226,8 @@
             return Sent::NotRun(NotRunEvidence::UpstreamRefused);
         }
         let status = head.status;
-        // These statuses promise the caller that nothing ran, which this upstream did not say; and a
-        // success without signature is none.
+        // These statuses tell the caller that the call has not run, which this upstream did not state. A
+        // success without a signature does not count as a success.
         if promises_not_run(status) || (status.is_success() && !head.signed) {
             return Sent::Lost;
         }
@@ -238,7 +238,7 @@
         };
         if status.is_server_error() {
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
-                status = status.as_u16(), "upstream answered with a failure");
+                status = status.as_u16(), "upstream responded with a server error");
             return Sent::Failed(reply);
         }
         Sent::Answered(reply)
@@ -248,7 +248,7 @@
         self.log_fault(entry, fault);
         match fault {
             SendError::NoConnection => {
-                // Nothing arrived there, so the next send is the same one still.
+                // Nothing was sent, so the next send does not count as another retry.
                 self.send_paid = true;
                 self.gateway.broke(entry);
                 Sent::NotRun(NotRunEvidence::NoConnection)
@@ -285,7 +285,7 @@
     Reply::NotRun { not_run }
 }
 
-/// Statuses that promise the caller that its call has not run and will not.
+/// Whether a status tells the caller that its call has not run and will not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -296,7 +296,7 @@
     )
 }
 
-/// An answer with its whole body.
+/// A response with its complete body.
 struct CollectedAnswer {
     head: CollectedHead,
     body: Bytes,
--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls through a gateway: what is repeated, and what callers are told.
+//! Plain calls through a gateway: retries, and the replies to callers.
 
 mod gateway_support;
 
@@ -15,7 +15,7 @@
     time::Duration,
 };
 
-/// Answers in whole from the second send on.
+/// Runs `first` for the first send and responds successfully from the second send on.
 fn first_then(
     first: Script,
 ) -> impl Fn(&catkinward::gateway::UpstreamCall) -> Script + Send + Sync {
@@ -34,8 +34,8 @@
         .start()
 }
 
-/// An upstream fails an idempotent call, breaks its connection, takes none, or refuses. Another one
-/// serves it, and the caller notices nothing.
+/// An upstream fails an idempotent call, breaks its connection, accepts no connection, or refuses. Another
+/// upstream must serve the call.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn idempotent_call_goes_to_another_upstream() {
@@ -65,8 +65,8 @@
     }
 }
 
-/// A call that may run only once is sent again only if it surely has not run. A survey record must not
-/// be written twice.
+/// A non-idempotent call is sent again only if there is evidence that it has not run; otherwise, for example,
+/// a record could be written twice.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_that_runs_once_is_sent_again_only_with_proof() {
@@ -88,8 +88,9 @@
     }
 }
 
-/// The connection to the upstream broke, or its answer promises what it did not say. "Not run" would
-/// make the caller send the call again, and it could run twice.
+/// The connection to the upstream broke, or the upstream's status would tell the caller that the call has not
+/// run although the upstream did not state it. A "not run" reply would make the caller send the call again,
+/// and it could run twice.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_that_may_have_run_is_never_called_not_run() {
@@ -106,8 +107,8 @@
     }
 }
 
-/// Every upstream refuses. The caller is told at once that the call has not run, and when to come
-/// back; it is not held until its deadline.
+/// Every upstream refuses. The caller is told at once that the call has not run, and when to retry, instead
+/// of waiting until its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_that_everybody_refuses_is_answered_at_once() {
@@ -127,8 +128,8 @@
     expect_that!(waited, le(Duration::from_millis(100)));
 }
 
-/// All upstreams fail for a while. Calls are not multiplied beyond the budget just when there is the
-/// least room for them.
+/// All upstreams fail for a while. Retries must not exceed the budget, because that would multiply the load
+/// just when there is the least capacity.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn repeats_stay_within_the_budget() {
@@ -149,8 +150,8 @@
     expect_that!(repeats, all![ge(20), le(30)]);
 }
 
-/// An upstream never answers. The caller has its answer when the route's time is over, and the time
-/// that the upstream was given is not longer.
+/// An upstream never responds. The caller gets a reply at the route's timeout, and the upstream is given no
+/// more time than that.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_ends_when_its_time_is_over() {
@@ -170,8 +171,8 @@
     expect_that!(running.seen.lock()[0].time_left, le(Duration::from_secs(1)));
 }
 
-/// A kept connection has gone silent for good while its upstream lives. An idempotent call does not wait
-/// there until its time is over, but is served elsewhere.
+/// A reused connection is dead although its upstream lives. An idempotent call must fail over to another
+/// upstream instead of waiting until its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn idempotent_call_on_a_silent_connection_is_served_elsewhere() {
@@ -183,8 +184,7 @@
     expect_that!(running.sent_to().len(), eq(2));
 }
 
-/// The only upstream is slow, and there is none to go to. The call is not given up for that: its answer
-/// comes late, but it comes.
+/// The only upstream is slow, so there is no other to fail over to. The call must wait for the late response.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn slow_answer_is_waited_for_where_there_is_no_other_upstream() {
@@ -204,8 +204,8 @@
     expect_that!(running.sent_to().len(), eq(1));
 }
 
-/// A call that may run only once goes over a connection that is surely open: an error on one that its
-/// upstream was just closing would leave it open whether the call has run.
+/// A non-idempotent call must not use a connection that has been idle for long: if the upstream is just
+/// closing it, an error would not tell whether the call has run.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_that_runs_once_takes_a_connection_that_is_surely_open() {
@@ -221,8 +221,8 @@
     expect_that!(seen[1].longest_idle, gt(seen[0].longest_idle));
 }
 
-/// One call breaks its connection on every upstream, since it is broken itself. That is no reason to
-/// avoid them: the next call is served where it would have been.
+/// One malformed call breaks its connection on every upstream. That must not make the upstreams suspect: the
+/// next call is served as usual.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn one_bad_call_does_not_make_its_upstreams_suspect() {
@@ -245,7 +245,7 @@
     expect_that!(running.probes.lock().is_empty(), eq(true));
 }
 
-/// No route takes a path, and no team holds a key. Neither is sent anywhere.
+/// Calls whose path matches no route or whose key belongs to no team are sent to no upstream.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn unknown_routes_and_keys_are_refused() {
@@ -266,12 +266,12 @@
     expect_that!(running.sent_to().is_empty(), eq(true));
 }
 
-/// The service has an upstream in each of six availability zones, and those of five are full. The sixth serves the
-/// call. With a bound made for three zones its caller was refused while a place was free.
+/// The service has an upstream in each of six availability zones, and those of five are full. The sixth must serve
+/// the call: a fixed send limit sized for three zones would refuse the caller while a slot is free.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_finds_the_free_upstream_of_the_last_zone() {
-    // The order of equal zones is drawn; a VM that has met the full ones begins with the free one.
+    // The order of equal zones is random; a VM that has been refused by the full ones starts with the free one.
     for _ in 0..40 {
         let mut fixture = GatewayFixture::new(|call| {
             if call.entry.id.as_str() == "plain-f" {
--- a/crates/catkinward/tests/gateway_poison.rs
+++ b/crates/catkinward/tests/gateway_poison.rs
@@ -13,8 +13,8 @@
     atomic::{AtomicUsize, Ordering},
 };
 
-/// A body crashes every upstream that runs it, and its caller sends it again and again. Nothing runs it
-/// after the third death.
+/// A body crashes every upstream that runs it, and its caller keeps retrying. No upstream runs it after the
+/// third crash.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn body_that_crashes_upstreams_is_refused_by_the_third_death() {
@@ -38,8 +38,8 @@
     expect_that!(running.sent_to().len(), eq(before));
 }
 
-/// A request's body has crashed upstreams under other VMs, and its caller comes here next. After three it is
-/// refused before it takes a fourth one with all that runs there; two may be chance.
+/// A request's body has crashed upstreams of other VMs, and its caller retries here. After three crashes it is
+/// refused before it crashes a fourth upstream with all its runs; two crashes may be a coincidence.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn body_that_crashed_upstreams_of_other_vms_is_refused_here() {
@@ -65,9 +65,9 @@
     }
 }
 
-/// A stream whose request kills each engine that begins to run it. Engines that died did not count against the
-/// stream, so one caller's try went on from engine to engine, and all that ran on them lost their work. Each
-/// VM's log showed `run of a stream lost` with `loss=broken` up to twelve times under one request.
+/// A stream crashes each engine that starts to run it. If crashed engines do not count against the stream, one
+/// attempt of a caller crashes engine after engine with all their runs, and the log shows `run of a stream lost`
+/// with `loss=broken` up to twelve times for one request.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_under_which_engines_die_ends_after_the_third() {
@@ -87,8 +87,9 @@
     expect_that!(running.sent_to().len(), eq(3));
 }
 
-/// Connections to three engines are reset one after the other, as when a VM on the way loses track of them. The
-/// engines live and answer so; were their request taken for one that kills, its caller would get nothing.
+/// Connections to engines are reset one after the other, as when a VM on the path loses its connection state. The
+/// engines answer health checks, so the request must not be taken for one that crashes them; its caller would
+/// get nothing.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_whose_connections_are_reset_goes_on() {
@@ -105,8 +106,8 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// Engines die under a stream, but each had made events by then: the request does not kill what begins to run
-/// it, and its caller gets the whole answer.
+/// Engines crash while they run a stream, but each has produced events before. The request therefore does not
+/// count as the cause, and its caller gets the complete response.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_made_events_before_each_death_goes_on() {
--- a/crates/catkinward/tests/gateway_replaced.rs
+++ b/crates/catkinward/tests/gateway_replaced.rs
@@ -1,4 +1,4 @@
-//! Upstreams that crash and start anew at the same address.
+//! Upstreams that crash and restart at the same address.
 
 mod gateway_support;
 
@@ -14,9 +14,9 @@
     time::Duration,
 };
 
-/// All engines crashed and started anew while this VM is cut off from the platform, so it knows only
-/// ids that are gone. Each engine that refuses says who it is now; the next call goes there. Without
-/// that every call tries one engine after the other until no repeat is left.
+/// All engines crashed and restarted while this VM is partitioned from the platform, so it has only outdated
+/// IDs. An engine that refuses reports its current ID, and the next call uses it. Otherwise every call would
+/// try one engine after the other until no retry is left.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn engine_that_started_anew_is_taken_in() {
@@ -37,8 +37,8 @@
     expect_that!(stream, eq(&(text(1, 3), true)));
 }
 
-/// The address of a plain upstream belongs to another one now, perhaps of another service. A call
-/// must not go there on its word.
+/// The address of a plain upstream now belongs to another one, perhaps of another service. A call must not be
+/// sent there based only on the ID that it reports.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn plain_upstream_is_not_taken_in_on_its_word() {
@@ -54,9 +54,10 @@
     expect_that!(second, pat!(Reply::NotRun { .. }));
     expect_that!(running.sent_to(), eq(&["plain-a1"]));
 }
-/// An engine crashed while it read a prompt, and started again under its id before it was asked whether it lives.
-/// Its connection says nothing. It answers questions, so the caller would wait six seconds; but what answers
-/// started later than what the call went to.
+
+/// An engine crashes during prefill and restarts under the same ID before it is probed, and its connection stays
+/// silent. The new process answers health checks, so the caller would wait six seconds, unless the gateway
+/// compares process start times.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn prompt_on_an_engine_that_started_again_is_read_elsewhere() {
@@ -86,8 +87,8 @@
     expect_that!(running.sent_to()[0], eq("engine-a1@1000"));
 }
 
-/// An engine started again under its id while streams ran on it, and its new entry is the first to say so. Their
-/// connections are silent; they go on elsewhere at once.
+/// An engine restarts under the same ID while streams run on it, and its new entry is the first sign of it. The
+/// connections of the streams are silent; the streams must resume elsewhere at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn entry_of_a_later_process_ends_the_streams_of_the_earlier() {
@@ -116,9 +117,9 @@
     );
 }
 
-/// The platform is away while engines restart. A VM whose call was turned away tells the others who is there now, so
-/// that their calls go to the new process at once. Before, 569 of 2,318 sends of 90 VMs in such seconds were turned
-/// away, and each cost a repeat.
+/// The platform is unavailable while engines restart. A VM whose call was refused by a new process notifies the
+/// other VMs, so that their calls go to the new process at once. Without that, a quarter of the sends of 90 VMs
+/// are refused in such seconds (569 of 2,318), and each refusal costs a retry.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn restart_that_a_peer_tells_of_costs_no_call() {
@@ -149,10 +150,9 @@
     expect_that!(running.sent_to(), eq(&["engine-a9"]));
 }
 
-/// An engine has started anew and is emptied before this VM ever heard of it: its entry was written and removed while
-/// the store turned this VM away. Two seconds later a peer, whose call to the process before was turned away by it, tells
-/// that it is there now. It gets prompts 3.6 s after its leaving was acknowledged, where 3 s are allowed, and ends under
-/// them.
+/// An engine restarts and is drained before this VM learns of it, because the store throttles this VM while the
+/// entry is written and removed. Two seconds later a peer reports the restart. If the report were applied, the engine
+/// would get prompts 3.6 s after its drain was acknowledged, where 3 s are allowed, and would stop while running them.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn restart_of_an_upstream_that_has_left_is_not_believed() {
--- a/crates/catkinward/tests/gateway_shutdown.rs
+++ b/crates/catkinward/tests/gateway_shutdown.rs
@@ -1,4 +1,4 @@
-//! A gateway that shuts down.
+//! Graceful shutdown of a gateway.
 
 mod gateway_support;
 
@@ -15,9 +15,9 @@
         .start()
 }
 
-/// Most VMs of an availability zone are told to end at the same time, and the platform goes on
-/// sending callers to them. A stream that is taken a second before the end of the grace time is cut
-/// in the middle; its caller had better be told at once to go elsewhere.
+/// Most VMs of an availability zone shut down at the same time, and the platform keeps sending callers to
+/// them. A stream accepted a second before the end of the grace time would be cut in the middle, so it must
+/// be refused at once and its caller can retry elsewhere.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_cannot_end_in_time_is_refused() {
@@ -34,8 +34,8 @@
     drop(held);
 }
 
-/// The platform needs two missed questions to take a VM out, and callers come until then. They are
-/// served, since they could not know.
+/// The platform takes a VM out of rotation after two failed readiness checks. Callers that arrive until then
+/// must be served, because they cannot know of the shutdown.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn callers_are_served_until_the_vm_is_out_of_rotation() {
@@ -50,7 +50,7 @@
     expect_that!(stream, eq(&(text(1, 3), true)));
 }
 
-/// A quick call that comes late but ends well before the process does is served.
+/// A quick call that arrives late but ends well before the process exits is served.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn quick_call_is_served_as_long_as_it_surely_ends_in_time() {
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that lose their upstreams.
+//! Streams through a gateway, in particular those that lose their upstreams.
 
 mod gateway_support;
 
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-/// Upstreams that break the first run after 20 events and go on after the last event otherwise.
+/// Upstreams that break the first run after 20 events and otherwise continue after the last event.
 fn break_first() -> impl Fn(&UpstreamCall) -> Script + Send + Sync {
     let calls = AtomicUsize::new(0);
     move |call| {
@@ -27,8 +27,8 @@
     }
 }
 
-/// An engine dies in the middle of a stream. The stream goes on from the copy of its memory in another
-/// availability zone, and the caller sees every event once.
+/// An engine crashes in the middle of a stream. The stream resumes from its KV copy in another availability
+/// zone, and the caller gets every event once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn broken_stream_goes_on_from_its_copy() {
@@ -45,8 +45,8 @@
     expect_that!(seen[1].upstream, not(starts_with("engine-a")));
 }
 
-/// An engine's VM loses power in the middle of a stream: nothing comes any more, and nothing says so.
-/// The engine is asked once and does not answer; the caller waits less than half a second.
+/// An engine's VM loses power in the middle of a stream, so that the connection stays open but silent. The
+/// engine is probed once and does not answer; the caller waits less than half a second.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn silent_stream_goes_on_within_half_a_second() {
@@ -74,12 +74,12 @@
         .since(start)
         .saturating_sub(Duration::from_millis(1210));
     expect_that!(stream, eq(&(text(1, 40), true)));
-    // 200 ms of silence, up to 50 ms until it is looked at, 180 ms for an answer.
+    // 200 ms of silence, up to 50 ms until the next check, 180 ms for the answer to the probe.
     expect_that!(pause, le(Duration::from_millis(440)));
 }
 
-/// An engine's VM loses power while it reads a prompt, when silence is usual. The engine is asked and does
-/// not answer, and the prompt is read elsewhere at once.
+/// An engine's VM loses power during prefill, when silence is normal. The engine is probed and does not answer,
+/// and the prompt is prefilled on another engine at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn prompt_on_a_dead_engine_is_read_elsewhere_at_once() {
@@ -103,8 +103,8 @@
     expect_that!(read_stream(reply).await, eq(&(text(1, 40), true)));
 }
 
-/// A connection goes silent for good in the middle of a stream, while its engine lives and answers
-/// questions over new ones. The stream goes on elsewhere; the caller waits less than 0.7 s.
+/// A connection goes dead in the middle of a stream, while its engine answers health checks on new connections.
+/// The stream resumes elsewhere; the caller waits less than 0.7 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_on_a_silent_connection_goes_on_elsewhere() {
@@ -127,8 +127,8 @@
     expect_that!(pause, le(Duration::from_millis(600)));
 }
 
-/// The engine that keeps the copy of a stream's memory dies, and some seconds later the stream's own.
-/// Without a new copy the whole prompt is read again, and the caller waits for seconds.
+/// The engine that holds the KV copy of a stream crashes, and some seconds later the engine that runs the
+/// stream. Without a new copy the complete prompt is prefilled again, and the caller waits for seconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn copy_whose_holder_is_lost_is_made_anew() {
@@ -165,10 +165,10 @@
     expect_that!(running.freed.lock().is_empty(), eq(true));
 }
 
-/// The upstreams of the own zone are lost, so a stream runs in another zone and its copy grows in a third;
-/// then the own zone is cut off from both. Its caller is still here, and gets the rest from a copy that was
-/// made in the own zone once upstreams were back there. Before, the prompt was read again: two to five
-/// seconds, since all streams of the zone met on its few upstreams.
+/// The upstreams of the own zone are lost, so a stream runs in another zone with its KV copy in a third one.
+/// Then the own zone is partitioned from both, while its caller is still connected here. The stream resumes from a
+/// copy made in the own zone after upstreams were back there. Without it the prompt would be prefilled again, which
+/// takes two to five seconds, since all streams of the zone share its few upstreams.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_of_a_zone_that_is_cut_off_goes_on_from_a_copy_there() {
@@ -204,8 +204,8 @@
     expect_that!(seen[1].from_copy, some(eq("copy-1")));
 }
 
-/// A copy was made anew for a stream that then ends well. Its holder would keep room for it for seconds;
-/// it is told that nobody will use it.
+/// A new KV copy was made for a stream that then completes. Its holder would keep memory for it for seconds, so
+/// the copy must be freed.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn copy_that_nobody_uses_is_freed() {
@@ -233,8 +233,8 @@
     expect_that!(*running.freed.lock(), eq(&["copy-1"]));
 }
 
-/// The holder of a copy has no copy: it came too late, or there was no room. The prompt is read again
-/// elsewhere, and nothing is lost.
+/// The copy holder does not have the copy: it arrived too late, or there was no free memory. The prompt is
+/// prefilled again on another engine, and no event is lost.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_without_a_copy_is_read_anew() {
@@ -252,8 +252,8 @@
     expect_that!(running.sent_to().len(), eq(3));
 }
 
-/// An engine dies while it writes an event. The caller must not see the half of it: the next engine
-/// begins with the whole event.
+/// An engine crashes while it writes an event. The caller must not get the truncated event: the next engine
+/// starts with the complete one.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn torn_event_is_not_handed_on() {
@@ -273,8 +273,8 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// A stream ends in the middle of an event as if it were whole. It is not: the rest comes from
-/// another engine.
+/// A run ends regularly, but within an event. The stream is incomplete, and the rest must come from another
+/// engine.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_ends_within_an_event_is_not_whole() {
@@ -294,8 +294,8 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// The next engine sends events again that the caller has, or leaves some out. The caller gets each
-/// once and none is missing.
+/// The next engine repeats events that the caller has, or skips some. The caller must get each event exactly
+/// once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn repeated_and_missing_events_do_not_reach_the_caller() {
@@ -316,7 +316,7 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// A stream that may not be resumed loses its engine. It ends cut, and no second engine runs it.
+/// A stream that is not resumable loses its engine. It is cut, and no second engine runs it.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_runs_once_is_cut_and_never_sent_again() {
@@ -328,7 +328,7 @@
     expect_that!(running.sent_to().len(), eq(1));
 }
 
-/// A caller comes back with its last event id after its VM died. The stream goes on from there.
+/// A caller reconnects with its last event ID after its VM crashed. The stream resumes from there.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn caller_comes_back_with_its_last_event() {
@@ -346,9 +346,8 @@
     expect_that!(running.seen.lock()[0].last_event, some(eq(12)));
 }
 
-/// All VMs are killed and start anew, and the callers of their streams come back. The engine that read
-/// a caller's prompt still holds it, in whatever zone it is: the stream goes on there, and the prompt is
-/// not read a second time.
+/// All VMs are killed and restart, and the callers of their streams reconnect. The engine that has a caller's
+/// prompt cached may be in any zone. The stream must resume there, so that the prompt is not prefilled again.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn caller_that_comes_back_goes_to_the_engine_that_holds_its_prompt() {
@@ -369,8 +368,8 @@
     }
 }
 
-/// A caller comes back with less time than its prompt takes to be read. It is told at once that nothing
-/// has run; before, an engine read the prompt for nobody, and the caller left at its deadline.
+/// A caller has less time left than the prefill of its prompt takes. It is told at once that the call has not
+/// run; otherwise an engine would prefill the prompt in vain, and the caller would leave at its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn caller_that_cannot_be_served_in_time_is_refused_at_once() {
@@ -391,7 +390,7 @@
     expect_that!(running.sent_to(), is_empty());
 }
 
-/// A caller comes back with less time than its prompt takes to be read, but an engine holds the prompt.
+/// A caller has less time left than the prefill of its prompt takes, but an engine has the prompt cached.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn caller_with_little_time_is_served_where_its_prompt_is_held() {
@@ -407,7 +406,8 @@
     expect_that!(stream, eq(&(text(1, 20), true)));
 }
 
-/// A caller comes back with less time than streams take from prompt to end, and has nothing of its own yet.
+/// A caller has less time left than complete streams take, and no event yet, so it is refused at once. A caller
+/// with the same time whose stream is almost complete is served.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn caller_whose_stream_cannot_be_whole_in_time_is_refused_at_once() {
@@ -436,7 +436,7 @@
     expect_that!(served, eq(&(text(26, 30), true)));
 }
 
-/// The caller leaves in the middle of a stream. The run is given up at once, so that its engine stops.
+/// The caller leaves in the middle of a stream. The run must end at once, so that its engine stops.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn run_ends_when_its_caller_leaves() {
@@ -449,12 +449,12 @@
     drop(reply);
     tokio::time::sleep(Duration::from_secs(5)).await;
 
-    // An upstream is asked only while a call is in flight there.
+    // An upstream is probed only while a call is in flight there.
     expect_that!(running.probes.lock().len(), eq(0));
     expect_that!(running.gateway.drain.in_flight(), eq(0));
 }
 
-/// No engine takes the stream. Its caller is told at once that it has not run, and when to come back.
+/// No engine accepts the stream. Its caller is told at once that it has not run, and when to retry.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_nobody_takes_is_refused_as_not_run() {
@@ -473,7 +473,7 @@
     expect_that!(waited, le(Duration::from_millis(500)));
 }
 
-/// Time runs out in the middle of a stream. It ends then, cut, and nothing waits longer.
+/// The deadline passes in the middle of a stream. The stream must be cut then and not wait any longer.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_ends_when_its_time_is_over() {
@@ -491,9 +491,9 @@
     expect_that!(took, le(Duration::from_millis(3100)));
 }
 
-/// Engines crash under two streams, and the budget has one retry left. The second stream waits until the window
-/// of the budget has gone on, and its caller gets the whole answer a second late. Cut, it would come back and
-/// have its prompt read anew.
+/// Engines crash while they run two streams, and the retry budget has one retry left. The second stream waits until
+/// the budget window has advanced, and its caller gets the complete response a second late. If it were cut, its
+/// caller would reconnect and the prompt would be prefilled again.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_waits_for_a_repeat_that_is_not_left() {
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -1,8 +1,8 @@
-//! A gateway before scripted upstreams, on a clock that the test moves.
+//! Test fixture: a gateway with scripted upstreams on the paused clock of the test.
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test file uses its part of the fixture"
+    reason = "each test file uses only a part of the fixture"
 )]
 
 use bytes::Bytes;
@@ -33,7 +33,7 @@
 pub const ENGINES: &str = "engines";
 pub const PLAIN: &str = "plain";
 
-/// Where the notes of the VM come from that tells its zone.
+/// Address of the peer VM that sends gossip.
 pub const TELLER: &str = "10.0.0.9:7201";
 
 /// A row of a table, written at version 10.
@@ -45,7 +45,7 @@
     }
 }
 
-/// Builds a gateway.
+/// Builder of a gateway with its configuration and upstreams.
 pub struct GatewayFixture {
     zone: &'static str,
     upstreams: Vec<UpstreamEntry>,
@@ -55,7 +55,7 @@
     script: Scripted,
     alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     born: Starts,
-    /// Engine that holds the whole prompt.
+    /// Engine that has the complete prompt cached.
     holder: Option<&'static str>,
     rollouts: Option<RolloutSettings>,
     version: u64,
@@ -63,7 +63,7 @@
     link: Option<LinkRate>,
 }
 
-/// A running gateway with what its upstreams saw.
+/// A running gateway, with a record of what its upstreams received.
 pub struct Running {
     pub gateway: Arc<Gateway>,
     pub timer: Arc<Timer>,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The bandwidth of the VM's link, and the size of the configuration.
+    /// Sets the bandwidth of the VM's link, and the size of the configuration.
     pub fn link(mut self, link: LinkRate, config_bytes: usize) -> Self {
         self.link = Some(link);
         self.config_bytes = config_bytes;
@@ -120,7 +120,7 @@
         self
     }
 
-    /// Three plain upstreams and six engines in three zones.
+    /// Adds three plain upstreams and six engines in three zones.
     pub fn usual_upstreams(mut self) -> Self {
         for zone in ["a", "b", "c"] {
             self = self
@@ -151,13 +151,13 @@
         self
     }
 
-    /// Which upstreams answer the question whether they live.
+    /// Sets which upstreams answer health checks.
     pub fn alive(mut self, alive: impl Fn(&str) -> bool + Send + Sync + 'static) -> Self {
         self.alive = Arc::new(alive);
         self
     }
 
-    /// When the processes of upstreams started, as they answer.
+    /// Sets the process start times that upstreams report in health checks.
     pub fn born(
         mut self,
         born: impl Fn(&str) -> Option<ProcessStart> + Send + Sync + 'static,
@@ -166,13 +166,13 @@
         self
     }
 
-    /// The engine that still holds the prompt of the caller.
+    /// Sets the engine that still has the caller's prompt cached.
     pub fn holder(mut self, id: &'static str) -> Self {
         self.holder = Some(id);
         self
     }
 
-    /// The configuration that the gateway begins with.
+    /// The configuration that the gateway starts with.
     pub fn config(&self) -> RoutingConfig {
         RoutingConfig {
             bytes: self.config_bytes,
@@ -192,7 +192,7 @@
         running
     }
 
-    /// A gateway that knows nothing yet.
+    /// Starts a gateway without configuration and upstreams.
     pub fn unstarted(self) -> Running {
         let timer = Timer::start();
         let observed = Observed::default();
@@ -232,7 +232,7 @@
 }
 
 impl Running {
-    /// Takes in another VM's word on the table, from [`TELLER`].
+    /// Delivers another VM's gossip about the upstream table, sent from [`TELLER`].
     pub fn hear_gossip(&self, gossip: &ZoneGossip) {
         self.gateway.take_gossip(gossip, TELLER.parse().unwrap());
     }
@@ -262,12 +262,12 @@
         self.gateway.handle(self.call(path)).await
     }
 
-    /// Has the gateway hear a note of another VM.
+    /// Delivers a heartbeat of another VM to the gateway.
     pub fn hear_of_peer(&self) {
         self.hear(self.peer_note("vm-2", "b"));
     }
 
-    /// Has the gateway hear of a crash from the VM of that number.
+    /// Delivers a heartbeat with a crash, sent by the VM with the given number.
     pub fn hear_of_crash(&self, vm: usize, crash: Crash) {
         let note = self.peer_note(&format!("vm-{}", vm + 1), "b");
         self.hear(PeerHeartbeat {
@@ -280,7 +280,7 @@
         self.gateway.take_note(note, ([127, 0, 0, 2], 9).into());
     }
 
-    /// A note without anything in it, newer than those before.
+    /// An empty heartbeat, newer than the previous ones.
     pub fn peer_note(&self, vm: &str, zone: &str) -> PeerHeartbeat {
         PeerHeartbeat {
             vm: vm.into(),
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Upstreams that were sent a call, in order.
+    /// Upstreams that calls were sent to, in order.
     pub fn sent_to(&self) -> Vec<String> {
         self.seen
             .lock()
@@ -306,7 +306,7 @@
     }
 }
 
-/// Parts of the prompt of a caller.
+/// Parts of the caller's prompt.
 pub fn prompt_parts() -> Arc<[PromptPart]> {
     [("shared", 200), ("own", 7800)]
         .map(|(id, tokens)| PromptPart {
@@ -316,7 +316,7 @@
         .into()
 }
 
-/// A stream's text, and whether it ended in whole.
+/// Reads a stream; returns its text and whether it is complete.
 pub async fn read_stream(reply: Reply) -> (String, bool) {
     let Reply::Events { mut body, .. } = reply else {
         panic!("no stream but {reply:?}");
@@ -352,7 +352,7 @@
     (first..=last).map(event).collect()
 }
 
-/// Entry of an upstream that says when it started.
+/// Entry of an upstream with a known process start time.
 pub fn born_upstream(id: &str, service: &str, zone: &str, born: ProcessStart) -> UpstreamEntry {
     let mut entry = upstream(id, service, zone);
     entry.id.born = Some(born);
@@ -388,7 +388,7 @@
             service: service.parse().unwrap(),
             weight: 1,
         }],
-        // More than one everywhere: what may be repeated follows from the kind alone.
+        // More than one for every route, so that the kind alone determines what may be retried.
         max_upstreams: 5,
         public: false,
     }
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -1,38 +1,36 @@
-//! Scripted upstreams.
+//! Scripted upstreams of the gateway fixture.
 
 use super::*;
 
 /// What a scripted upstream does with a call.
 #[derive(Clone, Debug)]
 pub enum Script {
-    /// Answers in whole.
+    /// Sends a complete response.
     Whole(StatusCode, &'static str),
-    /// Answers without a signature.
+    /// Sends a response without a signature.
     Unsigned(StatusCode),
-    /// Says that it did not run it.
+    /// States that it did not run the call.
     NotExecuted,
-    /// Another incarnation answers.
+    /// Responds as another incarnation.
     OtherIncarnation(Option<&'static str>),
-    /// Takes no connection.
+    /// Accepts no connection.
     NoConnection,
-    /// Takes the call and breaks the connection.
+    /// Accepts the call and breaks the connection.
     Lost,
-    /// Never answers.
+    /// Never responds.
     Hang,
-    /// Streams parts and ends as told.
+    /// Streams the parts and then ends as given.
     Stream(Vec<Part>, End),
 }
 
 /// Part of a scripted stream.
 #[derive(Clone, Debug)]
 pub enum Part {
-    /// Bytes.
     Bytes(String),
-    /// A pause.
     Pause(Duration),
 }
 
-/// End of a scripted stream.
+/// How a scripted stream ends: regularly, with a broken connection, or never.
 #[derive(Clone, Copy, Debug)]
 pub enum End {
     Whole,
@@ -40,7 +38,7 @@
     Hang,
 }
 
-/// A call as an upstream saw it.
+/// A call as an upstream received it.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub upstream: String,
@@ -52,19 +50,19 @@
     pub at: Instant,
 }
 
-/// When the process of each upstream started, as it answers.
+/// Returns the process start time that an upstream reports in health checks.
 pub(super) type Starts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
 
 pub(super) type Scripted = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
 
-/// What upstreams were told to do.
+/// Record of the requests that upstreams received.
 #[derive(Clone, Default)]
 pub struct Observed {
     pub seen: Arc<Mutex<Vec<Seen>>>,
     pub probes: Arc<Mutex<Vec<String>>>,
-    /// Holders of copies that were ordered.
+    /// Holders of requested KV copies.
     pub copies: Arc<Mutex<Vec<String>>>,
-    /// Copies that were freed.
+    /// Handles of freed KV copies.
     pub freed: Arc<Mutex<Vec<String>>>,
 }
 
@@ -136,7 +134,7 @@
 }
 
 async fn play(script: Script) -> Result<UpstreamResponse, SendError> {
-    // An upstream takes a while.
+    // Simulated latency of an upstream.
     tokio::time::sleep(Duration::from_millis(5)).await;
     match script {
         Script::Whole(status, body) => {
