--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -284,7 +284,7 @@
         let own = &mut all[index].1;
         let term = own.owner.term;
         if rollout.order.written > own.order {
-            tracing::warn!(%service, order = own.order, by = rollout.order.written, "rollout order superseded by a newer order");
+            tracing::warn!(%service, order = own.order, by = rollout.order.written, "rollout superseded by another order");
             all.remove(index);
             return Due::Nothing;
         }
@@ -484,7 +484,7 @@
     }
 
     fn step_down_for_another_order(&self, service: &ServiceId) {
-        tracing::warn!(%service, "rollout order superseded by a newer order");
+        tracing::warn!(%service, "rollout superseded by another order");
         self.disown(service);
     }
 
