--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -114,9 +114,13 @@
             Ok(PeerDatagram::LoanAsk(ask)) => gateway.lend(ask, address),
             Ok(PeerDatagram::Loan(loan)) => gateway.borrow(&loan, address),
             Ok(PeerDatagram::Restart(restart)) => gateway.take_restart(&restart),
-            Ok(PeerDatagram::Rollout(notice)) => _ = gateway.take_rollout(&notice),
-            Ok(PeerDatagram::RolloutReport(report)) => gateway.take_report(&report, address),
-            Ok(PeerDatagram::RolloutGrant(grant)) => gateway.take_grant(&grant, Some(address)),
+            Ok(PeerDatagram::Rollout(notice)) => _ = gateway.apply_rollout_notice(&notice),
+            Ok(PeerDatagram::RolloutReport(report)) => {
+                gateway.handle_rollout_report(&report, address)
+            }
+            Ok(PeerDatagram::RolloutGrant(grant)) => {
+                gateway.apply_rollout_grant(&grant, Some(address))
+            }
             Err(error) => tracing::warn!(%address, %error, "note cannot be read"),
         }
     }
@@ -236,7 +240,7 @@
             self.upstream_started(&id, born);
         }
         for notice in &rollouts {
-            self.take_rollout(notice);
+            self.apply_rollout_notice(notice);
         }
         if live > before {
             tracing::info!(%vm, %address, live, "peer found");
--- a/crates/catkinward/src/gateway/rollout_store.rs
+++ b/crates/catkinward/src/gateway/rollout_store.rs
@@ -25,9 +25,9 @@
     /// New content of the row.
     pub record: RolloutRecord,
     /// Version that the row must have; 0 if the row must not exist.
-    pub expected: u64,
+    pub expected_version: u64,
     /// Version that the order must have; 0 if the order must not exist.
-    pub order: u64,
+    pub expected_order: u64,
 }
 
 /// Result of a conditional write.
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -4,45 +4,45 @@
 use super::{rollouts::OwnedRollout, *};
 
 /// Interval at which running rollouts are processed.
-const ROLLOUT_TICK: Duration = Duration::from_millis(100);
+const ROLLOUT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Minimum interval between the reports of a VM.
-const REPORT_PERIOD: Duration = Duration::from_millis(400);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time for each live VM in the interval between reports, which bounds the rate at which an owner of a
 /// large fleet receives them.
-const REPORT_SPACING: Duration = Duration::from_millis(4);
+const REPORT_INTERVAL_PER_VM: Duration = Duration::from_millis(4);
 
 /// Timeout of a platform store call.
-const STORE_BOUND: Duration = Duration::from_millis(900);
+const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Interval at which an owner checks in the store that it still is the owner.
-const CONFIRM_PERIOD: Duration = Duration::from_secs(1);
+const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Delay after the store did not answer, or after another VM wrote the record first.
-const STORE_RETRY: Duration = Duration::from_millis(300);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Delay before another attempt to complete a rollout. Requests are served as before meanwhile.
-const COMPLETE_RETRY: Duration = Duration::from_millis(500);
+const COMPLETION_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Number of times the end of a rollout is sent to all VMs, because datagrams may be lost.
-const END_SENT: u32 = 3;
+const END_ANNOUNCEMENTS: u32 = 3;
 
 /// Runs the rollout task; it does not return.
 pub async fn follow_rollouts(gateway: Arc<Gateway>, store: RolloutStore) {
-    let mut driver = Driver {
+    let mut task = RolloutTask {
         gateway,
         store,
-        report_at: Instant::default(),
+        next_report_at: Instant::default(),
     };
     loop {
-        driver.gateway.rollouts_changed.notified().await;
-        driver.run().await;
+        task.gateway.rollouts_changed.notified().await;
+        task.run().await;
     }
 }
 
 /// Store access that an owned rollout needs now.
-enum Due {
+enum StoreAction {
     Nothing,
     /// Check that this VM still is the owner.
     Confirm {
@@ -56,17 +56,17 @@
     },
 }
 
-struct Driver {
+struct RolloutTask {
     gateway: Arc<Gateway>,
     store: RolloutStore,
     /// Time of the next report.
-    report_at: Instant,
+    next_report_at: Instant,
 }
 
-impl Driver {
+impl RolloutTask {
     /// Processes rollouts until none is running.
     async fn run(&mut self) {
-        let mut ticks = self.gateway.timer.subscribe(ROLLOUT_TICK);
+        let mut ticks = self.gateway.timer.subscribe(ROLLOUT_POLL_INTERVAL);
         loop {
             self.end_withdrawn().await;
             let running = self.running();
@@ -75,9 +75,9 @@
             }
             let reported = self.report(&running);
             for rollout in running {
-                if self.gateway.owns(&rollout.order.service) {
+                if self.gateway.owns_rollout(&rollout.order.service) {
                     self.drive(&rollout).await;
-                } else if self.is_due(&rollout) {
+                } else if self.should_take_over(&rollout) {
                     self.take_over(&rollout).await;
                 }
             }
@@ -87,8 +87,8 @@
                 () = gateway.rollouts_changed.notified() => {
                     if !reported {
                         // Failed responses that come shortly after one another go into one report.
-                        tokio::time::sleep(ROLLOUT_TICK / 4).await;
-                        self.report_at = Instant::default();
+                        tokio::time::sleep(ROLLOUT_POLL_INTERVAL / 4).await;
+                        self.next_report_at = Instant::default();
                     }
                 }
             }
@@ -104,25 +104,26 @@
             .map(|r| r.clone())
             .collect::<Vec<_>>();
         drop(state);
-        rollouts.retain(|r| !r.progress.is_end_stored() || self.gateway.owns(&r.order.service));
+        rollouts
+            .retain(|r| !r.progress.is_end_stored() || self.gateway.owns_rollout(&r.order.service));
         rollouts
     }
 
     /// Sends reports if they are due; returns whether it did.
     fn report(&mut self, running: &[Rollout]) -> bool {
         let now = self.gateway.timer.now();
-        if now < self.report_at || running.is_empty() {
+        if now < self.next_report_at || running.is_empty() {
             return false;
         }
         let vms = self.gateway.state.lock().peers.live_count(now);
-        let spaced = REPORT_SPACING * u32::try_from(vms).unwrap_or(u32::MAX);
-        self.report_at = now.after(REPORT_PERIOD.max(spaced));
+        let spaced = REPORT_INTERVAL_PER_VM * u32::try_from(vms).unwrap_or(u32::MAX);
+        self.next_report_at = now.after(MIN_REPORT_INTERVAL.max(spaced));
         self.gateway.report_rollouts();
         true
     }
 
     /// Whether this VM is the one that should take over the rollout now.
-    fn is_due(&self, rollout: &Rollout) -> bool {
+    fn should_take_over(&self, rollout: &Rollout) -> bool {
         let now = self.gateway.timer.now();
         let gateway = &self.gateway;
         let state = gateway.state.lock();
@@ -141,13 +142,13 @@
     async fn take_over(&mut self, rollout: &Rollout) {
         let service = &rollout.order.service;
         let Some(stored) = self.read(service).await else {
-            self.wait_before_claim(service);
+            self.delay_claim(service);
             return;
         };
         let now = self.gateway.timer.now();
         let record = stored.record.filter(|r| r.written == rollout.order.written);
         if let Some(record) = &record
-            && self.learn(rollout, record, stored.now_ms, now)
+            && self.apply_stored_record(rollout, record, stored.now_ms, now)
         {
             return;
         }
@@ -170,17 +171,25 @@
             deadline_ms: stored.now_ms.saturating_add(left_ms),
         };
         match self.write(rollout, &record, stored.version).await {
-            Some(RolloutWriteResult::Done(version)) => self.begin(rollout, &record, version, left),
+            Some(RolloutWriteResult::Done(version)) => {
+                self.start_owning(rollout, &record, version, left)
+            }
             Some(RolloutWriteResult::Conflict) if rollout.progress.phase.is_final() => {
                 self.end_without_order(rollout).await;
             }
-            Some(RolloutWriteResult::Conflict) | None => self.wait_before_claim(service),
+            Some(RolloutWriteResult::Conflict) | None => self.delay_claim(service),
         }
     }
 
     /// Applies the stored record of a rollout that another VM owns or has ended. Returns `false` if the
     /// record names no other active owner, so that this VM may claim the rollout.
-    fn learn(&self, rollout: &Rollout, record: &RolloutRecord, now_ms: u64, now: Instant) -> bool {
+    fn apply_stored_record(
+        &self,
+        rollout: &Rollout,
+        record: &RolloutRecord,
+        now_ms: u64,
+        now: Instant,
+    ) -> bool {
         let left = Duration::from_millis(record.deadline_ms.saturating_sub(now_ms));
         if record.owner.as_ref() == self.gateway.life.to_string()
             && !record.progress.phase.is_final()
@@ -192,7 +201,7 @@
         if known && !record.progress.phase.is_final() {
             return false;
         }
-        self.gateway.take_rollout(&RolloutNotice {
+        self.gateway.apply_rollout_notice(&RolloutNotice {
             order: rollout.order.clone(),
             left_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
             progress: record.progress,
@@ -207,7 +216,13 @@
     }
 
     /// Starts to own a rollout after its claim was written.
-    fn begin(&self, rollout: &Rollout, record: &RolloutRecord, version: u64, left: Duration) {
+    fn start_owning(
+        &self,
+        rollout: &Rollout,
+        record: &RolloutRecord,
+        version: u64,
+        left: Duration,
+    ) {
         let gateway = &self.gateway;
         let service = rollout.order.service.clone();
         let Some(settings) = gateway.state.lock().rollouts.settings() else {
@@ -218,12 +233,12 @@
         let owned = OwnedRollout {
             order: rollout.order.written,
             owner: RolloutOwner::new(term, version, record.deadline_ms, settings.limit),
-            confirmed: now,
-            completing: None,
-            ending: None,
-            fault: self.fault(rollout, term),
-            not_before: now.after(CONFIRM_PERIOD),
-            not_complete_before: now,
+            confirmed_at: now,
+            completing_since: None,
+            decided_end: None,
+            order_error: self.validate_order(rollout, term),
+            next_store_call: now.after(OWNERSHIP_CHECK_INTERVAL),
+            next_completion: now,
         };
         let mut all = gateway.owned_rollouts.lock();
         match all.binary_search_by(|(s, _)| s.cmp(&service)) {
@@ -252,7 +267,7 @@
         };
         let peers = state.peers.live_addresses(now);
         drop(state);
-        gateway.take_rollout(&notice);
+        gateway.apply_rollout_notice(&notice);
         for _ in 0..times {
             gateway.send_notice(&notice, &peers);
         }
@@ -261,81 +276,87 @@
     /// Decides the next step of an owned rollout and writes the decision to the store.
     async fn drive(&mut self, rollout: &Rollout) {
         match self.decide(rollout) {
-            Due::Nothing => {}
-            Due::Confirm { term } => self.confirm(rollout, term).await,
-            Due::End { record, version } => match self.write(rollout, &record, version).await {
-                Some(RolloutWriteResult::Done(_)) => self.ended(rollout, record.progress),
-                Some(RolloutWriteResult::Conflict) | None => {
-                    self.read_back(rollout, &record, version).await;
+            StoreAction::Nothing => {}
+            StoreAction::Confirm { term } => self.confirm(rollout, term).await,
+            StoreAction::End { record, version } => {
+                match self.write(rollout, &record, version).await {
+                    Some(RolloutWriteResult::Done(_)) => self.finish(rollout, record.progress),
+                    Some(RolloutWriteResult::Conflict) | None => {
+                        self.read_back(rollout, &record, version).await;
+                    }
                 }
-            },
+            }
         }
     }
 
     /// Decides the next step of an owned rollout; returns the store access that it needs.
-    fn decide(&self, rollout: &Rollout) -> Due {
+    fn decide(&self, rollout: &Rollout) -> StoreAction {
         let service = &rollout.order.service;
         let now = self.gateway.timer.now();
         let slots = self.slots(rollout);
         let mut all = self.gateway.owned_rollouts.lock();
         let Ok(index) = all.binary_search_by(|(s, _)| s.cmp(service)) else {
-            return Due::Nothing;
+            return StoreAction::Nothing;
         };
-        let own = &mut all[index].1;
-        let term = own.owner.term;
-        if rollout.order.written > own.order {
-            tracing::warn!(%service, order = own.order, by = rollout.order.written, "rollout superseded by another order");
+        let owned = &mut all[index].1;
+        let term = owned.owner.term;
+        if rollout.order.written > owned.order {
+            tracing::warn!(%service, order = owned.order, by = rollout.order.written, "rollout superseded by another order");
             all.remove(index);
-            return Due::Nothing;
+            return StoreAction::Nothing;
         }
         if rollout.progress.term > term && !rollout.progress.phase.is_final() {
             tracing::warn!(%service, term, by = rollout.progress.term, "rollout owned by another VM");
             all.remove(index);
-            return Due::Nothing;
+            return StoreAction::Nothing;
         }
         let is_rolled_back = rollout.progress.phase == RolloutPhase::RolledBack;
-        if is_rolled_back && own.ending.is_none() {
+        if is_rolled_back && owned.decided_end.is_none() {
             // The previous owner decided to roll back but did not write it.
-            own.ending = Some(RolloutPhase::RolledBack);
-            own.not_before = now;
+            owned.decided_end = Some(RolloutPhase::RolledBack);
+            owned.next_store_call = now;
         }
         let mut announced = None;
-        if own.ending.is_none() {
-            announced = own.advance(rollout, slots, now);
+        if owned.decided_end.is_none() {
+            announced = owned.advance(rollout, slots, now);
         }
-        let phase = own.phase_to_write(now);
+        let phase = owned.phase_to_write(now);
         let progress = |phase: RolloutPhase| RolloutProgress {
             term,
             number: rollout.progress.number + 1,
             phase,
             stored: phase.is_final(),
         };
-        let due = match phase {
-            _ if now < own.not_before => Due::Nothing,
-            None => Due::Nothing,
-            Some(RolloutPhase::Running) => Due::Confirm { term },
-            Some(phase) => Due::End {
-                version: own.owner.version,
+        let action = match phase {
+            _ if now < owned.next_store_call => StoreAction::Nothing,
+            None => StoreAction::Nothing,
+            Some(RolloutPhase::Running) => StoreAction::Confirm { term },
+            Some(phase) => StoreAction::End {
+                version: owned.owner.version,
                 record: RolloutRecord {
                     written: rollout.order.written,
                     to: rollout.order.to.clone(),
                     progress: progress(phase),
                     owner: self.gateway.life.to_string().into(),
                     address: self.gateway.own_address(),
-                    deadline_ms: own.owner.deadline_ms,
+                    deadline_ms: owned.owner.deadline_ms,
                 },
             },
         };
         drop(all);
         if let Some(phase) = announced {
-            let times = if phase.is_final() { END_SENT } else { 1 };
+            let times = if phase.is_final() {
+                END_ANNOUNCEMENTS
+            } else {
+                1
+            };
             let progress = RolloutProgress {
                 stored: false,
                 ..progress(phase)
             };
             self.announce(service, progress, times);
         }
-        due
+        action
     }
 
     /// Checks in the store that this VM still owns a rollout.
@@ -348,42 +369,49 @@
                 if record.progress.term != term {
                     return self.step_down(rollout, &record);
                 }
-                self.change(service, |own| {
-                    own.confirmed = now;
-                    own.not_before = now.after(CONFIRM_PERIOD);
+                self.update_owned(service, |owned| {
+                    owned.confirmed_at = now;
+                    owned.next_store_call = now.after(OWNERSHIP_CHECK_INTERVAL);
                 });
             }
-            Some(_) => self.step_down_for_another_order(service),
-            None => self.change(service, |own| own.not_before = now.after(STORE_RETRY)),
+            Some(_) => self.yield_to_other_order(service),
+            None => self.update_owned(service, |owned| {
+                owned.next_store_call = now.after(STORE_RETRY_DELAY)
+            }),
         }
     }
 
     /// Resolves a write that got no response or a conflict by reading the record again.
-    async fn read_back(&mut self, rollout: &Rollout, record: &RolloutRecord, expected: u64) {
+    async fn read_back(
+        &mut self,
+        rollout: &Rollout,
+        record: &RolloutRecord,
+        expected_version: u64,
+    ) {
         let service = &rollout.order.service;
         let read = self.read(service).await;
         let now = self.gateway.timer.now();
         let Some(stored) = read else {
-            return self.retry_end(rollout, now);
+            return self.resume_running(rollout, now);
         };
         match stored.record {
             Some(found) if found.progress == record.progress && found.owner == record.owner => {
-                self.ended(rollout, record.progress);
+                self.finish(rollout, record.progress);
             }
             Some(found) if found.progress.term > record.progress.term => {
                 self.step_down(rollout, &found);
             }
             Some(found) if found.written == rollout.order.written => {
-                if stored.version == expected {
+                if stored.version == expected_version {
                     // The record is unchanged, so the conflict is due to a changed order.
                     return self.end_without_order(rollout).await;
                 }
-                self.change(service, |own| {
-                    own.owner.version = stored.version;
-                    own.not_before = now;
+                self.update_owned(service, |owned| {
+                    owned.owner.version = stored.version;
+                    owned.next_store_call = now;
                 });
             }
-            _ => self.step_down_for_another_order(service),
+            _ => self.yield_to_other_order(service),
         }
     }
 
@@ -406,34 +434,36 @@
             let write = RolloutWrite {
                 service: service.clone(),
                 record: RolloutRecord { progress, ..record },
-                expected: stored.version,
-                order: 0,
+                expected_version: stored.version,
+                expected_order: 0,
             };
-            let written = tokio::time::timeout(STORE_BOUND, (self.store.write)(write)).await;
+            let written = tokio::time::timeout(STORE_TIMEOUT, (self.store.write)(write)).await;
             tracing::warn!(%service, order = rollout.order.written, ?written, "ending rollout whose order no longer exists");
             if !matches!(written, Ok(Ok(_))) {
                 return self.retry_without_order(service);
             }
             // A conflict means that another order is in force; the stored status belongs to its rollout.
         }
-        self.ended(rollout, progress);
+        self.finish(rollout, progress);
     }
 
     fn retry_without_order(&self, service: &ServiceId) {
         let now = self.gateway.timer.now();
-        self.change(service, |own| own.not_before = now.after(STORE_RETRY));
-        self.wait_before_claim(service);
+        self.update_owned(service, |owned| {
+            owned.next_store_call = now.after(STORE_RETRY_DELAY)
+        });
+        self.delay_claim(service);
     }
 
     /// Returns the rollout to the running phase while its end cannot be written, so that requests are
     /// served as before.
-    fn retry_end(&self, rollout: &Rollout, now: Instant) {
+    fn resume_running(&self, rollout: &Rollout, now: Instant) {
         let service = &rollout.order.service;
         let mut was_completing = false;
-        self.change(service, |own| {
-            was_completing = own.completing.take().is_some();
-            own.not_before = now.after(STORE_RETRY);
-            own.not_complete_before = now.after(COMPLETE_RETRY);
+        self.update_owned(service, |owned| {
+            was_completing = owned.completing_since.take().is_some();
+            owned.next_store_call = now.after(STORE_RETRY_DELAY);
+            owned.next_completion = now.after(COMPLETION_RETRY_DELAY);
         });
         if was_completing {
             let progress = RolloutProgress {
@@ -445,14 +475,14 @@
         }
     }
 
-    fn ended(&self, rollout: &Rollout, progress: RolloutProgress) {
+    fn finish(&self, rollout: &Rollout, progress: RolloutProgress) {
         let service = &rollout.order.service;
         let phase: &str = progress.phase.into();
         tracing::info!(%service, to = %rollout.order.to, order = rollout.order.written, phase, "rollout ended");
         metrics::counter!("catkin_rollouts_total", "service" => service.to_string(), "end" => phase)
             .increment(1);
         self.send_end(rollout, progress);
-        self.disown(service);
+        self.remove_owned(service);
     }
 
     /// Sends the end of a rollout to all VMs.
@@ -464,8 +494,8 @@
             ..rollout.notice(now)
         };
         let peers = gateway.state.lock().peers.live_addresses(now);
-        gateway.take_rollout(&notice);
-        for _ in 0..END_SENT {
+        gateway.apply_rollout_notice(&notice);
+        for _ in 0..END_ANNOUNCEMENTS {
             gateway.send_notice(&notice, &peers);
         }
     }
@@ -473,8 +503,8 @@
     fn step_down(&self, rollout: &Rollout, record: &RolloutRecord) {
         let service = &rollout.order.service;
         tracing::warn!(%service, owner = &*record.owner, term = record.progress.term, "rollout owned by another VM");
-        self.disown(service);
-        self.gateway.take_rollout(&RolloutNotice {
+        self.remove_owned(service);
+        self.gateway.apply_rollout_notice(&RolloutNotice {
             order: rollout.order.clone(),
             left_ms: rollout.notice(self.gateway.timer.now()).left_ms,
             progress: record.progress,
@@ -483,12 +513,12 @@
         });
     }
 
-    fn step_down_for_another_order(&self, service: &ServiceId) {
+    fn yield_to_other_order(&self, service: &ServiceId) {
         tracing::warn!(%service, "rollout superseded by another order");
-        self.disown(service);
+        self.remove_owned(service);
     }
 
-    fn disown(&self, service: &ServiceId) {
+    fn remove_owned(&self, service: &ServiceId) {
         let mut owned = self.gateway.owned_rollouts.lock();
         owned.retain(|(s, _)| s != service);
     }
@@ -498,7 +528,7 @@
     async fn end_withdrawn(&mut self) {
         let withdrawn = std::mem::take(&mut *self.gateway.withdrawn_rollouts.lock());
         for rollout in withdrawn {
-            if !self.gateway.owns(&rollout.order.service) {
+            if !self.gateway.owns_rollout(&rollout.order.service) {
                 self.send_end(
                     &rollout,
                     RolloutProgress {
@@ -511,7 +541,7 @@
                 continue;
             }
             self.end_without_order(&rollout).await;
-            if self.gateway.owns(&rollout.order.service) {
+            if self.gateway.owns_rollout(&rollout.order.service) {
                 self.gateway.withdrawn_rollouts.lock().push(rollout);
                 return;
             }
@@ -520,7 +550,7 @@
 
     /// Validates an order. Only the first owner checks the versions of the upstreams, because the old
     /// version may be down by the time a later owner takes over.
-    fn fault(&self, rollout: &Rollout, term: u64) -> Option<RolloutOrderError> {
+    fn validate_order(&self, rollout: &Rollout, term: u64) -> Option<RolloutOrderError> {
         let config = self.gateway.config()?;
         let now = self.gateway.timer.now();
         let state = self.gateway.state.lock();
@@ -550,21 +580,21 @@
         slots
     }
 
-    fn change(&self, service: &ServiceId, change: impl FnOnce(&mut OwnedRollout)) {
+    fn update_owned(&self, service: &ServiceId, update: impl FnOnce(&mut OwnedRollout)) {
         let mut owned = self.gateway.owned_rollouts.lock();
         if let Ok(index) = owned.binary_search_by(|(s, _)| s.cmp(service)) {
-            change(&mut owned[index].1);
+            update(&mut owned[index].1);
         }
     }
 
     /// Delays the next claim of the rollout; another VM may claim it first.
-    fn wait_before_claim(&self, service: &ServiceId) {
+    fn delay_claim(&self, service: &ServiceId) {
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
         if let Some(rollout) = state.rollouts.get_mut(service) {
             rollout.owner_last_seen = rollout
                 .owner_last_seen
-                .max(now.before(OWNER_TIMEOUT).after(STORE_RETRY));
+                .max(now.before(OWNER_TIMEOUT).after(STORE_RETRY_DELAY));
             if rollout.progress.term == 0 {
                 rollout.owner_last_seen = now;
             }
@@ -572,7 +602,7 @@
     }
 
     async fn read(&self, service: &ServiceId) -> Option<StoredRecord> {
-        let read = tokio::time::timeout(STORE_BOUND, (self.store.read)(service.clone())).await;
+        let read = tokio::time::timeout(STORE_TIMEOUT, (self.store.read)(service.clone())).await;
         match read.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(stored) => Some(stored),
             Err(fault) => {
@@ -587,15 +617,15 @@
         &self,
         rollout: &Rollout,
         record: &RolloutRecord,
-        expected: u64,
+        expected_version: u64,
     ) -> Option<RolloutWriteResult> {
         let write = RolloutWrite {
             service: rollout.order.service.clone(),
             record: record.clone(),
-            expected,
-            order: rollout.order.written,
+            expected_version,
+            expected_order: rollout.order.written,
         };
-        let written = tokio::time::timeout(STORE_BOUND, (self.store.write)(write)).await;
+        let written = tokio::time::timeout(STORE_TIMEOUT, (self.store.write)(write)).await;
         match written.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(written) => Some(written),
             Err(fault) => {
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -4,16 +4,16 @@
 use super::{accepted_call::AcceptedCall, *};
 
 /// Maximum time a call waits for a rollout to complete.
-const LONGEST_HOLD: Duration = Duration::from_millis(500);
+const MAX_COMPLETION_WAIT: Duration = Duration::from_millis(500);
 
 /// Maximum number of routes in one report. A route takes some 200 bytes, and a report must fit in a datagram.
-const ROUTES_REPORTED: usize = 3;
+const MAX_REPORTED_ROUTES: usize = 3;
 
 /// Maximum number of undersampled routes named in a grant.
-const ROUTES_WANTED: usize = 4;
+const MAX_GRANT_ROUTES: usize = 4;
 
 /// Time after the last confirmed ownership during which an owner still grants exposures.
-const CONFIRMED_FOR: Duration = Duration::from_secs(4);
+const OWNERSHIP_TTL: Duration = Duration::from_secs(4);
 
 /// A rollout that this VM owns.
 pub(crate) struct OwnedRollout {
@@ -21,17 +21,17 @@
     pub(crate) order: u64,
     pub(crate) owner: RolloutOwner,
     /// Time when the store last confirmed that this VM is the owner.
-    pub(crate) confirmed: Instant,
+    pub(crate) confirmed_at: Instant,
     /// Time since which requests have waited for the rollout to complete.
-    pub(crate) completing: Option<Instant>,
+    pub(crate) completing_since: Option<Instant>,
     /// Final phase that was decided but is not yet in the store.
-    pub(crate) ending: Option<RolloutPhase>,
+    pub(crate) decided_end: Option<RolloutPhase>,
     /// Error found when the order was validated.
-    pub(crate) fault: Option<RolloutOrderError>,
+    pub(crate) order_error: Option<RolloutOrderError>,
     /// Earliest time of the next store call.
-    pub(crate) not_before: Instant,
+    pub(crate) next_store_call: Instant,
     /// Earliest time of the next attempt to complete the rollout, after a failed write.
-    pub(crate) not_complete_before: Instant,
+    pub(crate) next_completion: Instant,
 }
 
 impl OwnedRollout {
@@ -42,7 +42,7 @@
         slots: VersionSlots,
         now: Instant,
     ) -> Option<RolloutPhase> {
-        let step = match self.fault {
+        let step = match self.order_error {
             Some(RolloutOrderError::VersionInUse) => OwnerStep::Complete,
             Some(fault) => OwnerStep::RollBack(RollbackReason::Fault(fault)),
             None => self.owner.step(rollout.deadline.since(now), slots),
@@ -59,15 +59,17 @@
             OwnerStep::RollBack(reason) => {
                 tracing::warn!(%service, %to, order = written, term, answers, bad, ?reason,
                     "rollout rolled back");
-                self.ending = Some(RolloutPhase::RolledBack);
-                self.not_before = now;
+                self.decided_end = Some(RolloutPhase::RolledBack);
+                self.next_store_call = now;
                 Some(RolloutPhase::RolledBack)
             }
-            OwnerStep::Complete if self.completing.is_none() && now >= self.not_complete_before => {
+            OwnerStep::Complete
+                if self.completing_since.is_none() && now >= self.next_completion =>
+            {
                 tracing::info!(%service, %to, order = written, term, answers, bad,
                     "rollout completing");
-                self.completing = Some(now);
-                self.not_before = now;
+                self.completing_since = Some(now);
+                self.next_store_call = now;
                 Some(RolloutPhase::Completing)
             }
             OwnerStep::Complete | OwnerStep::Wait => None,
@@ -76,7 +78,7 @@
 
     /// Phase that the store should hold now; `None` while requests wait for the rollout to complete.
     pub(crate) fn phase_to_write(&self, now: Instant) -> Option<RolloutPhase> {
-        match (self.ending, self.completing) {
+        match (self.decided_end, self.completing_since) {
             (Some(phase), _) => Some(phase),
             (None, Some(since)) => {
                 (now.since(since) >= COMPLETION_WAIT).then_some(RolloutPhase::Completed)
@@ -88,7 +90,7 @@
 
 impl Gateway {
     /// Applies a rollout order read from the operator's table, and sends it to the VMs of the zone if it is new.
-    pub fn put_rollout_order(&self, order: RolloutOrder) {
+    pub fn apply_rollout_order(&self, order: RolloutOrder) {
         let notice = RolloutNotice {
             left_ms: u32::try_from(order.duration.as_millis()).unwrap_or(u32::MAX),
             progress: RolloutProgress::UNOWNED,
@@ -96,7 +98,7 @@
             owner_age_ms: 0,
             order,
         };
-        if self.take_rollout(&notice) {
+        if self.apply_rollout_notice(&notice) {
             let now = self.timer.now();
             let state = self.state.lock();
             let zone = state.peers.addresses_in(&self.settings.zone, now);
@@ -106,7 +108,7 @@
     }
 
     /// Withdraws the rollout of a service whose order is gone as of version `at` of the operator's table.
-    pub fn rollout_order_withdrawn(&self, service: &ServiceId, at: u64) {
+    pub fn withdraw_rollout_order(&self, service: &ServiceId, at: u64) {
         let withdrawn = self.state.lock().rollouts.withdraw(service, at);
         if let Some(rollout) = withdrawn {
             tracing::warn!(%service, to = %rollout.order.to, order = rollout.order.written,
@@ -118,21 +120,21 @@
 
     /// Withdraws the rollouts of all services that are not in `with_order`, the complete set of services with an
     /// order as of a version of the operator's table.
-    pub fn rollout_orders_read(&self, with_order: &[ServiceId], version: u64) {
+    pub fn reconcile_rollout_orders(&self, with_order: &[ServiceId], version: u64) {
         let mut state = self.state.lock();
         let services = state.rollouts.iter_mut().map(|r| r.order.service.clone());
         let services = services.collect::<Vec<_>>();
         drop(state);
         for service in services.iter().filter(|s| !with_order.contains(s)) {
-            self.rollout_order_withdrawn(service, version);
+            self.withdraw_rollout_order(service, version);
         }
     }
 
     /// Merges another VM's state of a rollout; returns whether it changed this VM's state.
-    pub(crate) fn take_rollout(&self, notice: &RolloutNotice) -> bool {
+    pub(crate) fn apply_rollout_notice(&self, notice: &RolloutNotice) -> bool {
         let now = self.timer.now();
-        let news = self.state.lock().rollouts.merge(notice, now);
-        if news {
+        let changed_state = self.state.lock().rollouts.merge(notice, now);
+        if changed_state {
             let phase: &str = notice.progress.phase.into();
             tracing::info!(service = %notice.order.service, to = %notice.order.to, phase,
                 order = notice.order.written, term = notice.progress.term, owner = ?notice.owner,
@@ -140,7 +142,7 @@
             self.rollout_phases.send_modify(|count| *count += 1);
             self.rollouts_changed.notify_one();
         }
-        news
+        changed_state
     }
 
     /// Sends a rollout notice to the given addresses.
@@ -163,7 +165,7 @@
             return;
         }
         // After the timeout the call proceeds with the current state.
-        let _ = tokio::time::timeout(LONGEST_HOLD, async {
+        let _ = tokio::time::timeout(MAX_COMPLETION_WAIT, async {
             while completing() && phases.changed().await.is_ok() {}
         })
         .await;
@@ -171,7 +173,10 @@
 
     /// Counts a call of a service under rollout. Returns an upstream of the new version if the call is a
     /// canary request.
-    pub(crate) fn place_trial(&self, accepted: &AcceptedCall) -> Option<Arc<UpstreamEntry>> {
+    pub(crate) fn select_canary_upstream(
+        &self,
+        accepted: &AcceptedCall,
+    ) -> Option<Arc<UpstreamEntry>> {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let rollout = state.rollouts.get_mut(&accepted.service)?;
@@ -207,7 +212,7 @@
     }
 
     /// Records an upstream's response as a sample of the rollout.
-    pub(crate) fn rollout_answer(
+    pub(crate) fn record_rollout_response(
         &self,
         accepted: &AcceptedCall,
         entry: &UpstreamEntry,
@@ -252,14 +257,14 @@
                     vm: self.life.clone(),
                     requests: rollout.grants.requests(),
                     spent: rollout.grants.spent(),
-                    evidence: rollout.take_unreported(ROUTES_REPORTED),
+                    evidence: rollout.take_unreported(MAX_REPORTED_ROUTES),
                 },
             ));
         }
         for (owner, report) in reports {
-            if self.owns(&report.service) {
-                if let Some(grant) = self.account(&report) {
-                    self.take_grant(&grant, None);
+            if self.owns_rollout(&report.service) {
+                if let Some(grant) = self.record_report(&report) {
+                    self.apply_rollout_grant(&grant, None);
                 }
             } else if let Some(owner) = owner {
                 self.outbox.send(owner, PeerDatagram::RolloutReport(report));
@@ -268,8 +273,8 @@
     }
 
     /// Handles another VM's report. If this VM is no longer the owner, it replies with its state of the rollout.
-    pub(crate) fn take_report(&self, report: &RolloutReport, from: SocketAddr) {
-        if let Some(grant) = self.account(report) {
+    pub(crate) fn handle_rollout_report(&self, report: &RolloutReport, from: SocketAddr) {
+        if let Some(grant) = self.record_report(report) {
             self.outbox.send(from, PeerDatagram::RolloutGrant(grant));
             return;
         }
@@ -284,26 +289,26 @@
     }
 
     /// Adds a report to its rollout and returns the grant, if this VM owns the rollout.
-    fn account(&self, report: &RolloutReport) -> Option<RolloutGrant> {
+    fn record_report(&self, report: &RolloutReport) -> Option<RolloutGrant> {
         let now = self.timer.now();
         let mut owned = self.owned_rollouts.lock();
         let index = owned
             .binary_search_by(|(service, _)| service.cmp(&report.service))
             .ok()?;
         let owned = &mut owned[index].1;
-        if owned.owner.term != report.term || now.since(owned.confirmed) >= CONFIRMED_FOR {
+        if owned.owner.term != report.term || now.since(owned.confirmed_at) >= OWNERSHIP_TTL {
             return None;
         }
         for evidence in &report.evidence {
             let judged = owned.owner.judge.add_report(&report.vm, evidence);
             if let Some(judged) = judged.filter(|judged| judged.new_bad > 0) {
-                log_bad_answers(report, &evidence.route, &judged);
+                log_failed_responses(report, &evidence.route, &judged);
             }
         }
         if matches!(owned.owner.judge.verdict(), RolloutVerdict::Bad { .. }) {
             self.rollouts_changed.notify_one();
         }
-        let ends = owned.ending.is_some() || owned.completing.is_some();
+        let ends = owned.decided_end.is_some() || owned.completing_since.is_some();
         let granted = if ends {
             0
         } else {
@@ -311,7 +316,7 @@
             owned.owner.ledger.report(&report.vm, requests, spent)
         };
         let mut undersampled_routes = owned.owner.judge.undersampled_routes();
-        undersampled_routes.truncate(ROUTES_WANTED);
+        undersampled_routes.truncate(MAX_GRANT_ROUTES);
         let mut state = self.state.lock();
         let rollout = state.rollouts.get_mut(&report.service)?;
         rollout.owner_last_seen = now;
@@ -323,9 +328,9 @@
     }
 
     /// Applies an owner's grant; `from` is the owner's address if it is another VM.
-    pub(crate) fn take_grant(&self, grant: &RolloutGrant, from: Option<SocketAddr>) {
+    pub(crate) fn apply_rollout_grant(&self, grant: &RolloutGrant, from: Option<SocketAddr>) {
         if from.is_some() {
-            self.take_rollout(&grant.notice);
+            self.apply_rollout_notice(&grant.notice);
         }
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -345,14 +350,14 @@
     }
 
     /// Whether this VM owns the rollout of a service.
-    pub(crate) fn owns(&self, service: &ServiceId) -> bool {
+    pub(crate) fn owns_rollout(&self, service: &ServiceId) -> bool {
         let owned = self.owned_rollouts.lock();
         owned.binary_search_by(|(s, _)| s.cmp(service)).is_ok()
     }
 }
 
 /// Logs a report with failed responses of a new version, and the baseline that they were compared with.
-fn log_bad_answers(report: &RolloutReport, route: &str, judged: &JudgedReport) {
+fn log_failed_responses(report: &RolloutReport, route: &str, judged: &JudgedReport) {
     tracing::info!(service = %report.service, route, vm = %report.vm.vm, new = judged.new, new_bad = judged.new_bad,
         old = judged.old, old_bad = judged.old_bad, usual = judged.expected_bad, slowest = judged.max_good_bucket, sum = judged.sum,
         "rollout: failed responses reported");
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -254,7 +254,8 @@
         if let (Some(sent), Some(active)) = (self.judged_since.take(), &self.active) {
             let outcome = ResponseOutcome::Success(now.since(sent));
             let entry = &active.guard.entry;
-            self.gateway.rollout_answer(&self.accepted, entry, outcome);
+            self.gateway
+                .record_rollout_response(&self.accepted, entry, outcome);
         }
         if let Some(lost_at) = self.lost_at.take() {
             let pause = now.since(lost_at);
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -140,7 +140,7 @@
         }
         if self.sends == 0 {
             self.gateway.wait_for_rollout(&self.accepted.service).await;
-            let trial = self.gateway.place_trial(&self.accepted);
+            let trial = self.gateway.select_canary_upstream(&self.accepted);
             if trial.is_some() {
                 return trial;
             }
@@ -238,7 +238,8 @@
         if !answer.status.is_success() || !answer.signed {
             if answer.status.is_server_error() && self.judged_since.take().is_some() {
                 let failure = ResponseOutcome::Failure;
-                self.gateway.rollout_answer(&self.accepted, &entry, failure);
+                self.gateway
+                    .record_rollout_response(&self.accepted, &entry, failure);
             }
             drop(guard);
             self.refused(&entry, answer.status);
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -69,7 +69,7 @@
     async fn serve(mut self) -> Reply {
         let queued = Queued::new(self.accepted.call.id.clone());
         self.gateway.wait_for_rollout(&self.accepted.service).await;
-        let trial = self.gateway.place_trial(&self.accepted);
+        let trial = self.gateway.select_canary_upstream(&self.accepted);
         let first = trial.or_else(|| self.gateway.place(&self.accepted, &[], &[]));
         let Some(mut entry) = first else {
             return refused(queued, RefusalReason::NoUpstream);
@@ -213,7 +213,8 @@
             Sent::Failed(_) => ResponseOutcome::Failure,
             _ => return,
         };
-        self.gateway.rollout_answer(&self.accepted, entry, outcome);
+        self.gateway
+            .record_rollout_response(&self.accepted, entry, outcome);
     }
 
     fn judge(&self, entry: &Arc<UpstreamEntry>, answer: CollectedAnswer) -> Sent {
