--- a/crates/catkinward/src/gateway/accepted_call.rs
+++ b/crates/catkinward/src/gateway/accepted_call.rs
@@ -27,7 +27,7 @@
 const FIRST_TRY_PART: f64 = 0.7;
 
 impl AcceptedCall {
-    pub(crate) fn longest_idle(&self) -> Duration {
+    pub(crate) fn max_idle(&self) -> Duration {
         if self.route.kind.may_retry() {
             IDLE_FOR_REPEATABLE
         } else {
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/buffered_call.rs
@@ -1,24 +1,24 @@
 use super::{
     accepted_call::AcceptedCall, reply_log::millis, retries::CALL_PATIENCE, run_guard::RunGuard,
-    upstream_transport::CONNECT_BOUND, *,
+    upstream_transport::CONNECT_TIMEOUT, *,
 };
 use std::pin::pin;
 
 /// Number of sends of a call allowed beyond one per zone with upstreams of its service, including refused ones. One
 /// full upstream in each zone must not end the call.
-const SENDS_BEYOND_ZONES: u32 = 2;
+const EXTRA_SENDS: u32 = 2;
 
 /// Maximum size of a buffered response in bytes. Responses of plain services have some kilobytes.
-const LARGEST_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// Minimum retry delay for the caller after all upstreams refused: the duration of a few calls, in which slots
 /// become free. It is randomized so that callers refused together do not retry together.
-const REFUSED_RETRY: Duration = Duration::from_millis(100);
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Fraction of the remaining time after which an idempotent call without a response is sent to another
 /// upstream, because the connection may be dead although the upstream lives. Calls take a twentieth of
 /// their time; the rest is left for the second send.
-const STALL_PART: f64 = 0.5;
+const STALL_FRACTION: f64 = 0.5;
 
 /// Outcome of a send.
 enum Sent {
@@ -38,34 +38,34 @@
 
 /// Serves a call whose response is buffered completely before the caller gets any of it, so that a truncated
 /// response can still be replaced by that of another upstream.
-pub(crate) async fn call_whole(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
-    let most_sends = gateway.zones_with(&accepted.service) + SENDS_BEYOND_ZONES;
-    WholeCall {
+pub(crate) async fn call_buffered(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
+    let max_sends = gateway.zones_with(&accepted.service) + EXTRA_SENDS;
+    BufferedCall {
         gateway: gateway.clone(),
         accepted,
         avoid: Vec::new(),
         sends: 0,
-        most_sends,
-        send_paid: false,
+        max_sends,
+        retry_prepaid: false,
         runs: 0,
     }
     .serve()
     .await
 }
 
-struct WholeCall {
+struct BufferedCall {
     gateway: Arc<Gateway>,
     accepted: AcceptedCall,
     /// Upstreams that the call was already sent to.
     avoid: Vec<UpstreamIncarnation>,
     sends: u32,
-    most_sends: u32,
+    max_sends: u32,
     /// Whether the next send takes nothing from the retry budget, because the previous one did not arrive.
-    send_paid: bool,
+    retry_prepaid: bool,
     runs: u32,
 }
 
-impl WholeCall {
+impl BufferedCall {
     async fn serve(mut self) -> Reply {
         let queued = Queued::new(self.accepted.call.id.clone());
         self.gateway.wait_for_rollout(&self.accepted.service).await;
@@ -109,7 +109,7 @@
                     if let Sent::Failed(reply) = sent {
                         failure = Some(reply);
                     }
-                    match self.next_for_repeat().await {
+                    match self.next_for_retry().await {
                         Some(next) => {
                             entry = next;
                             dispatched.unknown().dispatch_again()
@@ -122,9 +122,9 @@
     }
 
     /// Selects the next upstream of a call that may have run; `None` if the route does not allow a retry.
-    async fn next_for_repeat(&self) -> Option<Arc<UpstreamEntry>> {
-        let repeat = self.accepted.route.kind.may_retry();
-        if !repeat || self.runs >= self.accepted.route.max_upstreams {
+    async fn next_for_retry(&self) -> Option<Arc<UpstreamEntry>> {
+        let retryable = self.accepted.route.kind.may_retry();
+        if !retryable || self.runs >= self.accepted.route.max_upstreams {
             return None;
         }
         self.next_upstream().await
@@ -132,11 +132,11 @@
 
     async fn next_upstream(&self) -> Option<Arc<UpstreamEntry>> {
         let now = self.gateway.timer.now();
-        if self.sends >= self.most_sends || self.accepted.time_left(now).is_zero() {
+        if self.sends >= self.max_sends || self.accepted.time_left(now).is_zero() {
             return None;
         }
         let next = self.gateway.place(&self.accepted, &self.avoid, &[])?;
-        let paid = self.send_paid
+        let paid = self.retry_prepaid
             || self
                 .gateway
                 .pay_repeat(&self.accepted.service, CALL_PATIENCE)
@@ -146,7 +146,7 @@
 
     async fn send(&mut self, entry: &Arc<UpstreamEntry>) -> Sent {
         self.sends += 1;
-        self.send_paid = false;
+        self.retry_prepaid = false;
         self.avoid.push(entry.id.clone());
         let gateway = self.gateway.clone();
         let mut guard = RunGuard::begin(&gateway, entry.clone(), 0);
@@ -162,29 +162,29 @@
             last_event: None,
             copy_to: None,
             copy_from: None,
-            longest_idle: self.accepted.longest_idle(),
-            connect_bound: CONNECT_BOUND,
+            max_idle: self.accepted.max_idle(),
+            connect_timeout: CONNECT_TIMEOUT,
         };
-        let repeat = self.accepted.route.kind.may_retry();
-        let answer = async {
-            let answer = (gateway.transport.send)(call).await?;
-            gateway.heard(entry, answer.load);
-            collect(answer).await
+        let retryable = self.accepted.route.kind.may_retry();
+        let response = async {
+            let response = (gateway.transport.send)(call).await?;
+            gateway.heard(entry, response.load);
+            collect(response).await
         };
-        let mut answer = pin!(answer);
+        let mut response = pin!(response);
         let deadline = tokio::time::Instant::now() + time_left;
-        let mut stalls_at = Some(deadline - time_left.mul_f64(1.0 - STALL_PART));
-        let answer = loop {
+        let mut stalls_at = Some(deadline - time_left.mul_f64(1.0 - STALL_FRACTION));
+        let response = loop {
             let stall = tokio::time::sleep_until(stalls_at.unwrap_or(deadline));
             tokio::select! {
-                answer = &mut answer => break answer,
+                response = &mut response => break response,
                 // A non-idempotent call stays with its upstream, which may still respond.
-                () = guard.lost(), if repeat => break Err(SendError::Lost),
-                () = stall, if repeat && stalls_at.is_some() => {
+                () = guard.upstream_abandoned(), if retryable => break Err(SendError::Lost),
+                () = stall, if retryable && stalls_at.is_some() => {
                     // If no retry is left, keep waiting for the response.
                     self.runs += 1;
-                    if let Some(next) = self.next_for_repeat().await {
-                        self.log_fault(entry, SendError::Stalled);
+                    if let Some(next) = self.next_for_retry().await {
+                        self.log_send_error(entry, SendError::Stalled);
                         gateway.outcome(entry, true);
                         return Sent::Moved(next);
                     }
@@ -194,10 +194,10 @@
                 () = tokio::time::sleep_until(deadline) => return Sent::TimedOut,
             }
         };
-        let sent = match answer {
-            Ok(answer) => {
-                let sent = self.judge(entry, answer);
-                self.note_answer(entry, &sent, start);
+        let sent = match response {
+            Ok(response) => {
+                let sent = self.classify_response(entry, response);
+                self.record_outcome(entry, &sent, start);
                 sent
             }
             Err(fault) => self.failed(entry, fault),
@@ -207,7 +207,7 @@
         sent
     }
 
-    fn note_answer(&self, entry: &UpstreamEntry, sent: &Sent, start: Instant) {
+    fn record_outcome(&self, entry: &UpstreamEntry, sent: &Sent, start: Instant) {
         let outcome = match sent {
             Sent::Answered(_) => ResponseOutcome::Success(self.gateway.timer.now().since(start)),
             Sent::Failed(_) => ResponseOutcome::Failure,
@@ -217,8 +217,8 @@
             .record_rollout_response(&self.accepted, entry, outcome);
     }
 
-    fn judge(&self, entry: &Arc<UpstreamEntry>, answer: CollectedAnswer) -> Sent {
-        let CollectedAnswer { head, body } = answer;
+    fn classify_response(&self, entry: &Arc<UpstreamEntry>, response: CollectedResponse) -> Sent {
+        let CollectedResponse { head, body } = response;
         if head.other_incarnation {
             self.gateway.replaced(entry, None);
             return Sent::NotRun(NotRunEvidence::UpstreamRefused);
@@ -246,11 +246,11 @@
     }
 
     fn failed(&mut self, entry: &Arc<UpstreamEntry>, fault: SendError) -> Sent {
-        self.log_fault(entry, fault);
+        self.log_send_error(entry, fault);
         match fault {
             SendError::NoConnection => {
                 // Nothing was sent, so the next send does not count as another retry.
-                self.send_paid = true;
+                self.retry_prepaid = true;
                 self.gateway.broke(entry);
                 Sent::NotRun(NotRunEvidence::NoConnection)
             }
@@ -262,7 +262,7 @@
         }
     }
 
-    fn log_fault(&self, entry: &UpstreamEntry, fault: SendError) {
+    fn log_send_error(&self, entry: &UpstreamEntry, fault: SendError) {
         let fault: &str = fault.into();
         tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id, fault,
             "call failed");
@@ -282,7 +282,7 @@
 
 fn refused(queued: Queued<RequestId>, reason: RefusalReason) -> Reply {
     let spread = 1.0 + 2.0 * rand::random::<f64>();
-    let not_run = queued.refuse(reason, REFUSED_RETRY.mul_f64(spread));
+    let not_run = queued.refuse(reason, REFUSED_RETRY_AFTER.mul_f64(spread));
     Reply::NotRun { not_run }
 }
 
@@ -298,7 +298,7 @@
 }
 
 /// A response with its complete body.
-struct CollectedAnswer {
+struct CollectedResponse {
     head: CollectedHead,
     body: Bytes,
 }
@@ -311,23 +311,23 @@
     other_incarnation: bool,
 }
 
-async fn collect(answer: UpstreamResponse) -> Result<CollectedAnswer, SendError> {
+async fn collect(response: UpstreamResponse) -> Result<CollectedResponse, SendError> {
     let head = CollectedHead {
-        status: answer.status,
-        headers: answer.headers,
-        signed: answer.signed,
-        not_executed: answer.not_executed,
-        other_incarnation: answer.other_incarnation,
+        status: response.status,
+        headers: response.headers,
+        signed: response.signed,
+        not_executed: response.not_executed,
+        other_incarnation: response.other_incarnation,
     };
-    let mut chunks = answer.body;
+    let mut chunks = response.body;
     let mut body = Vec::new();
     while let Some(chunk) = chunks.next().await {
         let chunk = chunk.map_err(|BodyError| SendError::Lost)?;
-        if body.len() + chunk.len() > LARGEST_ANSWER {
+        if body.len() + chunk.len() > MAX_RESPONSE_BYTES {
             return Err(SendError::Lost);
         }
         body.extend_from_slice(&chunk);
     }
     let body = body.into();
-    Ok(CollectedAnswer { head, body })
+    Ok(CollectedResponse { head, body })
 }
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -2,12 +2,12 @@
 
 use super::{
     accepted_call::AcceptedCall,
+    buffered_call::call_buffered,
     gauges::update_gauges,
     health_check::{adopt, watch_upstreams},
-    reply_log::{CallerWatch, count_reply, log_own_reply, millis},
+    reply_log::{CallerLeftGuard, count_reply, log_local_reply, millis},
     shutdown::Shutdown,
     stream_call::call_stream,
-    whole_call::call_whole,
     *,
 };
 
@@ -178,21 +178,21 @@
         let accepted = match self.accept(&call) {
             Ok(accepted) => accepted,
             Err(reply) => {
-                log_own_reply(&call, &reply);
+                log_local_reply(&call, &reply);
                 return *reply;
             }
         };
         let (kind, service) = (accepted.route.kind, accepted.service.clone());
-        let mut caller = CallerWatch {
+        let mut caller = CallerLeftGuard {
             call: call.clone(),
-            stays: false,
+            replied: false,
         };
         let reply = if kind.is_stream() {
             call_stream(self, accepted).await
         } else {
-            call_whole(self, accepted).await
+            call_buffered(self, accepted).await
         };
-        caller.stays = true;
+        caller.replied = true;
         count_reply(&service, &reply);
         match &reply {
             Reply::Whole { status, .. } => {
@@ -205,7 +205,7 @@
                 }
             }
             Reply::Events { .. } => {}
-            reply => log_own_reply(&call, reply),
+            reply => log_local_reply(&call, reply),
         }
         reply
     }
@@ -344,7 +344,7 @@
         if state.crashes.is_rejected(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
         }
-        if !self.takes(route.timeout) {
+        if !self.accepts(route.timeout) {
             return Err(refused(call, RefusalReason::ShuttingDown, LEAVING_RETRY).into());
         }
         let patience = call
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -142,7 +142,7 @@
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
         let new = upstream.health.record_failure(now);
-        upstream.given_up.send_modify(|count| *count += 1);
+        upstream.abandoned.send_modify(|count| *count += 1);
         let crashes = state.died(&entry.id, now);
         let zone_alarm = new && state.zones.record_loss(&entry.zone, &entry.id, now);
         drop(state);
@@ -213,7 +213,7 @@
         let crashes = state.died(id, now);
         if let Some(upstream) = state.known_upstream(id) {
             upstream.health.record_failure(now);
-            upstream.given_up.send_modify(|count| *count += 1);
+            upstream.abandoned.send_modify(|count| *count += 1);
         }
         drop(state);
         self.tell_crashes(id, crashes);
--- a/crates/catkinward/src/gateway/kv_copy_manager.rs
+++ b/crates/catkinward/src/gateway/kv_copy_manager.rs
@@ -132,7 +132,7 @@
         if exposed && holder.zone != self.gateway.settings.zone {
             return;
         }
-        let order = CopyOrder {
+        let order = KvCopyRequest {
             source: run.clone(),
             call: accepted.call.id.clone(),
             holder: holder.clone(),
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -52,7 +52,7 @@
     rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWriteResult, WriteRecord},
     rollout_task::follow_rollouts,
     upstream_transport::{
-        BodyError, CopyError, CopyOrder, CopySource, HealthProbe, HealthReport, ResponseBody,
+        BodyError, CopyError, CopySource, HealthProbe, HealthReport, KvCopyRequest, ResponseBody,
         SendError, UpstreamCall, UpstreamResponse, UpstreamTransport,
     },
 };
@@ -76,6 +76,7 @@
 pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod accepted_call;
+mod buffered_call;
 mod call;
 mod call_log;
 mod core;
@@ -103,6 +104,5 @@
 mod stream_run;
 mod stream_send;
 mod upstream_transport;
-mod whole_call;
 mod zone_config;
 mod zone_table;
--- a/crates/catkinward/src/gateway/reply_log.rs
+++ b/crates/catkinward/src/gateway/reply_log.rs
@@ -4,14 +4,14 @@
 
 /// Logs that a caller has left if it is dropped before there is a reply. The caller server drops a call
 /// together with its connection, so otherwise the log would show no end of the call.
-pub(crate) struct CallerWatch {
+pub(crate) struct CallerLeftGuard {
     pub(crate) call: Arc<Call>,
-    pub(crate) stays: bool,
+    pub(crate) replied: bool,
 }
 
-impl Drop for CallerWatch {
+impl Drop for CallerLeftGuard {
     fn drop(&mut self) {
-        if !self.stays {
+        if !self.replied {
             log_caller_left(&self.call, None);
         }
     }
@@ -28,7 +28,7 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-pub(crate) fn log_own_reply(call: &Call, reply: &Reply) {
+pub(crate) fn log_local_reply(call: &Call, reply: &Reply) {
     let outcome = outcome(reply);
     if let Reply::NotRun { not_run } = reply {
         tracing::warn!(request = %call.id, outcome, reason = %not_run.reason(),
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -183,12 +183,12 @@
         if rollout.progress.phase.is_final() {
             return None;
         }
-        let exposed = rollout.count_request(&accepted.route.name, now)?;
+        let permit = rollout.count_request(&accepted.route.name, now)?;
         let order = rollout.order.clone();
         let usable = state.directory.usable(&accepted.service, now);
         let new = usable.filter(|entry| entry.version.as_ref() == Some(&order.to));
-        let focus = Rollouts::canary_upstreams(&order, new.collect());
-        let focus = focus
+        let canaries = Rollouts::canary_upstreams(&order, new.collect());
+        let canaries = canaries
             .into_iter()
             .map(|entry| entry.id.clone())
             .collect::<Vec<_>>();
@@ -197,16 +197,16 @@
             accepted,
             &[],
             &[],
-            Candidates::Only(&focus),
-            |candidates, who| {
+            Candidates::Only(&canaries),
+            |candidates, context| {
                 let live = candidates.iter().filter(|c| !c.suspect).cloned();
-                select_upstream(&live.collect::<Vec<_>>(), who).cloned()
+                select_upstream(&live.collect::<Vec<_>>(), context).cloned()
             },
         );
         if entry.is_none()
             && let Some(rollout) = self.state.lock().rollouts.get_mut(&accepted.service)
         {
-            rollout.grants.return_grant(exposed);
+            rollout.grants.return_grant(permit);
         }
         entry
     }
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -6,7 +6,7 @@
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) entry: Arc<UpstreamEntry>,
     /// Changes when the runs on the upstream are abandoned.
-    pub(crate) given_up: watch::Receiver<u64>,
+    pub(crate) abandoned: watch::Receiver<u64>,
 }
 
 impl RunGuard {
@@ -21,7 +21,7 @@
         let upstream = state.upstream(&entry, now);
         upstream.health.call_started(now);
         upstream.load.call_started(prompt_tokens, now);
-        let given_up = upstream.given_up.subscribe();
+        let abandoned = upstream.abandoned.subscribe();
         drop(state);
         if prompt_tokens > 0 {
             gateway.dispatches.note(&entry);
@@ -29,13 +29,13 @@
         Self {
             gateway: gateway.clone(),
             entry,
-            given_up,
+            abandoned,
         }
     }
 
     /// Waits until the runs on the upstream are abandoned.
-    pub(crate) async fn lost(&mut self) {
-        if self.given_up.changed().await.is_err() {
+    pub(crate) async fn upstream_abandoned(&mut self) {
+        if self.abandoned.changed().await.is_err() {
             // The sender was dropped with the state of an upstream that no longer exists.
             std::future::pending::<()>().await;
         }
--- a/crates/catkinward/src/gateway/shutdown.rs
+++ b/crates/catkinward/src/gateway/shutdown.rs
@@ -2,44 +2,44 @@
 
 /// Time after the signal during which callers still arrive: the platform takes a VM out of rotation after
 /// two failed readiness checks, one a second, and a caller's connection may take a little longer.
-const LEAVES_ROTATION: Duration = Duration::from_millis(2600);
+const OUT_OF_ROTATION_DELAY: Duration = Duration::from_millis(2600);
 
 /// Idle time that ends the shutdown early. Requests that were on the network when the last one ended have
 /// normally arrived by then: they take about a millisecond, and a connection attempt that takes up to its
 /// timeout of one second is rare.
-const QUIET: Duration = Duration::from_millis(150);
+const IDLE_BEFORE_EXIT: Duration = Duration::from_millis(150);
 
 /// Margin before the end of the grace time at which the process ends what is still in flight, so that it
 /// exits by itself and can log what it interrupted.
-const LAST_MOMENT: Duration = Duration::from_millis(150);
+const EXIT_MARGIN: Duration = Duration::from_millis(150);
 
 /// Times of a shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
     /// Until this time all calls are accepted, because callers may not know of the shutdown yet.
-    served_until: Instant,
+    accept_all_until: Instant,
     /// Latest time at which the process ends.
-    ends: Instant,
+    ends_at: Instant,
 }
 
 impl Shutdown {
-    /// Whether a call that takes up to `needs` may still be accepted.
+    /// Whether a call that takes up to `max_duration` may still be accepted.
     ///
     /// If most VMs of an availability zone shut down together, the platform sends callers to them for as
     /// long as they respond. A stream accepted near the end would be cut in the middle, so it is refused
     /// as not run and its caller can retry on another VM at once.
-    fn takes(&self, needs: Duration, now: Instant) -> bool {
-        now < self.served_until || now.after(needs) < self.ends
+    fn accepts(&self, max_duration: Duration, now: Instant) -> bool {
+        now < self.accept_all_until || now.after(max_duration) < self.ends_at
     }
 }
 
 impl Gateway {
-    /// Whether a call that takes up to `needs` may be accepted now.
-    pub(crate) fn takes(&self, needs: Duration) -> bool {
+    /// Whether a call that takes up to `max_duration` may be accepted now.
+    pub(crate) fn accepts(&self, max_duration: Duration) -> bool {
         let now = self.timer.now();
         self.leaving
             .lock()
-            .is_none_or(|leaving| leaving.takes(needs, now))
+            .is_none_or(|leaving| leaving.accepts(max_duration, now))
     }
 
     /// Shuts down gracefully. Readiness ends at once; callers are served until the VM is out of rotation;
@@ -47,15 +47,15 @@
     pub async fn shut_down(&self, grace: Duration, close_idle: impl FnOnce()) {
         tracing::info!(in_flight = self.drain.in_flight(), "shutdown begun");
         self.drain.begin();
-        let ends = self.timer.now().after(grace.saturating_sub(LAST_MOMENT));
+        let ends_at = self.timer.now().after(grace.saturating_sub(EXIT_MARGIN));
         *self.leaving.lock() = Some(Shutdown {
-            served_until: self.timer.now().after(LEAVES_ROTATION),
-            ends,
+            accept_all_until: self.timer.now().after(OUT_OF_ROTATION_DELAY),
+            ends_at,
         });
-        let end = tokio::time::Instant::now() + grace.saturating_sub(LAST_MOMENT);
-        tokio::time::sleep(LEAVES_ROTATION.min(grace)).await;
+        let end = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
+        tokio::time::sleep(OUT_OF_ROTATION_DELAY.min(grace)).await;
         close_idle();
-        if tokio::time::timeout_at(end, self.drain.finished(QUIET))
+        if tokio::time::timeout_at(end, self.drain.finished(IDLE_BEFORE_EXIT))
             .await
             .is_err()
         {
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -58,7 +58,7 @@
     pub(crate) health: UpstreamHealth,
     pub(crate) load: UpstreamLoad,
     /// Counts how often its calls were given up.
-    pub(crate) given_up: watch::Sender<u64>,
+    pub(crate) abandoned: watch::Sender<u64>,
 }
 
 /// How long after a broken connection the death of its upstream is laid to the call: until its
@@ -162,7 +162,7 @@
                     entry: entry.clone(),
                     health: UpstreamHealth::new(now),
                     load: UpstreamLoad::default(),
-                    given_up: watch::Sender::new(0),
+                    abandoned: watch::Sender::new(0),
                 };
                 self.upstreams.insert(index, upstream);
                 index
--- a/crates/catkinward/src/gateway/stream_call.rs
+++ b/crates/catkinward/src/gateway/stream_call.rs
@@ -4,7 +4,7 @@
 
 /// Minimum retry delay for the caller of a stream that no upstream accepted. Crashed engines are back after
 /// about this time; it is randomized so that callers refused together do not retry together.
-const REFUSED_RETRY: Duration = Duration::from_millis(400);
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// Serves an event stream. The response head is sent only with the first event, so that until then the
 /// call can restart on another upstream without the caller having received anything.
@@ -15,7 +15,7 @@
         Ok(first) => first,
         Err(StreamStop::NotRun(reason)) => {
             let spread = 1.0 + rand::random::<f64>();
-            let retry_after = REFUSED_RETRY.mul_f64(spread);
+            let retry_after = REFUSED_RETRY_AFTER.mul_f64(spread);
             return refused(&call, reason, retry_after);
         }
         Err(StreamStop::TimedOut) => return Reply::TimedOut,
@@ -30,7 +30,7 @@
             Ok(Some(events)) => Some((Ok(events), Some(run))),
             Ok(None) => None,
             Err(stop) => {
-                let cut = stop.cut();
+                let cut = stop.into_cut();
                 run.log_cut(cut);
                 Some((Err(cut), None))
             }
@@ -55,7 +55,7 @@
 }
 
 impl StreamStop {
-    fn cut(self) -> StreamCut {
+    fn into_cut(self) -> StreamCut {
         match self {
             Self::NotRun(_) => StreamCut::NoUpstream,
             Self::TimedOut => StreamCut::TimedOut,
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -14,12 +14,12 @@
 /// Time without data from a started run after which the stream resumes on another upstream although this
 /// one answers health checks: the connection is dead, or the engine preempted the run for a more urgent
 /// one. Events come every 30 to 200 ms; with the resume a caller waits less than 0.7 s.
-const STALL: Duration = Duration::from_millis(450);
+const STALL_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Time without a first event after which the prompt is prefilled on another upstream. Prefill, with the
 /// wait for other prompts, takes one to four seconds, and a restart costs as much again, so this timeout
 /// only covers dead connections.
-pub(super) const STALL_BEFORE_FIRST: Duration = Duration::from_secs(6);
+pub(super) const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// A stream that is being served to a caller.
 pub(crate) struct StreamRun {
@@ -35,11 +35,11 @@
     pub(super) avoid: Vec<UpstreamIncarnation>,
     pub(super) sends: u32,
     /// Whether the next send takes nothing from the retry budget, because the previous one did not arrive.
-    pub(super) send_paid: bool,
+    pub(super) retry_prepaid: bool,
     /// Upstreams that may have run the stream, including the current one.
     pub(super) ran_on: Vec<UpstreamIncarnation>,
     /// Upstreams whose connections broke before they produced an event, since the last run that produced one.
-    pub(super) broke_beginning: Vec<Arc<UpstreamEntry>>,
+    pub(super) broken_before_event: Vec<Arc<UpstreamEntry>>,
     /// Whether the caller has received an event.
     pub(super) delivered: bool,
     /// Time when the caller received its first event.
@@ -49,7 +49,7 @@
     pub(super) lost_at: Option<Instant>,
     /// Time when the run was sent, until its first event. `None` if the time to its first event does not measure
     /// the speed of its upstream.
-    pub(super) judged_since: Option<Instant>,
+    pub(super) sample_sent_at: Option<Instant>,
     /// Whether the stream is complete or cut.
     pub(super) ended: bool,
 }
@@ -70,9 +70,9 @@
     pub(super) copies: KvCopyManager,
     pub(super) body: ResponseBody,
     pub(super) splitter: EventSplitter,
-    pub(super) gave_events: bool,
+    pub(super) produced_events: bool,
     /// Time of the last received data.
-    pub(super) progress: tokio::time::Instant,
+    pub(super) last_data_at: tokio::time::Instant,
 }
 
 /// What was received from the active run.
@@ -82,7 +82,7 @@
     Broken(Loss),
     TimedOut,
     /// No data, but the KV copies of the run must be checked.
-    Look,
+    CheckCopies,
 }
 
 /// Why a run was lost.
@@ -112,14 +112,14 @@
             cached: Vec::new(),
             avoid: Vec::new(),
             sends: 0,
-            send_paid: false,
+            retry_prepaid: false,
             ran_on: Vec::new(),
-            broke_beginning: Vec::new(),
+            broken_before_event: Vec::new(),
             delivered: false,
             first_event_at: None,
             head: None,
             lost_at: None,
-            judged_since: None,
+            sample_sent_at: None,
             ended: false,
         }
     }
@@ -139,27 +139,27 @@
             match events {
                 Ok(events) if !events.is_empty() => {
                     if let Some(active) = &mut self.active {
-                        active.gave_events = true;
+                        active.produced_events = true;
                     }
-                    self.note_delivery();
+                    self.record_delivery();
                     return Ok(Some(events.into()));
                 }
                 Ok(_) => {}
                 Err(loss) => {
-                    self.lost(loss)?;
+                    self.lose_active_run(loss)?;
                     continue;
                 }
             }
             match self.receive().await {
                 Received::Bytes(bytes) => self.push(&bytes)?,
-                Received::End if self.has_incomplete_event() => self.lost(Loss::Torn)?,
+                Received::End if self.has_incomplete_event() => self.lose_active_run(Loss::Torn)?,
                 Received::End => {
-                    self.finished();
+                    self.complete_stream();
                     return Ok(None);
                 }
-                Received::Broken(loss) => self.lost(loss)?,
+                Received::Broken(loss) => self.lose_active_run(loss)?,
                 Received::TimedOut => return Err(StreamStop::TimedOut),
-                Received::Look => self.look_at_copies(),
+                Received::CheckCopies => self.check_copies(),
             }
         }
     }
@@ -177,13 +177,13 @@
             return Ok(buf);
         };
         while let Some(CompleteEvent { id, bytes }) = active.splitter.next_event() {
-            let fate = match id {
+            let decision = match id {
                 Some(id) => self.relay.decide(active.number, id),
                 // An event without an ID cannot be distinguished from one that was already delivered.
                 None if self.ran_on.len() > 1 => EventDecision::Drop,
                 None => EventDecision::Deliver,
             };
-            match fate {
+            match decision {
                 EventDecision::Deliver => buf.extend_from_slice(&bytes),
                 EventDecision::Drop => {}
                 EventDecision::Gap if buf.is_empty() => return Err(Loss::Gap),
@@ -196,28 +196,28 @@
     async fn receive(&mut self) -> Received {
         let now = self.gateway.timer.now();
         let time_left = self.accepted.time_left(now);
-        let repeat = self.accepted.route.kind.may_retry();
+        let retryable = self.accepted.route.kind.may_retry();
         let Some(active) = &mut self.active else {
             return Received::Broken(Loss::Broken);
         };
-        let stall = if active.gave_events {
-            STALL
+        let stall = if active.produced_events {
+            STALL_TIMEOUT
         } else {
-            STALL_BEFORE_FIRST
+            FIRST_EVENT_TIMEOUT
         };
-        let stalls_at = active.progress + stall;
+        let stalls_at = active.last_data_at + stall;
         tokio::select! {
             chunk = active.body.next() => match chunk {
                 Some(Ok(bytes)) => {
-                    active.progress = tokio::time::Instant::now();
+                    active.last_data_at = tokio::time::Instant::now();
                     Received::Bytes(bytes)
                 }
                 Some(Err(BodyError)) => Received::Broken(Loss::Broken),
                 None => Received::End,
             },
-            () = active.guard.lost() => Received::Broken(Loss::Silent),
-            () = active.copies.wait() => Received::Look,
-            () = tokio::time::sleep_until(stalls_at), if repeat => {
+            () = active.guard.upstream_abandoned() => Received::Broken(Loss::Silent),
+            () = active.copies.wait() => Received::CheckCopies,
+            () = tokio::time::sleep_until(stalls_at), if retryable => {
                 Received::Broken(Loss::Stalled)
             }
             () = tokio::time::sleep(time_left) => Received::TimedOut,
@@ -230,13 +230,13 @@
         };
         self.gateway.heard(&active.guard.entry, None);
         if active.splitter.push(bytes).is_err() {
-            return self.lost(Loss::Torn);
+            return self.lose_active_run(Loss::Torn);
         }
         Ok(())
     }
 
     /// Requests a new KV copy if there is none. Not before the first event: the engine may not run the call yet.
-    fn look_at_copies(&mut self) {
+    fn check_copies(&mut self) {
         let has_copies = self.gateway.has_copies(&self.accepted.service);
         if let (Some(active), true) = (&mut self.active, self.delivered && has_copies) {
             active.copies.look(&self.accepted, &active.guard.entry);
@@ -249,9 +249,9 @@
             .is_some_and(|active| active.splitter.has_incomplete_event())
     }
 
-    fn note_delivery(&mut self) {
+    fn record_delivery(&mut self) {
         let now = self.gateway.timer.now();
-        if let (Some(sent), Some(active)) = (self.judged_since.take(), &self.active) {
+        if let (Some(sent), Some(active)) = (self.sample_sent_at.take(), &self.active) {
             let outcome = ResponseOutcome::Success(now.since(sent));
             let entry = &active.guard.entry;
             self.gateway
@@ -273,10 +273,10 @@
         }
     }
 
-    fn finished(&mut self) {
+    fn complete_stream(&mut self) {
         self.ended = true;
         self.active = None;
-        self.note_pace();
+        self.record_duration();
         self.gateway.delivered(self.accepted.digest);
         let now = self.gateway.timer.now();
         if self.gateway.log.admits(LineKind::Answered, now) {
@@ -287,7 +287,7 @@
     }
 
     /// Records the duration of a stream that was generated from its first event on.
-    fn note_pace(&self) {
+    fn record_duration(&self) {
         let (Some(first), Some(last), None) = (
             self.first_event_at,
             self.relay.last(),
@@ -302,7 +302,7 @@
 
     /// Handles the loss of the active run. Its connection is closed before another run can begin, so
     /// that its upstream stops running it.
-    fn lost(&mut self, loss: Loss) -> Result<(), StreamStop> {
+    fn lose_active_run(&mut self, loss: Loss) -> Result<(), StreamStop> {
         let Some(active) = self.active.take() else {
             return Ok(());
         };
@@ -310,7 +310,7 @@
             guard,
             copies,
             body,
-            gave_events,
+            produced_events,
             ..
         } = active;
         drop(body);
@@ -319,11 +319,11 @@
         // The KV cache of a run is not copied before its first event, and a resume from a missing copy costs a retry.
         self.copy = copies
             .into_best(loss == Loss::Silent)
-            .filter(|_| gave_events);
-        if gave_events {
-            self.broke_beginning.clear();
+            .filter(|_| produced_events);
+        if produced_events {
+            self.broken_before_event.clear();
         } else if loss == Loss::Broken {
-            self.broke_beginning.push(entry.clone());
+            self.broken_before_event.push(entry.clone());
         }
         self.run_lost(&entry, loss);
         if self.accepted.route.kind.may_retry() {
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -11,17 +11,17 @@
     run_guard::RunGuard,
     state::cached_tokens,
     stream_call::StreamStop,
-    stream_run::{ActiveRun, Loss, STALL_BEFORE_FIRST, StreamRun},
-    upstream_transport::CONNECT_BOUND,
+    stream_run::{ActiveRun, FIRST_EVENT_TIMEOUT, Loss, StreamRun},
+    upstream_transport::CONNECT_TIMEOUT,
     *,
 };
 
 /// Maximum number of sends of a stream, including refused ones. A send costs a few milliseconds, which is
 /// cheap compared with a resume that finds no free slot.
-const MOST_SENDS: u32 = 12;
+const MAX_SENDS: u32 = 12;
 
 /// Delay before upstreams are tried again after all of them refused.
-const REFUSED_WAIT: Duration = Duration::from_millis(60);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 impl StreamRun {
     /// Starts a run: from the KV copy of the previous run if it is usable, otherwise on the best upstream.
@@ -31,13 +31,13 @@
             if self.accepted.time_left(now).is_zero() {
                 return Err(StreamStop::TimedOut);
             }
-            if self.kills_upstreams().await {
+            if self.crashes_upstreams().await {
                 return Err(StreamStop::Cut(StreamCut::Poisoned));
             }
-            if self.sends > 0 && !self.may_send_again().await {
+            if self.sends > 0 && !self.may_resend().await {
                 return Err(self.stop());
             }
-            self.send_paid = false;
+            self.retry_prepaid = false;
             let mut from = self.copy.take().filter(KvCopy::is_usable);
             if let Some(copy) = &mut from {
                 copy.keep();
@@ -45,7 +45,7 @@
             let entry = match &from {
                 Some(copy) => copy.holder.clone(),
                 None => match self.choose().await {
-                    Some(entry) if self.is_too_late(&entry) => return Err(self.too_late()),
+                    Some(entry) if self.is_too_late(&entry) => return Err(self.deadline_stop()),
                     Some(entry) => entry,
                     None => return Err(self.stop()),
                 },
@@ -61,28 +61,28 @@
     /// other, and the log would show `run of a stream lost` with `loss=broken` up to twelve times for one request.
     /// Connections also break while their upstreams live, so the upstreams are probed first. That costs a round
     /// trip, only for streams whose third run ends before its first event.
-    async fn kills_upstreams(&mut self) -> bool {
-        if self.broke_beginning.len() < MAX_CRASHES_PER_BODY {
+    async fn crashes_upstreams(&mut self) -> bool {
+        if self.broken_before_event.len() < MAX_CRASHES_PER_BODY {
             return false;
         }
-        let probes = self.broke_beginning.iter();
+        let probes = self.broken_before_event.iter();
         let probes = probes.map(|entry| probe(self.gateway.clone(), entry.clone()));
         let live = futures::future::join_all(probes).await;
         let mut live = live.into_iter();
-        self.broke_beginning
+        self.broken_before_event
             .retain(|_| !live.next().unwrap_or(true));
-        self.broke_beginning.len() >= MAX_CRASHES_PER_BODY
+        self.broken_before_event.len() >= MAX_CRASHES_PER_BODY
     }
 
-    async fn may_send_again(&mut self) -> bool {
+    async fn may_resend(&mut self) -> bool {
         // Upstreams that crashed or are unreachable do not count, since the call did not cause their loss.
         let alive = self.gateway.count_usable(&self.ran_on);
-        self.sends < MOST_SENDS
+        self.sends < MAX_SENDS
             && alive < self.accepted.route.max_upstreams
-            && (self.send_paid || self.pay_repeat().await)
+            && (self.retry_prepaid || self.take_retry().await)
     }
 
-    async fn pay_repeat(&mut self) -> bool {
+    async fn take_retry(&mut self) -> bool {
         let time_left = self.accepted.time_left(self.gateway.timer.now());
         let patience = if self.gateway.settings.policy.repeat_wait {
             STREAM_PATIENCE.min(time_left)
@@ -95,7 +95,7 @@
     }
 
     /// Number of tokens that an engine must prefill before the next event.
-    fn tokens_to_read(&self, entry: &UpstreamEntry) -> u32 {
+    fn prefill_tokens(&self, entry: &UpstreamEntry) -> u32 {
         let prompt = self.accepted.call.prompt.as_ref().map_or(0, |p| p.tokens);
         prompt.saturating_sub(cached_tokens(&self.cached, &entry.id))
     }
@@ -109,7 +109,7 @@
             return false;
         }
         let now = self.gateway.timer.now();
-        let mut needed = prefill_time(self.tokens_to_read(entry));
+        let mut needed = prefill_time(self.prefill_tokens(entry));
         if policy.refuse_unfinished && self.sends == 0 {
             let had = self.accepted.call.last_event.unwrap_or(0);
             let rest = self.gateway.state.lock().pace.min_remaining(had);
@@ -118,7 +118,7 @@
         self.accepted.time_left(now) < needed
     }
 
-    fn too_late(&self) -> StreamStop {
+    fn deadline_stop(&self) -> StreamStop {
         match self.stop() {
             StreamStop::NotRun(_) => StreamStop::NotRun(RefusalReason::DeadlineTooNear),
             stop => stop,
@@ -153,7 +153,7 @@
         }
         self.avoid.clear();
         if self.sends > 0 {
-            tokio::time::sleep(REFUSED_WAIT).await;
+            tokio::time::sleep(REFUSED_RETRY_DELAY).await;
         }
         self.gateway.place(&self.accepted, &[], &self.cached)
     }
@@ -171,7 +171,7 @@
         let now = gateway.timer.now();
         let time_left = self.accepted.time_left(now);
         // A resumed run produces its first event sooner than a new one, so it is no sample for the rollout.
-        self.judged_since = (!from_copy && self.relay.last().is_none()).then_some(now);
+        self.sample_sent_at = (!from_copy && self.relay.last().is_none()).then_some(now);
         let call = UpstreamCall {
             call: self.accepted.call.clone(),
             entry: entry.clone(),
@@ -181,37 +181,37 @@
             last_event: self.relay.last(),
             copy_to: copy.as_ref().map(|copy| copy.address),
             copy_from: from.as_ref().map(|copy| copy.source.clone()),
-            longest_idle: self.accepted.longest_idle(),
-            connect_bound: CONNECT_BOUND,
+            max_idle: self.accepted.max_idle(),
+            connect_timeout: CONNECT_TIMEOUT,
         };
         self.log_sent(&entry, copy.as_deref(), from_copy, time_left);
         let tokens = if from_copy {
             0
         } else {
-            self.tokens_to_read(&entry)
+            self.prefill_tokens(&entry)
         };
         let copy = copy.map(|holder| KvCopy::growing(&gateway, holder, &self.accepted.call.id));
         let mut guard = RunGuard::begin(&gateway, entry.clone(), tokens);
-        let repeat = self.accepted.route.kind.may_retry();
-        let answer = tokio::select! {
-            answer = (gateway.transport.send)(call) => answer,
+        let retryable = self.accepted.route.kind.may_retry();
+        let response = tokio::select! {
+            response = (gateway.transport.send)(call) => response,
             // An upstream may send the response head only with the first event.
-            () = tokio::time::sleep(STALL_BEFORE_FIRST), if repeat => {
+            () = tokio::time::sleep(FIRST_EVENT_TIMEOUT), if retryable => {
                 self.ran_on.push(entry.id.clone());
                 drop((guard, copy));
                 self.run_lost(&entry, Loss::Stalled);
                 return Ok(false);
             }
-            () = guard.lost() => {
+            () = guard.upstream_abandoned() => {
                 self.ran_on.push(entry.id.clone());
                 drop((guard, copy));
                 self.run_lost(&entry, Loss::Silent);
-                return self.unless_once();
+                return self.continue_if_retryable();
             }
             () = tokio::time::sleep(time_left) => return Err(StreamStop::TimedOut),
         };
-        match answer {
-            Ok(answer) => self.begun(guard, copy, answer),
+        match response {
+            Ok(response) => self.handle_response(guard, copy, response),
             Err(fault) => {
                 drop((guard, copy));
                 self.send_failed(&entry, fault)
@@ -219,49 +219,49 @@
         }
     }
 
-    fn begun(
+    fn handle_response(
         &mut self,
         guard: RunGuard,
         copy: Option<KvCopy>,
-        answer: UpstreamResponse,
+        response: UpstreamResponse,
     ) -> Result<bool, StreamStop> {
         let entry = guard.entry.clone();
-        self.gateway.heard(&entry, answer.load);
-        if answer.other_incarnation || answer.not_executed {
-            if answer.other_incarnation {
-                self.gateway.replaced(&entry, answer.incarnation);
+        self.gateway.heard(&entry, response.load);
+        if response.other_incarnation || response.not_executed {
+            if response.other_incarnation {
+                self.gateway.replaced(&entry, response.incarnation);
             }
-            self.refused(&entry, answer.status);
+            self.record_refusal(&entry, response.status);
             return Ok(false);
         }
         self.ran_on.push(entry.id.clone());
-        if !answer.status.is_success() || !answer.signed {
-            if answer.status.is_server_error() && self.judged_since.take().is_some() {
+        if !response.status.is_success() || !response.signed {
+            if response.status.is_server_error() && self.sample_sent_at.take().is_some() {
                 let failure = ResponseOutcome::Failure;
                 self.gateway
                     .record_rollout_response(&self.accepted, &entry, failure);
             }
             drop(guard);
-            self.refused(&entry, answer.status);
-            return self.unless_once();
+            self.record_refusal(&entry, response.status);
+            return self.continue_if_retryable();
         }
         if !self.delivered {
             // No event of an earlier run was delivered, so the caller gets the head of this one.
-            self.head = Some((answer.status, answer.headers));
+            self.head = Some((response.status, response.headers));
         }
         self.active = Some(ActiveRun {
             number: self.relay.begin_run(),
             guard,
             copies: KvCopyManager::new(&self.gateway, copy),
-            body: answer.body,
+            body: response.body,
             splitter: EventSplitter::default(),
-            gave_events: false,
-            progress: tokio::time::Instant::now(),
+            produced_events: false,
+            last_data_at: tokio::time::Instant::now(),
         });
         Ok(true)
     }
 
-    fn refused(&mut self, entry: &UpstreamEntry, status: StatusCode) {
+    fn record_refusal(&mut self, entry: &UpstreamEntry, status: StatusCode) {
         self.avoid.push(entry.id.clone());
         tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
             status = status.as_u16(), "upstream refused the stream");
@@ -275,7 +275,7 @@
         if fault == SendError::NoConnection {
             self.avoid.push(entry.id.clone());
             // Nothing was sent, so the next send does not count as another retry.
-            self.send_paid = true;
+            self.retry_prepaid = true;
             let fault_name: &str = fault.into();
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
                 fault = fault_name, "call failed");
@@ -283,13 +283,13 @@
             return Ok(false);
         }
         self.ran_on.push(entry.id.clone());
-        self.broke_beginning.push(entry.clone());
+        self.broken_before_event.push(entry.clone());
         self.run_lost(entry, Loss::Broken);
-        self.unless_once()
+        self.continue_if_retryable()
     }
 
     /// Allows another run if the route may be retried; fails otherwise, because the call may have run.
-    fn unless_once(&self) -> Result<bool, StreamStop> {
+    fn continue_if_retryable(&self) -> Result<bool, StreamStop> {
         if self.accepted.route.kind.may_retry() {
             return Ok(false);
         }
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -7,11 +7,11 @@
     /// connection, so that the upstream stops.
     pub send: SendCall,
     /// Requests that an engine copies the KV cache of a running call to another engine.
-    pub copy: CopyMemory,
+    pub copy: CopyKvCache,
     /// Requests that an engine frees a KV copy that will not be used.
-    pub free: FreeCopy,
+    pub free: FreeKvCopy,
     /// Queries which prompt parts an engine has cached; the latest report of a part comes last.
-    pub cached: AskCached,
+    pub cached: QueryCachedPrompts,
     /// Queries the health and load of an upstream over a separate connection.
     pub probe: ProbeUpstream,
 }
@@ -22,7 +22,7 @@
 >;
 
 /// Function that queries which prompt parts an engine has cached.
-pub type AskCached = Box<
+pub type QueryCachedPrompts = Box<
     dyn Fn(Arc<UpstreamEntry>) -> BoxFuture<'static, Result<Vec<PromptPart>, SendError>>
         + Send
         + Sync,
@@ -33,16 +33,16 @@
     Box<dyn Fn(HealthProbe) -> BoxFuture<'static, Result<HealthReport, SendError>> + Send + Sync>;
 
 /// Function that requests a KV copy of a run.
-pub type CopyMemory =
-    Box<dyn Fn(CopyOrder) -> BoxFuture<'static, Result<CopySource, CopyError>> + Send + Sync>;
+pub type CopyKvCache =
+    Box<dyn Fn(KvCopyRequest) -> BoxFuture<'static, Result<CopySource, CopyError>> + Send + Sync>;
 
 /// Function that frees a KV copy. It may fail without consequences, because engines free unused copies
 /// by themselves later.
-pub type FreeCopy = Box<dyn Fn(CopySource) -> BoxFuture<'static, ()> + Send + Sync>;
+pub type FreeKvCopy = Box<dyn Fn(CopySource) -> BoxFuture<'static, ()> + Send + Sync>;
 
 /// Request for a KV copy of a run.
 #[derive(Clone, Debug)]
-pub struct CopyOrder {
+pub struct KvCopyRequest {
     /// The engine that runs the call.
     pub source: Arc<UpstreamEntry>,
     /// Call whose KV cache is copied.
@@ -93,7 +93,7 @@
 /// caller's timeout. A partitioned VM, one without power or a full accept queue never answers. Without the timeout a
 /// non-idempotent call would wait until its deadline and end as `timed_out`, as if it might have run, although no
 /// upstream ever saw it. Nothing is sent before the connection is open, so any call may fail over to another upstream.
-pub(crate) const CONNECT_BOUND: Duration = Duration::from_millis(200);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A call as it is sent to one upstream.
 #[derive(Clone, Debug)]
@@ -115,9 +115,9 @@
     /// KV copy that the run resumes from.
     pub copy_from: Option<CopySource>,
     /// Maximum idle time of a reused connection; zero requires a new one.
-    pub longest_idle: Duration,
+    pub max_idle: Duration,
     /// Timeout for opening a new connection; the send fails with [`SendError::NoConnection`] afterwards.
-    pub connect_bound: Duration,
+    pub connect_timeout: Duration,
 }
 
 /// Identifies a KV copy of a run.
--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -217,8 +217,8 @@
     running.handle("/quick/1").await;
 
     let seen = running.seen.lock();
-    expect_that!(seen[0].longest_idle, lt(Duration::from_secs(1)));
-    expect_that!(seen[1].longest_idle, gt(seen[0].longest_idle));
+    expect_that!(seen[0].max_idle, lt(Duration::from_secs(1)));
+    expect_that!(seen[1].max_idle, gt(seen[0].max_idle));
 }
 
 /// One malformed call breaks its connection on every upstream. That must not make the upstreams suspect: the
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -46,7 +46,7 @@
     pub copy_to: Option<String>,
     pub from_copy: Option<String>,
     pub time_left: Duration,
-    pub longest_idle: Duration,
+    pub max_idle: Duration,
     pub at: Instant,
 }
 
@@ -89,7 +89,7 @@
                 copy_to: call.copy_to.map(|address| address.to_string()),
                 from_copy: call.copy_from.as_ref().map(|copy| copy.handle.to_string()),
                 time_left: call.time_left,
-                longest_idle: call.longest_idle,
+                max_idle: call.max_idle,
                 at: timer.now(),
             });
             let script = script(&call);
