--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -16,7 +16,7 @@
 };
 
 /// Runs `first` for the first send and responds successfully from the second send on.
-fn first_then(
+fn fails_first(
     first: Script,
 ) -> impl Fn(&catkinward::gateway::UpstreamCall) -> Script + Send + Sync {
     let sends = AtomicUsize::new(0);
@@ -28,9 +28,9 @@
     }
 }
 
-fn after(first: Script) -> Running {
-    GatewayFixture::new(first_then(first))
-        .usual_upstreams()
+fn gateway_failing_first(first: Script) -> Running {
+    GatewayFixture::new(fails_first(first))
+        .default_upstreams()
         .start()
 }
 
@@ -38,7 +38,7 @@
 /// upstream must serve the call.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn idempotent_call_goes_to_another_upstream() {
+async fn idempotent_call_fails_over_to_another_upstream() {
     let firsts = [
         Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"),
         Script::Lost,
@@ -47,7 +47,7 @@
         Script::Unsigned(StatusCode::OK),
     ];
     for first in firsts {
-        let running = after(first.clone());
+        let running = gateway_failing_first(first.clone());
 
         let reply = running.handle("/quick/1").await;
 
@@ -69,7 +69,7 @@
 /// a record could be written twice.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_runs_once_is_sent_again_only_with_proof() {
+async fn non_idempotent_call_is_retried_only_with_evidence_that_it_has_not_run() {
     let cases = [
         (Script::Lost, 1),
         (Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"), 1),
@@ -80,7 +80,7 @@
         (Script::OtherIncarnation(None), 2),
     ];
     for (first, sends) in cases {
-        let running = after(first.clone());
+        let running = gateway_failing_first(first.clone());
 
         running.handle("/once/1").await;
 
@@ -93,13 +93,13 @@
 /// and it could run twice.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_may_have_run_is_never_called_not_run() {
+async fn call_that_may_have_run_is_never_reported_as_not_run() {
     let firsts = [
         Script::Lost,
         Script::Whole(StatusCode::SERVICE_UNAVAILABLE, "busy"),
     ];
     for first in firsts {
-        let running = after(first.clone());
+        let running = gateway_failing_first(first.clone());
 
         let reply = running.handle("/once/1").await;
 
@@ -111,9 +111,9 @@
 /// of waiting until its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_everybody_refuses_is_answered_at_once() {
+async fn call_refused_by_all_upstreams_is_refused_at_once() {
     let running = GatewayFixture::new(|_| Script::NotExecuted)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let start = running.timer.now();
 
@@ -132,10 +132,10 @@
 /// just when there is the least capacity.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn repeats_stay_within_the_budget() {
+async fn retries_stay_within_the_budget() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"))
-        .usual_upstreams()
-        .repeats(RouteRetryBudgetConfig {
+        .default_upstreams()
+        .retry_budget(RouteRetryBudgetConfig {
             ratio: 0.2,
             slack: 10.0,
             ..RouteRetryBudgetConfig::default()
@@ -154,9 +154,9 @@
 /// more time than that.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_ends_when_its_time_is_over() {
+async fn call_ends_at_its_deadline() {
     let running = GatewayFixture::new(|_| Script::Hang)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let start = running.timer.now();
 
@@ -168,15 +168,18 @@
         waited,
         all![ge(Duration::from_secs(1)), le(Duration::from_millis(1100))]
     );
-    expect_that!(running.seen.lock()[0].time_left, le(Duration::from_secs(1)));
+    expect_that!(
+        running.received.lock()[0].time_left,
+        le(Duration::from_secs(1))
+    );
 }
 
 /// A reused connection is dead although its upstream lives. An idempotent call must fail over to another
 /// upstream instead of waiting until its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn idempotent_call_on_a_silent_connection_is_served_elsewhere() {
-    let running = after(Script::Hang);
+async fn idempotent_call_on_a_dead_connection_fails_over() {
+    let running = gateway_failing_first(Script::Hang);
 
     let reply = running.handle("/quick/1").await;
 
@@ -187,7 +190,7 @@
 /// The only upstream is slow, so there is no other to fail over to. The call must wait for the late response.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn slow_answer_is_waited_for_where_there_is_no_other_upstream() {
+async fn call_waits_for_a_slow_response_of_the_only_upstream() {
     let running = GatewayFixture::new(|_| {
         let late = Part::Pause(Duration::from_millis(800));
         Script::Stream(vec![late, Part::Bytes("late".to_owned())], End::Whole)
@@ -208,24 +211,24 @@
 /// closing it, an error would not tell whether the call has run.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_runs_once_takes_a_connection_that_is_surely_open() {
+async fn non_idempotent_call_uses_no_long_idle_connection() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::OK, "yes"))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
 
     running.handle("/once/1").await;
     running.handle("/quick/1").await;
 
-    let seen = running.seen.lock();
-    expect_that!(seen[0].max_idle, lt(Duration::from_secs(1)));
-    expect_that!(seen[1].max_idle, gt(seen[0].max_idle));
+    let received = running.received.lock();
+    expect_that!(received[0].max_idle, lt(Duration::from_secs(1)));
+    expect_that!(received[1].max_idle, gt(received[0].max_idle));
 }
 
 /// One malformed call breaks its connection on every upstream. That must not make the upstreams suspect: the
 /// next call is served as usual.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn one_bad_call_does_not_make_its_upstreams_suspect() {
+async fn malformed_call_does_not_make_its_upstreams_suspect() {
     let bad = Arc::new(AtomicBool::new(true));
     let is_bad = bad.clone();
     let running = GatewayFixture::new(move |_| {
@@ -234,7 +237,7 @@
         }
         Script::Whole(StatusCode::OK, "yes")
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     running.handle("/quick/1").await;
     bad.store(false, Ordering::Relaxed);
@@ -250,7 +253,7 @@
 #[tokio::test(start_paused = true)]
 async fn unknown_routes_and_keys_are_refused() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::OK, "yes"))
-        .usual_upstreams()
+        .default_upstreams()
         .key("key-1", "team-1")
         .start();
     let mut wrong = running.call("/quick/1");
--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -138,17 +138,17 @@
     let store = FakeStore::new(RoutingConfig::clone(&config));
     *store.away.lock() = true;
     let peer = FakeStore::new(RoutingConfig::clone(&config));
-    running.hear_of_peer();
+    running.receive_peer_heartbeat();
     tokio::spawn(follow_config(
         running.gateway.clone(),
         store.feed(Some(peer.clone())),
     ));
     tokio::time::sleep(Duration::from_secs(5)).await;
-    running.hear_of_peer();
+    running.receive_peer_heartbeat();
 
     peer.set_version(7);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    running.hear_of_peer();
+    running.receive_peer_heartbeat();
     tokio::time::sleep(Duration::from_millis(1400)).await;
 
     expect_that!(version(&running), eq(7));
@@ -231,7 +231,7 @@
 async fn start_with(feed: Feed<UpstreamEntry>, all: usize) -> (Duration, Duration) {
     let fixture = GatewayFixture::new(|_| Script::Hang);
     let config = fixture.config();
-    let running = fixture.unstarted();
+    let running = fixture.start_empty();
     running.gateway.put_config(Arc::new(config));
     let start = running.timer.now();
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed));
@@ -285,7 +285,7 @@
     };
 
     let fixture = GatewayFixture::new(|_| Script::Hang);
-    let running = fixture.unstarted();
+    let running = fixture.start_empty();
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed));
     tokio::time::sleep(Duration::from_secs(4)).await;
 
@@ -312,7 +312,7 @@
         ..slow_table(2, true)
     };
 
-    let running = GatewayFixture::new(|_| Script::Hang).unstarted();
+    let running = GatewayFixture::new(|_| Script::Hang).start_empty();
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed));
     tokio::time::sleep(Duration::from_secs(9)).await;
     let early = *reads.lock();
--- a/crates/catkinward/tests/gateway_poison.rs
+++ b/crates/catkinward/tests/gateway_poison.rs
@@ -17,9 +17,9 @@
 /// third crash.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn body_that_crashes_upstreams_is_refused_by_the_third_death() {
+async fn body_that_crashes_upstreams_is_refused_after_the_third_crash() {
     let running = GatewayFixture::new(|_| Script::Lost)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     for upstream in ["plain-a", "plain-b", "plain-c"] {
         running.handle("/once/1").await;
@@ -45,7 +45,7 @@
 async fn body_that_crashed_upstreams_of_other_vms_is_refused_here() {
     for (crashes, refused) in [(2, false), (3, true)] {
         let running = GatewayFixture::new(|_| Script::Whole(StatusCode::OK, "yes"))
-            .usual_upstreams()
+            .default_upstreams()
             .start();
         let call = running.call("/quick/1");
         for n in 1..=crashes {
@@ -55,7 +55,7 @@
                 at: running.timer.now(),
                 cleared: false,
             };
-            running.hear_of_crash(n, crash);
+            running.receive_crash(n, crash);
         }
 
         let reply = running.gateway.handle(call).await;
@@ -70,15 +70,15 @@
 /// with `loss=broken` up to twelve times for one request.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_under_which_engines_die_ends_after_the_third() {
+async fn stream_that_crashes_engines_ends_after_the_third_crash() {
     let killed = Arc::new(Mutex::new(Vec::new()));
     let dead = killed.clone();
     let running = GatewayFixture::new(move |call| {
         killed.lock().push(call.entry.id.to_string());
         Script::Lost
     })
-    .alive(move |id| !dead.lock().iter().any(|dead| dead == id))
-    .usual_upstreams()
+    .answers_probes(move |id| !dead.lock().iter().any(|dead| dead == id))
+    .default_upstreams()
     .start();
 
     let reply = running.handle("/stream/1").await;
@@ -92,13 +92,13 @@
 /// get nothing.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_whose_connections_are_reset_goes_on() {
+async fn stream_whose_connections_are_reset_resumes() {
     let sends = AtomicUsize::new(0);
     let running = GatewayFixture::new(move |_| match sends.fetch_add(1, Ordering::Relaxed) {
         0..4 => Script::Lost,
         _ => Script::Stream(events(1, 40), End::Whole),
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -110,7 +110,7 @@
 /// count as the cause, and its caller gets the complete response.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_made_events_before_each_death_goes_on() {
+async fn stream_that_produced_events_before_each_crash_resumes() {
     let killed = Arc::new(Mutex::new(Vec::new()));
     let dead = killed.clone();
     let running = GatewayFixture::new(move |call| {
@@ -122,8 +122,8 @@
         killed.push(call.entry.id.to_string());
         Script::Stream(events(first, first + 2), End::Break)
     })
-    .alive(move |id| !dead.lock().iter().any(|dead| dead == id))
-    .usual_upstreams()
+    .answers_probes(move |id| !dead.lock().iter().any(|dead| dead == id))
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
--- a/crates/catkinward/tests/gateway_replaced.rs
+++ b/crates/catkinward/tests/gateway_replaced.rs
@@ -19,7 +19,7 @@
 /// try one engine after the other until no retry is left.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn engine_that_started_anew_is_taken_in() {
+async fn restarted_engine_is_used_by_its_reported_id() {
     let running = GatewayFixture::new(|call| {
         if call.entry.id.as_str() == "engine-a9" {
             Script::Stream(events(1, 3), End::Whole)
@@ -41,7 +41,7 @@
 /// sent there based only on the ID that it reports.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn plain_upstream_is_not_taken_in_on_its_word() {
+async fn plain_upstream_is_not_used_by_its_reported_id() {
     let running = GatewayFixture::new(|_| Script::OtherIncarnation(Some("plain-a9")))
         .upstream("plain-a1", PLAIN, "a")
         .start();
@@ -60,7 +60,7 @@
 /// compares process start times.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn prompt_on_an_engine_that_started_again_is_read_elsewhere() {
+async fn prompt_on_a_restarted_engine_is_prefilled_elsewhere() {
     let sends = Arc::new(AtomicUsize::new(0));
     let (count, started) = (sends.clone(), sends.clone());
     let running = GatewayFixture::new(move |_| {
@@ -74,8 +74,8 @@
             1000 + 500 * u64::from(started.load(Ordering::Relaxed) > 0),
         ))
     })
-    .born_upstream("engine-a1", ENGINES, "a", ProcessStart(1000))
-    .born_upstream("engine-b1", ENGINES, "b", ProcessStart(1500))
+    .upstream_started_at("engine-a1", ENGINES, "a", ProcessStart(1000))
+    .upstream_started_at("engine-b1", ENGINES, "b", ProcessStart(1500))
     .start();
     let start = running.timer.now();
 
@@ -91,24 +91,27 @@
 /// connections of the streams are silent; the streams must resume elsewhere at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn entry_of_a_later_process_ends_the_streams_of_the_earlier() {
+async fn entry_of_a_later_process_moves_streams_of_the_earlier_one() {
     let running = GatewayFixture::new(|call| match call.last_event {
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 5), End::Hang),
     })
-    .born_upstream("engine-a1", ENGINES, "a", ProcessStart(1000))
-    .born_upstream("engine-b1", ENGINES, "b", ProcessStart(1000))
+    .upstream_started_at("engine-a1", ENGINES, "a", ProcessStart(1000))
+    .upstream_started_at("engine-b1", ENGINES, "b", ProcessStart(1000))
     .start();
     let reading = tokio::spawn(read_stream(running.handle("/stream/1").await));
     tokio::time::sleep(Duration::from_millis(170)).await;
     let start = running.timer.now();
 
-    running
-        .gateway
-        .upstream_heard(born_upstream("engine-a1", ENGINES, "a", ProcessStart(2000)));
+    running.gateway.upstream_heard(upstream_started_at(
+        "engine-a1",
+        ENGINES,
+        "a",
+        ProcessStart(2000),
+    ));
     tokio::time::sleep(Duration::from_millis(20)).await;
 
-    expect_that!(running.seen.lock().len(), eq(2));
+    expect_that!(running.received.lock().len(), eq(2));
     let stream = reading.await.unwrap();
     expect_that!(stream, eq(&(text(1, 40), true)));
     expect_that!(
@@ -122,7 +125,7 @@
 /// are refused in such seconds (569 of 2,318), and each refusal costs a retry.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn restart_that_a_peer_tells_of_costs_no_call() {
+async fn restart_reported_by_a_peer_costs_no_retry() {
     let running = GatewayFixture::new(|call| {
         if call.entry.id.as_str() == "engine-a9" {
             Script::Stream(events(1, 3), End::Whole)
@@ -155,7 +158,7 @@
 /// would get prompts 3.6 s after its drain was acknowledged, where 3 s are allowed, and would stop while running them.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn restart_of_an_upstream_that_has_left_is_not_believed() {
+async fn restart_of_a_removed_upstream_is_ignored() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole))
         .upstream("engine-a1", ENGINES, "a")
         .upstream("engine-b1", ENGINES, "b")
--- a/crates/catkinward/tests/gateway_shutdown.rs
+++ b/crates/catkinward/tests/gateway_shutdown.rs
@@ -9,9 +9,9 @@
 
 const GRACE: Duration = Duration::from_secs(8);
 
-fn streaming() -> Running {
+fn streaming_gateway() -> Running {
     GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole))
-        .usual_upstreams()
+        .default_upstreams()
         .start()
 }
 
@@ -20,8 +20,8 @@
 /// be refused at once and its caller can retry elsewhere.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_cannot_end_in_time_is_refused() {
-    let running = streaming();
+async fn stream_that_cannot_complete_before_shutdown_is_refused() {
+    let running = streaming_gateway();
     let gateway = running.gateway.clone();
     let held = running.gateway.drain.enter();
     tokio::spawn(async move { gateway.shut_down(GRACE, || ()).await });
@@ -39,7 +39,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn callers_are_served_until_the_vm_is_out_of_rotation() {
-    let running = streaming();
+    let running = streaming_gateway();
     let gateway = running.gateway.clone();
     tokio::spawn(async move { gateway.shut_down(GRACE, || ()).await });
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -53,9 +53,9 @@
 /// A quick call that arrives late but ends well before the process exits is served.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn quick_call_is_served_as_long_as_it_surely_ends_in_time() {
+async fn quick_call_is_served_if_it_ends_before_shutdown() {
     let running = GatewayFixture::new(|_| Script::Whole(http::StatusCode::OK, "yes"))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let gateway = running.gateway.clone();
     let held = running.gateway.drain.enter();
--- a/crates/catkinward/tests/gateway_start.rs
+++ b/crates/catkinward/tests/gateway_start.rs
@@ -17,7 +17,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_waits_for_a_process_that_has_just_started() {
-    let running = GatewayFixture::new(|_| Script::Hang).unstarted();
+    let running = GatewayFixture::new(|_| Script::Hang).start_empty();
     let start = running.timer.now();
     let gateway = running.gateway.clone();
     let config = GatewayFixture::new(|_| Script::Hang).config();
@@ -40,7 +40,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_does_not_wait_for_long_without_a_platform() {
-    let running = GatewayFixture::new(|_| Script::Hang).unstarted();
+    let running = GatewayFixture::new(|_| Script::Hang).start_empty();
     let start = running.timer.now();
 
     running.gateway.known().await;
@@ -58,8 +58,8 @@
     let cut = Arc::new(AtomicBool::new(false));
     let is_cut = cut.clone();
     let running = GatewayFixture::new(|_| Script::Hang)
-        .usual_upstreams()
-        .alive(move |id| !(is_cut.load(Ordering::Relaxed) && id.starts_with("plain")))
+        .default_upstreams()
+        .answers_probes(move |id| !(is_cut.load(Ordering::Relaxed) && id.starts_with("plain")))
         .start();
     let before = running.gateway.is_ready();
     cut.store(true, Ordering::Relaxed);
@@ -87,7 +87,7 @@
     let running = GatewayFixture::new(|_| Script::Hang)
         .upstream("plain-b", PLAIN, "b")
         .upstream("engine-a", ENGINES, "a")
-        .alive(|id| !id.starts_with("plain"))
+        .answers_probes(|id| !id.starts_with("plain"))
         .start();
     running.handle("/once/1").await;
     let suspect = running.gateway.is_ready();
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -15,7 +15,7 @@
 };
 
 /// Upstreams that break the first run after 20 events and otherwise continue after the last event.
-fn break_first() -> impl Fn(&UpstreamCall) -> Script + Send + Sync {
+fn break_first_run() -> impl Fn(&UpstreamCall) -> Script + Send + Sync {
     let calls = AtomicUsize::new(0);
     move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
@@ -31,25 +31,27 @@
 /// zone, and the caller gets every event once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn broken_stream_goes_on_from_its_copy() {
-    let running = GatewayFixture::new(break_first()).usual_upstreams().start();
+async fn broken_stream_resumes_from_its_kv_copy() {
+    let running = GatewayFixture::new(break_first_run())
+        .default_upstreams()
+        .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
 
     expect_that!(stream, eq(&(text(1, 40), true)));
-    let seen = running.seen.lock();
-    expect_that!(seen.len(), eq(2));
-    expect_that!(seen[1].from_copy, some(eq("call-1")));
-    expect_that!(seen[1].last_event, some(eq(20)));
-    expect_that!(seen[0].upstream, starts_with("engine-a"));
-    expect_that!(seen[1].upstream, not(starts_with("engine-a")));
+    let received = running.received.lock();
+    expect_that!(received.len(), eq(2));
+    expect_that!(received[1].from_copy, some(eq("call-1")));
+    expect_that!(received[1].last_event, some(eq(20)));
+    expect_that!(received[0].upstream, starts_with("engine-a"));
+    expect_that!(received[1].upstream, not(starts_with("engine-a")));
 }
 
 /// An engine's VM loses power in the middle of a stream, so that the connection stays open but silent. The
 /// engine is probed once and does not answer; the caller waits less than half a second.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn silent_stream_goes_on_within_half_a_second() {
+async fn silent_stream_resumes_within_half_a_second() {
     let dark = Arc::new(AtomicBool::new(false));
     let (died, asked) = (dark.clone(), dark.clone());
     let running = GatewayFixture::new(move |call| {
@@ -60,8 +62,8 @@
             Script::Stream(events(1, 20), End::Hang)
         }
     })
-    .alive(move |id| !(asked.load(Ordering::Relaxed) && id.starts_with("engine-a")))
-    .usual_upstreams()
+    .answers_probes(move |id| !(asked.load(Ordering::Relaxed) && id.starts_with("engine-a")))
+    .default_upstreams()
     .start();
     let start = running.timer.now();
 
@@ -82,7 +84,7 @@
 /// and the prompt is prefilled on another engine at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn prompt_on_a_dead_engine_is_read_elsewhere_at_once() {
+async fn prompt_on_a_dead_engine_is_prefilled_elsewhere_at_once() {
     let sends = Arc::new(AtomicUsize::new(0));
     let count = sends.clone();
     let running = GatewayFixture::new(move |_| {
@@ -91,8 +93,8 @@
         }
         Script::Stream(events(1, 40), End::Whole)
     })
-    .alive(move |id| sends.load(Ordering::Relaxed) != 1 || !id.starts_with("engine-a"))
-    .usual_upstreams()
+    .answers_probes(move |id| sends.load(Ordering::Relaxed) != 1 || !id.starts_with("engine-a"))
+    .default_upstreams()
     .start();
     let start = running.timer.now();
 
@@ -107,12 +109,12 @@
 /// The stream resumes elsewhere; the caller waits less than 0.7 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_on_a_silent_connection_goes_on_elsewhere() {
+async fn stream_on_a_dead_connection_resumes_elsewhere() {
     let running = GatewayFixture::new(|call| match call.last_event {
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 20), End::Hang),
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     let start = running.timer.now();
 
@@ -131,7 +133,7 @@
 /// stream. Without a new copy the complete prompt is prefilled again, and the caller waits for seconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn copy_whose_holder_is_lost_is_made_anew() {
+async fn kv_copy_is_remade_after_its_holder_is_lost() {
     let running = GatewayFixture::new(|call| {
         let first = call.last_event.map_or(1, |last| last + 1);
         if call.last_event.is_none() {
@@ -140,12 +142,12 @@
             Script::Stream(events(first, 120), End::Whole)
         }
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     let reply = running.handle("/stream/1").await;
     let reading = tokio::spawn(read_stream(reply));
     tokio::time::sleep(Duration::from_millis(900)).await;
-    let holder = running.seen.lock()[0].copy_to.clone().unwrap();
+    let holder = running.received.lock()[0].copy_to.clone().unwrap();
     let lost = ["b", "c"]
         .iter()
         .flat_map(|zone| [1, 2].map(|n| format!("engine-{zone}{n}")))
@@ -156,12 +158,12 @@
     let stream = reading.await.unwrap();
 
     expect_that!(stream, eq(&(text(1, 120), true)));
-    let seen = running.seen.lock();
+    let received = running.received.lock();
     let copies = running.copies.lock();
     expect_that!(copies.first(), some(not(eq(&lost))));
-    expect_that!(seen.len(), eq(2));
-    expect_that!(seen[1].from_copy, some(eq("copy-1")));
-    expect_that!(copies.contains(&seen[1].upstream), eq(true));
+    expect_that!(received.len(), eq(2));
+    expect_that!(received[1].from_copy, some(eq("copy-1")));
+    expect_that!(copies.contains(&received[1].upstream), eq(true));
     expect_that!(running.freed.lock().is_empty(), eq(true));
 }
 
@@ -171,7 +173,7 @@
 /// takes two to five seconds, since all streams of the zone share its few upstreams.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_of_a_zone_that_is_cut_off_goes_on_from_a_copy_there() {
+async fn stream_of_a_partitioned_zone_resumes_from_a_copy_in_the_zone() {
     let cut = Arc::new(AtomicBool::new(false));
     let reached = cut.clone();
     let running = GatewayFixture::new(move |call| {
@@ -181,7 +183,7 @@
         }
         Script::Stream(events(first, 60), End::Hang)
     })
-    .alive(move |id| !reached.load(Ordering::Relaxed) || id.starts_with("engine-a"))
+    .answers_probes(move |id| !reached.load(Ordering::Relaxed) || id.starts_with("engine-a"))
     .upstream("engine-b1", ENGINES, "b")
     .upstream("engine-c1", ENGINES, "c")
     .start();
@@ -198,19 +200,19 @@
 
     expect_that!(stream, eq(&(text(1, 100), true)));
     expect_that!(running.copies.lock().first(), some(eq("engine-a1")));
-    let seen = running.seen.lock();
-    expect_that!(seen.len(), eq(2));
-    expect_that!(seen[1].upstream, eq("engine-a1"));
-    expect_that!(seen[1].from_copy, some(eq("copy-1")));
+    let received = running.received.lock();
+    expect_that!(received.len(), eq(2));
+    expect_that!(received[1].upstream, eq("engine-a1"));
+    expect_that!(received[1].from_copy, some(eq("copy-1")));
 }
 
 /// A new KV copy was made for a stream that then completes. Its holder would keep memory for it for seconds, so
 /// the copy must be freed.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn copy_that_nobody_uses_is_freed() {
+async fn unused_kv_copy_is_freed() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 100), End::Whole))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let reply = running.handle("/stream/1").await;
     let reading = tokio::spawn(read_stream(reply));
@@ -218,7 +220,7 @@
     for zone in ["b", "c"] {
         for n in [1, 2] {
             let lost = format!("engine-{zone}{n}");
-            if running.seen.lock()[0].copy_to
+            if running.received.lock()[0].copy_to
                 == Some(upstream(&lost, ENGINES, zone).address.to_string())
             {
                 running.gateway.upstream_removed(&lost.parse().unwrap());
@@ -237,13 +239,13 @@
 /// prefilled again on another engine, and no event is lost.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_without_a_copy_is_read_anew() {
+async fn stream_without_a_kv_copy_is_prefilled_again() {
     let running = GatewayFixture::new(|call| match (call.last_event, &call.copy_from) {
         (None, _) => Script::Stream(events(1, 20), End::Break),
         (Some(_), Some(_)) => Script::NotExecuted,
         (Some(last), None) => Script::Stream(events(last + 1, 40), End::Whole),
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -256,7 +258,7 @@
 /// starts with the complete one.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn torn_event_is_not_handed_on() {
+async fn truncated_event_is_not_delivered() {
     let running = GatewayFixture::new(|call| {
         if let Some(last) = call.last_event {
             return Script::Stream(events(last + 1, 40), End::Whole);
@@ -265,7 +267,7 @@
         parts.push(Part::Bytes("id: 21\nda".to_owned()));
         Script::Stream(parts, End::Break)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -277,7 +279,7 @@
 /// engine.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_ends_within_an_event_is_not_whole() {
+async fn stream_that_ends_within_an_event_is_resumed() {
     let running = GatewayFixture::new(|call| {
         if let Some(last) = call.last_event {
             return Script::Stream(events(last + 1, 40), End::Whole);
@@ -286,7 +288,7 @@
         parts.push(Part::Bytes("id: 21\nda".to_owned()));
         Script::Stream(parts, End::Whole)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -298,7 +300,7 @@
 /// once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn repeated_and_missing_events_do_not_reach_the_caller() {
+async fn caller_gets_each_event_once_despite_repeats_and_gaps() {
     let runs = AtomicUsize::new(0);
     let running = GatewayFixture::new(move |call| {
         match (runs.fetch_add(1, Ordering::Relaxed), call.last_event) {
@@ -308,7 +310,7 @@
             (_, None) => Script::Lost,
         }
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -319,8 +321,10 @@
 /// A stream that is not resumable loses its engine. It is cut, and no second engine runs it.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_runs_once_is_cut_and_never_sent_again() {
-    let running = GatewayFixture::new(break_first()).usual_upstreams().start();
+async fn stream_that_is_not_resumable_is_cut_and_not_retried() {
+    let running = GatewayFixture::new(break_first_run())
+        .default_upstreams()
+        .start();
 
     let stream = read_stream(running.handle("/stream-once/1").await).await;
 
@@ -331,11 +335,11 @@
 /// A caller reconnects with its last event ID after its VM crashed. The stream resumes from there.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_comes_back_with_its_last_event() {
+async fn caller_reconnects_with_its_last_event() {
     let running = GatewayFixture::new(|call| {
         Script::Stream(events(call.last_event.unwrap() + 1, 30), End::Whole)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     let mut call = running.call("/stream/1");
     call.last_event = Some(12);
@@ -343,20 +347,20 @@
     let stream = read_stream(running.gateway.handle(call).await).await;
 
     expect_that!(stream, eq(&(text(13, 30), true)));
-    expect_that!(running.seen.lock()[0].last_event, some(eq(12)));
+    expect_that!(running.received.lock()[0].last_event, some(eq(12)));
 }
 
 /// All VMs are killed and restart, and the callers of their streams reconnect. The engine that has a caller's
 /// prompt cached may be in any zone. The stream must resume there, so that the prompt is not prefilled again.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_that_comes_back_goes_to_the_engine_that_holds_its_prompt() {
+async fn reconnecting_caller_resumes_on_the_engine_that_caches_its_prompt() {
     for holder in ["engine-a2", "engine-b1", "engine-c2"] {
         let running = GatewayFixture::new(|call| {
             Script::Stream(events(call.last_event.unwrap() + 1, 30), End::Whole)
         })
-        .usual_upstreams()
-        .holder(holder)
+        .default_upstreams()
+        .cached_on(holder)
         .start();
         let mut call = running.call("/stream/1");
         call.last_event = Some(12);
@@ -372,9 +376,9 @@
 /// run; otherwise an engine would prefill the prompt in vain, and the caller would leave at its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_that_cannot_be_served_in_time_is_refused_at_once() {
+async fn caller_without_time_for_prefill_is_refused_at_once() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 30), End::Whole))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_millis(900));
@@ -393,10 +397,10 @@
 /// A caller has less time left than the prefill of its prompt takes, but an engine has the prompt cached.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_with_little_time_is_served_where_its_prompt_is_held() {
+async fn caller_without_time_for_prefill_is_served_from_the_prompt_cache() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 20), End::Whole))
-        .usual_upstreams()
-        .holder("engine-b1")
+        .default_upstreams()
+        .cached_on("engine-b1")
         .start();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_millis(900));
@@ -410,12 +414,12 @@
 /// with the same time whose stream is almost complete is served.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_whose_stream_cannot_be_whole_in_time_is_refused_at_once() {
+async fn caller_without_time_for_the_complete_stream_is_refused_at_once() {
     let running = GatewayFixture::new(|call| {
         let first = call.last_event.map_or(1, |last| last + 1);
         Script::Stream(events(first, 30), End::Whole)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
@@ -441,8 +445,8 @@
 #[tokio::test(start_paused = true)]
 async fn run_ends_when_its_caller_leaves() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 40), End::Hang))
-        .usual_upstreams()
-        .alive(|_| true)
+        .default_upstreams()
+        .answers_probes(|_| true)
         .start();
     let reply = running.handle("/stream/1").await;
 
@@ -457,9 +461,9 @@
 /// No engine accepts the stream. Its caller is told at once that it has not run, and when to retry.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_nobody_takes_is_refused_as_not_run() {
+async fn stream_refused_by_all_engines_is_refused_as_not_run() {
     let running = GatewayFixture::new(|_| Script::NotExecuted)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let start = running.timer.now();
 
@@ -476,9 +480,9 @@
 /// The deadline passes in the middle of a stream. The stream must be cut then and not wait any longer.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_ends_when_its_time_is_over() {
+async fn stream_ends_at_its_deadline() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 5), End::Hang))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_secs(3));
@@ -496,18 +500,18 @@
 /// caller would reconnect and the prompt would be prefilled again.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_waits_for_a_repeat_that_is_not_left() {
+async fn stream_waits_when_the_retry_budget_is_used_up() {
     let running = GatewayFixture::new(|call| match call.last_event {
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 20), End::Break),
     })
-    .repeats(RouteRetryBudgetConfig {
+    .retry_budget(RouteRetryBudgetConfig {
         ratio: 0.0,
         slack: 2.0,
         window: Duration::from_secs(1),
         vms: 1,
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let (first, second) = tokio::join!(running.handle("/stream/1"), running.handle("/stream/2"));
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -26,15 +26,15 @@
 
 mod upstreams;
 
-pub use self::upstreams::{End, Observed, Part, Script, Seen};
-use self::upstreams::{Scripted, Starts, transport};
+pub use self::upstreams::{End, Observed, Part, ReceivedCall, Script};
+use self::upstreams::{ProcessStarts, ScriptFn, transport};
 
 pub const HOST: &str = "shop.example";
 pub const ENGINES: &str = "engines";
 pub const PLAIN: &str = "plain";
 
 /// Address of the peer VM that sends gossip.
-pub const TELLER: &str = "10.0.0.9:7201";
+pub const PEER: &str = "10.0.0.9:7201";
 
 /// A row of a table, written at version 10.
 pub fn row<T>(key: &str, entry: T) -> TableRow<T> {
@@ -51,12 +51,12 @@
     upstreams: Vec<UpstreamEntry>,
     routes: Vec<Route>,
     keys: Option<Vec<CallerKey>>,
-    repeats: RouteRetryBudgetConfig,
-    script: Scripted,
-    alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
-    born: Starts,
+    retry_budget: RouteRetryBudgetConfig,
+    script: ScriptFn,
+    answers_probes: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    born: ProcessStarts,
     /// Engine that has the complete prompt cached.
-    holder: Option<&'static str>,
+    cached_on: Option<&'static str>,
     rollouts: Option<RolloutSettings>,
     version: u64,
     config_bytes: usize,
@@ -82,14 +82,14 @@
                 route("/stream-once/", CallKind::Stream, ENGINES),
             ],
             keys: None,
-            repeats: RouteRetryBudgetConfig {
+            retry_budget: RouteRetryBudgetConfig {
                 slack: 100.0,
                 ..RouteRetryBudgetConfig::default()
             },
             script: Box::new(script),
-            alive: Arc::new(|_| true),
+            answers_probes: Arc::new(|_| true),
             born: Arc::new(|_| None),
-            holder: None,
+            cached_on: None,
             rollouts: None,
             version: 1,
             config_bytes: 0,
@@ -109,19 +109,20 @@
         self
     }
 
-    pub fn born_upstream(
+    pub fn upstream_started_at(
         mut self,
         id: &str,
         service: &str,
         zone: &str,
         born: ProcessStart,
     ) -> Self {
-        self.upstreams.push(born_upstream(id, service, zone, born));
+        self.upstreams
+            .push(upstream_started_at(id, service, zone, born));
         self
     }
 
     /// Adds three plain upstreams and six engines in three zones.
-    pub fn usual_upstreams(mut self) -> Self {
+    pub fn default_upstreams(mut self) -> Self {
         for zone in ["a", "b", "c"] {
             self = self
                 .upstream(&format!("plain-{zone}"), PLAIN, zone)
@@ -146,14 +147,17 @@
         self
     }
 
-    pub fn repeats(mut self, repeats: RouteRetryBudgetConfig) -> Self {
-        self.repeats = repeats;
+    pub fn retry_budget(mut self, retry_budget: RouteRetryBudgetConfig) -> Self {
+        self.retry_budget = retry_budget;
         self
     }
 
     /// Sets which upstreams answer health checks.
-    pub fn alive(mut self, alive: impl Fn(&str) -> bool + Send + Sync + 'static) -> Self {
-        self.alive = Arc::new(alive);
+    pub fn answers_probes(
+        mut self,
+        answers_probes: impl Fn(&str) -> bool + Send + Sync + 'static,
+    ) -> Self {
+        self.answers_probes = Arc::new(answers_probes);
         self
     }
 
@@ -167,8 +171,8 @@
     }
 
     /// Sets the engine that still has the caller's prompt cached.
-    pub fn holder(mut self, id: &'static str) -> Self {
-        self.holder = Some(id);
+    pub fn cached_on(mut self, id: &'static str) -> Self {
+        self.cached_on = Some(id);
         self
     }
 
@@ -186,21 +190,21 @@
 
     pub fn start(self) -> Running {
         let (config, upstreams) = (self.config(), self.upstreams.clone());
-        let running = self.unstarted();
+        let running = self.start_empty();
         running.gateway.put_config(Arc::new(config));
         running.gateway.put_upstreams(upstreams);
         running
     }
 
     /// Starts a gateway without configuration and upstreams.
-    pub fn unstarted(self) -> Running {
+    pub fn start_empty(self) -> Running {
         let timer = Timer::start();
         let observed = Observed::default();
         let transport = transport(
             self.script,
-            self.alive,
+            self.answers_probes,
             self.born,
-            self.holder,
+            self.cached_on,
             &timer,
             &observed,
         );
@@ -211,7 +215,7 @@
             rollouts: self.rollouts,
             vm: "vm-1".into(),
             zone: self.zone.parse().unwrap(),
-            repeats: self.repeats,
+            repeats: self.retry_budget,
             seeds: Vec::new(),
         };
         let gateway = Gateway::start(settings, timer.clone(), transport);
@@ -232,9 +236,9 @@
 }
 
 impl Running {
-    /// Delivers another VM's gossip about the upstream table, sent from [`TELLER`].
-    pub fn hear_gossip(&self, gossip: &ZoneGossip) {
-        self.gateway.take_gossip(gossip, TELLER.parse().unwrap());
+    /// Delivers another VM's gossip about the upstream table, sent from [`PEER`].
+    pub fn receive_gossip(&self, gossip: &ZoneGossip) {
+        self.gateway.take_gossip(gossip, PEER.parse().unwrap());
     }
 
     pub fn call(&self, path: &str) -> Call {
@@ -263,25 +267,26 @@
     }
 
     /// Delivers a heartbeat of another VM to the gateway.
-    pub fn hear_of_peer(&self) {
-        self.hear(self.peer_note("vm-2", "b"));
+    pub fn receive_peer_heartbeat(&self) {
+        self.receive_heartbeat(self.empty_heartbeat("vm-2", "b"));
     }
 
     /// Delivers a heartbeat with a crash, sent by the VM with the given number.
-    pub fn hear_of_crash(&self, vm: usize, crash: Crash) {
-        let note = self.peer_note(&format!("vm-{}", vm + 1), "b");
-        self.hear(PeerHeartbeat {
+    pub fn receive_crash(&self, vm: usize, crash: Crash) {
+        let heartbeat = self.empty_heartbeat(&format!("vm-{}", vm + 1), "b");
+        self.receive_heartbeat(PeerHeartbeat {
             crashes: vec![crash],
-            ..note
+            ..heartbeat
         });
     }
 
-    pub fn hear(&self, note: PeerHeartbeat) {
-        self.gateway.take_note(note, ([127, 0, 0, 2], 9).into());
+    pub fn receive_heartbeat(&self, heartbeat: PeerHeartbeat) {
+        self.gateway
+            .take_note(heartbeat, ([127, 0, 0, 2], 9).into());
     }
 
     /// An empty heartbeat, newer than the previous ones.
-    pub fn peer_note(&self, vm: &str, zone: &str) -> PeerHeartbeat {
+    pub fn empty_heartbeat(&self, vm: &str, zone: &str) -> PeerHeartbeat {
         PeerHeartbeat {
             vm: vm.into(),
             zone: zone.parse().unwrap(),
@@ -298,10 +303,10 @@
 
     /// Upstreams that calls were sent to, in order.
     pub fn sent_to(&self) -> Vec<String> {
-        self.seen
+        self.received
             .lock()
             .iter()
-            .map(|seen| seen.upstream.clone())
+            .map(|received| received.upstream.clone())
             .collect()
     }
 }
@@ -353,7 +358,12 @@
 }
 
 /// Entry of an upstream with a known process start time.
-pub fn born_upstream(id: &str, service: &str, zone: &str, born: ProcessStart) -> UpstreamEntry {
+pub fn upstream_started_at(
+    id: &str,
+    service: &str,
+    zone: &str,
+    born: ProcessStart,
+) -> UpstreamEntry {
     let mut entry = upstream(id, service, zone);
     entry.id.born = Some(born);
     entry
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -40,7 +40,7 @@
 
 /// A call as an upstream received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub upstream: String,
     pub last_event: Option<u64>,
     pub copy_to: Option<String>,
@@ -51,14 +51,14 @@
 }
 
 /// Returns the process start time that an upstream reports in health checks.
-pub(super) type Starts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
+pub(super) type ProcessStarts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
 
-pub(super) type Scripted = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
+pub(super) type ScriptFn = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
 
 /// Record of the requests that upstreams received.
 #[derive(Clone, Default)]
 pub struct Observed {
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub received: Arc<Mutex<Vec<ReceivedCall>>>,
     pub probes: Arc<Mutex<Vec<String>>>,
     /// Holders of requested KV copies.
     pub copies: Arc<Mutex<Vec<String>>>,
@@ -67,15 +67,15 @@
 }
 
 pub(super) fn transport(
-    script: Scripted,
-    alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
-    born: Starts,
-    holder: Option<&'static str>,
+    script: ScriptFn,
+    answers_probes: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    born: ProcessStarts,
+    cached_on: Option<&'static str>,
     timer: &Arc<Timer>,
     observed: &Observed,
 ) -> UpstreamTransport {
     let Observed {
-        seen,
+        received,
         probes,
         copies,
         freed,
@@ -83,7 +83,7 @@
     let timer = timer.clone();
     UpstreamTransport {
         send: Box::new(move |call| {
-            seen.lock().push(Seen {
+            received.lock().push(ReceivedCall {
                 upstream: call.entry.id.to_string(),
                 last_event: call.last_event,
                 copy_to: call.copy_to.map(|address| address.to_string()),
@@ -93,7 +93,7 @@
                 at: timer.now(),
             });
             let script = script(&call);
-            Box::pin(play(script))
+            Box::pin(respond(script))
         }),
         copy: Box::new(move |order| {
             copies.lock().push(order.holder.id.to_string());
@@ -109,7 +109,7 @@
             Box::pin(async {})
         }),
         cached: Box::new(move |engine| {
-            let holds = holder == Some(engine.id.as_str());
+            let holds = cached_on == Some(engine.id.as_str());
             Box::pin(async move {
                 let parts = prompt_parts();
                 Ok(if holds { parts.to_vec() } else { Vec::new() })
@@ -117,11 +117,11 @@
         }),
         probe: Box::new(move |probe| {
             let id = probe.entry.id.to_string();
-            let alive = alive(&id);
+            let answers_probes = answers_probes(&id);
             let born = born(&id);
             probes.lock().push(id);
             Box::pin(async move {
-                if alive {
+                if answers_probes {
                     return Ok(HealthReport {
                         load: Some(LoadSample::default()),
                         born,
@@ -133,37 +133,37 @@
     }
 }
 
-async fn play(script: Script) -> Result<UpstreamResponse, SendError> {
+async fn respond(script: Script) -> Result<UpstreamResponse, SendError> {
     // Simulated latency of an upstream.
     tokio::time::sleep(Duration::from_millis(5)).await;
     match script {
         Script::Whole(status, body) => {
             let chunk = Ok(Bytes::from_static(body.as_bytes()));
-            Ok(answer(status, stream::iter([chunk]).boxed()))
+            Ok(response(status, stream::iter([chunk]).boxed()))
         }
         Script::Unsigned(status) => Ok(UpstreamResponse {
             signed: false,
-            ..answer(status, stream::empty().boxed())
+            ..response(status, stream::empty().boxed())
         }),
         Script::NotExecuted => Ok(UpstreamResponse {
             not_executed: true,
             signed: false,
-            ..answer(StatusCode::SERVICE_UNAVAILABLE, stream::empty().boxed())
+            ..response(StatusCode::SERVICE_UNAVAILABLE, stream::empty().boxed())
         }),
         Script::OtherIncarnation(by) => Ok(UpstreamResponse {
             other_incarnation: true,
             incarnation: by.map(|by| by.parse().unwrap()),
             signed: false,
-            ..answer(StatusCode::MISDIRECTED_REQUEST, stream::empty().boxed())
+            ..response(StatusCode::MISDIRECTED_REQUEST, stream::empty().boxed())
         }),
         Script::NoConnection => Err(SendError::NoConnection),
         Script::Lost => Err(SendError::Lost),
         Script::Hang => std::future::pending().await,
-        Script::Stream(parts, end) => Ok(answer(StatusCode::OK, scripted_body(parts, end))),
+        Script::Stream(parts, end) => Ok(response(StatusCode::OK, scripted_body(parts, end))),
     }
 }
 
-fn answer(status: StatusCode, body: ResponseBody) -> UpstreamResponse {
+fn response(status: StatusCode, body: ResponseBody) -> UpstreamResponse {
     UpstreamResponse {
         status,
         headers: HeaderMap::new(),
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -124,7 +124,7 @@
 }
 
 fn hear_of_reader(running: &Running) {
-    running.hear(running.peer_note(&reader(), "a"));
+    running.receive_heartbeat(running.empty_heartbeat(&reader(), "a"));
 }
 
 /// A VM beside one that reads the table and has told of it for some seconds.
@@ -134,7 +134,7 @@
     tokio::spawn(follow_upstreams(running.gateway.clone(), table.feed()));
     for _ in 0..10 {
         hear_of_reader(&running);
-        running.hear_gossip(&table.news(&[]));
+        running.receive_gossip(&table.news(&[]));
         tokio::time::sleep(PERIOD).await;
     }
     table.take_calls();
@@ -149,7 +149,7 @@
 
     for _ in 0..20 {
         hear_of_reader(&running);
-        running.hear_gossip(&table.news(&[]));
+        running.receive_gossip(&table.news(&[]));
         tokio::time::sleep(PERIOD).await;
     }
 
@@ -164,7 +164,7 @@
     table.set_leaving(0);
     let change = table.rows.lock()[0].clone();
 
-    running.hear_gossip(&table.news(&[change]));
+    running.receive_gossip(&table.news(&[change]));
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
     }
@@ -179,7 +179,7 @@
 #[tokio::test(start_paused = true)]
 async fn vm_reads_by_itself_when_nobody_tells_any_more() {
     let (running, table) = relying().await;
-    running.hear_gossip(&table.news(&[]));
+    running.receive_gossip(&table.news(&[]));
 
     table.set_leaving(0);
     tokio::time::sleep(GOSSIP_MAX_AGE + Duration::from_millis(20)).await;
@@ -198,7 +198,7 @@
     let (running, table) = relying().await;
     table.set_leaving(0);
 
-    running.hear_gossip(&table.news(&[]));
+    running.receive_gossip(&table.news(&[]));
     tokio::time::sleep(Duration::from_millis(100)).await;
 
     expect_that!(table.take_calls(), ge(1));
@@ -214,7 +214,7 @@
     table.set_leaving(0);
 
     running.gateway.woke(Duration::from_secs(4));
-    running.hear_gossip(&old);
+    running.receive_gossip(&old);
     tokio::time::sleep(Duration::from_millis(100)).await;
 
     expect_that!(table.take_calls(), ge(1));
@@ -264,7 +264,7 @@
 
     for _ in 0..3 {
         hear_of_reader(&running);
-        running.hear_gossip(&ZoneGossip {
+        running.receive_gossip(&ZoneGossip {
             config: Some(ConfigVersion(11)),
             ..table.news(&[])
         });
@@ -296,9 +296,10 @@
     let table = FakeTable::new(&entries());
     let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    running
-        .gateway
-        .take_note(running.peer_note(&other, "a"), peer.local_addr().unwrap());
+    running.gateway.take_note(
+        running.empty_heartbeat(&other, "a"),
+        peer.local_addr().unwrap(),
+    );
     tokio::spawn(exchange_notes(running.gateway.clone(), own));
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed(&table)));
     let mut received = Vec::new();
@@ -356,7 +357,7 @@
     let (relying, table) = relying().await;
     table.set_leaving(0);
     let change = table.rows.lock()[0].clone();
-    relying.hear_gossip(&table.news(std::slice::from_ref(&change)));
+    relying.receive_gossip(&table.news(std::slice::from_ref(&change)));
     let shown = relying.gateway.table_page(age);
     let turned_away = GatewayFixture::new(|_| Script::Hang).start();
     hear_of_reader(&turned_away);
@@ -387,9 +388,10 @@
         .start();
     let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    running
-        .gateway
-        .take_note(running.peer_note("vm-2", "a"), peer.local_addr().unwrap());
+    running.gateway.take_note(
+        running.empty_heartbeat("vm-2", "a"),
+        peer.local_addr().unwrap(),
+    );
     tokio::spawn(exchange_notes(running.gateway.clone(), own));
     let mut buf = [0; 2000];
     let first = peer.recv(&mut buf).await;
@@ -424,7 +426,7 @@
         entry: Some(UpstreamEntry {
             address: "10.255.255.255:65535".parse().unwrap(),
             slots: 1000,
-            ..born_upstream(
+            ..upstream_started_at(
                 &format!("i-{:010x}", 0xff_ffff_ff00 + n),
                 "ticket-model-long",
                 "stirling-depot-long",
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -142,7 +142,7 @@
     /// Notes of all others, and the word of one that has what the store has, and asked it so long ago.
     fn hear(&self, config_age: Duration) {
         self.hear_notes();
-        self.running.hear_gossip(&ZoneGossip {
+        self.running.receive_gossip(&ZoneGossip {
             config: Some(self.source.version()),
             ..self.word(config_age)
         });
@@ -150,7 +150,8 @@
 
     fn hear_notes(&self) {
         for vm in &self.others {
-            self.running.hear(self.running.peer_note(vm, "a"));
+            self.running
+                .receive_heartbeat(self.running.empty_heartbeat(vm, "a"));
         }
     }
 
@@ -214,7 +215,7 @@
     expect_that!(member.version(), eq(ConfigVersion(3)));
     expect_that!(member.source.take_store_calls(), eq(0));
     let asked = member.source.peers_asked.lock().last().copied();
-    expect_that!(asked, some(eq(TELLER.parse::<SocketAddr>().unwrap())));
+    expect_that!(asked, some(eq(PEER.parse::<SocketAddr>().unwrap())));
 }
 
 /// Guards against members that fill the small link of the VM which tells of a newer configuration.
@@ -226,7 +227,7 @@
     member.source.set_version(3);
 
     member.hear_notes();
-    member.running.hear_gossip(&ZoneGossip {
+    member.running.receive_gossip(&ZoneGossip {
         config: Some(member.source.version()),
         config_from_store: true,
         ..member.word(Duration::ZERO)
@@ -310,7 +311,7 @@
 
     while member.version() < ConfigVersion(3) && start.elapsed() < 2 * BOUND {
         member.hear_notes();
-        member.running.hear_gossip(&member.word(start.elapsed()));
+        member.running.receive_gossip(&member.word(start.elapsed()));
         tokio::time::sleep(PERIOD).await;
     }
 
@@ -340,7 +341,7 @@
     member.source.set_version(3);
 
     member.running.gateway.woke(Duration::from_secs(4));
-    member.running.hear_gossip(&old);
+    member.running.receive_gossip(&old);
     tokio::time::sleep(Duration::from_millis(50)).await;
 
     expect_that!(member.version(), eq(ConfigVersion(3)));
@@ -408,7 +409,7 @@
             member.hear_notes();
             if rng.random_bool(0.7) {
                 let word = member.word(reader_asked.elapsed());
-                member.running.hear_gossip(&ZoneGossip {
+                member.running.receive_gossip(&ZoneGossip {
                     config: Some(reader_knows),
                     ..word
                 });
