--- a/crates/catkinward/src/gateway/buffered_call.rs
+++ b/crates/catkinward/src/gateway/buffered_call.rs
@@ -200,7 +200,7 @@
                 self.record_outcome(entry, &sent, start);
                 sent
             }
-            Err(fault) => self.failed(entry, fault),
+            Err(error) => self.handle_send_error(entry, error),
         };
         let failed = !matches!(sent, Sent::Answered(_));
         gateway.outcome(entry, failed);
@@ -245,9 +245,9 @@
         Sent::Answered(reply)
     }
 
-    fn failed(&mut self, entry: &Arc<UpstreamEntry>, fault: SendError) -> Sent {
-        self.log_send_error(entry, fault);
-        match fault {
+    fn handle_send_error(&mut self, entry: &Arc<UpstreamEntry>, error: SendError) -> Sent {
+        self.log_send_error(entry, error);
+        match error {
             SendError::NoConnection => {
                 // Nothing was sent, so the next send does not count as another retry.
                 self.retry_prepaid = true;
@@ -262,8 +262,8 @@
         }
     }
 
-    fn log_send_error(&self, entry: &UpstreamEntry, fault: SendError) {
-        let fault: &str = fault.into();
+    fn log_send_error(&self, entry: &UpstreamEntry, error: SendError) {
+        let fault: &str = error.into();
         tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id, fault,
             "call failed");
     }
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -115,12 +115,8 @@
             Ok(PeerDatagram::Loan(loan)) => gateway.borrow(&loan, address),
             Ok(PeerDatagram::Restart(restart)) => gateway.take_restart(&restart),
             Ok(PeerDatagram::Rollout(notice)) => _ = gateway.apply_rollout_notice(&notice),
-            Ok(PeerDatagram::RolloutReport(report)) => {
-                gateway.handle_rollout_report(&report, address)
-            }
-            Ok(PeerDatagram::RolloutGrant(grant)) => {
-                gateway.apply_rollout_grant(&grant, Some(address))
-            }
+            Ok(PeerDatagram::RolloutReport(report)) => gateway.handle_report(&report, address),
+            Ok(PeerDatagram::RolloutGrant(grant)) => gateway.apply_grant(&grant, Some(address)),
             Err(error) => tracing::warn!(%address, %error, "note cannot be read"),
         }
     }
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -20,7 +20,7 @@
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Delay after the store did not answer, or after another VM wrote the record first.
-const STORE_RETRY_DELAY: Duration = Duration::from_millis(300);
+const STORE_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Delay before another attempt to complete a rollout. Requests are served as before meanwhile.
 const COMPLETION_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -171,9 +171,7 @@
             deadline_ms: stored.now_ms.saturating_add(left_ms),
         };
         match self.write(rollout, &record, stored.version).await {
-            Some(RolloutWriteResult::Done(version)) => {
-                self.start_owning(rollout, &record, version, left)
-            }
+            Some(RolloutWriteResult::Done(at)) => self.start_owning(rollout, &record, at, left),
             Some(RolloutWriteResult::Conflict) if rollout.progress.phase.is_final() => {
                 self.end_without_order(rollout).await;
             }
@@ -369,15 +367,13 @@
                 if record.progress.term != term {
                     return self.step_down(rollout, &record);
                 }
-                self.update_owned(service, |owned| {
+                self.update(service, |owned| {
                     owned.confirmed_at = now;
                     owned.next_store_call = now.after(OWNERSHIP_CHECK_INTERVAL);
                 });
             }
             Some(_) => self.yield_to_other_order(service),
-            None => self.update_owned(service, |owned| {
-                owned.next_store_call = now.after(STORE_RETRY_DELAY)
-            }),
+            None => self.update(service, |r| r.next_store_call = now.after(STORE_BACKOFF)),
         }
     }
 
@@ -406,7 +402,7 @@
                     // The record is unchanged, so the conflict is due to a changed order.
                     return self.end_without_order(rollout).await;
                 }
-                self.update_owned(service, |owned| {
+                self.update(service, |owned| {
                     owned.owner.version = stored.version;
                     owned.next_store_call = now;
                 });
@@ -449,9 +445,7 @@
 
     fn retry_without_order(&self, service: &ServiceId) {
         let now = self.gateway.timer.now();
-        self.update_owned(service, |owned| {
-            owned.next_store_call = now.after(STORE_RETRY_DELAY)
-        });
+        self.update(service, |r| r.next_store_call = now.after(STORE_BACKOFF));
         self.delay_claim(service);
     }
 
@@ -460,9 +454,9 @@
     fn resume_running(&self, rollout: &Rollout, now: Instant) {
         let service = &rollout.order.service;
         let mut was_completing = false;
-        self.update_owned(service, |owned| {
+        self.update(service, |owned| {
             was_completing = owned.completing_since.take().is_some();
-            owned.next_store_call = now.after(STORE_RETRY_DELAY);
+            owned.next_store_call = now.after(STORE_BACKOFF);
             owned.next_completion = now.after(COMPLETION_RETRY_DELAY);
         });
         if was_completing {
@@ -580,7 +574,7 @@
         slots
     }
 
-    fn update_owned(&self, service: &ServiceId, update: impl FnOnce(&mut OwnedRollout)) {
+    fn update(&self, service: &ServiceId, update: impl FnOnce(&mut OwnedRollout)) {
         let mut owned = self.gateway.owned_rollouts.lock();
         if let Ok(index) = owned.binary_search_by(|(s, _)| s.cmp(service)) {
             update(&mut owned[index].1);
@@ -594,7 +588,7 @@
         if let Some(rollout) = state.rollouts.get_mut(service) {
             rollout.owner_last_seen = rollout
                 .owner_last_seen
-                .max(now.before(OWNER_TIMEOUT).after(STORE_RETRY_DELAY));
+                .max(now.before(OWNER_TIMEOUT).after(STORE_BACKOFF));
             if rollout.progress.term == 0 {
                 rollout.owner_last_seen = now;
             }
@@ -605,8 +599,8 @@
         let read = tokio::time::timeout(STORE_TIMEOUT, (self.store.read)(service.clone())).await;
         match read.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(stored) => Some(stored),
-            Err(fault) => {
-                let fault: &str = fault.into();
+            Err(error) => {
+                let fault: &str = error.into();
                 tracing::warn!(%service, fault, "cannot read the rollout record");
                 None
             }
@@ -628,8 +622,8 @@
         let written = tokio::time::timeout(STORE_TIMEOUT, (self.store.write)(write)).await;
         match written.unwrap_or(Err(FeedError::NoAnswer)) {
             Ok(written) => Some(written),
-            Err(fault) => {
-                let fault: &str = fault.into();
+            Err(error) => {
+                let fault: &str = error.into();
                 tracing::warn!(service = %rollout.order.service, fault, "cannot write the rollout record");
                 None
             }
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -44,7 +44,7 @@
     ) -> Option<RolloutPhase> {
         let step = match self.order_error {
             Some(RolloutOrderError::VersionInUse) => OwnerStep::Complete,
-            Some(fault) => OwnerStep::RollBack(RollbackReason::Fault(fault)),
+            Some(error) => OwnerStep::RollBack(RollbackReason::Fault(error)),
             None => self.owner.step(rollout.deadline.since(now), slots),
         };
         let (answers, bad) = self.owner.judge.totals();
@@ -264,7 +264,7 @@
         for (owner, report) in reports {
             if self.owns_rollout(&report.service) {
                 if let Some(grant) = self.record_report(&report) {
-                    self.apply_rollout_grant(&grant, None);
+                    self.apply_grant(&grant, None);
                 }
             } else if let Some(owner) = owner {
                 self.outbox.send(owner, PeerDatagram::RolloutReport(report));
@@ -273,7 +273,7 @@
     }
 
     /// Handles another VM's report. If this VM is no longer the owner, it replies with its state of the rollout.
-    pub(crate) fn handle_rollout_report(&self, report: &RolloutReport, from: SocketAddr) {
+    pub(crate) fn handle_report(&self, report: &RolloutReport, from: SocketAddr) {
         if let Some(grant) = self.record_report(report) {
             self.outbox.send(from, PeerDatagram::RolloutGrant(grant));
             return;
@@ -328,7 +328,7 @@
     }
 
     /// Applies an owner's grant; `from` is the owner's address if it is another VM.
-    pub(crate) fn apply_rollout_grant(&self, grant: &RolloutGrant, from: Option<SocketAddr>) {
+    pub(crate) fn apply_grant(&self, grant: &RolloutGrant, from: Option<SocketAddr>) {
         if from.is_some() {
             self.apply_rollout_notice(&grant.notice);
         }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -212,9 +212,9 @@
         };
         match response {
             Ok(response) => self.handle_response(guard, copy, response),
-            Err(fault) => {
+            Err(error) => {
                 drop((guard, copy));
-                self.send_failed(&entry, fault)
+                self.handle_send_error(&entry, error)
             }
         }
     }
@@ -267,18 +267,18 @@
             status = status.as_u16(), "upstream refused the stream");
     }
 
-    fn send_failed(
+    fn handle_send_error(
         &mut self,
         entry: &Arc<UpstreamEntry>,
-        fault: SendError,
+        error: SendError,
     ) -> Result<bool, StreamStop> {
-        if fault == SendError::NoConnection {
+        if error == SendError::NoConnection {
             self.avoid.push(entry.id.clone());
             // Nothing was sent, so the next send does not count as another retry.
             self.retry_prepaid = true;
-            let fault_name: &str = fault.into();
+            let error_name: &str = error.into();
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
-                fault = fault_name, "call failed");
+                fault = error_name, "call failed");
             self.gateway.broke(entry);
             return Ok(false);
         }
