--- a/crates/catkinward/tests/gateway_poison.rs
+++ b/crates/catkinward/tests/gateway_poison.rs
@@ -71,13 +71,13 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_crashes_engines_ends_after_the_third_crash() {
-    let killed = Arc::new(Mutex::new(Vec::new()));
-    let dead = killed.clone();
+    let crashed = Arc::new(Mutex::new(Vec::new()));
+    let down = crashed.clone();
     let running = GatewayFixture::new(move |call| {
-        killed.lock().push(call.entry.id.to_string());
+        crashed.lock().push(call.entry.id.to_string());
         Script::Lost
     })
-    .answers_probes(move |id| !dead.lock().iter().any(|dead| dead == id))
+    .answers_probes(move |id| !down.lock().iter().any(|down| down == id))
     .default_upstreams()
     .start();
 
@@ -111,18 +111,18 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_that_produced_events_before_each_crash_resumes() {
-    let killed = Arc::new(Mutex::new(Vec::new()));
-    let dead = killed.clone();
+    let crashed = Arc::new(Mutex::new(Vec::new()));
+    let down = crashed.clone();
     let running = GatewayFixture::new(move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
-        let mut killed = killed.lock();
-        if killed.len() == 4 {
+        let mut crashed = crashed.lock();
+        if crashed.len() == 4 {
             return Script::Stream(events(first, 40), End::Whole);
         }
-        killed.push(call.entry.id.to_string());
+        crashed.push(call.entry.id.to_string());
         Script::Stream(events(first, first + 2), End::Break)
     })
-    .answers_probes(move |id| !dead.lock().iter().any(|dead| dead == id))
+    .answers_probes(move |id| !down.lock().iter().any(|down| down == id))
     .default_upstreams()
     .start();
 
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -52,17 +52,17 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn silent_stream_resumes_within_half_a_second() {
-    let dark = Arc::new(AtomicBool::new(false));
-    let (died, asked) = (dark.clone(), dark.clone());
+    let stream_sent = Arc::new(AtomicBool::new(false));
+    let (on_send, on_probe) = (stream_sent.clone(), stream_sent.clone());
     let running = GatewayFixture::new(move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
-        if died.swap(true, Ordering::Relaxed) {
+        if on_send.swap(true, Ordering::Relaxed) {
             Script::Stream(events(first, 40), End::Whole)
         } else {
             Script::Stream(events(1, 20), End::Hang)
         }
     })
-    .answers_probes(move |id| !(asked.load(Ordering::Relaxed) && id.starts_with("engine-a")))
+    .answers_probes(move |id| !(on_probe.load(Ordering::Relaxed) && id.starts_with("engine-a")))
     .default_upstreams()
     .start();
     let start = running.timer.now();
@@ -148,19 +148,21 @@
     let reading = tokio::spawn(read_stream(reply));
     tokio::time::sleep(Duration::from_millis(900)).await;
     let holder = running.received.lock()[0].copy_to.clone().unwrap();
-    let lost = ["b", "c"]
+    let lost_holder = ["b", "c"]
         .iter()
         .flat_map(|zone| [1, 2].map(|n| format!("engine-{zone}{n}")))
         .find(|id| upstream(id, ENGINES, "b").address.to_string() == holder)
         .unwrap();
-    running.gateway.upstream_removed(&lost.parse().unwrap());
+    running
+        .gateway
+        .upstream_removed(&lost_holder.parse().unwrap());
 
     let stream = reading.await.unwrap();
 
     expect_that!(stream, eq(&(text(1, 120), true)));
     let received = running.received.lock();
     let copies = running.copies.lock();
-    expect_that!(copies.first(), some(not(eq(&lost))));
+    expect_that!(copies.first(), some(not(eq(&lost_holder))));
     expect_that!(received.len(), eq(2));
     expect_that!(received[1].from_copy, some(eq("copy-1")));
     expect_that!(copies.contains(&received[1].upstream), eq(true));
@@ -174,8 +176,8 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn stream_of_a_partitioned_zone_resumes_from_a_copy_in_the_zone() {
-    let cut = Arc::new(AtomicBool::new(false));
-    let reached = cut.clone();
+    let partitioned = Arc::new(AtomicBool::new(false));
+    let is_partitioned = partitioned.clone();
     let running = GatewayFixture::new(move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
         if call.entry.zone.as_str() == "a" {
@@ -183,7 +185,7 @@
         }
         Script::Stream(events(first, 60), End::Hang)
     })
-    .answers_probes(move |id| !reached.load(Ordering::Relaxed) || id.starts_with("engine-a"))
+    .answers_probes(move |id| !is_partitioned.load(Ordering::Relaxed) || id.starts_with("engine-a"))
     .upstream("engine-b1", ENGINES, "b")
     .upstream("engine-c1", ENGINES, "c")
     .start();
@@ -195,7 +197,7 @@
         .upstream_heard(upstream("engine-a1", ENGINES, "a"));
     tokio::time::sleep(Duration::from_millis(1200)).await;
 
-    cut.store(true, Ordering::Relaxed);
+    partitioned.store(true, Ordering::Relaxed);
     let stream = reading.await.unwrap();
 
     expect_that!(stream, eq(&(text(1, 100), true)));
@@ -219,11 +221,13 @@
     tokio::time::sleep(Duration::from_millis(900)).await;
     for zone in ["b", "c"] {
         for n in [1, 2] {
-            let lost = format!("engine-{zone}{n}");
+            let lost_holder = format!("engine-{zone}{n}");
             if running.received.lock()[0].copy_to
-                == Some(upstream(&lost, ENGINES, zone).address.to_string())
+                == Some(upstream(&lost_holder, ENGINES, zone).address.to_string())
             {
-                running.gateway.upstream_removed(&lost.parse().unwrap());
+                running
+                    .gateway
+                    .upstream_removed(&lost_holder.parse().unwrap());
             }
         }
     }
@@ -427,16 +431,16 @@
     let sent = running.sent_to().len();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_millis(1600));
-    let mut begun = running.call("/stream/1");
-    begun.patience = Some(Duration::from_millis(1600));
-    begun.last_event = Some(25);
+    let mut resumed_call = running.call("/stream/1");
+    resumed_call.patience = Some(Duration::from_millis(1600));
+    resumed_call.last_event = Some(25);
 
     let refused = running.gateway.handle(call).await;
-    let sent_for_it = running.sent_to().len() - sent;
-    let served = read_stream(running.gateway.handle(begun).await).await;
+    let refused_sends = running.sent_to().len() - sent;
+    let served = read_stream(running.gateway.handle(resumed_call).await).await;
 
     expect_that!(refused, pat!(Reply::NotRun { .. }));
-    expect_that!(sent_for_it, eq(0));
+    expect_that!(refused_sends, eq(0));
     expect_that!(served, eq(&(text(26, 30), true)));
 }
 
