--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/buffered_call.rs
@@ -1,75 +1,75 @@
 use super::{
     accepted_call::AcceptedCall, reply_log::millis, retries::CALL_PATIENCE, run_guard::RunGuard,
-    upstream_transport::CONNECT_BOUND, *,
+    upstream_transport::CONNECT_TIMEOUT, *,
 };
 use std::pin::pin;
 
-/// How often a call is sent at most beyond once to each zone that has upstreams of its service, refusals counted in:
-/// one full upstream in each zone does not end it.
-const SENDS_BEYOND_ZONES: u32 = 2;
+/// Number of sends of a call allowed beyond one per zone with upstreams of its service, including refused ones. One
+/// full upstream in each zone must not end the call.
+const EXTRA_SENDS: u32 = 2;
 
-/// Largest answer that is taken in whole. Answers of plain services have some kilobytes.
-const LARGEST_ANSWER: usize = 8 << 20;
+/// Maximum size of a buffered response in bytes. Responses of plain services have some kilobytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// When a caller may come back after all upstreams refused: a few calls' time, in which places become
-/// free, spread so that those refused together do not return together.
-const REFUSED_RETRY: Duration = Duration::from_millis(100);
+/// Minimum retry delay for the caller after all upstreams refused: the duration of a few calls, in which slots
+/// become free. It is randomized so that callers refused together do not retry together.
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Time after which an idempotent call without an answer is sent elsewhere, as a part of the time that
-/// it has: its connection may have gone silent for good although its upstream lives. Calls take a
-/// twentieth of that time; the rest is left for the second send.
-const STALL_PART: f64 = 0.5;
+/// Fraction of the remaining time after which an idempotent call without a response is sent to another
+/// upstream, because the connection may be dead although the upstream lives. Calls take a twentieth of
+/// their time; the rest is left for the second send.
+const STALL_FRACTION: f64 = 0.5;
 
-/// How a send ended.
+/// Outcome of a send.
 enum Sent {
-    /// With an answer for the caller.
+    /// The upstream responded; the reply is for the caller.
     Answered(Reply),
-    /// With an upstream's own failure, which the caller gets unless another upstream does better.
+    /// The upstream failed; its response goes to the caller unless another upstream succeeds.
     Failed(Reply),
-    /// It has not run.
+    /// The call has not run.
     NotRun(NotRunEvidence),
-    /// Without an answer for so long that it is sent to another upstream.
+    /// No response came before the stall timeout; the call goes to this upstream next.
     Moved(Arc<UpstreamEntry>),
-    /// It may have run.
+    /// The call may have run.
     Lost,
-    /// Its time is over.
+    /// The deadline passed.
     TimedOut,
 }
 
-/// Serves a call whose answer is taken in whole before the caller gets any of it, so that one that
-/// breaks off can still be replaced.
-pub(crate) async fn call_whole(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
-    let most_sends = gateway.zones_with(&accepted.service) + SENDS_BEYOND_ZONES;
-    WholeCall {
+/// Serves a call whose response is buffered completely before the caller gets any of it, so that a truncated
+/// response can still be replaced by that of another upstream.
+pub(crate) async fn call_buffered(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
+    let max_sends = gateway.zones_with(&accepted.service) + EXTRA_SENDS;
+    BufferedCall {
         gateway: gateway.clone(),
         accepted,
         avoid: Vec::new(),
         sends: 0,
-        most_sends,
-        send_paid: false,
+        max_sends,
+        retry_prepaid: false,
         runs: 0,
     }
     .serve()
     .await
 }
 
-struct WholeCall {
+struct BufferedCall {
     gateway: Arc<Gateway>,
     accepted: AcceptedCall,
-    /// Upstreams that refused or failed it.
+    /// Upstreams that the call was already sent to.
     avoid: Vec<UpstreamIncarnation>,
     sends: u32,
-    most_sends: u32,
-    /// Whether the next send is paid for: the one before did not arrive.
-    send_paid: bool,
+    max_sends: u32,
+    /// Whether the next send takes nothing from the retry budget, because the previous one did not arrive.
+    retry_prepaid: bool,
     runs: u32,
 }
 
-impl WholeCall {
+impl BufferedCall {
     async fn serve(mut self) -> Reply {
         let queued = Queued::new(self.accepted.call.id.clone());
         self.gateway.wait_for_rollout(&self.accepted.service).await;
-        let trial = self.gateway.place_trial(&self.accepted);
+        let trial = self.gateway.select_canary_upstream(&self.accepted);
         let first = trial.or_else(|| self.gateway.place(&self.accepted, &[], &[]));
         let Some(mut entry) = first else {
             return refused(queued, RefusalReason::NoUpstream);
@@ -109,7 +109,7 @@
                     if let Sent::Failed(reply) = sent {
                         failure = Some(reply);
                     }
-                    match self.next_for_repeat().await {
+                    match self.next_for_retry().await {
                         Some(next) => {
                             entry = next;
                             dispatched.unknown().dispatch_again()
@@ -121,10 +121,10 @@
         }
     }
 
-    /// Where a call goes that may have run: nowhere, unless it may be repeated.
-    async fn next_for_repeat(&self) -> Option<Arc<UpstreamEntry>> {
-        let repeat = self.accepted.route.kind.may_retry();
-        if !repeat || self.runs >= self.accepted.route.max_upstreams {
+    /// Selects the next upstream of a call that may have run; `None` if the route does not allow a retry.
+    async fn next_for_retry(&self) -> Option<Arc<UpstreamEntry>> {
+        let retryable = self.accepted.route.kind.may_retry();
+        if !retryable || self.runs >= self.accepted.route.max_upstreams {
             return None;
         }
         self.next_upstream().await
@@ -132,11 +132,11 @@
 
     async fn next_upstream(&self) -> Option<Arc<UpstreamEntry>> {
         let now = self.gateway.timer.now();
-        if self.sends >= self.most_sends || self.accepted.time_left(now).is_zero() {
+        if self.sends >= self.max_sends || self.accepted.time_left(now).is_zero() {
             return None;
         }
         let next = self.gateway.place(&self.accepted, &self.avoid, &[])?;
-        let paid = self.send_paid
+        let paid = self.retry_prepaid
             || self
                 .gateway
                 .pay_repeat(&self.accepted.service, CALL_PATIENCE)
@@ -146,7 +146,7 @@
 
     async fn send(&mut self, entry: &Arc<UpstreamEntry>) -> Sent {
         self.sends += 1;
-        self.send_paid = false;
+        self.retry_prepaid = false;
         self.avoid.push(entry.id.clone());
         let gateway = self.gateway.clone();
         let mut guard = RunGuard::begin(&gateway, entry.clone(), 0);
@@ -162,29 +162,29 @@
             last_event: None,
             copy_to: None,
             copy_from: None,
-            longest_idle: self.accepted.longest_idle(),
-            connect_bound: CONNECT_BOUND,
+            max_idle: self.accepted.max_idle(),
+            connect_timeout: CONNECT_TIMEOUT,
         };
-        let repeat = self.accepted.route.kind.may_retry();
-        let answer = async {
-            let answer = (gateway.transport.send)(call).await?;
-            gateway.heard(entry, answer.load);
-            collect(answer).await
+        let retryable = self.accepted.route.kind.may_retry();
+        let response = async {
+            let response = (gateway.transport.send)(call).await?;
+            gateway.heard(entry, response.load);
+            collect(response).await
         };
-        let mut answer = pin!(answer);
+        let mut response = pin!(response);
         let deadline = tokio::time::Instant::now() + time_left;
-        let mut stalls_at = Some(deadline - time_left.mul_f64(1.0 - STALL_PART));
-        let answer = loop {
+        let mut stalls_at = Some(deadline - time_left.mul_f64(1.0 - STALL_FRACTION));
+        let response = loop {
             let stall = tokio::time::sleep_until(stalls_at.unwrap_or(deadline));
             tokio::select! {
-                answer = &mut answer => break answer,
-                // A call that runs once at most stays with its upstream: it may yet answer.
-                () = guard.lost(), if repeat => break Err(SendError::Lost),
-                () = stall, if repeat && stalls_at.is_some() => {
-                    // Without another try left it is better to wait on.
+                response = &mut response => break response,
+                // A non-idempotent call stays with its upstream, which may still respond.
+                () = guard.upstream_abandoned(), if retryable => break Err(SendError::Lost),
+                () = stall, if retryable && stalls_at.is_some() => {
+                    // If no retry is left, keep waiting for the response.
                     self.runs += 1;
-                    if let Some(next) = self.next_for_repeat().await {
-                        self.log_fault(entry, SendError::Stalled);
+                    if let Some(next) = self.next_for_retry().await {
+                        self.log_send_error(entry, SendError::Stalled);
                         gateway.outcome(entry, true);
                         return Sent::Moved(next);
                     }
@@ -194,30 +194,31 @@
                 () = tokio::time::sleep_until(deadline) => return Sent::TimedOut,
             }
         };
-        let sent = match answer {
-            Ok(answer) => {
-                let sent = self.judge(entry, answer);
-                self.note_answer(entry, &sent, start);
+        let sent = match response {
+            Ok(response) => {
+                let sent = self.classify_response(entry, response);
+                self.record_outcome(entry, &sent, start);
                 sent
             }
-            Err(fault) => self.failed(entry, fault),
+            Err(error) => self.handle_send_error(entry, error),
         };
         let failed = !matches!(sent, Sent::Answered(_));
         gateway.outcome(entry, failed);
         sent
     }
 
-    fn note_answer(&self, entry: &UpstreamEntry, sent: &Sent, start: Instant) {
+    fn record_outcome(&self, entry: &UpstreamEntry, sent: &Sent, start: Instant) {
         let outcome = match sent {
             Sent::Answered(_) => ResponseOutcome::Success(self.gateway.timer.now().since(start)),
             Sent::Failed(_) => ResponseOutcome::Failure,
             _ => return,
         };
-        self.gateway.rollout_answer(&self.accepted, entry, outcome);
+        self.gateway
+            .record_rollout_response(&self.accepted, entry, outcome);
     }
 
-    fn judge(&self, entry: &Arc<UpstreamEntry>, answer: CollectedAnswer) -> Sent {
-        let CollectedAnswer { head, body } = answer;
+    fn classify_response(&self, entry: &Arc<UpstreamEntry>, response: CollectedResponse) -> Sent {
+        let CollectedResponse { head, body } = response;
         if head.other_incarnation {
             self.gateway.replaced(entry, None);
             return Sent::NotRun(NotRunEvidence::UpstreamRefused);
@@ -226,8 +227,8 @@
             return Sent::NotRun(NotRunEvidence::UpstreamRefused);
         }
         let status = head.status;
-        // These statuses promise the caller that nothing ran, which this upstream did not say; and a
-        // success without signature is none.
+        // These statuses tell the caller that the call has not run, which this upstream did not state. A
+        // success without a signature does not count as a success.
         if promises_not_run(status) || (status.is_success() && !head.signed) {
             return Sent::Lost;
         }
@@ -238,18 +239,18 @@
         };
         if status.is_server_error() {
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
-                status = status.as_u16(), "upstream answered with a failure");
+                status = status.as_u16(), "upstream responded with a server error");
             return Sent::Failed(reply);
         }
         Sent::Answered(reply)
     }
 
-    fn failed(&mut self, entry: &Arc<UpstreamEntry>, fault: SendError) -> Sent {
-        self.log_fault(entry, fault);
-        match fault {
+    fn handle_send_error(&mut self, entry: &Arc<UpstreamEntry>, error: SendError) -> Sent {
+        self.log_send_error(entry, error);
+        match error {
             SendError::NoConnection => {
-                // Nothing arrived there, so the next send is the same one still.
-                self.send_paid = true;
+                // Nothing was sent, so the next send does not count as another retry.
+                self.retry_prepaid = true;
                 self.gateway.broke(entry);
                 Sent::NotRun(NotRunEvidence::NoConnection)
             }
@@ -261,8 +262,8 @@
         }
     }
 
-    fn log_fault(&self, entry: &UpstreamEntry, fault: SendError) {
-        let fault: &str = fault.into();
+    fn log_send_error(&self, entry: &UpstreamEntry, error: SendError) {
+        let fault: &str = error.into();
         tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id, fault,
             "call failed");
     }
@@ -281,11 +282,11 @@
 
 fn refused(queued: Queued<RequestId>, reason: RefusalReason) -> Reply {
     let spread = 1.0 + 2.0 * rand::random::<f64>();
-    let not_run = queued.refuse(reason, REFUSED_RETRY.mul_f64(spread));
+    let not_run = queued.refuse(reason, REFUSED_RETRY_AFTER.mul_f64(spread));
     Reply::NotRun { not_run }
 }
 
-/// Statuses that promise the caller that its call has not run and will not.
+/// Whether a status tells the caller that its call has not run and will not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -296,8 +297,8 @@
     )
 }
 
-/// An answer with its whole body.
-struct CollectedAnswer {
+/// A response with its complete body.
+struct CollectedResponse {
     head: CollectedHead,
     body: Bytes,
 }
@@ -310,23 +311,23 @@
     other_incarnation: bool,
 }
 
-async fn collect(answer: UpstreamResponse) -> Result<CollectedAnswer, SendError> {
+async fn collect(response: UpstreamResponse) -> Result<CollectedResponse, SendError> {
     let head = CollectedHead {
-        status: answer.status,
-        headers: answer.headers,
-        signed: answer.signed,
-        not_executed: answer.not_executed,
-        other_incarnation: answer.other_incarnation,
+        status: response.status,
+        headers: response.headers,
+        signed: response.signed,
+        not_executed: response.not_executed,
+        other_incarnation: response.other_incarnation,
     };
-    let mut chunks = answer.body;
+    let mut chunks = response.body;
     let mut body = Vec::new();
     while let Some(chunk) = chunks.next().await {
         let chunk = chunk.map_err(|BodyError| SendError::Lost)?;
-        if body.len() + chunk.len() > LARGEST_ANSWER {
+        if body.len() + chunk.len() > MAX_RESPONSE_BYTES {
             return Err(SendError::Lost);
         }
         body.extend_from_slice(&chunk);
     }
     let body = body.into();
-    Ok(CollectedAnswer { head, body })
+    Ok(CollectedResponse { head, body })
 }
--- a/crates/catkinward/tests/gateway_replaced.rs
+++ b/crates/catkinward/tests/gateway_replaced.rs
@@ -1,4 +1,4 @@
-//! Upstreams that crash and start anew at the same address.
+//! Upstreams that crash and restart at the same address.
 
 mod gateway_support;
 
@@ -14,12 +14,12 @@
     time::Duration,
 };
 
-/// All engines crashed and started anew while this VM is cut off from the platform, so it knows only
-/// ids that are gone. Each engine that refuses says who it is now; the next call goes there. Without
-/// that every call tries one engine after the other until no repeat is left.
+/// All engines crashed and restarted while this VM is partitioned from the platform, so it has only outdated
+/// IDs. An engine that refuses reports its current ID, and the next call uses it. Otherwise every call would
+/// try one engine after the other until no retry is left.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn engine_that_started_anew_is_taken_in() {
+async fn restarted_engine_is_used_by_its_reported_id() {
     let running = GatewayFixture::new(|call| {
         if call.entry.id.as_str() == "engine-a9" {
             Script::Stream(events(1, 3), End::Whole)
@@ -37,11 +37,11 @@
     expect_that!(stream, eq(&(text(1, 3), true)));
 }
 
-/// The address of a plain upstream belongs to another one now, perhaps of another service. A call
-/// must not go there on its word.
+/// The address of a plain upstream now belongs to another one, perhaps of another service. A call must not be
+/// sent there based only on the ID that it reports.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn plain_upstream_is_not_taken_in_on_its_word() {
+async fn plain_upstream_is_not_used_by_its_reported_id() {
     let running = GatewayFixture::new(|_| Script::OtherIncarnation(Some("plain-a9")))
         .upstream("plain-a1", PLAIN, "a")
         .start();
@@ -54,12 +54,13 @@
     expect_that!(second, pat!(Reply::NotRun { .. }));
     expect_that!(running.sent_to(), eq(&["plain-a1"]));
 }
-/// An engine crashed while it read a prompt, and started again under its id before it was asked whether it lives.
-/// Its connection says nothing. It answers questions, so the caller would wait six seconds; but what answers
-/// started later than what the call went to.
+
+/// An engine crashes during prefill and restarts under the same ID before it is probed, and its connection stays
+/// silent. The new process answers health checks, so the caller would wait six seconds, unless the gateway
+/// compares process start times.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn prompt_on_an_engine_that_started_again_is_read_elsewhere() {
+async fn prompt_on_a_restarted_engine_is_prefilled_elsewhere() {
     let sends = Arc::new(AtomicUsize::new(0));
     let (count, started) = (sends.clone(), sends.clone());
     let running = GatewayFixture::new(move |_| {
@@ -73,8 +74,8 @@
             1000 + 500 * u64::from(started.load(Ordering::Relaxed) > 0),
         ))
     })
-    .born_upstream("engine-a1", ENGINES, "a", ProcessStart(1000))
-    .born_upstream("engine-b1", ENGINES, "b", ProcessStart(1500))
+    .upstream_started_at("engine-a1", ENGINES, "a", ProcessStart(1000))
+    .upstream_started_at("engine-b1", ENGINES, "b", ProcessStart(1500))
     .start();
     let start = running.timer.now();
 
@@ -86,28 +87,31 @@
     expect_that!(running.sent_to()[0], eq("engine-a1@1000"));
 }
 
-/// An engine started again under its id while streams ran on it, and its new entry is the first to say so. Their
-/// connections are silent; they go on elsewhere at once.
+/// An engine restarts under the same ID while streams run on it, and its new entry is the first sign of it. The
+/// connections of the streams are silent; the streams must resume elsewhere at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn entry_of_a_later_process_ends_the_streams_of_the_earlier() {
+async fn entry_of_a_later_process_moves_streams_of_the_earlier_one() {
     let running = GatewayFixture::new(|call| match call.last_event {
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 5), End::Hang),
     })
-    .born_upstream("engine-a1", ENGINES, "a", ProcessStart(1000))
-    .born_upstream("engine-b1", ENGINES, "b", ProcessStart(1000))
+    .upstream_started_at("engine-a1", ENGINES, "a", ProcessStart(1000))
+    .upstream_started_at("engine-b1", ENGINES, "b", ProcessStart(1000))
     .start();
     let reading = tokio::spawn(read_stream(running.handle("/stream/1").await));
     tokio::time::sleep(Duration::from_millis(170)).await;
     let start = running.timer.now();
 
-    running
-        .gateway
-        .upstream_heard(born_upstream("engine-a1", ENGINES, "a", ProcessStart(2000)));
+    running.gateway.upstream_heard(upstream_started_at(
+        "engine-a1",
+        ENGINES,
+        "a",
+        ProcessStart(2000),
+    ));
     tokio::time::sleep(Duration::from_millis(20)).await;
 
-    expect_that!(running.seen.lock().len(), eq(2));
+    expect_that!(running.received.lock().len(), eq(2));
     let stream = reading.await.unwrap();
     expect_that!(stream, eq(&(text(1, 40), true)));
     expect_that!(
@@ -116,12 +120,12 @@
     );
 }
 
-/// The platform is away while engines restart. A VM whose call was turned away tells the others who is there now, so
-/// that their calls go to the new process at once. Before, 569 of 2,318 sends of 90 VMs in such seconds were turned
-/// away, and each cost a repeat.
+/// The platform is unavailable while engines restart. A VM whose call was refused by a new process notifies the
+/// other VMs, so that their calls go to the new process at once. Without that, a quarter of the sends of 90 VMs
+/// are refused in such seconds (569 of 2,318), and each refusal costs a retry.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn restart_that_a_peer_tells_of_costs_no_call() {
+async fn restart_reported_by_a_peer_costs_no_retry() {
     let running = GatewayFixture::new(|call| {
         if call.entry.id.as_str() == "engine-a9" {
             Script::Stream(events(1, 3), End::Whole)
@@ -149,13 +153,12 @@
     expect_that!(running.sent_to(), eq(&["engine-a9"]));
 }
 
-/// An engine has started anew and is emptied before this VM ever heard of it: its entry was written and removed while
-/// the store turned this VM away. Two seconds later a peer, whose call to the process before was turned away by it, tells
-/// that it is there now. It gets prompts 3.6 s after its leaving was acknowledged, where 3 s are allowed, and ends under
-/// them.
+/// An engine restarts and is drained before this VM learns of it, because the store throttles this VM while the
+/// entry is written and removed. Two seconds later a peer reports the restart. If the report were applied, the engine
+/// would get prompts 3.6 s after its drain was acknowledged, where 3 s are allowed, and would stop while running them.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn restart_of_an_upstream_that_has_left_is_not_believed() {
+async fn restart_of_a_removed_upstream_is_ignored() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole))
         .upstream("engine-a1", ENGINES, "a")
         .upstream("engine-b1", ENGINES, "b")
--- a/crates/catkinward/tests/gateway_shutdown.rs
+++ b/crates/catkinward/tests/gateway_shutdown.rs
@@ -1,4 +1,4 @@
-//! A gateway that shuts down.
+//! Graceful shutdown of a gateway.
 
 mod gateway_support;
 
@@ -9,19 +9,19 @@
 
 const GRACE: Duration = Duration::from_secs(8);
 
-fn streaming() -> Running {
+fn streaming_gateway() -> Running {
     GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole))
-        .usual_upstreams()
+        .default_upstreams()
         .start()
 }
 
-/// Most VMs of an availability zone are told to end at the same time, and the platform goes on
-/// sending callers to them. A stream that is taken a second before the end of the grace time is cut
-/// in the middle; its caller had better be told at once to go elsewhere.
+/// Most VMs of an availability zone shut down at the same time, and the platform keeps sending callers to
+/// them. A stream accepted a second before the end of the grace time would be cut in the middle, so it must
+/// be refused at once and its caller can retry elsewhere.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_cannot_end_in_time_is_refused() {
-    let running = streaming();
+async fn stream_that_cannot_complete_before_shutdown_is_refused() {
+    let running = streaming_gateway();
     let gateway = running.gateway.clone();
     let held = running.gateway.drain.enter();
     tokio::spawn(async move { gateway.shut_down(GRACE, || ()).await });
@@ -34,12 +34,12 @@
     drop(held);
 }
 
-/// The platform needs two missed questions to take a VM out, and callers come until then. They are
-/// served, since they could not know.
+/// The platform takes a VM out of rotation after two failed readiness checks. Callers that arrive until then
+/// must be served, because they cannot know of the shutdown.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn callers_are_served_until_the_vm_is_out_of_rotation() {
-    let running = streaming();
+    let running = streaming_gateway();
     let gateway = running.gateway.clone();
     tokio::spawn(async move { gateway.shut_down(GRACE, || ()).await });
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -50,12 +50,12 @@
     expect_that!(stream, eq(&(text(1, 3), true)));
 }
 
-/// A quick call that comes late but ends well before the process does is served.
+/// A quick call that arrives late but ends well before the process exits is served.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn quick_call_is_served_as_long_as_it_surely_ends_in_time() {
+async fn quick_call_is_served_if_it_ends_before_shutdown() {
     let running = GatewayFixture::new(|_| Script::Whole(http::StatusCode::OK, "yes"))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let gateway = running.gateway.clone();
     let held = running.gateway.drain.enter();
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that lose their upstreams.
+//! Streams through a gateway, in particular those that lose their upstreams.
 
 mod gateway_support;
 
@@ -14,8 +14,8 @@
     time::Duration,
 };
 
-/// Upstreams that break the first run after 20 events and go on after the last event otherwise.
-fn break_first() -> impl Fn(&UpstreamCall) -> Script + Send + Sync {
+/// Upstreams that break the first run after 20 events and otherwise continue after the last event.
+fn break_first_run() -> impl Fn(&UpstreamCall) -> Script + Send + Sync {
     let calls = AtomicUsize::new(0);
     move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
@@ -27,41 +27,43 @@
     }
 }
 
-/// An engine dies in the middle of a stream. The stream goes on from the copy of its memory in another
-/// availability zone, and the caller sees every event once.
+/// An engine crashes in the middle of a stream. The stream resumes from its KV copy in another availability
+/// zone, and the caller gets every event once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn broken_stream_goes_on_from_its_copy() {
-    let running = GatewayFixture::new(break_first()).usual_upstreams().start();
+async fn broken_stream_resumes_from_its_kv_copy() {
+    let running = GatewayFixture::new(break_first_run())
+        .default_upstreams()
+        .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
 
     expect_that!(stream, eq(&(text(1, 40), true)));
-    let seen = running.seen.lock();
-    expect_that!(seen.len(), eq(2));
-    expect_that!(seen[1].from_copy, some(eq("call-1")));
-    expect_that!(seen[1].last_event, some(eq(20)));
-    expect_that!(seen[0].upstream, starts_with("engine-a"));
-    expect_that!(seen[1].upstream, not(starts_with("engine-a")));
+    let received = running.received.lock();
+    expect_that!(received.len(), eq(2));
+    expect_that!(received[1].from_copy, some(eq("call-1")));
+    expect_that!(received[1].last_event, some(eq(20)));
+    expect_that!(received[0].upstream, starts_with("engine-a"));
+    expect_that!(received[1].upstream, not(starts_with("engine-a")));
 }
 
-/// An engine's VM loses power in the middle of a stream: nothing comes any more, and nothing says so.
-/// The engine is asked once and does not answer; the caller waits less than half a second.
+/// An engine's VM loses power in the middle of a stream, so that the connection stays open but silent. The
+/// engine is probed once and does not answer; the caller waits less than half a second.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn silent_stream_goes_on_within_half_a_second() {
-    let dark = Arc::new(AtomicBool::new(false));
-    let (died, asked) = (dark.clone(), dark.clone());
+async fn silent_stream_resumes_within_half_a_second() {
+    let stream_sent = Arc::new(AtomicBool::new(false));
+    let (on_send, on_probe) = (stream_sent.clone(), stream_sent.clone());
     let running = GatewayFixture::new(move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
-        if died.swap(true, Ordering::Relaxed) {
+        if on_send.swap(true, Ordering::Relaxed) {
             Script::Stream(events(first, 40), End::Whole)
         } else {
             Script::Stream(events(1, 20), End::Hang)
         }
     })
-    .alive(move |id| !(asked.load(Ordering::Relaxed) && id.starts_with("engine-a")))
-    .usual_upstreams()
+    .answers_probes(move |id| !(on_probe.load(Ordering::Relaxed) && id.starts_with("engine-a")))
+    .default_upstreams()
     .start();
     let start = running.timer.now();
 
@@ -74,15 +76,15 @@
         .since(start)
         .saturating_sub(Duration::from_millis(1210));
     expect_that!(stream, eq(&(text(1, 40), true)));
-    // 200 ms of silence, up to 50 ms until it is looked at, 180 ms for an answer.
+    // 200 ms of silence, up to 50 ms until the next check, 180 ms for the answer to the probe.
     expect_that!(pause, le(Duration::from_millis(440)));
 }
 
-/// An engine's VM loses power while it reads a prompt, when silence is usual. The engine is asked and does
-/// not answer, and the prompt is read elsewhere at once.
+/// An engine's VM loses power during prefill, when silence is normal. The engine is probed and does not answer,
+/// and the prompt is prefilled on another engine at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn prompt_on_a_dead_engine_is_read_elsewhere_at_once() {
+async fn prompt_on_a_dead_engine_is_prefilled_elsewhere_at_once() {
     let sends = Arc::new(AtomicUsize::new(0));
     let count = sends.clone();
     let running = GatewayFixture::new(move |_| {
@@ -91,8 +93,8 @@
         }
         Script::Stream(events(1, 40), End::Whole)
     })
-    .alive(move |id| sends.load(Ordering::Relaxed) != 1 || !id.starts_with("engine-a"))
-    .usual_upstreams()
+    .answers_probes(move |id| sends.load(Ordering::Relaxed) != 1 || !id.starts_with("engine-a"))
+    .default_upstreams()
     .start();
     let start = running.timer.now();
 
@@ -103,16 +105,16 @@
     expect_that!(read_stream(reply).await, eq(&(text(1, 40), true)));
 }
 
-/// A connection goes silent for good in the middle of a stream, while its engine lives and answers
-/// questions over new ones. The stream goes on elsewhere; the caller waits less than 0.7 s.
+/// A connection goes dead in the middle of a stream, while its engine answers health checks on new connections.
+/// The stream resumes elsewhere; the caller waits less than 0.7 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_on_a_silent_connection_goes_on_elsewhere() {
+async fn stream_on_a_dead_connection_resumes_elsewhere() {
     let running = GatewayFixture::new(|call| match call.last_event {
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 20), End::Hang),
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     let start = running.timer.now();
 
@@ -127,11 +129,11 @@
     expect_that!(pause, le(Duration::from_millis(600)));
 }
 
-/// The engine that keeps the copy of a stream's memory dies, and some seconds later the stream's own.
-/// Without a new copy the whole prompt is read again, and the caller waits for seconds.
+/// The engine that holds the KV copy of a stream crashes, and some seconds later the engine that runs the
+/// stream. Without a new copy the complete prompt is prefilled again, and the caller waits for seconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn copy_whose_holder_is_lost_is_made_anew() {
+async fn kv_copy_is_remade_after_its_holder_is_lost() {
     let running = GatewayFixture::new(|call| {
         let first = call.last_event.map_or(1, |last| last + 1);
         if call.last_event.is_none() {
@@ -140,40 +142,42 @@
             Script::Stream(events(first, 120), End::Whole)
         }
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     let reply = running.handle("/stream/1").await;
     let reading = tokio::spawn(read_stream(reply));
     tokio::time::sleep(Duration::from_millis(900)).await;
-    let holder = running.seen.lock()[0].copy_to.clone().unwrap();
-    let lost = ["b", "c"]
+    let holder = running.received.lock()[0].copy_to.clone().unwrap();
+    let lost_holder = ["b", "c"]
         .iter()
         .flat_map(|zone| [1, 2].map(|n| format!("engine-{zone}{n}")))
         .find(|id| upstream(id, ENGINES, "b").address.to_string() == holder)
         .unwrap();
-    running.gateway.upstream_removed(&lost.parse().unwrap());
+    running
+        .gateway
+        .upstream_removed(&lost_holder.parse().unwrap());
 
     let stream = reading.await.unwrap();
 
     expect_that!(stream, eq(&(text(1, 120), true)));
-    let seen = running.seen.lock();
+    let received = running.received.lock();
     let copies = running.copies.lock();
-    expect_that!(copies.first(), some(not(eq(&lost))));
-    expect_that!(seen.len(), eq(2));
-    expect_that!(seen[1].from_copy, some(eq("copy-1")));
-    expect_that!(copies.contains(&seen[1].upstream), eq(true));
+    expect_that!(copies.first(), some(not(eq(&lost_holder))));
+    expect_that!(received.len(), eq(2));
+    expect_that!(received[1].from_copy, some(eq("copy-1")));
+    expect_that!(copies.contains(&received[1].upstream), eq(true));
     expect_that!(running.freed.lock().is_empty(), eq(true));
 }
 
-/// The upstreams of the own zone are lost, so a stream runs in another zone and its copy grows in a third;
-/// then the own zone is cut off from both. Its caller is still here, and gets the rest from a copy that was
-/// made in the own zone once upstreams were back there. Before, the prompt was read again: two to five
-/// seconds, since all streams of the zone met on its few upstreams.
+/// The upstreams of the own zone are lost, so a stream runs in another zone with its KV copy in a third one.
+/// Then the own zone is partitioned from both, while its caller is still connected here. The stream resumes from a
+/// copy made in the own zone after upstreams were back there. Without it the prompt would be prefilled again, which
+/// takes two to five seconds, since all streams of the zone share its few upstreams.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_of_a_zone_that_is_cut_off_goes_on_from_a_copy_there() {
-    let cut = Arc::new(AtomicBool::new(false));
-    let reached = cut.clone();
+async fn stream_of_a_partitioned_zone_resumes_from_a_copy_in_the_zone() {
+    let partitioned = Arc::new(AtomicBool::new(false));
+    let is_partitioned = partitioned.clone();
     let running = GatewayFixture::new(move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
         if call.entry.zone.as_str() == "a" {
@@ -181,7 +185,7 @@
         }
         Script::Stream(events(first, 60), End::Hang)
     })
-    .alive(move |id| !reached.load(Ordering::Relaxed) || id.starts_with("engine-a"))
+    .answers_probes(move |id| !is_partitioned.load(Ordering::Relaxed) || id.starts_with("engine-a"))
     .upstream("engine-b1", ENGINES, "b")
     .upstream("engine-c1", ENGINES, "c")
     .start();
@@ -193,35 +197,37 @@
         .upstream_heard(upstream("engine-a1", ENGINES, "a"));
     tokio::time::sleep(Duration::from_millis(1200)).await;
 
-    cut.store(true, Ordering::Relaxed);
+    partitioned.store(true, Ordering::Relaxed);
     let stream = reading.await.unwrap();
 
     expect_that!(stream, eq(&(text(1, 100), true)));
     expect_that!(running.copies.lock().first(), some(eq("engine-a1")));
-    let seen = running.seen.lock();
-    expect_that!(seen.len(), eq(2));
-    expect_that!(seen[1].upstream, eq("engine-a1"));
-    expect_that!(seen[1].from_copy, some(eq("copy-1")));
+    let received = running.received.lock();
+    expect_that!(received.len(), eq(2));
+    expect_that!(received[1].upstream, eq("engine-a1"));
+    expect_that!(received[1].from_copy, some(eq("copy-1")));
 }
 
-/// A copy was made anew for a stream that then ends well. Its holder would keep room for it for seconds;
-/// it is told that nobody will use it.
+/// A new KV copy was made for a stream that then completes. Its holder would keep memory for it for seconds, so
+/// the copy must be freed.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn copy_that_nobody_uses_is_freed() {
+async fn unused_kv_copy_is_freed() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 100), End::Whole))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let reply = running.handle("/stream/1").await;
     let reading = tokio::spawn(read_stream(reply));
     tokio::time::sleep(Duration::from_millis(900)).await;
     for zone in ["b", "c"] {
         for n in [1, 2] {
-            let lost = format!("engine-{zone}{n}");
-            if running.seen.lock()[0].copy_to
-                == Some(upstream(&lost, ENGINES, zone).address.to_string())
+            let lost_holder = format!("engine-{zone}{n}");
+            if running.received.lock()[0].copy_to
+                == Some(upstream(&lost_holder, ENGINES, zone).address.to_string())
             {
-                running.gateway.upstream_removed(&lost.parse().unwrap());
+                running
+                    .gateway
+                    .upstream_removed(&lost_holder.parse().unwrap());
             }
         }
     }
@@ -233,17 +239,17 @@
     expect_that!(*running.freed.lock(), eq(&["copy-1"]));
 }
 
-/// The holder of a copy has no copy: it came too late, or there was no room. The prompt is read again
-/// elsewhere, and nothing is lost.
+/// The copy holder does not have the copy: it arrived too late, or there was no free memory. The prompt is
+/// prefilled again on another engine, and no event is lost.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_without_a_copy_is_read_anew() {
+async fn stream_without_a_kv_copy_is_prefilled_again() {
     let running = GatewayFixture::new(|call| match (call.last_event, &call.copy_from) {
         (None, _) => Script::Stream(events(1, 20), End::Break),
         (Some(_), Some(_)) => Script::NotExecuted,
         (Some(last), None) => Script::Stream(events(last + 1, 40), End::Whole),
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -252,11 +258,11 @@
     expect_that!(running.sent_to().len(), eq(3));
 }
 
-/// An engine dies while it writes an event. The caller must not see the half of it: the next engine
-/// begins with the whole event.
+/// An engine crashes while it writes an event. The caller must not get the truncated event: the next engine
+/// starts with the complete one.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn torn_event_is_not_handed_on() {
+async fn truncated_event_is_not_delivered() {
     let running = GatewayFixture::new(|call| {
         if let Some(last) = call.last_event {
             return Script::Stream(events(last + 1, 40), End::Whole);
@@ -265,7 +271,7 @@
         parts.push(Part::Bytes("id: 21\nda".to_owned()));
         Script::Stream(parts, End::Break)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -273,11 +279,11 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// A stream ends in the middle of an event as if it were whole. It is not: the rest comes from
-/// another engine.
+/// A run ends regularly, but within an event. The stream is incomplete, and the rest must come from another
+/// engine.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_ends_within_an_event_is_not_whole() {
+async fn stream_that_ends_within_an_event_is_resumed() {
     let running = GatewayFixture::new(|call| {
         if let Some(last) = call.last_event {
             return Script::Stream(events(last + 1, 40), End::Whole);
@@ -286,7 +292,7 @@
         parts.push(Part::Bytes("id: 21\nda".to_owned()));
         Script::Stream(parts, End::Whole)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -294,11 +300,11 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// The next engine sends events again that the caller has, or leaves some out. The caller gets each
-/// once and none is missing.
+/// The next engine repeats events that the caller has, or skips some. The caller must get each event exactly
+/// once.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn repeated_and_missing_events_do_not_reach_the_caller() {
+async fn caller_gets_each_event_once_despite_repeats_and_gaps() {
     let runs = AtomicUsize::new(0);
     let running = GatewayFixture::new(move |call| {
         match (runs.fetch_add(1, Ordering::Relaxed), call.last_event) {
@@ -308,7 +314,7 @@
             (_, None) => Script::Lost,
         }
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -316,11 +322,13 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// A stream that may not be resumed loses its engine. It ends cut, and no second engine runs it.
+/// A stream that is not resumable loses its engine. It is cut, and no second engine runs it.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_runs_once_is_cut_and_never_sent_again() {
-    let running = GatewayFixture::new(break_first()).usual_upstreams().start();
+async fn stream_that_is_not_resumable_is_cut_and_not_retried() {
+    let running = GatewayFixture::new(break_first_run())
+        .default_upstreams()
+        .start();
 
     let stream = read_stream(running.handle("/stream-once/1").await).await;
 
@@ -328,14 +336,14 @@
     expect_that!(running.sent_to().len(), eq(1));
 }
 
-/// A caller comes back with its last event id after its VM died. The stream goes on from there.
+/// A caller reconnects with its last event ID after its VM crashed. The stream resumes from there.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_comes_back_with_its_last_event() {
+async fn caller_reconnects_with_its_last_event() {
     let running = GatewayFixture::new(|call| {
         Script::Stream(events(call.last_event.unwrap() + 1, 30), End::Whole)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     let mut call = running.call("/stream/1");
     call.last_event = Some(12);
@@ -343,21 +351,20 @@
     let stream = read_stream(running.gateway.handle(call).await).await;
 
     expect_that!(stream, eq(&(text(13, 30), true)));
-    expect_that!(running.seen.lock()[0].last_event, some(eq(12)));
+    expect_that!(running.received.lock()[0].last_event, some(eq(12)));
 }
 
-/// All VMs are killed and start anew, and the callers of their streams come back. The engine that read
-/// a caller's prompt still holds it, in whatever zone it is: the stream goes on there, and the prompt is
-/// not read a second time.
+/// All VMs are killed and restart, and the callers of their streams reconnect. The engine that has a caller's
+/// prompt cached may be in any zone. The stream must resume there, so that the prompt is not prefilled again.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_that_comes_back_goes_to_the_engine_that_holds_its_prompt() {
+async fn reconnecting_caller_resumes_on_the_engine_that_caches_its_prompt() {
     for holder in ["engine-a2", "engine-b1", "engine-c2"] {
         let running = GatewayFixture::new(|call| {
             Script::Stream(events(call.last_event.unwrap() + 1, 30), End::Whole)
         })
-        .usual_upstreams()
-        .holder(holder)
+        .default_upstreams()
+        .cached_on(holder)
         .start();
         let mut call = running.call("/stream/1");
         call.last_event = Some(12);
@@ -369,13 +376,13 @@
     }
 }
 
-/// A caller comes back with less time than its prompt takes to be read. It is told at once that nothing
-/// has run; before, an engine read the prompt for nobody, and the caller left at its deadline.
+/// A caller has less time left than the prefill of its prompt takes. It is told at once that the call has not
+/// run; otherwise an engine would prefill the prompt in vain, and the caller would leave at its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_that_cannot_be_served_in_time_is_refused_at_once() {
+async fn caller_without_time_for_prefill_is_refused_at_once() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 30), End::Whole))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_millis(900));
@@ -391,13 +398,13 @@
     expect_that!(running.sent_to(), is_empty());
 }
 
-/// A caller comes back with less time than its prompt takes to be read, but an engine holds the prompt.
+/// A caller has less time left than the prefill of its prompt takes, but an engine has the prompt cached.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_with_little_time_is_served_where_its_prompt_is_held() {
+async fn caller_without_time_for_prefill_is_served_from_the_prompt_cache() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 20), End::Whole))
-        .usual_upstreams()
-        .holder("engine-b1")
+        .default_upstreams()
+        .cached_on("engine-b1")
         .start();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_millis(900));
@@ -407,15 +414,16 @@
     expect_that!(stream, eq(&(text(1, 20), true)));
 }
 
-/// A caller comes back with less time than streams take from prompt to end, and has nothing of its own yet.
+/// A caller has less time left than complete streams take, and no event yet, so it is refused at once. A caller
+/// with the same time whose stream is almost complete is served.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn caller_whose_stream_cannot_be_whole_in_time_is_refused_at_once() {
+async fn caller_without_time_for_the_complete_stream_is_refused_at_once() {
     let running = GatewayFixture::new(|call| {
         let first = call.last_event.map_or(1, |last| last + 1);
         Script::Stream(events(first, 30), End::Whole)
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
@@ -423,43 +431,43 @@
     let sent = running.sent_to().len();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_millis(1600));
-    let mut begun = running.call("/stream/1");
-    begun.patience = Some(Duration::from_millis(1600));
-    begun.last_event = Some(25);
+    let mut resumed_call = running.call("/stream/1");
+    resumed_call.patience = Some(Duration::from_millis(1600));
+    resumed_call.last_event = Some(25);
 
     let refused = running.gateway.handle(call).await;
-    let sent_for_it = running.sent_to().len() - sent;
-    let served = read_stream(running.gateway.handle(begun).await).await;
+    let refused_sends = running.sent_to().len() - sent;
+    let served = read_stream(running.gateway.handle(resumed_call).await).await;
 
     expect_that!(refused, pat!(Reply::NotRun { .. }));
-    expect_that!(sent_for_it, eq(0));
+    expect_that!(refused_sends, eq(0));
     expect_that!(served, eq(&(text(26, 30), true)));
 }
 
-/// The caller leaves in the middle of a stream. The run is given up at once, so that its engine stops.
+/// The caller leaves in the middle of a stream. The run must end at once, so that its engine stops.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn run_ends_when_its_caller_leaves() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 40), End::Hang))
-        .usual_upstreams()
-        .alive(|_| true)
+        .default_upstreams()
+        .answers_probes(|_| true)
         .start();
     let reply = running.handle("/stream/1").await;
 
     drop(reply);
     tokio::time::sleep(Duration::from_secs(5)).await;
 
-    // An upstream is asked only while a call is in flight there.
+    // An upstream is probed only while a call is in flight there.
     expect_that!(running.probes.lock().len(), eq(0));
     expect_that!(running.gateway.drain.in_flight(), eq(0));
 }
 
-/// No engine takes the stream. Its caller is told at once that it has not run, and when to come back.
+/// No engine accepts the stream. Its caller is told at once that it has not run, and when to retry.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_nobody_takes_is_refused_as_not_run() {
+async fn stream_refused_by_all_engines_is_refused_as_not_run() {
     let running = GatewayFixture::new(|_| Script::NotExecuted)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let start = running.timer.now();
 
@@ -473,12 +481,12 @@
     expect_that!(waited, le(Duration::from_millis(500)));
 }
 
-/// Time runs out in the middle of a stream. It ends then, cut, and nothing waits longer.
+/// The deadline passes in the middle of a stream. The stream must be cut then and not wait any longer.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_ends_when_its_time_is_over() {
+async fn stream_ends_at_its_deadline() {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 5), End::Hang))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let mut call = running.call("/stream/1");
     call.patience = Some(Duration::from_secs(3));
@@ -491,23 +499,23 @@
     expect_that!(took, le(Duration::from_millis(3100)));
 }
 
-/// Engines crash under two streams, and the budget has one retry left. The second stream waits until the window
-/// of the budget has gone on, and its caller gets the whole answer a second late. Cut, it would come back and
-/// have its prompt read anew.
+/// Engines crash while they run two streams, and the retry budget has one retry left. The second stream waits until
+/// the budget window has advanced, and its caller gets the complete response a second late. If it were cut, its
+/// caller would reconnect and the prompt would be prefilled again.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_waits_for_a_repeat_that_is_not_left() {
+async fn stream_waits_when_the_retry_budget_is_used_up() {
     let running = GatewayFixture::new(|call| match call.last_event {
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 20), End::Break),
     })
-    .repeats(RouteRetryBudgetConfig {
+    .retry_budget(RouteRetryBudgetConfig {
         ratio: 0.0,
         slack: 2.0,
         window: Duration::from_secs(1),
         vms: 1,
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let (first, second) = tokio::join!(running.handle("/stream/1"), running.handle("/stream/2"));
--- a/crates/catkinward/tests/gateway_support/upstreams.rs
+++ b/crates/catkinward/tests/gateway_support/upstreams.rs
@@ -1,38 +1,36 @@
-//! Scripted upstreams.
+//! Scripted upstreams of the gateway fixture.
 
 use super::*;
 
 /// What a scripted upstream does with a call.
 #[derive(Clone, Debug)]
 pub enum Script {
-    /// Answers in whole.
+    /// Sends a complete response.
     Whole(StatusCode, &'static str),
-    /// Answers without a signature.
+    /// Sends a response without a signature.
     Unsigned(StatusCode),
-    /// Says that it did not run it.
+    /// States that it did not run the call.
     NotExecuted,
-    /// Another incarnation answers.
+    /// Responds as another incarnation.
     OtherIncarnation(Option<&'static str>),
-    /// Takes no connection.
+    /// Accepts no connection.
     NoConnection,
-    /// Takes the call and breaks the connection.
+    /// Accepts the call and breaks the connection.
     Lost,
-    /// Never answers.
+    /// Never responds.
     Hang,
-    /// Streams parts and ends as told.
+    /// Streams the parts and then ends as given.
     Stream(Vec<Part>, End),
 }
 
 /// Part of a scripted stream.
 #[derive(Clone, Debug)]
 pub enum Part {
-    /// Bytes.
     Bytes(String),
-    /// A pause.
     Pause(Duration),
 }
 
-/// End of a scripted stream.
+/// How a scripted stream ends: regularly, with a broken connection, or never.
 #[derive(Clone, Copy, Debug)]
 pub enum End {
     Whole,
@@ -40,44 +38,44 @@
     Hang,
 }
 
-/// A call as an upstream saw it.
+/// A call as an upstream received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub upstream: String,
     pub last_event: Option<u64>,
     pub copy_to: Option<String>,
     pub from_copy: Option<String>,
     pub time_left: Duration,
-    pub longest_idle: Duration,
+    pub max_idle: Duration,
     pub at: Instant,
 }
 
-/// When the process of each upstream started, as it answers.
-pub(super) type Starts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
+/// Returns the process start time that an upstream reports in health checks.
+pub(super) type ProcessStarts = Arc<dyn Fn(&str) -> Option<ProcessStart> + Send + Sync>;
 
-pub(super) type Scripted = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
+pub(super) type ScriptFn = Box<dyn Fn(&UpstreamCall) -> Script + Send + Sync>;
 
-/// What upstreams were told to do.
+/// Record of the requests that upstreams received.
 #[derive(Clone, Default)]
 pub struct Observed {
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub received: Arc<Mutex<Vec<ReceivedCall>>>,
     pub probes: Arc<Mutex<Vec<String>>>,
-    /// Holders of copies that were ordered.
+    /// Holders of requested KV copies.
     pub copies: Arc<Mutex<Vec<String>>>,
-    /// Copies that were freed.
+    /// Handles of freed KV copies.
     pub freed: Arc<Mutex<Vec<String>>>,
 }
 
 pub(super) fn transport(
-    script: Scripted,
-    alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
-    born: Starts,
-    holder: Option<&'static str>,
+    script: ScriptFn,
+    answers_probes: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    born: ProcessStarts,
+    cached_on: Option<&'static str>,
     timer: &Arc<Timer>,
     observed: &Observed,
 ) -> UpstreamTransport {
     let Observed {
-        seen,
+        received,
         probes,
         copies,
         freed,
@@ -85,17 +83,17 @@
     let timer = timer.clone();
     UpstreamTransport {
         send: Box::new(move |call| {
-            seen.lock().push(Seen {
+            received.lock().push(ReceivedCall {
                 upstream: call.entry.id.to_string(),
                 last_event: call.last_event,
                 copy_to: call.copy_to.map(|address| address.to_string()),
                 from_copy: call.copy_from.as_ref().map(|copy| copy.handle.to_string()),
                 time_left: call.time_left,
-                longest_idle: call.longest_idle,
+                max_idle: call.max_idle,
                 at: timer.now(),
             });
             let script = script(&call);
-            Box::pin(play(script))
+            Box::pin(respond(script))
         }),
         copy: Box::new(move |order| {
             copies.lock().push(order.holder.id.to_string());
@@ -111,7 +109,7 @@
             Box::pin(async {})
         }),
         cached: Box::new(move |engine| {
-            let holds = holder == Some(engine.id.as_str());
+            let holds = cached_on == Some(engine.id.as_str());
             Box::pin(async move {
                 let parts = prompt_parts();
                 Ok(if holds { parts.to_vec() } else { Vec::new() })
@@ -119,11 +117,11 @@
         }),
         probe: Box::new(move |probe| {
             let id = probe.entry.id.to_string();
-            let alive = alive(&id);
+            let answers_probes = answers_probes(&id);
             let born = born(&id);
             probes.lock().push(id);
             Box::pin(async move {
-                if alive {
+                if answers_probes {
                     return Ok(HealthReport {
                         load: Some(LoadSample::default()),
                         born,
@@ -135,37 +133,37 @@
     }
 }
 
-async fn play(script: Script) -> Result<UpstreamResponse, SendError> {
-    // An upstream takes a while.
+async fn respond(script: Script) -> Result<UpstreamResponse, SendError> {
+    // Simulated latency of an upstream.
     tokio::time::sleep(Duration::from_millis(5)).await;
     match script {
         Script::Whole(status, body) => {
             let chunk = Ok(Bytes::from_static(body.as_bytes()));
-            Ok(answer(status, stream::iter([chunk]).boxed()))
+            Ok(response(status, stream::iter([chunk]).boxed()))
         }
         Script::Unsigned(status) => Ok(UpstreamResponse {
             signed: false,
-            ..answer(status, stream::empty().boxed())
+            ..response(status, stream::empty().boxed())
         }),
         Script::NotExecuted => Ok(UpstreamResponse {
             not_executed: true,
             signed: false,
-            ..answer(StatusCode::SERVICE_UNAVAILABLE, stream::empty().boxed())
+            ..response(StatusCode::SERVICE_UNAVAILABLE, stream::empty().boxed())
         }),
         Script::OtherIncarnation(by) => Ok(UpstreamResponse {
             other_incarnation: true,
             incarnation: by.map(|by| by.parse().unwrap()),
             signed: false,
-            ..answer(StatusCode::MISDIRECTED_REQUEST, stream::empty().boxed())
+            ..response(StatusCode::MISDIRECTED_REQUEST, stream::empty().boxed())
         }),
         Script::NoConnection => Err(SendError::NoConnection),
         Script::Lost => Err(SendError::Lost),
         Script::Hang => std::future::pending().await,
-        Script::Stream(parts, end) => Ok(answer(StatusCode::OK, scripted_body(parts, end))),
+        Script::Stream(parts, end) => Ok(response(StatusCode::OK, scripted_body(parts, end))),
     }
 }
 
-fn answer(status: StatusCode, body: ResponseBody) -> UpstreamResponse {
+fn response(status: StatusCode, body: ResponseBody) -> UpstreamResponse {
     UpstreamResponse {
         status,
         headers: HeaderMap::new(),
