--- a/crates/catkinward/src/gateway/call.rs
+++ b/crates/catkinward/src/gateway/call.rs
@@ -1,47 +1,47 @@
 use super::*;
 
-/// A caller's call, as the adapter has read it.
+/// A caller's call, as parsed by the adapter.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Id of this call; each of a caller's tries has its own.
+    /// Id of this call; each attempt of a caller has its own.
     pub id: RequestId,
-    /// Method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// Host that it names.
+    /// Host that the request names, used to find the route.
     pub host: Arc<str>,
-    /// Path, without the query.
+    /// Path of the request target, without the query.
     pub path: Arc<str>,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub target: Arc<str>,
-    /// Headers that go to the upstream as they are.
+    /// Headers that are forwarded to the upstream unchanged.
     pub headers: HeaderMap,
-    /// Body, whole.
+    /// Complete request body.
     pub body: Bytes,
-    /// Key that the caller showed.
+    /// API key that the caller presented.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response, if it says so.
     pub patience: Option<Duration>,
-    /// Number of the last event that the caller has of an earlier try.
+    /// Number of the last event that the caller received in an earlier attempt.
     pub last_event: Option<u64>,
-    /// What is known of the prompt, for calls of engines.
+    /// Size and parts of the prompt, for calls to engines.
     pub prompt: Option<Prompt>,
-    /// When its head had arrived.
+    /// When the request head had arrived.
     pub arrived: Instant,
 }
 
-/// What is known of a prompt.
+/// Size and parts of a prompt.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
-    /// Tokens to be read.
+    /// Number of tokens in the prompt.
     pub tokens: u32,
-    /// Tokens to be made at most.
+    /// Maximum number of tokens to generate.
     pub most_made: u32,
-    /// Its parts in order, if they are known; the last one is its own.
+    /// Parts of the prompt in order, if they are known; the last one is unique to this prompt.
     pub parts: Arc<[PromptPart]>,
 }
 
 impl Call {
-    /// Digest by which a call is known again when its caller sends it once more under another id.
+    /// Digest that identifies a call when its caller sends it again under another id.
     #[must_use]
     pub fn digest(&self, team: Option<&TeamId>) -> u64 {
         use xxhash_rust::xxh3::Xxh3;
--- a/crates/catkinward/src/gateway/call_log.rs
+++ b/crates/catkinward/src/gateway/call_log.rs
@@ -1,32 +1,33 @@
-//! Lines of the decision log, bounded under load.
+//! Rate limit for the lines of the decision log.
 //!
-//! Each decision that touches a call has a line with the call's id. On a busy VM the lines of one
-//! kind could cost more than the calls, so each kind has a budget for a second; what is left out is
-//! counted in a line of its own. Lines that tell of a failure are never left out.
+//! Each decision about a call writes a line with the call's id. On a busy VM the lines of one kind
+//! could cost more than the calls, so each kind has a budget per second, and a separate line
+//! reports how many were dropped. Lines that report a failure are never dropped.
 
 use super::*;
 
-/// Lines of one kind in a second. At 100 bytes a token and some 300 bytes a line this bounds a kind
-/// at 60 kB/s; a VM of today sees some 20 calls a second.
+/// Maximum number of lines of one kind per second. At 100 bytes a token and some 300 bytes a
+/// line this limits a kind to
+/// 60 kB/s; a VM currently serves some 20 calls per second.
 const LINES_PER_SECOND: u32 = 200;
 
-/// Kinds of lines.
+/// Kind of a rate-limited line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, strum::EnumCount, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum LineKind {
-    /// A call was accepted or answered at once.
+    /// A call was accepted, or answered immediately.
     Accepted,
     /// A call was sent to an upstream.
     Sent,
     /// A call was answered.
     Answered,
-    /// What is believed of an upstream changed.
+    /// The observed state of an upstream changed.
     Belief,
-    /// The outcome of a health check.
+    /// A health check ended.
     Probe,
 }
 
-/// Budgets of lines.
+/// Number of lines of each kind that were written in the current second.
 #[derive(Debug, Default)]
 pub struct CallLog {
     second: AtomicU64,
@@ -34,7 +35,7 @@
 }
 
 impl CallLog {
-    /// Whether a line of a kind may be written now.
+    /// Counts a line of `kind`, and returns whether it may be written.
     pub fn admits(&self, kind: LineKind, now: Instant) -> bool {
         let second = now.0.as_secs();
         if self.second.swap(second, Ordering::Relaxed) != second {
@@ -50,7 +51,10 @@
                 .swap(0, Ordering::Relaxed)
                 .saturating_sub(u64::from(LINES_PER_SECOND));
             if left_out > 0 {
-                tracing::warn!(left_out, "lines left out in the last second");
+                tracing::warn!(
+                    left_out,
+                    "log lines dropped by the rate limit within a second"
+                );
             }
         }
     }
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! The gateway itself.
+//! The gateway, its settings and the handling of one call.
 
 use super::{
     accepted_call::AcceptedCall,
@@ -11,20 +11,20 @@
     *,
 };
 
-/// How soon a caller may come back to a VM that knows no configuration or no upstream yet: about the
-/// time in which it learns them.
+/// Retry delay for a caller of a VM that has no configuration or no upstreams yet: about the time
+/// it takes to read them.
 pub const NOT_READY_RETRY: Duration = Duration::from_millis(500);
 
-/// How long a call waits for a process that has just started. It takes 0.2 s to know what it needs if
-/// the platform answers, and if it does not, callers are better off elsewhere.
+/// How long a call waits for a process that has just started. The process reads what it needs
+/// within 0.2 s if the platform responds; if it does not, another VM serves the caller better.
 const LONGEST_START: Duration = Duration::from_millis(600);
 
-/// When a caller may come back with a body under which upstreams died: the tally outlasts it, so it
-/// is only kept from asking at once.
+/// Retry delay for a caller whose body crashed upstreams. The crash record outlasts the delay, so
+/// the delay only prevents immediate retries.
 const CRASHING_RETRY: Duration = Duration::from_secs(10);
 
-/// When a caller may come back who came to a VM that is about to end: at once, since the retry goes
-/// to another one.
+/// Retry delay for a caller of a VM that is shutting down: short, since the retry goes to another
+/// VM.
 const LEAVING_RETRY: Duration = Duration::from_millis(20);
 
 /// Settings of a [`Gateway`].
@@ -32,19 +32,19 @@
 pub struct GatewaySettings {
     /// Name of this VM.
     pub vm: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of this VM.
     pub zone: AvailabilityZone,
-    /// Budget of repeats.
+    /// Settings of the retry budgets.
     pub repeats: RouteRetryBudgetConfig,
-    /// Addresses of a few VMs for notes, to begin with; perhaps old ones.
+    /// Addresses of a few VMs that receive heartbeats from the start; they may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Which mechanisms decide.
+    /// Which mechanisms of routing and failover are enabled.
     pub policy: Policy,
-    /// Where this VM takes datagrams of other VMs.
+    /// Address at which this VM receives datagrams of other VMs.
     pub address: SocketAddr,
-    /// Bandwidth of its link, if that is known.
+    /// Bandwidth of this VM's link, if it is known.
     pub link: Option<LinkRate>,
-    /// Bounds of rollouts, if there are any.
+    /// Limits of rollouts; `None` turns rollouts off.
     pub rollouts: Option<RolloutSettings>,
 }
 
@@ -56,51 +56,51 @@
     pub(crate) state: Mutex<GatewayState>,
     pub(crate) log: CallLog,
     pub(crate) leaving: Mutex<Option<Shutdown>>,
-    /// Whether a configuration and upstreams are known, and not from before a time in which this process
-    /// did not run.
+    /// Whether a configuration and upstreams are known and were read since this process was last
+    /// suspended.
     known: watch::Sender<bool>,
-    /// Counts how often this process woke.
+    /// Counts the suspensions of this process.
     pub(crate) wakes: watch::Sender<u64>,
-    /// Held while engines are asked which prompts they hold.
+    /// Held while engines are queried for cached prompts.
     pub(crate) searching: tokio::sync::Mutex<()>,
-    /// Loans of repeats that are awaited.
+    /// Requests for retry budget that other VMs have not answered yet.
     pub(crate) loans: Mutex<LoanRequests>,
     /// When this process started.
     pub(crate) started: Instant,
-    /// Calls that wait for a repeat.
+    /// Number of calls that wait for retry budget.
     pub(crate) waiting_repeats: AtomicU32,
-    /// Tells that a loan has come.
+    /// Notifies waiting calls that a budget loan has arrived.
     pub(crate) loan_came: Notify,
-    /// Datagrams to other VMs that do not wait for the next round of notes.
+    /// Datagrams to other VMs that do not wait for the next heartbeat.
     pub(crate) outbox: Outbox,
-    /// Upstreams to which prompts were sent, for the sender of notes.
+    /// Upstreams that were sent a prompt; each triggers a heartbeat.
     pub(crate) dispatches: Dispatches,
-    /// Tells the sender of notes that upstreams died under calls.
+    /// Triggers a heartbeat after an upstream crashed while running calls.
     pub(crate) crashes_seen: Notify,
-    /// Tells that news of the zone came.
+    /// Notifies that gossip of the zone was received.
     pub(crate) gossip_came: Notify,
-    /// Newest configuration that another VM of the zone has in force.
+    /// Newest configuration that another VM of the zone has advertised.
     pub(crate) zone_config: watch::Sender<Option<AdvertisedConfig>>,
-    /// Counts how often a feed noticed that the store answers again.
+    /// Counts how often a feed found that the store responds again.
     pub(crate) store_returns: watch::Sender<u64>,
-    /// This life of this VM's process.
+    /// This VM's name and the incarnation of its process.
     pub(crate) life: VmIncarnation,
     /// Rollouts that this VM owns, sorted by service.
     pub(crate) owned_rollouts: Mutex<Vec<(ServiceId, OwnedRollout)>>,
-    /// Rollouts whose order was withdrawn, until their end is in the store.
+    /// Rollouts whose order was withdrawn, until their end is recorded in the store.
     pub(crate) withdrawn_rollouts: Mutex<Vec<Rollout>>,
-    /// Tells that there is something to do for a rollout.
+    /// Notifies the rollout task that a rollout has changed.
     pub(crate) rollouts_changed: Notify,
     /// Counts the changes of rollouts.
     pub(crate) rollout_phases: watch::Sender<u64>,
-    /// How it stood to new callers when that was last asked.
+    /// Readiness for new callers at the last check.
     pub(crate) readiness: Mutex<Readiness>,
-    /// The state of a graceful shutdown.
+    /// State of a graceful shutdown.
     pub drain: Arc<Drain>,
 }
 
 impl Gateway {
-    /// Starts a gateway and its watch over upstreams.
+    /// Starts a gateway, its health checks and its gauges.
     #[must_use]
     pub fn start(
         settings: GatewaySettings,
@@ -144,20 +144,20 @@
         gateway
     }
 
-    /// Waits until a configuration and upstreams are known. Callers come as soon as a process takes
-    /// connections, a fifth of a second before it knows them; told to come back, they are lost if
-    /// they have no try left.
+    /// Waits for a limited time until a configuration and upstreams are known. Callers connect as
+    /// soon as a process listens, a fifth of a second before it has read them; a caller that was
+    /// told to retry and has no attempt left would be lost.
     pub async fn known(&self) {
         let mut known = self.known.subscribe();
-        // The sender lives as long as this does, so only the bound can end the wait early.
+        // The sender lives as long as `self`, so only the timeout can end the wait early.
         let _ = tokio::time::timeout(LONGEST_START, known.wait_for(|known| *known)).await;
     }
 
-    /// Notes that this process did not run for so long. Calls wait until what is known was read again, and
-    /// those who read it do so at once: a removed key would open the door meanwhile, and an upstream
-    /// that has left would get calls.
+    /// Records that this process did not run for `gap`. Calls wait until configuration and
+    /// upstreams have been read again, and the feeds read at once: until then a removed key would
+    /// be accepted, and an upstream that has left would get calls.
     pub fn woke(&self, gap: Duration) {
-        tracing::warn!(gap_ms = millis(gap), "this process did not run for a while");
+        tracing::warn!(gap_ms = millis(gap), "process was suspended");
         metrics::counter!("catkin_wakes_total").increment(1);
         self.state.lock().woke();
         self.known.send_replace(false);
@@ -165,7 +165,7 @@
         self.gossip_came.notify_waiters();
     }
 
-    /// Notes that a feed was read, whether or not there was anything new.
+    /// Records that a feed was read, whether or not it had changes.
     pub(crate) fn feed_read(&self, note: fn(&mut GatewayState)) {
         let mut state = self.state.lock();
         note(&mut state);
@@ -210,7 +210,7 @@
         reply
     }
 
-    /// Takes a configuration if it is newer than the present one.
+    /// Puts a configuration in force if it is newer than the current one; returns whether it is.
     pub fn put_config(&self, config: Arc<RoutingConfig>) -> bool {
         let version = config.version;
         let mut state = self.state.lock();
@@ -225,13 +225,13 @@
         advanced
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if one has been read.
     #[must_use]
     pub fn config(&self) -> Option<Arc<RoutingConfig>> {
         self.state.lock().config.get().cloned()
     }
 
-    /// Takes in all entries of upstreams at once.
+    /// Replaces the directory of upstreams by a complete table.
     pub fn put_upstreams(&self, entries: Vec<UpstreamEntry>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -247,7 +247,8 @@
         self.presence_changed(&changes);
     }
 
-    /// Takes in the first rows of the table of upstreams while the others come, so that calls are served with these.
+    /// Adds the first rows of a table of upstreams while the remaining rows are read, so that calls
+    /// can be served with these upstreams.
     pub(crate) fn put_first_upstreams(&self, rows: Vec<TableRow<UpstreamEntry>>) {
         let mut state = self.state.lock();
         if state.directory_read == DirectoryRead::Whole {
@@ -265,7 +266,7 @@
         self.presence_changed(&changes);
     }
 
-    /// Takes in one entry of an upstream.
+    /// Applies the current entry of one upstream.
     pub fn upstream_heard(&self, entry: UpstreamEntry) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -275,14 +276,14 @@
         self.presence_changed(&changes);
     }
 
-    /// Takes in when the process of an upstream started, as it or another VM says.
+    /// Records when the process of an upstream started, as reported by itself or by another VM.
     pub(crate) fn upstream_started(&self, id: &UpstreamId, born: ProcessStart) {
         let now = self.timer.now();
         let changes = self.state.lock().directory.record_start(id, born, now);
         self.presence_changed(&changes);
     }
 
-    /// Takes in that the entry of an upstream was removed.
+    /// Applies the removal of an upstream's entry.
     pub fn upstream_removed(&self, id: &UpstreamId) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -298,8 +299,9 @@
         self.presence_changed(change.as_slice());
     }
 
-    /// Logs what has changed for upstreams, and gives up the calls on those that have started again. Nothing
-    /// says so on a connection that was lost without a reset; its calls would wait until they count as stalled.
+    /// Logs the changes of presence, and fails over the calls on upstreams that have restarted. A
+    /// connection that was lost without a reset does not report it; its calls would wait until they
+    /// count as stalled.
     pub(crate) fn presence_changed(&self, changes: &[PresenceChange]) {
         for (id, presence) in changes {
             self.log_presence(id, *presence);
@@ -309,7 +311,7 @@
         }
     }
 
-    /// Takes in whether the platform answers.
+    /// Records whether the platform responds.
     pub fn platform_answers(&self, answers: bool) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -367,7 +369,8 @@
         })
     }
 
-    /// Chooses an upstream; `cached` says how many tokens of the prompt some hold, sorted by upstream.
+    /// Selects an upstream; `cached` holds the cached tokens of the prompt by upstream, sorted by
+    /// upstream.
     pub(crate) fn place(
         &self,
         accepted: &AcceptedCall,
@@ -383,7 +386,7 @@
         )
     }
 
-    /// Number of availability zones with upstreams of a service.
+    /// Number of availability zones with usable upstreams of a service.
     pub(crate) fn zones_with(&self, service: &ServiceId) -> u32 {
         let now = self.timer.now();
         let state = self.state.lock();
@@ -394,7 +397,7 @@
         u32::try_from(zones.len()).unwrap_or(u32::MAX)
     }
 
-    /// Chooses where the copy of a run's memory goes, if the service has copies.
+    /// Selects the holder for a copy of a run's KV cache, if the service has copies.
     pub(crate) fn place_copy(
         &self,
         accepted: &AcceptedCall,
@@ -404,7 +407,7 @@
             return None;
         }
         if !self.is_open(run) {
-            // Another version does not go on from its memory.
+            // Another version cannot resume from its KV cache.
             return None;
         }
         self.choose(accepted, &[], &[], Candidates::Open, |candidates, who| {
@@ -412,7 +415,7 @@
         })
     }
 
-    /// Whether the upstreams of a service keep copies of each other's memory.
+    /// Whether the upstreams of a service hold copies of each other's KV caches.
     pub(crate) fn has_copies(&self, service: &ServiceId) -> bool {
         self.config()
             .is_some_and(|config| config.service(service).is_some_and(|spec| spec.copies))
@@ -450,18 +453,18 @@
         )
     }
 
-    /// Whether an upstream may get any request of its service, whatever rollouts there are.
+    /// Whether the rollouts admit every request of its service to an upstream.
     pub(crate) fn is_open(&self, entry: &UpstreamEntry) -> bool {
         let now = self.timer.now();
         self.state.lock().rollouts.admission(entry, now) == VersionAdmission::Open
     }
 
-    /// Where this VM takes datagrams of others.
+    /// Address at which this VM receives datagrams of other VMs.
     pub(crate) fn own_address(&self) -> SocketAddr {
         self.settings.address
     }
 
-    /// Notes that something came from an upstream.
+    /// Records that an upstream responded, with its load if it reported one.
     pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -475,7 +478,7 @@
         self.presence_changed(&changes);
     }
 
-    /// Notes whether a call succeeded on an upstream.
+    /// Records whether a call on an upstream failed.
     pub(crate) fn outcome(&self, entry: &Arc<UpstreamEntry>, failed: bool) {
         let now = self.timer.now();
         self.state
@@ -485,8 +488,9 @@
             .record_outcome(failed);
     }
 
-    /// Notes that another incarnation has the address of an upstream. If it says which, it is asked who
-    /// it is: a VM that is cut off from the platform learns of upstreams that start anew only so.
+    /// Records that another incarnation responds at the address of an upstream. If it names itself
+    /// and is unknown, it is probed: a VM that is partitioned from the platform learns of new
+    /// upstreams only this way.
     pub(crate) fn replaced(self: &Arc<Self>, entry: &Arc<UpstreamEntry>, by: Option<UpstreamId>) {
         let mut state = self.state.lock();
         let changes = state.directory.record_denial(&entry.id, by.as_ref());
@@ -507,7 +511,7 @@
     }
 }
 
-/// The answer to a call that was not sent.
+/// Response to a call that was not sent to an upstream.
 pub(crate) fn refused(call: &Call, reason: RefusalReason, retry_after: Duration) -> Reply {
     let not_run = Queued::new(call.id.clone()).refuse(reason, retry_after);
     Reply::NotRun { not_run }
--- a/crates/catkinward/src/gateway/dispatches.rs
+++ b/crates/catkinward/src/gateway/dispatches.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Upstreams to which prompts were sent since other VMs were last told.
+/// Upstreams that received prompts since the last heartbeat to other VMs.
 #[derive(Default)]
 pub(crate) struct Dispatches {
     sent: Mutex<Vec<Arc<UpstreamEntry>>>,
@@ -8,18 +8,18 @@
 }
 
 impl Dispatches {
-    /// Notes that a prompt was sent.
+    /// Records that a prompt was sent to an upstream.
     pub(crate) fn note(&self, upstream: &Arc<UpstreamEntry>) {
         self.sent.lock().push(upstream.clone());
         self.changed.notify_one();
     }
 
-    /// Waits until there is one.
+    /// Waits until a prompt has been sent.
     pub(crate) async fn wait(&self) {
         self.changed.notified().await;
     }
 
-    /// Takes them.
+    /// Removes and returns the recorded upstreams.
     pub(crate) fn take(&self) -> Vec<Arc<UpstreamEntry>> {
         std::mem::take(&mut *self.sent.lock())
     }
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -1,83 +1,86 @@
-//! What the platform keeps and tells: the configuration, the entries of upstreams, other VMs.
+//! Reads the tables of the platform store and follows their changes: the configuration and the
+//! entries of upstreams.
 
 use super::{read_progress::while_it_progresses, *};
 use tokio::sync::mpsc;
 
-/// Bound of a question for changes that waits, and of a whole read: an answer takes some 4 ms; a
-/// store that is slow answers within a second. A connection that has gone silent is noticed so.
+/// Timeout of a request for changes, beyond its wait at the store, and of a step of a full read: a
+/// response takes some 4 ms, and a slow store responds within a second. A connection that has gone
+/// silent is detected this way.
 const STORE_BOUND: Duration = Duration::from_millis(900);
 
-/// How long a question for changes of the configuration waits at the store while another VM of a small zone tells
-/// what configuration is in force there: if a newer one is, or nobody tells any more, the question is asked anew
-/// over another connection.
+/// How long a request for changes of the configuration waits at the store while another VM of a
+/// small zone advertises the configuration in force there. If that one is newer, or nobody
+/// advertises any more, a new request is sent over another connection.
 const SHARED_CONFIG_WAIT: Duration = Duration::from_secs(8);
 
-/// Pace of questions for changes of upstreams. They write their entries about every second, so a
-/// question that waits would return at once; a leaving one must get nothing new after two seconds.
+/// Interval of requests for changes of upstreams. Upstreams write their entries about every second,
+/// so a waiting request would return at once; a leaving upstream must get no new calls after two
+/// seconds.
 const UPSTREAM_PACE: Duration = Duration::from_millis(1100);
 
-/// Bounds of the questions while the store is away, by turns. A short one notices its return soon: a
-/// question that was sent just before may hang on a connection that never comes back, and meanwhile
-/// an older configuration would stay in force here. The long ones are for a store that is slow.
+/// Timeouts of requests while the store does not respond, in rotation. The short one detects
+/// recovery soon: a request sent just before it may hang on a dead connection, during which an
+/// older configuration stays in force. The long ones are for a slow store.
 const RETURN_BOUNDS: [Duration; 3] = [
     Duration::from_millis(400),
     Duration::from_millis(900),
     Duration::from_secs(2),
 ];
 
-/// Bound of an answer from another VM, which has it in memory: a way there and back takes 2 ms.
+/// Timeout of a read from another VM, which has the data in memory: a round trip takes 2 ms.
 pub(crate) const PEER_BOUND: Duration = Duration::from_millis(250);
 
-/// A part of what the platform keeps.
+/// A table of the platform store, with the ways to read it.
 pub struct Feed<T> {
-    /// Its name, for the log.
+    /// Name of the feed in logs and metrics.
     pub name: &'static str,
-    /// Reads all of it.
+    /// Reads all rows.
     pub read: ReadWhole<T>,
-    /// Asks for what changed after a version; waits at the store for that long at most.
+    /// Requests the changes after a version; waits at the store for the given duration at most.
     pub changes: AskChanges<T>,
-    /// Reads all of it as another VM has it, if that hears from the platform itself.
+    /// Reads all rows that another VM has, if that VM has recent responses of the platform.
     pub read_from_peer: ReadFromPeer<T>,
 }
 
-/// Reads all of a feed, and shows what has come of it meanwhile.
+/// Reads all rows of a feed, and reports its progress.
 pub type ReadWhole<T> = Box<
     dyn Fn(ReadProgress<T>) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync,
 >;
 
-/// Reads a feed from another VM, named by the address that its notes come from.
+/// Reads a feed from another VM, which is identified by the address of its heartbeats.
 pub type ReadFromPeer<T> =
     Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
-/// Asks for changes after a version.
+/// Requests the changes after a version.
 pub type AskChanges<T> =
     Box<dyn Fn(u64, Duration) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
-/// Entries as of one version.
+/// Rows of a feed at one version.
 #[derive(Clone, Debug)]
 pub struct FeedPage<T> {
-    /// Version up to which they hold.
+    /// Version of the store up to which the rows are complete.
     pub version: u64,
     /// Rows that were written or removed.
     pub rows: Vec<TableRow<T>>,
 }
 
-/// Why the platform's word could not be had.
+/// Why a feed could not be read.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum FeedError {
-    /// The changes asked for are no longer kept.
-    #[display("the changes asked for are no longer kept")]
+    /// The store no longer keeps the requested changes.
+    #[display("the store no longer keeps the requested changes")]
     HistoryGone,
-    /// It refused.
-    #[display("the platform refused")]
+    /// The store or the VM refused the request.
+    #[display("the platform refused the request")]
     Refused,
-    /// It did not answer.
-    #[display("the platform did not answer")]
+    /// There was no response in time.
+    #[display("the platform did not respond")]
     NoAnswer,
 }
 
-/// Keeps the configuration in force up to date.
+/// Keeps the configuration in force up to date; never returns.
 pub async fn follow_config(gateway: Arc<Gateway>, feed: Feed<RoutingConfig>) {
     let mut follower = Follower::new(&gateway, &feed, Gateway::relies_on_zone_config, |_| {});
     follower.backs_off = false;
@@ -98,9 +101,11 @@
                 if gateway.config().is_some_and(|c| c.version >= told.version) {
                     continue;
                 }
-                // A large configuration takes a second over the link of a small VM, and the teller's link is shared by
-                // all who ask it. Bound like a question that does not wait, it would never come: one sees `not read
-                // from a peer`, `store unreachable` and callers of new routes refused for many seconds.
+                // A large configuration takes a second over the link of a small VM, and all VMs
+                // that read from the advertising VM share its link. With the timeout of a request
+                // that does not wait, the read would never complete: the log shows `not read from a
+                // peer` and `store unreachable`, and callers of new routes are refused for many
+                // seconds.
                 Some(follower.ask_store(CONFIG_POLL_TIMEOUT).await)
             }
             None => ask_for_config(&gateway, &mut follower).await,
@@ -118,12 +123,12 @@
     }
 }
 
-/// Asks the store for a newer configuration; `None` if it should be asked anew in another way.
+/// Requests a newer configuration from the store; `None` if the next read must go another way.
 async fn ask_for_config(
     gateway: &Gateway,
     follower: &mut Follower<'_, RoutingConfig>,
 ) -> Option<Read<RoutingConfig>> {
-    // Others rely on the age of what those in front read.
+    // Other VMs rely on the age of what readers, standbys and deputies read.
     let in_front = gateway.zone_role() != ZoneRole::Member && gateway.is_in_large_zone();
     let shared = gateway.relies_on_zone() && !in_front;
     let wait = if shared {
@@ -135,8 +140,8 @@
         read = follower.next(wait) => return Some(read),
         ahead = gateway.zone_goes_ahead(), if shared => ahead,
     };
-    // Asked anew, it is not given up again: from a slow store the answer takes longer than the zone's
-    // word, and would never come.
+    // The second request is not cancelled: a slow store takes longer to respond than the gossip of
+    // the zone, so the response would never arrive.
     if ahead {
         Some(follower.next(Duration::ZERO).await)
     } else {
@@ -144,7 +149,7 @@
     }
 }
 
-/// Puts the configuration of a page in force; whether it is newer.
+/// Puts the configuration of a page in force; returns whether it is newer.
 fn take_config(gateway: &Gateway, page: Option<&FeedPage<RoutingConfig>>) -> bool {
     let rows = page.into_iter().flat_map(|page| &page.rows);
     let configs = rows.filter_map(|row| row.entry.as_ref());
@@ -153,7 +158,7 @@
         .fold(false, |any, newer| any | newer)
 }
 
-/// Keeps the directory of upstreams up to date.
+/// Keeps the directory of upstreams up to date; never returns.
 pub async fn follow_upstreams(gateway: Arc<Gateway>, feed: Feed<UpstreamEntry>) {
     let mut follower = Follower::new(&gateway, &feed, Gateway::relies_on_zone, |gateway| {
         gateway.platform_answers(false);
@@ -170,21 +175,21 @@
         }
         if gateway.relies_on_zone() {
             gateway.rely_on_zone().await;
-            // What others told counts as read.
+            // Updates received from other VMs count as read.
             follower.version = Some(gateway.table_version());
         }
     }
 }
 
-/// What another VM has of a feed. The platform may turn some VMs away and serve the others: these
-/// would go on with what they knew, send calls to upstreams that are leaving, and refuse routes and
-/// keys that were added.
+/// Reads a feed from another VM. The platform may reject some VMs and serve others; without this,
+/// the rejected ones would keep old state, send calls to leaving upstreams, and refuse new routes
+/// and keys.
 async fn ask_a_peer<T>(gateway: &Gateway, feed: &Feed<T>) -> Option<FeedPage<T>> {
     ask_peer(feed, gateway.a_peer()?).await
 }
 
 async fn ask_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
-    // A VM whose link is full must not be kept busy by those that read from it; they have the store.
+    // VMs that read from a VM whose link is full must not keep it busy; they have the store.
     let answer = tokio::time::timeout(PEER_BOUND, (feed.read_from_peer)(peer)).await;
     match answer.unwrap_or(Err(FeedError::NoAnswer)) {
         Ok(page) => {
@@ -199,54 +204,55 @@
     }
 }
 
-/// What came of a read.
+/// Result of a read.
 enum Read<T> {
-    /// Rows.
+    /// Rows were read.
     Page {
-        /// The rows.
+        /// The rows with their version.
         page: FeedPage<T>,
-        /// Whether they are the whole feed.
+        /// Whether the page holds the complete feed.
         whole: bool,
     },
-    /// The store does not answer here, and others of the zone tell what it says.
+    /// The store does not respond here, and other VMs of the zone advertise what it holds.
     Zone,
 }
 
-/// Why the store is asked, for the count of its calls.
+/// Reason of a request to the store, a label of the metric that counts these requests.
 #[derive(Clone, Copy, Debug, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 enum StoreCallCause {
-    /// Nothing is known yet, or the history that was asked for is gone.
+    /// Nothing was read yet, or the requested history is gone.
     WholeRead,
-    /// It may have changed.
+    /// The feed may have changed.
     Watch,
-    /// The store did not answer before.
+    /// The store did not respond before.
     StoreAway,
 }
 
-/// Reads a feed in whole, then its changes.
+/// Reads a complete feed, then its changes.
 struct Follower<'a, T> {
     gateway: &'a Arc<Gateway>,
     feed: &'a Feed<T>,
-    /// Version up to which it has read; none before the first time and when changes are no longer kept.
+    /// Version up to which the feed was read; `None` before the first read and when the store no
+    /// longer keeps the changes.
     version: Option<u64>,
-    /// Whether the store answers.
+    /// Whether the store responds.
     answers: bool,
     faults: usize,
-    /// Faults since the store last answered.
+    /// Failures since the store last responded.
     faults_in_a_row: u32,
-    /// Whether its waits grow while the store is away.
+    /// Whether the delays grow while the store does not respond.
     backs_off: bool,
-    /// Whether the store failed just now, and is to be left alone for a while.
+    /// Whether the last request failed, so that the next one is delayed.
     waits: bool,
-    /// Whether others of the zone tell what this feed would read.
+    /// Whether other VMs of the zone advertise what this feed would read.
     relies: fn(&Gateway) -> bool,
-    /// Called when the store does not answer.
+    /// Called when the store does not respond.
     lost: fn(&Gateway),
-    /// Takes the first rows of a whole read while the others come.
+    /// Receives the first rows of a full read before the remaining ones.
     first_rows: fn(&Gateway, Vec<TableRow<T>>),
     wakes: watch::Receiver<u64>,
-    /// Counts the returns of the store that any feed noticed.
+    /// Counts how often any feed found that the store responds again.
     returns: watch::Receiver<u64>,
 }
 
@@ -274,14 +280,14 @@
         }
     }
 
-    /// The next page. Waits at the store for that long at most, or for its return; ends early if the store does
-    /// not answer here and others of the zone tell what it says.
+    /// The next page. Waits at the store for `wait` at most, or until it responds again; ends early
+    /// if the store does not respond here and other VMs of the zone advertise what it holds.
     async fn next(&mut self, wait: Duration) -> Read<T> {
         let relies = self.relies;
         self.ask(wait, relies).await
     }
 
-    /// The next page, whatever the zone tells: for what it told of and did not give.
+    /// The next page from the store, for data that the zone advertised but did not deliver.
     async fn ask_store(&mut self, wait: Duration) -> Read<T> {
         self.ask(wait, |_| false).await
     }
@@ -318,7 +324,8 @@
             let woke = self.wakes.changed();
             let answer = tokio::select! {
                 answer = asked => answer,
-                // The connection may have been lost meanwhile, and its question waits at the store.
+                // The connection may have been lost in the meantime, with its request still
+                // waiting.
                 Ok(()) = woke => {
                     wait = Duration::ZERO;
                     continue;
@@ -326,7 +333,7 @@
             };
             let fault = match answer {
                 Ok(page) => {
-                    // A question that waited says nothing of the store's speed.
+                    // The latency of a request that waited says nothing about the store.
                     if wait.is_zero() {
                         let took = self.gateway.timer.now().since(asked_at);
                         metrics::histogram!("catkin_store_call_seconds", "feed" => self.feed.name)
@@ -362,13 +369,13 @@
             .increment(1);
     }
 
-    /// Waits, unless this process wakes meanwhile.
+    /// Waits for `length`, or until this process resumes after a suspension.
     async fn pause(&mut self, length: Duration) {
-        // Whichever comes first, the feed is asked then.
+        // In either case the next request is sent afterwards.
         let _ = tokio::time::timeout(length, self.wakes.changed()).await;
     }
 
-    /// Notes a fault; returns what another VM has instead, if that is to be had.
+    /// Records a failure; returns the feed of another VM if one can be read.
     async fn failed(&mut self, fault: FeedError) -> Option<FeedPage<T>> {
         let fault_name: &str = fault.into();
         if self.answers {
@@ -394,14 +401,14 @@
         page
     }
 
-    /// Waits before the store is asked again, unless somebody notices its return meanwhile.
-    ///
-    /// Asked by each VM three times a second, the store gets more calls while it is away than in all the time that
-    /// it serves, and all of them at once at its return.
+    /// Waits before the next request to the store, unless another feed finds that it responds
+    /// again. If each VM sent three requests a second, the store would get more of them during an
+    /// outage than in all the time that it serves, and all of them at once when it recovers.
     async fn wait_for_return(&mut self, relies: fn(&Gateway) -> bool) {
         self.returns.mark_unchanged();
-        // A large configuration comes only within the longest of the bounds that take turns. With waits that grow
-        // between them it would come many seconds after the return, and callers of new routes be refused.
+        // A large configuration arrives only within the longest of the timeouts in rotation. If the
+        // delays between them grew, it would arrive many seconds after the store has recovered, and
+        // callers of new routes would be refused.
         let faults = if self.backs_off {
             self.faults_in_a_row
         } else {
@@ -410,7 +417,7 @@
         let role = self.gateway.zone_role();
         let zone_vms = self.gateway.zone_vms().len();
         let wait = store_backoff(role, zone_vms, faults, rand::random());
-        // Whichever comes first, the store is asked then, or the zone relied on.
+        // In every case the next step is a request to the store, or reliance on the zone.
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = self.gateway.zone_tells(relies) => {}
--- a/crates/catkinward/src/gateway/gauges.rs
+++ b/crates/catkinward/src/gateway/gauges.rs
@@ -1,12 +1,13 @@
-//! Gauges of what this VM believes.
+//! Gauges of the state that this VM has observed.
 
 use super::*;
 use std::sync::Weak;
 
-/// How often the gauges are set: often enough for a page that is read every few seconds.
+/// Interval at which the gauges are set: short enough for an endpoint that is scraped every few
+/// seconds.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Sets the gauges until the gateway is gone.
+/// Sets the gauges until the gateway is dropped.
 pub(crate) async fn update_gauges(gateway: Weak<Gateway>) {
     let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(PERIOD)) else {
         return;
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -1,10 +1,11 @@
 use super::{reply_log::millis, *};
 use std::sync::Weak;
 
-/// How often silence is looked for: short against the bound of silence, 20 wake-ups a second.
+/// Interval at which upstreams are checked for silence: short compared with the silence timeout,
+/// and only 20 wake-ups a second.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Probes silent upstreams until the gateway is gone.
+/// Probes silent upstreams, and detects suspensions of this process, until the gateway is dropped.
 pub(crate) async fn watch_upstreams(gateway: Weak<Gateway>) {
     let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(CHECK_PERIOD)) else {
         return;
@@ -23,7 +24,7 @@
     }
 }
 
-/// Time since the boot, suspensions counted in.
+/// Time since boot, including suspensions.
 fn since_boot() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
@@ -38,7 +39,7 @@
             due.push(upstream.entry.clone());
         }
     }
-    // An upstream that is leaving or gone is still probed while calls run there, but not for itself.
+    // Upstreams that are leaving or gone are probed only while calls run on them.
     due.retain(|entry| {
         let usable = state.directory.get_usable(&entry.id, now).is_some();
         let upstream = state.upstream(entry, now);
@@ -63,8 +64,8 @@
     let answer = tokio::time::timeout(PROBE_TIMEOUT, (gateway.transport.probe)(probe)).await;
     let now = gateway.timer.now();
     let fault = match answer {
-        // A later process answers: what waits here for the earlier one is lost, and its load is not that of
-        // this one.
+        // A later process responds: the calls that wait for the earlier one are lost, and the
+        // reported load is not that of the earlier one.
         Ok(Ok(answer)) if entry.id.is_before(answer.born) => Some("started_again"),
         Ok(Ok(answer)) => {
             gateway.heard(&entry, answer.load);
@@ -95,9 +96,9 @@
     fault.is_none()
 }
 
-/// Takes an incarnation that answered at the address of another one for an upstream of the same
-/// service, if it is surely one: it reports its load as engines do, and only one service has engines.
-/// An address may have gone to another service, to which the call must not go.
+/// Adopts an incarnation that responded at the address of another one as an upstream of the same
+/// service, if that is certain: it reports a load, as only engines do, and only one service has
+/// engines. The address may have been reassigned to another service, to which the call must not go.
 pub(crate) async fn adopt(gateway: Arc<Gateway>, before: Arc<UpstreamEntry>, id: UpstreamId) {
     let only_engines = gateway.config().is_some_and(|config| {
         let mut engines = config.services.iter().filter(|service| service.engine);
@@ -136,7 +137,7 @@
 }
 
 impl Gateway {
-    /// Notes that an upstream did not answer: its calls fail over, and it is ejected.
+    /// Records that an upstream did not respond: its calls fail over, and it is ejected.
     pub(crate) fn give_up(&self, entry: &Arc<UpstreamEntry>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -150,17 +151,17 @@
         self.log_suspect(entry, new, zone_alarm);
     }
 
-    /// Has other VMs told at once that an upstream died under calls: their callers come back within
-    /// milliseconds, to any VM.
+    /// Notifies other VMs immediately that an upstream crashed while running calls: the callers
+    /// retry within milliseconds, at any VM.
     pub(crate) fn tell_crashes(&self, upstream: &UpstreamIncarnation, calls: usize) {
         if calls > 0 {
-            tracing::warn!(%upstream, calls, "upstream died under calls");
+            tracing::warn!(%upstream, calls, "upstream crashed while running calls");
             self.crashes_seen.notify_one();
         }
     }
 
-    /// Reports a restart to the VMs that share the upstream: while the platform is away they learn of it in no other
-    /// way than by a call that is turned away.
+    /// Reports a restart to the VMs that share the upstream: while the platform is unreachable,
+    /// they would learn of it only from a rejected call.
     fn report_restart(&self, restart: &UpstreamRestart) {
         let now = self.timer.now();
         let zone = &self.settings.zone;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Takes in another VM's report of a restart, unless it is stale.
+    /// Applies another VM's report of a restart, unless it is stale.
     pub fn take_restart(&self, restart: &UpstreamRestart) {
         let table = TableFreshness {
             version: self.table_version(),
@@ -184,7 +185,8 @@
         self.take_in(restart, RestartEvidence::PeerReport(table));
     }
 
-    /// Takes in an upstream that has started at the address of another one; whether it is believed.
+    /// Applies the restart of an upstream at the address of an earlier incarnation; returns whether
+    /// the evidence was accepted.
     fn take_in(&self, restart: &UpstreamRestart, evidence: RestartEvidence) -> bool {
         let upstream = &restart.entry.id.id;
         let outcome = self.state.lock().directory.apply_restart(restart, evidence);
@@ -205,8 +207,8 @@
         true
     }
 
-    /// Notes that the process of an upstream is no more, as another one at its address or its own next one
-    /// shows.
+    /// Records that the process of an upstream has ended, as shown by a different one at its
+    /// address or by its next incarnation.
     pub(crate) fn process_ended(&self, id: &UpstreamIncarnation) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -219,8 +221,8 @@
         self.tell_crashes(id, crashes);
     }
 
-    /// Notes that a stream from an upstream broke. It is ejected until it answers again, and is probed at once; its
-    /// other calls go on meanwhile.
+    /// Records that a stream from an upstream broke. The upstream is ejected until it responds
+    /// again, and is probed at once; its other calls continue.
     pub(crate) fn broke(self: &Arc<Self>, entry: &Arc<UpstreamEntry>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -246,7 +248,7 @@
 }
 
 impl Gateway {
-    /// Whether a copy may be gone on from: its upstream takes calls and is no suspect.
+    /// Whether a run may resume from a copy on this upstream: it takes calls and is not suspect.
     pub(crate) fn may_use(&self, entry: &Arc<UpstreamEntry>) -> bool {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -257,7 +259,7 @@
         usable && !suspect && open
     }
 
-    /// How many of these upstreams take calls and are no suspects.
+    /// Number of these upstreams that take calls and are not suspect.
     pub(crate) fn count_usable(&self, ids: &[UpstreamIncarnation]) -> u32 {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -271,7 +273,7 @@
         u32::try_from(usable).unwrap_or(u32::MAX)
     }
 
-    /// Notes that an upstream's connection broke under a body.
+    /// Records that the connection to an upstream broke while it was running a call with this body.
     pub(crate) fn crashed_under(&self, entry: &UpstreamEntry, digest: u64) {
         let crash = Crash {
             digest,
@@ -282,7 +284,7 @@
         self.state.lock().broke_under(crash);
     }
 
-    /// Notes that a call was answered in whole.
+    /// Records that the response of a call was complete.
     pub(crate) fn delivered(&self, digest: u64) {
         self.state.lock().crashes.record_complete_response(digest);
     }
--- a/crates/catkinward/src/gateway/kv_copy.rs
+++ b/crates/catkinward/src/gateway/kv_copy.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// A copy of a run's memory, counted at its holder until it is dropped.
+/// A copy of a run's KV cache. It counts in the load of its holder until it is dropped.
 pub(crate) struct KvCopy {
     gateway: Arc<Gateway>,
-    /// The upstream that keeps it.
+    /// The upstream that holds the copy.
     pub(crate) holder: Arc<UpstreamEntry>,
-    /// Its name.
+    /// Address and handle under which the copy can be fetched.
     pub(crate) source: CopySource,
-    /// Whether it has to be freed when nobody will use it.
+    /// Whether the holder must be told to free the copy when it is dropped.
     to_free: bool,
 }
 
 impl KvCopy {
-    /// The copy that an upstream is told to keep of a run as it grows. It bears the call's name.
+    /// A copy that an upstream receives from a run as it grows. Its handle is the call's id.
     pub(crate) fn growing(
         gateway: &Arc<Gateway>,
         holder: Arc<UpstreamEntry>,
@@ -25,8 +25,8 @@
         Self::count(gateway, holder, source, false)
     }
 
-    /// A copy that was ordered. Its holder keeps room for it for seconds after the run has ended, so it
-    /// is freed when it is dropped.
+    /// A copy that was requested explicitly. Its holder reserves memory for it for some seconds
+    /// after the run has ended, so it is freed when it is dropped.
     pub(crate) fn ordered(
         gateway: &Arc<Gateway>,
         holder: Arc<UpstreamEntry>,
@@ -56,12 +56,13 @@
         }
     }
 
-    /// Notes that a run goes on from it, or that another order has renewed it.
+    /// Keeps the copy when it is dropped, because a run resumes from it or a later request has
+    /// renewed it.
     pub(crate) fn keep(&mut self) {
         self.to_free = false;
     }
 
-    /// Whether it can be gone on from, as far as is known.
+    /// Whether a run could resume from the copy, according to the observed state of its holder.
     pub(crate) fn is_usable(&self) -> bool {
         self.gateway.may_use(&self.holder)
     }
--- a/crates/catkinward/src/gateway/kv_copy_manager.rs
+++ b/crates/catkinward/src/gateway/kv_copy_manager.rs
@@ -1,36 +1,37 @@
-//! Keeps a copy of a run's memory somewhere, whatever becomes of its holders.
+//! Keeps a copy of a run's KV cache when copy holders are lost.
 //!
-//! A run's memory is copied as it grows to a holder that is named at its start. When that one dies the
-//! run goes on without a copy, and if its own upstream dies some seconds later, all that was read and
-//! made must be read again: a pause of one to four seconds in place of 20 ms. So a new copy is made
-//! as soon as the holder is lost, and renewed, since such a copy neither grows nor lasts.
+//! The KV cache of a run is copied as it grows to a holder that is set when the run starts. If that
+//! holder crashes, the run continues without a copy; if its own upstream crashes some seconds
+//! later, the prompt and all generated tokens must be processed again, a gap of one to four seconds
+//! instead of 20 ms. So a new copy is requested as soon as the holder is lost, and is renewed,
+//! because such a copy neither grows nor is kept for long.
 //!
-//! A run may be in another availability zone and its copy in a third, as after the loss of the own zone's
-//! upstreams. When the own zone is cut off then, its caller is still here, and both are out of reach. So such
-//! a run gets a second copy, in the own zone.
+//! A run may be in another availability zone and its copy in a third, as after the loss of the
+//! upstreams in the own zone. If the own zone is then partitioned, its caller is still connected
+//! here and both upstreams are unreachable. So such a run gets a second copy, in the own zone.
 
 use super::{accepted_call::AcceptedCall, kv_copy::KvCopy, *};
 
-/// How often the holder is looked at.
+/// Interval at which the copy holder is checked.
 const COPY_LOOK: Duration = Duration::from_millis(200);
 
-/// Age at which a copy that does not grow is renewed: engines keep one for four seconds, and what is
-/// missing in it (some hundred tokens) is read again in some ten milliseconds.
+/// Age at which a copy that does not grow is renewed. Engines keep one for four seconds, and the
+/// tokens it lacks (some hundred) are processed again in some ten milliseconds.
 const RENEWED_AFTER: Duration = Duration::from_millis(2500);
 
-/// Wait after a copy could not be made.
+/// Delay after a copy request failed.
 const FAULT_WAIT: Duration = Duration::from_millis(400);
 
-/// The copies of one run.
+/// The KV copies of one run.
 pub(crate) struct KvCopyManager {
     gateway: Arc<Gateway>,
-    /// Grows with the run.
+    /// Copy that grows with the run.
     growing: Option<KvCopy>,
-    /// Was made later, with its time.
+    /// Copy that was requested later, with the time at which it was complete.
     made: Option<(KvCopy, Instant)>,
     making: Option<Making>,
     not_before: Instant,
-    /// When to look again. Kept, since waits are cut short by every event of the stream.
+    /// Time of the next check. It is stored because every event of the stream cancels the wait.
     look_at: tokio::time::Instant,
 }
 
@@ -51,8 +52,9 @@
         }
     }
 
-    /// The best copy that there is: the one that grew with the run, which lacks least. After a silence, in
-    /// which the own zone may have been cut off, one in the own zone goes first.
+    /// The best usable copy: the one that grew with the run, since it lacks the fewest tokens.
+    /// After a silence, in which the own zone may have been partitioned, a copy in the own zone
+    /// takes precedence.
     pub(crate) fn into_best(self, after_silence: bool) -> Option<KvCopy> {
         let growing = self.growing.filter(KvCopy::is_usable);
         let made = self.made.map(|(copy, _)| copy).filter(KvCopy::is_usable);
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Whether a run and the copy that grows with it are both out of reach if the own zone is cut off.
+    /// Whether a run and the copy that grows with it both become unreachable if the own zone is
+    /// partitioned.
     fn is_exposed(&self, run: &UpstreamEntry) -> bool {
         let own = &self.gateway.settings.zone;
         let second = self.gateway.settings.policy.second_copy;
@@ -75,7 +78,7 @@
         second && run.zone != *own && copy_elsewhere
     }
 
-    /// Waits until there is something to look at: the end of an order to copy, or some time.
+    /// Waits until the pending copy request ends or, without one, until the next check is due.
     pub(crate) async fn wait(&mut self) {
         let Some(making) = &mut self.making else {
             tokio::time::sleep_until(self.look_at).await;
@@ -88,7 +91,7 @@
         let now = self.gateway.timer.now();
         match answer {
             Ok(source) => {
-                tracing::info!(handle = &*source.handle, holder = %holder.id, "memory copied");
+                tracing::info!(handle = &*source.handle, holder = %holder.id, "KV cache copied");
                 if let Some((before, _)) = &mut self.made
                     && before.source == source
                 {
@@ -99,13 +102,13 @@
             }
             Err(fault) => {
                 let fault_name: &str = fault.into();
-                tracing::warn!(holder = %holder.id, fault = fault_name, "memory not copied");
+                tracing::warn!(holder = %holder.id, fault = fault_name, "KV cache not copied");
                 self.not_before = now.after(FAULT_WAIT);
             }
         }
     }
 
-    /// Orders a copy if there is none that will do.
+    /// Requests a copy if no usable one exists.
     pub(crate) fn look(&mut self, accepted: &AcceptedCall, run: &Arc<UpstreamEntry>) {
         let now = self.gateway.timer.now();
         let grows = self.growing.as_ref().is_some_and(KvCopy::is_usable);
@@ -121,7 +124,7 @@
                 if now.since(*at) < RENEWED_AFTER {
                     return;
                 }
-                // To the same holder only what is new is copied.
+                // Only new tokens are copied to the same holder.
                 Some(copy.holder.clone())
             }
             _ => self.gateway.place_copy(accepted, run),
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The way of opaque calls: from a caller to an upstream and back, whatever they hold.
+//! Routing of opaque calls from callers to upstreams and of responses back, whatever they contain.
 //!
-//! What stands on the wire is known only to the adapter that feeds a [`Gateway`] with calls and gives
-//! it an [`UpstreamTransport`].
+//! The wire formats are known only to the adapter, which passes calls to a [`Gateway`] and gives it
+//! an [`UpstreamTransport`].
 
 pub(crate) use {
     self::{
@@ -57,22 +57,23 @@
     },
 };
 
-/// Age up to which what one VM has read of the platform is of use to another: changes are read within
-/// two seconds, so an older one is itself turned away.
+/// Maximum age at which data that one VM has read from the platform is served to another: changes
+/// must be read within two seconds, so an older source is itself being rejected by the platform.
 pub const MIRROR_MAX_AGE: Duration = Duration::from_millis(2200);
 
-/// Pause after a connection could not be accepted, mostly for want of descriptors: long enough for
-/// some to be closed, short against a caller's patience of a second.
+/// Delay after a failed `accept`, usually for lack of file descriptors: long enough for some to be
+/// closed, short compared with a caller's timeout of one second.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How often the settings file is looked at for a change that nobody told of: a small file, read twice in
-/// the time in which a configuration must be in force.
+/// Interval at which the settings file is checked for changes that were not signalled. The file is
+/// small and is read twice within the time in which a configuration must be in force.
 pub const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often the limits on callers' connections are looked at; they are seconds.
+/// Interval at which the limits on callers' connections are checked; the limits are in seconds.
 pub const LIMITS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long idle connections to upstreams are kept: longer than any call may use one.
+/// How long idle connections to upstreams are kept: longer than the maximum idle time of a
+/// connection that a call may use.
 pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 mod accepted_call;
--- a/crates/catkinward/src/gateway/outbox.rs
+++ b/crates/catkinward/src/gateway/outbox.rs
@@ -1,11 +1,11 @@
 use super::*;
 use tokio::sync::mpsc;
 
-/// Datagrams that wait to be sent; what does not fit is dropped, as on the way. The loss of a third of 200
-/// upstreams fills some ten datagrams to each VM of a zone of 67.
+/// Capacity of the queue; datagrams beyond it are dropped, just as the network may drop them. The
+/// loss of a third of 200 upstreams fills some ten datagrams to each VM of a zone of 67.
 const CAPACITY: usize = 1024;
 
-/// Datagrams to other VMs, until the task that holds the socket sends them.
+/// Queue of datagrams to other VMs; the task that owns the socket sends them.
 pub(crate) struct Outbox {
     tx: mpsc::Sender<(SocketAddr, PeerDatagram)>,
     rx: Mutex<Option<mpsc::Receiver<(SocketAddr, PeerDatagram)>>>,
@@ -22,14 +22,14 @@
 }
 
 impl Outbox {
-    /// Sends a datagram. Nothing depends on its arrival.
+    /// Queues a datagram. Delivery is not guaranteed, and nothing relies on it.
     pub(crate) fn send(&self, to: SocketAddr, datagram: PeerDatagram) {
         if self.tx.try_send((to, datagram)).is_err() {
-            tracing::debug!(%to, "datagram dropped, too many wait");
+            tracing::debug!(%to, "datagram dropped, outbox is full");
         }
     }
 
-    /// Takes the end from which datagrams are sent; `None` if that was done before.
+    /// Takes the receiving end of the queue; `None` if it was taken before.
     pub(crate) fn take(&self) -> Option<mpsc::Receiver<(SocketAddr, PeerDatagram)>> {
         self.rx.lock().take()
     }
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -1,24 +1,24 @@
-//! Notes between the VMs, as datagrams: one that is lost is made good by the next, and a peer that
-//! hangs holds up nobody. So they do not go over the connections between VMs.
+//! Heartbeats between the VMs, sent as datagrams and not over the connections between VMs: the next
+//! heartbeat makes up for a lost one, and a peer that hangs blocks nobody.
 
 use super::*;
 use tokio::{net::UdpSocket, sync::mpsc};
 
-/// Largest note: what fits into one datagram without being cut into several.
+/// Maximum size of a datagram that is not fragmented.
 const LARGEST_NOTE: usize = 1400;
 
-/// Wait in which dispatches gather before they are told: a crash of a zone makes several at once, and
-/// a millisecond is little against the hundreds that reading a prompt takes.
+/// Delay in which dispatches are batched before they are sent: the crash of a zone causes several
+/// at once, and a millisecond is short compared with the hundreds that a prefill takes.
 const GATHER: Duration = Duration::from_millis(1);
 
-/// Upstreams that a note names as suspects, and crashes that it tells.
+/// Maximum number of suspects, and of crashes, in a heartbeat.
 const MOST_TOLD: usize = 12;
 
-/// Loads in a note that would be too large with all: some 25 bytes each, beside 700 bytes of suspects and
-/// crashes.
+/// Maximum number of loads in a heartbeat that would be too large with all of them: some 25 bytes
+/// each, beside 700 bytes of suspects and crashes.
 const MOST_LOADS: usize = 20;
 
-/// Exchanges notes with the other VMs for good.
+/// Exchanges heartbeats with the other VMs; never returns.
 pub async fn exchange_notes(gateway: Arc<Gateway>, socket: UdpSocket) {
     let socket = Arc::new(socket);
     if let Some(datagrams) = gateway.outbox.take() {
@@ -32,7 +32,8 @@
             _ = ticks.recv() => {
                 gateway.tell_zone(&[]);
                 let mut told = gateway.told();
-                // Seeds may be of another life of the system, so they are told beside the live ones.
+                // The seeds may not be among the live VMs, as after a restart of the whole system, so
+                // they are notified too.
                 told.extend(&gateway.settings.seeds);
                 tell(&socket, gateway.note(incarnation, number, true), told).await;
             }
@@ -49,7 +50,8 @@
     }
 }
 
-/// Tells a note. One that is too large, as on a VM with dozens of streams, goes without what matters least.
+/// Sends a heartbeat. One that is too large, as on a VM with dozens of streams, is sent without
+/// members and with the largest loads only.
 async fn tell(socket: &UdpSocket, note: PeerHeartbeat, mut told: Vec<SocketAddr>) {
     told.sort_unstable();
     told.dedup();
@@ -65,7 +67,7 @@
         .sort_by_key(|load| std::cmp::Reverse((load.reading_ms, load.calls)));
     note.loads.truncate(MOST_LOADS);
     if !send(socket, &PeerDatagram::Note(note), &told).await {
-        tracing::warn!("note too large, left out");
+        tracing::warn!("heartbeat too large, not sent");
     }
 }
 
@@ -75,12 +77,12 @@
 ) {
     while let Some((to, datagram)) = datagrams.recv().await {
         if !send(&socket, &datagram, &[to]).await {
-            tracing::warn!(%to, "datagram too large, left out");
+            tracing::warn!(%to, "datagram too large, not sent");
         }
     }
 }
 
-/// Sends a datagram to each address; `false` if it is too large.
+/// Sends a datagram to each address; returns `false` if it is too large.
 async fn send(socket: &UdpSocket, datagram: &PeerDatagram, told: &[SocketAddr]) -> bool {
     let mut buf = Vec::with_capacity(LARGEST_NOTE);
     ciborium::into_writer(datagram, &mut buf).expect("datagrams can be written as CBOR");
@@ -89,7 +91,7 @@
     }
     for address in told {
         if let Err(error) = socket.send_to(&buf, address).await {
-            // A VM that is gone refuses; the next note finds out whether it is back.
+            // A VM that has stopped refuses datagrams; the next heartbeat shows whether it is back.
             tracing::debug!(%address, %error, "datagram not sent");
         }
     }
@@ -102,8 +104,8 @@
         let (len, address) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(error) => {
-                // A refusal that an earlier note met is reported here.
-                tracing::debug!(%error, "no note");
+                // The refusal of a datagram that was sent earlier is reported here.
+                tracing::debug!(%error, "receiving a datagram failed");
                 continue;
             }
         };
@@ -123,7 +125,7 @@
 }
 
 impl Gateway {
-    /// A note; the members are left out of those that tell of a dispatch.
+    /// Builds a heartbeat. Those that are sent after a dispatch or a crash leave out the members.
     fn note(&self, incarnation: u64, number: u64, with_members: bool) -> PeerHeartbeat {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -163,14 +165,15 @@
         }
     }
 
-    /// Any live VM, another one each time.
+    /// Address of a random live VM.
     pub(crate) fn a_peer(&self) -> Option<SocketAddr> {
         let now = self.timer.now();
         let state = self.state.lock();
         state.peers.sample_addresses(1, rand::random(), now).pop()
     }
 
-    /// Whom to tell in each period: some anyway, and those who share upstreams that are in use here.
+    /// Recipients of the periodic heartbeat: a few VMs always, and those that share upstreams in
+    /// use here.
     fn told(&self) -> Vec<SocketAddr> {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -179,8 +182,8 @@
             .heartbeat_receivers(&self.settings.zone, rand::random(), now);
         let used = state
             .upstreams_mut()
-            // Copies weigh little and lie in other zones: those who share their holders hear of them with
-            // the next stream there.
+            // KV copies add little load and are in other zones: the VMs that share their holders
+            // learn of them with the next stream there.
             .filter(|upstream| upstream.load.own_calls() > 0)
             .map(|upstream| upstream.entry.clone())
             .collect::<Vec<_>>();
@@ -202,14 +205,14 @@
             .collect()
     }
 
-    /// Takes in words on VMs of this zone and others.
+    /// Applies the status of VMs that another VM has sent.
     fn take_members(&self, members: &[MemberStatus]) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         state.peers.apply_members(members, &self.settings.zone, now);
     }
 
-    /// Takes in a note of another VM, with the address that it came from.
+    /// Applies a heartbeat of another VM that came from `address`.
     pub fn take_note(&self, note: PeerHeartbeat, address: SocketAddr) {
         if note.vm == self.settings.vm {
             return;
@@ -244,7 +247,7 @@
     }
 }
 
-/// The upstreams that a note names, with their starts.
+/// The upstreams that a heartbeat names whose process start is known.
 fn started_upstreams(note: &PeerHeartbeat) -> Vec<(UpstreamId, ProcessStart)> {
     let loads = note.loads.iter().map(|load| &load.upstream);
     loads
--- a/crates/catkinward/src/gateway/prompt_search.rs
+++ b/crates/catkinward/src/gateway/prompt_search.rs
@@ -1,10 +1,10 @@
-//! Asks engines which of them still hold the prompt of a caller that comes back.
+//! Queries engines for cached prompts when a caller reconnects.
 
 use super::{accepted_call::AcceptedCall, *};
 
 impl Gateway {
-    /// Tokens of a call's prompt that engines hold, sorted by engine. Only for callers that come back:
-    /// the prompt of any other one has not been read yet.
+    /// Cached tokens of a call's prompt by engine, sorted by engine. Engines are queried only for
+    /// callers that reconnect: no engine has processed the prompt of any other caller yet.
     pub(crate) async fn search_prompt(
         &self,
         accepted: &AcceptedCall,
@@ -15,7 +15,7 @@
         if !accepted.comes_back() || prompt.parts.is_empty() {
             return Vec::new();
         }
-        // Those who come back together wait for the same words.
+        // Concurrent reconnecting callers wait for the same replies.
         let searching = self.searching.lock().await;
         let due = self.due_words(&accepted.service);
         let asked = due.len();
@@ -27,7 +27,7 @@
         let holders = self.state.lock().cached.holders(&prompt.parts, now);
         let best = holders.iter().map(|(_, tokens)| *tokens).max().unwrap_or(0);
         tracing::info!(request = %accepted.call.id, asked, answered, holders = holders.len(),
-            tokens = best, "engines asked for a prompt");
+            tokens = best, "engines queried for a cached prompt");
         holders
     }
 
@@ -66,7 +66,7 @@
             }
             Ok(Err(fault)) => {
                 let fault: &str = fault.into();
-                tracing::debug!(upstream = %engine.id, fault, "no word on cached prompts");
+                tracing::debug!(upstream = %engine.id, fault, "query for cached prompts failed");
                 false
             }
             Err(_) => false,
--- a/crates/catkinward/src/gateway/read_progress.rs
+++ b/crates/catkinward/src/gateway/read_progress.rs
@@ -1,26 +1,26 @@
 use super::*;
 use tokio::sync::mpsc;
 
-/// Longest time that a whole read may take, however it progresses.
+/// Maximum duration of a full read, even if it makes progress.
 const LONGEST_READ: Duration = Duration::from_secs(10);
 
-/// A part of a whole read that has come.
+/// Progress of a full read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReadPart<T> {
-    /// Bytes of an answer.
+    /// Some bytes of a response were received.
     Bytes,
-    /// Rows of a page, with more to come.
+    /// Rows of a page that is not the last one.
     Rows(Vec<TableRow<T>>),
 }
 
-/// Where a whole read shows its parts.
+/// Sender for the progress of a full read.
 pub type ReadProgress<T> = mpsc::UnboundedSender<ReadPart<T>>;
 
-/// The parts of a whole read.
+/// Receiver for the progress of a full read.
 pub(crate) type ReadParts<T> = mpsc::UnboundedReceiver<ReadPart<T>>;
 
-/// Waits for a read for as long as its parts come within `bound` of each other. A large table takes seconds over a
-/// small link; read anew from its start each time, it would never be there.
+/// Waits for a read as long as it makes progress at least every `bound`. A large table takes
+/// seconds over a slow link; restarting the read after a fixed timeout would never complete it.
 pub(crate) async fn while_it_progresses<T>(
     read: impl Future<Output = Result<FeedPage<T>, FeedError>>,
     mut parts: ReadParts<T>,
--- a/crates/catkinward/src/gateway/readiness.rs
+++ b/crates/catkinward/src/gateway/readiness.rs
@@ -1,43 +1,42 @@
-//! Whether new callers may come to this VM, and why not.
+//! Whether this VM accepts new callers, and the reason if it does not.
 
 use super::*;
 
-/// How long a service that has lost its last upstream counts as out of reach.
-///
-/// In an availability zone that is cut off, the entries of upstreams beyond the cut lapse a few seconds into it.
-/// Taken for a service that nobody runs, it made the VM ready again in the middle of the cut, and callers came
-/// back from the zone that serves them: `no_upstream` under each of their calls. Bounded, because a service that
-/// is taken out of operation must not leave all VMs without callers.
+/// How long a service that has lost its last upstream counts as unreachable. In a partitioned
+/// availability zone, the entries of upstreams outside expire after a few seconds. Taking them for
+/// removed made the VM ready again during the partition, and callers that came back from a working
+/// zone got `no_upstream`. Bounded so that taking a service out of operation does not leave all VMs
+/// without callers.
 const OUT_OF_REACH_FOR: Duration = Duration::from_secs(10);
 
-/// How this VM stands to new callers.
+/// Readiness of this VM for new callers.
 #[derive(Clone, Debug, Eq, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Readiness {
-    /// They may come.
+    /// New callers are accepted.
     Ready,
     /// No configuration, or no table of upstreams, has been read yet.
     NothingKnown,
-    /// None of the upstreams of a service answers.
+    /// No upstream of a service responds.
     OutOfReach {
-        /// The service.
+        /// The service whose upstreams are unreachable.
         service: ServiceId,
-        /// Its upstreams by their entries, all suspect; none where the last entry has lapsed.
+        /// Number of its upstreams with an entry, all suspect; 0 if the last entry has expired.
         upstreams: usize,
     },
     /// A shutdown has begun.
     ShuttingDown,
 }
 
-/// Services that had upstreams when they were last looked at.
+/// Services that had upstreams at a recent readiness check.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServicesSeen {
-    /// Sorted by service, with the time at which it last had one.
+    /// Sorted by service, with the time at which it last had an upstream.
     seen: Vec<(ServiceId, Instant)>,
 }
 
 impl ServicesSeen {
-    /// Notes that a service has upstreams.
+    /// Records that a service has upstreams.
     pub(crate) fn has_some(&mut self, service: &ServiceId, now: Instant) {
         match self.position(service) {
             Ok(index) => self.seen[index].1 = now,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Whether a service without upstreams had some a short while ago.
+    /// Whether a service without upstreams had some within [`OUT_OF_REACH_FOR`].
     pub(crate) fn had_some(&self, service: &ServiceId, now: Instant) -> bool {
         let seen = self.position(service).map(|index| self.seen[index].1);
         seen.is_ok_and(|at| now.since(at) < OUT_OF_REACH_FOR)
@@ -57,7 +56,7 @@
 }
 
 impl GatewayState {
-    /// A service that none of its upstreams serves this VM, with their number.
+    /// A service without a usable upstream for this VM, with the number of its upstreams.
     fn out_of_reach(&mut self, now: Instant) -> Option<(ServiceId, usize)> {
         let config = self.config.get().cloned()?;
         let mut names = config.services.iter().map(|service| &service.name);
@@ -78,10 +77,11 @@
 }
 
 impl Gateway {
-    /// Whether new callers may come: everything needed is known, no shutdown has begun, and no service
-    /// is out of reach. In an availability zone that is cut off and has no upstream of a service left,
-    /// callers of that service would wait for nothing; the platform sends them to another zone instead.
-    /// Suspects are asked all the while, so the way back needs no call.
+    /// Whether new callers are accepted: a configuration and upstreams are known, no shutdown has
+    /// begun, and no service is unreachable. In a partitioned availability zone without an upstream
+    /// of a service, callers of that service would wait in vain; the platform sends them to another
+    /// zone. Suspect upstreams are probed all the time, so the VM becomes ready again without a
+    /// call.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let readiness = self.readiness();
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -1,44 +1,47 @@
-//! What the gateway pays for sending calls once more, and its loans of repeats.
+//! Retry budgets of services and budget loans between VMs.
 
 use super::*;
 
-/// How long a VM counts as one that shares the budget of repeats after it was last heard of. One that
-/// is cut off goes on serving and repeating, so it must not be forgotten soon.
+/// How long a VM that was last seen counts as one that shares the retry budget. A partitioned VM
+/// continues to serve and to retry, so it must not be dropped early.
 const VM_MEMORY: Duration = Duration::from_secs(60);
 
-/// Time after the start in which this VM takes no part of the slack. It knows a few others at first, and
-/// would take the part of all the others for its own; restarted together, the VMs would repeat several times
-/// what they may. Who lives is known after some six notes.
+/// Time after the start in which this VM takes no share of the slack. It knows few other VMs at
+/// first and would take the shares of all the others; VMs that restart together would exceed the
+/// budget several times over. The live VMs are known after some six heartbeats.
 const SETTLED_AFTER: Duration = Duration::from_secs(3);
 
-/// Repeats left at which others are asked for some: an answer takes as long as a stream needs to be sent
-/// again, so the next one that is lost need not wait for it.
+/// Number of remaining retries at which loans are requested. A reply takes as long as sending a
+/// stream again, so the next lost stream does not have to wait for it.
 const FEW_LEFT: u32 = 2;
 
-/// Repeats asked of each VM beyond those that calls wait for: several streams are lost together.
+/// Retries requested from each VM beyond those that calls wait for, since several streams are lost
+/// together.
 const WANTED_BEYOND: u32 = 1;
 
-/// Wait for loans when nothing is left: an answer from another zone takes 2 to 5 ms, and the caller of a
-/// broken stream waits meanwhile.
+/// Wait for loans when no retries remain: a reply from another zone takes 2 to 5 ms, and the caller
+/// of a broken stream waits in the meantime.
 const LOAN_WAIT: Duration = Duration::from_millis(20);
 
-/// How often others are asked so, each time others, before the pace goes down to [`SLOW_WAIT`]. Where each
-/// VM's share is a handful, most of those asked first have nothing to lend.
+/// Number of request rounds, each to other VMs, before the interval grows to [`SLOW_WAIT`]. Where
+/// the share of a VM is a handful of retries, most of the first VMs have none to lend.
 const QUICK_ROUNDS: u32 = 5;
 
-/// The pace afterwards. What is missing then is missing everywhere; calls that are not late yet go first.
+/// Interval of the later rounds. By then retries are missing on all VMs; calls that are not late
+/// yet take precedence.
 const SLOW_WAIT: Duration = Duration::from_millis(150);
 
-/// How long a stream waits for a repeat before it is given up. Engines keep the copy of its memory for some
-/// four seconds, and a stream that is given up is read again as a whole for its caller's next try.
+/// How long a stream waits for retry budget before it fails. Engines keep the copy of its KV cache
+/// for some four seconds, and after a failure the retry of its caller repeats the whole prefill.
 pub(crate) const STREAM_PATIENCE: Duration = Duration::from_millis(2500);
 
-/// How long a plain call waits for one: about the time in which its answer is of full use.
+/// How long a plain call waits for retry budget: about the time in which its response is of full
+/// use.
 pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(100);
 
 impl Gateway {
-    /// Pays for sending a call of a service once more. If nothing is left, waits for other VMs to lend
-    /// some, or for the window to go on, for as long as `patience`.
+    /// Takes a retry of a service from the budget. If none remain, waits up to `patience` for loans
+    /// from other VMs or for the budget's window to advance.
     pub(crate) async fn pay_repeat(&self, service: &ServiceId, patience: Duration) -> bool {
         if self.try_pay_repeat(service, 1) {
             return true;
@@ -60,15 +63,15 @@
             if now >= until {
                 break;
             }
-            // Only a bound: what matters is whether there is something to pay with afterwards.
+            // Either way the budget is checked again.
             let _ = tokio::time::timeout_at(until.min(now + wait), came).await;
         }
         metrics::counter!("catkin_repeats_refused_total").increment(1);
-        tracing::warn!(%service, "no repeat left in the budget");
+        tracing::warn!(%service, "retry budget exhausted");
         false
     }
 
-    /// Pays if anything is left, and asks for loans if little is, for as many calls as wait.
+    /// Takes a retry if any remain, and requests loans for `waiting` calls if few remain.
     fn try_pay_repeat(&self, service: &ServiceId, waiting: u32) -> bool {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -100,16 +103,17 @@
             return;
         };
         drop(loans);
-        tracing::info!(%service, number = ask.number, lenders = lenders.len(), "asked for repeats");
+        tracing::info!(%service, number = ask.number, lenders = lenders.len(),
+            "retries requested from other VMs");
         for lender in lenders {
             self.outbox.send(lender, PeerDatagram::LoanAsk(ask.clone()));
         }
     }
 
-    /// Lends repeats to another VM.
+    /// Lends retries to another VM.
     pub(crate) fn lend(&self, ask: LoanAsk, borrower: SocketAddr) {
         if self.waiting_repeats.load(Ordering::Relaxed) > 0 {
-            // What is left or comes in is for the calls that wait here.
+            // The remaining and the new retries are for the calls that wait here.
             return;
         }
         let now = self.timer.now();
@@ -120,7 +124,7 @@
         if given == 0 {
             return;
         }
-        tracing::info!(service = %ask.service, number = ask.number, %borrower, given, "repeats lent");
+        tracing::info!(service = %ask.service, number = ask.number, %borrower, given, "retries lent");
         let loan = Loan {
             service: ask.service,
             number: ask.number,
@@ -129,7 +133,7 @@
         self.outbox.send(borrower, PeerDatagram::Loan(loan));
     }
 
-    /// Takes in repeats that another VM gives.
+    /// Adds retries that another VM has lent.
     pub(crate) fn borrow(&self, loan: &Loan, lender: SocketAddr) {
         let now = self.timer.now();
         let given = self.loans.lock().receive(loan, lender, now);
@@ -141,11 +145,11 @@
         state.budget(&loan.service).borrow(&cfg, given, now);
         drop(state);
         tracing::info!(service = %loan.service, number = loan.number, %lender, given,
-            "repeats borrowed");
+            "retries borrowed");
         self.loan_came.notify_waiters();
     }
 
-    /// The budget of repeats as it is divided now.
+    /// The budget settings with the current number of VMs and slack.
     fn repeats(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
         let settled = alone || now.since(self.started) >= SETTLED_AFTER;
@@ -161,7 +165,7 @@
     }
 }
 
-/// A call that waits for a repeat, counted until it is dropped.
+/// Counts a call that waits for retry budget until it is dropped.
 struct Waiting<'a> {
     count: &'a AtomicU32,
 }
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// What the gateway knows, behind one lock.
+/// Mutable state of the gateway, behind one lock.
 pub(crate) struct GatewayState {
     pub(crate) config: NewestConfig,
     pub(crate) directory: UpstreamDirectory,
-    /// How far the directory has been read.
+    /// How much of the directory has been read.
     pub(crate) directory_read: DirectoryRead,
     /// Sorted by id.
     upstreams: Vec<UpstreamState>,
@@ -13,63 +13,65 @@
     /// Sorted by service.
     budgets: Vec<(ServiceId, RouteRetryBudget)>,
     pub(crate) crashes: CrashTracker,
-    /// Calls whose connection broke lately, until it shows whether their upstream died.
+    /// Calls whose connection broke recently, until it is known whether their upstream crashed.
     broken: Vec<Crash>,
     pub(crate) peers: PeerLoads,
     pub(crate) cached: CachedPrompts,
-    /// The platform's table of upstreams, as read here or told by another VM of the zone.
+    /// The platform's table of upstreams, as read by this VM or advertised by another VM of the
+    /// zone.
     pub(crate) table: UpstreamTable,
     pub(crate) gossip: GossipView,
-    /// Whether the configuration, or the directory, was not read since this process last woke.
+    /// Whether the configuration, or the directory, has not been read since this process was last
+    /// suspended.
     pub(crate) old_config: bool,
     pub(crate) old_directory: bool,
-    /// When the table was last read here, from the store.
+    /// When this VM last read the table from the store.
     pub(crate) table_read: Option<Instant>,
-    /// When the store last answered the question for the configuration.
+    /// When the store last answered a request for the configuration.
     pub(crate) config_read: Option<Instant>,
     pub(crate) rollouts: Rollouts,
     pub(crate) pace: StreamDurationEstimator,
 }
 
-/// How far the directory has been read since this process started.
+/// How much of the directory has been read since this process started.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum DirectoryRead {
-    /// Not at all.
+    /// Nothing was read yet.
     Nothing,
-    /// Its first rows, which serve while the others come.
+    /// The first rows, which are used while the remaining ones are read.
     FirstRows,
-    /// Once, as a whole.
+    /// All rows were read at least once.
     Whole,
 }
 
-/// Which upstreams of a service are chosen from.
+/// Upstreams of a service that may be selected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Candidates<'a> {
-    /// Those that may get any request; if there are none, those that stop with the end of a rollout.
+    /// Those that may get any request; if there are none, those that a rollout retires.
     Open,
-    /// These.
+    /// Only the listed upstreams.
     Only(&'a [UpstreamIncarnation]),
 }
 
-/// What is known of one upstream.
+/// Health and load of one upstream.
 pub(crate) struct UpstreamState {
     id: UpstreamIncarnation,
     pub(crate) entry: Arc<UpstreamEntry>,
     pub(crate) health: UpstreamHealth,
     pub(crate) load: UpstreamLoad,
-    /// Counts how often its calls were given up.
+    /// Counts how often the calls on the upstream were failed over.
     pub(crate) given_up: watch::Sender<u64>,
 }
 
-/// How long after a broken connection the death of its upstream is laid to the call: until its
-/// next caller is refused a connection or its entry has lapsed.
+/// How long after a broken connection a crash of its upstream is attributed to the call: until the
+/// next caller is refused a connection or the entry of the upstream has expired.
 const DEATH_SHOWS: Duration = Duration::from_secs(5);
 
-/// Broken calls kept at most; the oldest go first.
+/// Maximum number of broken calls kept; the oldest are dropped first.
 const MOST_BROKEN: usize = 1024;
 
 impl GatewayState {
-    /// The state of a VM that knows nothing yet.
+    /// State of a VM that has not read anything yet.
     pub(crate) fn new(vm: Arc<str>, rollouts: Option<RolloutSettings>) -> Self {
         Self {
             config: NewestConfig::default(),
@@ -99,12 +101,13 @@
         self.config.get().is_some() && self.directory_read > DirectoryRead::Nothing
     }
 
-    /// Whether what is known was also read since this process last woke.
+    /// Whether configuration and upstreams are known and were read since this process was last
+    /// suspended.
     pub(crate) fn is_current(&self) -> bool {
         self.is_complete() && !self.old_config && !self.old_directory
     }
 
-    /// Notes that this process did not run for a while: what it knows is as old as that.
+    /// Marks all state as old because this process did not run for a while.
     pub(crate) fn woke(&mut self) {
         self.old_config = true;
         self.old_directory = true;
@@ -112,8 +115,8 @@
         self.peers.discard_heartbeats();
     }
 
-    /// Notes that the connection of a call broke. Connections also break while their upstream lives,
-    /// so nothing is laid to the call before its death shows.
+    /// Records that the connection of a call broke. Connections also break while their upstream
+    /// lives, so no crash is attributed to the call before the upstream is known to have crashed.
     pub(crate) fn broke_under(&mut self, crash: Crash) {
         if self.broken.len() == MOST_BROKEN {
             self.broken.remove(0);
@@ -121,8 +124,8 @@
         self.broken.push(crash);
     }
 
-    /// Notes that an upstream died, under the calls whose connections broke shortly before; returns how many
-    /// that is news of.
+    /// Records that an upstream crashed, and attributes the crash to the calls whose connections
+    /// broke shortly before; returns how many of these records are new.
     pub(crate) fn died(&mut self, upstream: &UpstreamIncarnation, now: Instant) -> usize {
         self.broken
             .retain(|crash| now.since(crash.at) < DEATH_SHOWS);
@@ -137,18 +140,20 @@
         news.count()
     }
 
-    /// Takes in a death of an upstream under a call, seen here or by another VM; tells whether it is news.
+    /// Records a crash of an upstream under a call, observed here or by another VM; returns whether
+    /// it is new.
     pub(crate) fn heard_of_crash(&mut self, crash: Crash) -> bool {
         let (digest, now) = (crash.digest, crash.at);
         let news = self.crashes.record_crash(crash);
         if news && self.crashes.is_rejected(digest, now) {
             let crashes = self.crashes.crash_count(digest, now);
-            tracing::warn!(body = %format_args!("{digest:016x}"), crashes, "body is refused from now on");
+            tracing::warn!(body = %format_args!("{digest:016x}"), crashes,
+                "calls with this body are rejected from now on");
         }
         news
     }
 
-    /// State of an upstream, new if it has none.
+    /// State of an upstream, created if there is none.
     pub(crate) fn upstream(
         &mut self,
         entry: &Arc<UpstreamEntry>,
@@ -171,7 +176,7 @@
         &mut self.upstreams[index]
     }
 
-    /// State of an upstream, if it has any.
+    /// State of an upstream, if there is any.
     pub(crate) fn known_upstream(
         &mut self,
         id: &UpstreamIncarnation,
@@ -180,12 +185,12 @@
         Some(&mut self.upstreams[index])
     }
 
-    /// All upstreams that there is state of.
+    /// States of all upstreams, sorted by id.
     pub(crate) fn upstreams_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
         self.upstreams.iter_mut()
     }
 
-    /// Forgets upstreams that are gone and have no call in flight.
+    /// Drops the states of upstreams that are gone and have no call in flight.
     pub(crate) fn forget_gone(&mut self, now: Instant) {
         let directory = &self.directory;
         self.upstreams
@@ -204,7 +209,7 @@
         &mut self.budgets[index].1
     }
 
-    /// Upstreams of a service to choose from.
+    /// Upstreams of a service that may be selected.
     fn eligible(
         &self,
         service: &ServiceId,
@@ -230,7 +235,7 @@
         if open.is_empty() { retired } else { open }
     }
 
-    /// Chooses among the upstreams of a service, less those in `avoid`.
+    /// Selects among the upstreams of a service that are not in `avoid`.
     pub(crate) fn choose<T>(
         &mut self,
         service: &ServiceId,
@@ -280,14 +285,14 @@
     }
 }
 
-/// Whether all who have calls on an upstream tell the VM that chooses.
+/// Whether the VM that selects receives the heartbeats of all VMs with calls on an upstream.
 fn knows_complete_load(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementContext) -> bool {
     let in_zone = entry.zone == *who.zone;
     let rank = in_zone.then(|| rank_of_vm(&entry.id, who.vm, who.zone_vms));
     peers.knows_complete_load(rank)
 }
 
-/// Tokens of a prompt that an upstream holds.
+/// Number of prompt tokens that an upstream has cached.
 pub(crate) fn cached_tokens(
     cached: &[(UpstreamIncarnation, u32)],
     id: &UpstreamIncarnation,
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -1,33 +1,34 @@
-//! How the VMs of a zone share what is read of the configuration.
+//! Sharing of the configuration between the VMs of a zone.
 //!
-//! Load pattern: each VM that holds a question for changes at the store asks it anew every few seconds, whether or
-//! not anything changes, so that calls of the store grow with the VMs. In a large zone only its reader does. It
-//! tells with each word which configuration is in force there and when the store was last asked; the others read a
-//! newer one from the VM that told of it. A reader whose own question hangs, or that the store turns away, tells an
-//! age that grows, and is not relied on for longer than [`CONFIG_GOSSIP_MAX_AGE`].
+//! If every VM kept a request for changes waiting at the store and renewed it every few seconds,
+//! whether or not anything changed, the requests would grow with the number of VMs. In a large zone
+//! only the reader does so. Its gossip advertises the version in force there and the time since the
+//! store last answered; the other VMs read a newer version from the VM that advertised it. A reader
+//! whose own request hangs, or that the store rejects, advertises a growing age, and is not relied
+//! on for longer than [`CONFIG_GOSSIP_MAX_AGE`].
 
 use super::*;
 
-/// How long the zone may be ahead with its configuration before a question of this VM's own, which should have
-/// been answered, is asked anew: far longer than an answer that is on its way takes.
+/// How long the zone may have a newer configuration before this VM repeats its own request, which
+/// should have been answered: far longer than a response in transit takes.
 const ZONE_AHEAD: Duration = Duration::from_millis(150);
 
-/// Time in which the table has been read here after something of it was missed.
+/// Time within which this VM has read the table again after it missed an update.
 const TABLE_READ: Duration = Duration::from_millis(300);
 
 /// Configuration that another VM of the zone has in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct AdvertisedConfig {
-    /// Its version.
+    /// Version of the configuration.
     pub(crate) version: ConfigVersion,
-    /// Address of the notes of the VM that told of it first.
+    /// Heartbeat address of the VM that advertised the version first.
     pub(crate) by: SocketAddr,
-    /// Whether it is read from the store, and not from that VM.
+    /// Whether the configuration must be read from the store, not from that VM.
     pub(crate) from_store: bool,
 }
 
 impl Gateway {
-    /// Notes what configuration another VM of the zone has in force.
+    /// Records the configuration that another VM of the zone has in force.
     pub(crate) fn config_told(&self, gossip: &ZoneGossip, by: SocketAddr) {
         let Some(version) = gossip.config else {
             return;
@@ -46,13 +47,14 @@
         });
     }
 
-    /// Notes that the store was asked for the configuration and answered.
+    /// Records that the store answered a request for the configuration.
     pub(crate) fn config_read(&self) {
         let now = self.timer.now();
         self.state.lock().config_read = Some(now);
     }
 
-    /// Whether the store need not be asked for the configuration here: others of a large zone ask and tell.
+    /// Whether this VM need not request the configuration from the store, because other VMs of a
+    /// large zone do so and advertise it.
     pub(crate) fn relies_on_zone_config(&self) -> bool {
         self.config_relied_on_until().is_some()
     }
@@ -73,8 +75,8 @@
         (!state.old_config && now < until).then_some(until)
     }
 
-    /// Waits until the zone tells of a newer configuration than is in force here; `None` as soon as the zone cannot
-    /// be relied on for it.
+    /// Waits until the zone advertises a newer configuration than the one in force here; returns
+    /// `None` as soon as the zone cannot be relied on for it.
     pub(crate) async fn newer_config_in_zone(&self) -> Option<AdvertisedConfig> {
         let mut wakes = self.wakes.subscribe();
         let mut newest = self.zone_config.subscribe();
@@ -86,7 +88,7 @@
                 return Some(told);
             }
             let wait = until.since(self.timer.now());
-            // Whichever comes first, all is looked at again.
+            // In every case the state is checked again.
             tokio::select! {
                 _ = newest.changed() => {}
                 _ = wakes.changed() => {}
@@ -95,8 +97,9 @@
         }
     }
 
-    /// Waits until another VM of the zone has had a newer configuration in force for longer than it takes
-    /// to come here, and is true then; or until nobody tells of theirs any more.
+    /// Waits until another VM of the zone has had a newer configuration in force for longer than
+    /// its transfer takes, and returns `true`; returns `false` once nobody advertises a
+    /// configuration any more.
     pub(crate) async fn zone_goes_ahead(&self) -> bool {
         let mut newest = self.zone_config.subscribe();
         let mut missed = false;
@@ -107,7 +110,8 @@
                     until
                 }
                 GossipState::Silent if missed => return false,
-                // A change of the table may have been missed, which is being read meanwhile.
+                // An update of the table may have been missed; the table is being read in the
+                // meantime.
                 GossipState::Silent => {
                     missed = true;
                     self.timer.now().after(TABLE_READ)
@@ -118,12 +122,13 @@
             if own < theirs {
                 tokio::time::sleep(ZONE_AHEAD).await;
                 if self.config().map(|config| config.version) < theirs {
-                    tracing::warn!(config = ?theirs, "the zone has a newer configuration");
+                    tracing::warn!(config = ?theirs,
+                        "another VM of the zone has a newer configuration");
                     return true;
                 }
             }
             let wait = until.since(self.timer.now());
-            // Whichever comes first, both are looked at again.
+            // In either case both versions are checked again.
             let _ = tokio::time::timeout(wait, newest.changed()).await;
         }
     }
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -1,20 +1,21 @@
-//! How the VMs of a zone share what is read of the platform's table of upstreams.
+//! Sharing of the platform's table of upstreams between the VMs of a zone.
 
 use super::*;
 
 impl Gateway {
-    /// What this VM does for its zone.
+    /// Role of this VM in its zone.
     pub(crate) fn zone_role(&self) -> ZoneRole {
         ZoneRole::of(&self.settings.vm, &self.zone_vms())
     }
 
-    /// Whether the table need not be read here now: another VM of the zone reads it and tells.
+    /// Whether this VM need not read the table now, because another VM of the zone reads and
+    /// advertises it.
     pub(crate) fn relies_on_zone(&self) -> bool {
         let role = self.zone_role();
         role != ZoneRole::Reader && matches!(self.gossip_state(role), GossipState::Fresh(_))
     }
 
-    /// Waits for as long as others tell what they read, and nothing of it is missing here.
+    /// Waits as long as other VMs advertise the table and no update is missing here.
     pub(crate) async fn rely_on_zone(&self) {
         loop {
             let mut came = std::pin::pin!(self.gossip_came.notified());
@@ -28,12 +29,12 @@
                 GossipState::Silent => return,
             };
             let wait = until.since(self.timer.now());
-            // Whichever comes first, the state is looked at again.
+            // In either case the state is checked again.
             let _ = tokio::time::timeout(wait, came).await;
         }
     }
 
-    /// Waits until the zone tells what `relies` asks for.
+    /// Waits until the zone advertises what `relies` checks for.
     pub(crate) async fn zone_tells(&self, relies: fn(&Self) -> bool) {
         loop {
             let mut came = std::pin::pin!(self.gossip_came.notified());
@@ -45,9 +46,9 @@
         }
     }
 
-    /// Takes in rows of the table that were read here, and tells the zone what is new in them. What another
-    /// VM had in the store's place may be two seconds old; told on as if it were new, it would be relied on
-    /// for as long again, so it is not.
+    /// Applies rows of the table that this VM has read, and advertises the new ones to the zone if
+    /// they come from the store. Rows from another VM may be two seconds old; advertised as new,
+    /// they would be relied on for as long again.
     pub(crate) fn table_read(&self, page: &FeedPage<UpstreamEntry>, whole: bool, from_store: bool) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -61,7 +62,8 @@
         if let Some(entries) = entries {
             self.put_upstreams(entries.into_iter().filter_map(|row| row.entry).collect());
         } else {
-            // Also those with nothing new in them: an upstream that was taken for gone is back with its next word.
+            // Unchanged entries are applied too: an upstream that was considered gone is present
+            // again with its next entry.
             self.take_changes(read.current);
         }
         if from_store {
@@ -69,8 +71,8 @@
         }
     }
 
-    /// The table for a VM that the platform turns away, if the platform was heard within `age`, here or by the
-    /// VM whose word is relied on.
+    /// The table for a VM that the platform rejects, if this VM or the VM whose gossip it relies on
+    /// had a response of the platform within `age`.
     #[must_use]
     pub fn table_page(&self, age: Duration) -> Option<FeedPage<UpstreamEntry>> {
         let now = self.timer.now();
@@ -87,12 +89,13 @@
         })
     }
 
-    /// Whether a page of a peer holds anything that is not known here already.
+    /// Whether a page of a peer is newer than the table here.
     pub(crate) fn is_behind(&self, page: &FeedPage<UpstreamEntry>) -> bool {
         self.table_version() < page.version
     }
 
-    /// Tells the zone what was read here, if that is this VM's part and not old.
+    /// Advertises what this VM has read to the zone, if its role includes that and the data is
+    /// recent.
     pub(crate) fn tell_zone(&self, changes: &[UpstreamChange]) {
         if self.zone_role() == ZoneRole::Member {
             return;
@@ -142,11 +145,12 @@
         }
     }
 
-    /// Takes in another VM's word on the table, with the address that it came from.
+    /// Applies another VM's gossip about the table that came from `address`.
     pub fn take_gossip(&self, gossip: &ZoneGossip, address: SocketAddr) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        // Who tells is a member that may not be known yet. Taken for alone, this VM would read for the zone too.
+        // The sender is a member that may not be known yet. Without it, this VM could consider
+        // itself alone and read for the zone too.
         let teller = MemberStatus {
             vm: gossip.vm.clone(),
             zone: None,
@@ -182,7 +186,7 @@
         self.gossip_came.notify_waiters();
     }
 
-    /// Whether the table is kept up to date here, from the store or by another VM of the zone.
+    /// Whether the table is kept up to date here, from the store or through another VM of the zone.
     pub(crate) fn table_is_current(&self) -> bool {
         let now = self.timer.now();
         let state = self.state.lock();
@@ -207,18 +211,18 @@
         let now = self.timer.now();
         let state = self.state.lock();
         if state.old_directory {
-            // Datagrams from before this process was suspended still come, and seem new.
+            // Datagrams sent before this process was suspended still arrive and look recent.
             return GossipState::Silent;
         }
         state.gossip.state(age, now)
     }
 
-    /// Whether none but a few VMs of this zone ask the store all the time.
+    /// Whether the zone is large enough that only a few of its VMs poll the store.
     pub(crate) fn is_in_large_zone(&self) -> bool {
         is_large_zone(self.zone_vms().len())
     }
 
-    /// Live VMs of this zone, this one among them.
+    /// Live VMs of this zone, including this one.
     pub(crate) fn zone_vms(&self) -> Vec<Arc<str>> {
         let now = self.timer.now();
         let state = self.state.lock();
@@ -235,8 +239,8 @@
             match (entry, key.parse::<UpstreamId>()) {
                 (Some(entry), _) => self.upstream_heard(entry),
                 (None, Ok(id)) => self.upstream_removed(&id),
-                // It never named an upstream, so there is none to remove.
-                (None, Err(error)) => tracing::debug!(%key, %error, "removed entry left out"),
+                // The key was never the id of an upstream, so there is nothing to remove.
+                (None, Err(error)) => tracing::debug!(%key, %error, "bad id of a removed entry"),
             }
         }
     }
--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -1,4 +1,4 @@
-//! How a gateway follows what the platform keeps.
+//! How a gateway follows the tables of the platform store.
 
 mod gateway_support;
 
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use std::{sync::Arc, time::Duration};
 
-/// A store that can be away: questions sent meanwhile are never answered, also not after its return.
+/// A store with outages: requests that are sent during one are never answered, not even after it.
 #[derive(Clone)]
 struct FakeStore {
     away: Arc<Mutex<bool>>,
@@ -45,7 +45,7 @@
         Ok(self.page())
     }
 
-    /// Waits for a change; hangs for good if the store goes away meanwhile.
+    /// Waits for a change; hangs forever if an outage begins in the meantime.
     async fn changes(
         self,
         after: u64,
@@ -94,7 +94,7 @@
     running.gateway.config().unwrap().version.0
 }
 
-/// A change is made while nothing is wrong. It is in force here within a few milliseconds.
+/// A change without any failure is in force within a few milliseconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn change_is_in_force_at_once() {
@@ -107,9 +107,9 @@
     expect_that!(version(&running), eq(3));
 }
 
-/// The store is away for some seconds. A question that was sent meanwhile hangs on a connection that
-/// never comes back, and a route that was added right after the store's return stayed unknown here
-/// for 2.7 s: its callers were told that it does not exist.
+/// The store is down for some seconds. A request that was sent in the meantime hangs on a dead
+/// connection. Guards against waiting for it: a route that was added right after the outage stayed
+/// unknown here for 2.7 s, and its callers were told that it does not exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn change_after_an_outage_is_in_force_soon() {
@@ -121,15 +121,15 @@
 
         *store.away.lock() = false;
         store.set_version(3);
-        // The bound is two seconds from the store's word.
+        // A change must be in force two seconds after the store's acknowledgement.
         tokio::time::sleep(Duration::from_millis(2600)).await;
 
         expect_that!(version(&running), eq(3), "after {away:?}");
     }
 }
 
-/// The store turns this VM away and serves the others. A change is in force here all the same, by the
-/// word of one of them.
+/// The store rejects this VM and serves the others. A change is in force here anyway, read from one
+/// of them.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_the_store_turns_away_hears_from_a_peer() {
@@ -154,8 +154,8 @@
     expect_that!(version(&running), eq(7));
 }
 
-/// A store that answers stale, or a peer, tells of an older configuration. A removed key would open
-/// the door again.
+/// A stale store, or a peer, returns an older configuration. Guards against putting it in force,
+/// which would accept a removed key again.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn older_configuration_is_dropped() {
@@ -173,9 +173,9 @@
     expect_that!(version(&running), eq(2));
 }
 
-/// A VM was suspended for seconds. Its connections are lost, a route was added meanwhile, and its clock says
-/// that hardly any time has passed. Its callers wait for the few milliseconds in which it reads anew, and are
-/// not told that the route does not exist.
+/// A VM was suspended for seconds. Its connections are lost, a route was added in the meantime, and
+/// by its clock hardly any time has passed. Its callers wait the few milliseconds of a new read,
+/// and are not told that the route does not exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_was_suspended_reads_before_it_serves() {
@@ -186,7 +186,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     *store.away.lock() = false;
     store.set_version(3);
-    // Nothing tells of the lost connection.
+    // The loss of the connection is not reported.
     let before = version(&running);
 
     running.gateway.woke(Duration::from_secs(4));
@@ -199,8 +199,8 @@
     expect_that!(version(&running), eq(3));
 }
 
-/// A store whose answer to a whole read comes in pieces: all of the upstreams, a page each 700 ms, and bytes of it
-/// more often.
+/// A store that sends the complete table of upstreams slowly: a page every 700 ms, and some bytes
+/// of it more often. With `stalls`, it stops after the first page.
 fn slow_table(pages: u8, stalls: bool) -> Feed<UpstreamEntry> {
     let read = move |progress: ReadProgress<UpstreamEntry>| async move {
         let mut rows = Vec::new();
@@ -227,7 +227,8 @@
     }
 }
 
-/// A gateway with a configuration that follows a table; the times at which it is ready and knows all.
+/// Starts a gateway with a configuration and a feed of upstreams; returns the times until it is
+/// ready and until it has `all` rows.
 async fn start_with(feed: Feed<UpstreamEntry>, all: usize) -> (Duration, Duration) {
     let fixture = GatewayFixture::new(|_| Script::Hang);
     let config = fixture.config();
@@ -250,7 +251,8 @@
     (ready.unwrap_or(Duration::MAX), Duration::MAX)
 }
 
-/// The whole table takes longer than an answer may, as over a small link after the loss of all VMs.
+/// A full read takes longer than the timeout of a response, as over a slow link after the loss of
+/// all VMs.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn whole_read_that_progresses_is_not_given_up() {
@@ -259,7 +261,7 @@
     expect_that!(whole, le(Duration::from_millis(3600)));
 }
 
-/// Calls are served with the first upstreams while the others are being read.
+/// Calls are served with the first upstreams while the remaining ones are read.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_is_ready_with_the_first_page_of_upstreams() {
@@ -269,7 +271,7 @@
     expect_that!(whole, ge(Duration::from_millis(3500)));
 }
 
-/// The connection of a whole read goes silent.
+/// The connection of a full read goes silent.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn whole_read_that_stands_still_is_given_up() {
@@ -292,7 +294,7 @@
     expect_that!(*reads.lock(), ge(2));
 }
 
-/// A store that sends a byte now and then, and never an end.
+/// The store sends some bytes now and then but never completes the response.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn whole_read_without_an_end_is_given_up() {
--- a/crates/catkinward/tests/gateway_start.rs
+++ b/crates/catkinward/tests/gateway_start.rs
@@ -1,4 +1,4 @@
-//! A gateway that has just started.
+//! A gateway that has just started, and its readiness.
 
 mod gateway_support;
 
@@ -12,8 +12,9 @@
     time::Duration,
 };
 
-/// All processes were killed, and callers come as soon as they take connections again, before the
-/// configuration is read. Told to come back they would be lost, having no try left; they wait.
+/// All processes were killed, and callers connect as soon as the VMs listen again, before the
+/// configuration is read. They wait: callers told to retry would be lost if they have no attempt
+/// left.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_waits_for_a_process_that_has_just_started() {
@@ -35,8 +36,8 @@
     expect_that!(waited, le(Duration::from_millis(210)));
 }
 
-/// The platform is away when a process starts. Its callers are not held for longer than a retry
-/// elsewhere takes.
+/// The platform is unreachable when a process starts. Callers are not held for longer than a retry
+/// at another VM takes.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_does_not_wait_for_long_without_a_platform() {
@@ -50,8 +51,8 @@
     expect_that!(waited, le(Duration::from_millis(700)));
 }
 
-/// An availability zone is cut off, and the only upstream of a service within it is gone. Callers of that
-/// service would wait for nothing: the VM is not ready until an upstream answers it again.
+/// An availability zone is partitioned, and its only upstream of a service is gone. Callers of that
+/// service would wait in vain, so the VM is not ready until such an upstream responds again.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_reaches_no_upstream_of_a_service_is_not_ready() {
@@ -64,7 +65,7 @@
     let before = running.gateway.is_ready();
     cut.store(true, Ordering::Relaxed);
     for _ in 0..3 {
-        // Each call finds one more upstream out of reach.
+        // Each call finds one more upstream unreachable.
         running.handle("/once/1").await;
     }
     let while_cut = running.gateway.is_ready();
@@ -76,11 +77,10 @@
     expect_that!((before, while_cut, after), eq((true, false, true)));
 }
 
-/// A cut-off availability zone has one upstream of a service left, beyond the cut, where the store cannot be
-/// reached either: three seconds later its entry lapses. The VM, which had not been ready since the upstream
-/// did not answer, is ready again, with no upstream of that service at all. Callers come back to it from the
-/// zone that would serve them, and are refused for as long as the cut lasts: 414 times in five seconds of a
-/// recorded day, `not_run`, `no_upstream`, from 37.2 s on, when the log of six VMs says `presence=gone` of it.
+/// A partitioned availability zone has one upstream of a service left, outside the partition. Three
+/// seconds later its entry expires (`presence=gone`), since the store is unreachable too. Guards
+/// against a VM that is then ready again without any upstream of the service: callers that came
+/// back from a working zone were refused (`not_run`, `no_upstream`) 414 times in five seconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_is_not_ready_once_the_last_upstream_of_a_service_has_lapsed() {
@@ -101,8 +101,8 @@
     expect_that!((suspect, lapsed), eq((false, false)));
 }
 
-/// A service is taken out of operation, and its last upstream leaves. VMs that waited for it to come back would take
-/// no callers of the other services either, for good.
+/// A service is taken out of operation, and its last upstream leaves. Guards against VMs that wait
+/// for it forever and accept no callers of other services either.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_is_ready_again_when_a_service_stays_without_upstreams() {
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -1,4 +1,4 @@
-//! A VM that relies on another one of its zone for what the platform says.
+//! A VM that relies on another VM of its zone for the table of upstreams.
 
 mod gateway_support;
 
@@ -15,10 +15,10 @@
 use std::{sync::Arc, time::Duration};
 use tokio::net::UdpSocket;
 
-/// A VM's period of telling.
+/// Interval between the heartbeats and the gossip of a VM.
 const PERIOD: Duration = Duration::from_millis(400);
 
-/// A table of the store, with the number of calls.
+/// A table of the store that counts its reads.
 #[derive(Clone)]
 struct FakeTable {
     rows: Arc<Mutex<Vec<UpstreamChange>>>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// All rows each time, as upstreams write their entries all the time.
+    /// Returns all rows on every read, as upstreams rewrite their entries continuously.
     fn page(&self) -> FeedPage<UpstreamEntry> {
         *self.calls.lock() += 1;
         FeedPage {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A feed from another VM, since the store does not answer.
+    /// A feed that can be read from another VM only, since the store rejects all requests.
     fn feed_of_a_peer(&self) -> Feed<UpstreamEntry> {
         let peer = self.clone();
         Feed {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What a VM tells that has just read the table.
+    /// Gossip of a VM that has just read the table.
     fn news(&self, changes: &[UpstreamChange]) -> ZoneGossip {
         let mut table = UpstreamTable::default();
         table.apply_read(&self.rows.lock(), true, *self.version.lock());
@@ -108,7 +108,7 @@
     }
 }
 
-/// Name of a VM that reads for its zone when `vm-1` is there as well.
+/// Name of a VM that reads for a zone which also contains `vm-1`.
 fn reader() -> Arc<str> {
     let names = (2..100).map(|n| Arc::<str>::from(format!("vm-{n}")));
     names
@@ -127,7 +127,7 @@
     running.hear(running.peer_note(&reader(), "a"));
 }
 
-/// A VM beside one that reads the table and has told of it for some seconds.
+/// A VM next to one that has read and advertised the table for some seconds.
 async fn relying() -> (Running, FakeTable) {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole)).start();
     let table = FakeTable::new(&entries());
@@ -141,7 +141,8 @@
     (running, table)
 }
 
-/// Each VM would read the whole table every second; at 400 VMs that are most calls of the store.
+/// Guards against members that read the whole table every second: at 400 VMs these would be most of
+/// the store's requests.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_does_not_read_what_another_one_tells() {
@@ -156,7 +157,8 @@
     expect_that!(table.take_calls(), eq(0));
 }
 
-/// An upstream is leaving, and the VM that reads says so. No call goes there from then on, here either.
+/// An upstream is leaving, and the reader of the zone advertises it. Its members send no calls
+/// there either.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn upstream_that_leaves_gets_nothing_after_another_vms_word() {
@@ -173,8 +175,8 @@
     expect_that!(table.take_calls(), eq(0));
 }
 
-/// The VM that reads for the zone loses its power just as an upstream begins to leave. The other one reads
-/// by itself before the two seconds are over in which a leaving upstream may get calls.
+/// The reader of the zone loses power just as an upstream begins to leave. The member reads the
+/// table itself before the two seconds have passed in which a leaving upstream may get calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_reads_by_itself_when_nobody_tells_any_more() {
@@ -190,8 +192,8 @@
     expect_that!(running.sent_to(), each(eq("engine-a2")));
 }
 
-/// The datagram with a change is lost. The next one shows that something is missing, and the VM reads the
-/// table at once.
+/// The datagram with an update is lost. The next one shows that an update is missing, and the VM
+/// reads the table at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_missed_a_change_reads_the_table() {
@@ -204,8 +206,8 @@
     expect_that!(table.take_calls(), ge(1));
 }
 
-/// A VM was suspended, and the words that waited in its socket seem new. An upstream has left meanwhile, and got calls
-/// for as long as they were relied on.
+/// A VM was suspended, and the datagrams that waited in its socket look recent. Guards against
+/// relying on them: an upstream that had left in the meantime got calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_was_suspended_reads_the_table_whatever_it_hears() {
@@ -220,8 +222,9 @@
     expect_that!(table.take_calls(), ge(1));
 }
 
-/// The connection on which this VM waits for a new configuration has gone silent. Another VM of the zone
-/// has it in force, so it is asked for over another connection; before, up to 2.8 s passed.
+/// The connection on which this VM waits for a new configuration has gone silent. Another VM of the
+/// zone has the configuration in force, so it is requested over another connection; without that,
+/// up to 2.8 s passed.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn configuration_that_the_zone_has_is_asked_for_anew() {
@@ -250,7 +253,7 @@
             let newer = newer.clone();
             Box::pin(async move {
                 if wait.is_zero() {
-                    // A slow store.
+                    // Simulates a slow store.
                     tokio::time::sleep(Duration::from_millis(400)).await;
                     return Ok(newer);
                 }
@@ -277,13 +280,13 @@
     );
 }
 
-/// Versions of the table that a VM tells its zone within a second.
+/// Versions of the table that the reader of a zone advertises within a second.
 async fn told_to_the_zone(feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>) -> Vec<u64> {
     let gossip = gossip_to_the_zone(GatewayFixture::new(|_| Script::Hang), feed).await;
     gossip.iter().map(|gossip| gossip.version).collect()
 }
 
-/// What a VM that reads for its zone advertises to it within a second.
+/// Gossip that the reader of a zone sends within a second.
 async fn gossip_to_the_zone(
     fixture: GatewayFixture,
     feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>,
@@ -312,7 +315,8 @@
     received
 }
 
-/// Guards against a reader whose link is filled by the others of its zone that read the configuration from it.
+/// Guards against members that saturate the link of their reader by reading a large configuration
+/// from it.
 #[gtest]
 #[tokio::test]
 async fn configuration_that_the_link_cannot_carry_is_left_to_the_store() {
@@ -334,9 +338,9 @@
     );
 }
 
-/// The store turns away the VM that reads for its zone, which then has the table from a peer elsewhere, up to two
-/// seconds old. Told on as new, it would be relied on for as long again, and upstreams that have left
-/// would get calls.
+/// The store rejects the reader of a zone, which then reads the table from a peer elsewhere, up to
+/// two seconds old. Advertised as new, it would be relied on for as long again, and upstreams that
+/// have left would get calls.
 #[gtest]
 #[tokio::test]
 async fn what_a_peer_had_is_not_told_on() {
@@ -347,8 +351,8 @@
     expect_that!(from_peer, is_empty());
 }
 
-/// What a VM shows to others that the store turns away: all it knows of the table, also what it knows by its
-/// zone's word, while that is new; and nothing that is itself from a peer.
+/// The table that a VM serves to VMs which the store rejects: complete, including gossiped updates
+/// while these are recent, and never a table that was itself read from a peer.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn table_is_shown_in_whole_or_not_at_all() {
@@ -377,8 +381,9 @@
     expect_that!(old.is_none(), eq(true));
 }
 
-/// A call has crashed an upstream, and its caller comes back within milliseconds, to any VM. Another VM that
-/// hears of it with the next round of notes only, 400 ms later, would run it once more.
+/// A call has crashed an upstream, and its caller retries within milliseconds at any VM. A VM that
+/// learned of the crash only with the next periodic heartbeat, 400 ms later, would run the call
+/// again.
 #[gtest]
 #[tokio::test]
 async fn a_crash_is_told_at_once() {
@@ -414,8 +419,8 @@
     expect_that!(told, ok(eq(&1)));
 }
 
-/// A third of a zone's engines crash, and what changed goes to the others in full datagrams. One that is larger than
-/// a link takes in one piece would be left out, and each VM would read the table itself.
+/// A third of a zone's engines crash, and the updates are sent in full datagrams. One that exceeds
+/// the MTU would be dropped, and each VM would read the table itself.
 #[gtest]
 fn a_full_word_on_changes_fits_into_a_datagram() {
     let change = |n: u64| UpstreamChange {
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -1,4 +1,4 @@
-//! A VM of a large zone that hears from others which configuration is in force.
+//! A VM of a large zone that learns from other VMs which configuration is in force.
 
 mod gateway_support;
 
@@ -15,13 +15,13 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// A VM's period of telling.
+/// Interval between the heartbeats and the gossip of a VM.
 const PERIOD: Duration = Duration::from_millis(400);
 
-/// How long after its acknowledgement a configuration must be in force.
+/// Maximum time from the acknowledgement of a configuration until it is in force.
 const BOUND: Duration = Duration::from_secs(3);
 
-/// Where the configuration is to be had, and how often it was asked for.
+/// The store and the peers that have the configuration, with a record of their reads.
 #[derive(Clone)]
 struct Source {
     config: Arc<Mutex<RoutingConfig>>,
@@ -29,7 +29,7 @@
     peer_answers: Arc<Mutex<bool>>,
     store_calls: Arc<Mutex<u32>>,
     peers_asked: Arc<Mutex<Vec<SocketAddr>>>,
-    /// How long an answer of the store takes that brings a configuration.
+    /// Time that the store takes to send a newer configuration.
     transfer: Arc<Mutex<Duration>>,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// A VM that is a member of a zone of twenty.
+/// A VM that is a member of a zone of twenty VMs.
 struct Member {
     running: Running,
     source: Source,
@@ -139,7 +139,8 @@
         member
     }
 
-    /// Notes of all others, and the word of one that has what the store has, and asked it so long ago.
+    /// Delivers heartbeats of all other VMs, and gossip of a VM that has the store's version and
+    /// whose store contact is `config_age` old.
     fn hear(&self, config_age: Duration) {
         self.hear_notes();
         self.running.hear_gossip(&ZoneGossip {
@@ -186,8 +187,8 @@
     (2..10_000).map(others).find(is_member).unwrap()
 }
 
-/// Each of 195 VMs held a question at the store and asked it anew every few seconds, although nothing changed:
-/// half of the calls of a calm day.
+/// Guards against members that poll the store although nothing has changed: polls from each of 195
+/// VMs every few seconds were half of the store's requests on a calm day.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn member_of_a_large_zone_does_not_ask_the_store_for_the_configuration() {
@@ -201,7 +202,8 @@
     expect_that!(member.source.take_store_calls(), eq(0));
 }
 
-/// A route is added. The VM that reads for the zone says so, and the others have the configuration from it.
+/// A route is added. The reader of the zone advertises the new version, and the members read it
+/// from there.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn newer_configuration_is_read_from_the_vm_that_tells_of_it() {
@@ -217,7 +219,8 @@
     expect_that!(asked, some(eq(TELLER.parse::<SocketAddr>().unwrap())));
 }
 
-/// Guards against members that fill the small link of the VM which tells of a newer configuration.
+/// Guards against members that saturate the small link of the VM that advertises a newer
+/// configuration.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn configuration_that_its_teller_cannot_carry_is_read_from_the_store() {
@@ -238,7 +241,8 @@
     expect_that!(member.source.peers_asked.lock().len(), eq(asked_before));
 }
 
-/// The VM that told of a newer configuration dies before the others have it from there. They ask the store.
+/// The VM that advertised a newer configuration crashes before the others have read it. They read
+/// it from the store.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn newer_configuration_comes_from_the_store_if_its_teller_is_gone() {
@@ -253,9 +257,10 @@
     expect_that!(member.source.take_store_calls(), ge(1));
 }
 
-/// A thousand routes are added, and the configuration takes more than a second over the link of a small VM; from the
-/// VM that told of it, whose link all others share, it does not come at all. Given up sooner than it can come, and
-/// asked for again, callers of the new routes were refused for nine seconds after the acknowledgement.
+/// A configuration with a thousand more routes takes more than a second over the link of a small
+/// VM, and cannot be read from the advertising VM, whose link all members share. Guards against a
+/// timeout shorter than the transfer: with repeated attempts, callers of the new routes were
+/// refused for nine seconds after the acknowledgement.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn large_configuration_has_time_to_come_from_the_store() {
@@ -271,8 +276,9 @@
     expect_that!(member.source.take_store_calls(), eq(1));
 }
 
-/// The store turns this VM and all who would tell it away for a while, and a large configuration is put in force
-/// meanwhile. Had the waits for the store's return grown, it would come so late that callers of its routes are refused.
+/// The store rejects this VM and all that would advertise to it for a while, and a large
+/// configuration is put in force in the meantime. Guards against growing delays between requests,
+/// with which it would arrive so late that callers of its routes are refused.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn large_configuration_comes_soon_after_the_store_is_back() {
@@ -299,8 +305,9 @@
     }
 }
 
-/// The reader's connection to the store has gone silent: it goes on telling, with an age that grows, and knows nothing
-/// of the change. Believed, it would keep a removed key in force in its whole zone.
+/// The reader's connection to the store has gone silent. The reader continues to advertise its old
+/// version with a growing age. Guards against relying on it, which would keep a removed key in
+/// force in the whole zone.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn reader_that_is_out_of_touch_is_not_believed() {
@@ -317,7 +324,7 @@
     expect_that!(start.elapsed(), le(CONFIG_GOSSIP_MAX_AGE + PERIOD));
 }
 
-/// All who tell die at once, right after the store has acknowledged a change.
+/// All VMs that advertise crash at once, right after the store has acknowledged a change.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn configuration_is_asked_for_when_nobody_tells_any_more() {
@@ -330,8 +337,8 @@
     expect_that!(member.version(), eq(ConfigVersion(3)));
 }
 
-/// A VM was suspended, and the words that waited in its socket are from before. Relied on, they would leave an old
-/// configuration in force.
+/// A VM was suspended, and the datagrams that waited in its socket are from before. Relied on, they
+/// would leave an old configuration in force.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_was_suspended_asks_the_store_whatever_it_hears() {
@@ -346,7 +353,8 @@
     expect_that!(member.version(), eq(ConfigVersion(3)));
 }
 
-/// The same, once the table of upstreams has been read anew: as long as the configuration has not, calls wait.
+/// As above, with the table of upstreams already read again: calls wait until the configuration has
+/// been read as well.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_was_suspended_serves_again_once_the_store_was_asked() {
@@ -379,9 +387,9 @@
     }
 }
 
-/// Words are lost, the peer or the store does not answer for a while, the reader's words age, this VM is suspended: in
-/// any order. As long as the store or a peer answers, a change is in force within its bound, and an older
-/// configuration never comes after a newer one.
+/// Gossip is lost, the peer or the store does not respond for a while, the reader's data ages, and
+/// this VM is suspended, in random order. As long as the store or a peer responds, a change is in
+/// force within its bound, and an older configuration never replaces a newer one.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn change_is_in_force_within_its_bound_whatever_is_lost() {
@@ -420,7 +428,7 @@
             expect_that!(member.version(), ge(in_force), "seed {seed}");
             in_force = member.version();
             if !store_answers {
-                // The bound counts while the store answers.
+                // The bound counts only while the store responds.
                 changed = changed.max(Instant::now().checked_sub(BOUND / 2).unwrap());
             }
             let in_time = in_force == ConfigVersion(newest) || changed.elapsed() <= BOUND;
