--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -78,13 +78,13 @@
     /// Triggers a heartbeat after an upstream crashed while running calls.
     pub(crate) crashes_seen: Notify,
     /// Notifies that gossip of the zone was received.
-    pub(crate) gossip_came: Notify,
+    pub(crate) gossip_received: Notify,
     /// Newest configuration that another VM of the zone has advertised.
     pub(crate) zone_config: watch::Sender<Option<AdvertisedConfig>>,
     /// Counts how often a feed found that the store responds again.
     pub(crate) store_returns: watch::Sender<u64>,
     /// This VM's name and the incarnation of its process.
-    pub(crate) life: VmIncarnation,
+    pub(crate) vm_incarnation: VmIncarnation,
     /// Rollouts that this VM owns, sorted by service.
     pub(crate) owned_rollouts: Mutex<Vec<(ServiceId, OwnedRollout)>>,
     /// Rollouts whose order was withdrawn, until their end is recorded in the store.
@@ -110,7 +110,7 @@
         crate::metrics_endpoint::start_metrics();
         let gateway = Arc::new(Self {
             state: Mutex::new(GatewayState::new(settings.vm.clone(), settings.rollouts)),
-            life: VmIncarnation {
+            vm_incarnation: VmIncarnation {
                 vm: settings.vm.clone(),
                 incarnation: rand::random(),
             },
@@ -132,7 +132,7 @@
             outbox: Outbox::default(),
             dispatches: Dispatches::default(),
             crashes_seen: Notify::new(),
-            gossip_came: Notify::new(),
+            gossip_received: Notify::new(),
             zone_config: watch::Sender::new(None),
             store_returns: watch::Sender::new(0),
             readiness: Mutex::new(Readiness::NothingKnown),
@@ -162,13 +162,13 @@
         self.state.lock().woke();
         self.known.send_replace(false);
         self.wakes.send_modify(|count| *count += 1);
-        self.gossip_came.notify_waiters();
+        self.gossip_received.notify_waiters();
     }
 
     /// Records that a feed was read, whether or not it had changes.
-    pub(crate) fn feed_read(&self, note: fn(&mut GatewayState)) {
+    pub(crate) fn feed_read(&self, update: fn(&mut GatewayState)) {
         let mut state = self.state.lock();
-        note(&mut state);
+        update(&mut state);
         self.known.send_replace(state.is_current());
     }
 
--- a/crates/catkinward/src/gateway/dispatches.rs
+++ b/crates/catkinward/src/gateway/dispatches.rs
@@ -9,7 +9,7 @@
 
 impl Dispatches {
     /// Records that a prompt was sent to an upstream.
-    pub(crate) fn note(&self, upstream: &Arc<UpstreamEntry>) {
+    pub(crate) fn record(&self, upstream: &Arc<UpstreamEntry>) {
         self.sent.lock().push(upstream.clone());
         self.changed.notify_one();
     }
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -85,20 +85,24 @@
     let mut follower = Follower::new(&gateway, &feed, Gateway::relies_on_zone_config, |_| {});
     follower.backs_off = false;
     loop {
-        let told = if follower.version.is_some() {
+        let advertised = if follower.version.is_some() {
             gateway.newer_config_in_zone().await
         } else {
             None
         };
-        let read = match told {
-            Some(told) => {
-                tracing::info!(config = %told.version, peer = %told.by, from_store = told.from_store,
+        let read = match advertised {
+            Some(advertised) => {
+                tracing::info!(config = %advertised.version, peer = %advertised.by,
+                    from_store = advertised.from_store,
                     "a peer tells of a newer configuration");
-                if !told.from_store {
-                    let page = ask_peer(&feed, told.by).await;
+                if !advertised.from_store {
+                    let page = ask_peer(&feed, advertised.by).await;
                     take_config(&gateway, page.as_ref());
                 }
-                if gateway.config().is_some_and(|c| c.version >= told.version) {
+                if gateway
+                    .config()
+                    .is_some_and(|c| c.version >= advertised.version)
+                {
                     continue;
                 }
                 // A large configuration takes a second over the link of a small VM, and all VMs
@@ -118,7 +122,7 @@
         }
         gateway.feed_read(|state| state.old_config = false);
         if take_config(&gateway, Some(&page)) && follower.answers {
-            gateway.tell_zone(&[]);
+            gateway.advertise_to_zone(&[]);
         }
     }
 }
@@ -138,7 +142,7 @@
     };
     let ahead = tokio::select! {
         read = follower.next(wait) => return Some(read),
-        ahead = gateway.zone_goes_ahead(), if shared => ahead,
+        ahead = gateway.wait_for_newer_config(), if shared => ahead,
     };
     // The second request is not cancelled: a slow store takes longer to respond than the gossip of
     // the zone, so the response would never arrive.
@@ -185,7 +189,7 @@
 /// the rejected ones would keep old state, send calls to leaving upstreams, and refuse new routes
 /// and keys.
 async fn ask_a_peer<T>(gateway: &Gateway, feed: &Feed<T>) -> Option<FeedPage<T>> {
-    ask_peer(feed, gateway.a_peer()?).await
+    ask_peer(feed, gateway.random_peer()?).await
 }
 
 async fn ask_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
@@ -420,7 +424,7 @@
         // In every case the next step is a request to the store, or reliance on the zone.
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
-            () = self.gateway.zone_tells(relies) => {}
+            () = self.gateway.wait_for_zone(relies) => {}
             _ = self.returns.changed() => {}
         }
     }
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -46,7 +46,7 @@
     call_log::{CallLog, LineKind},
     core::{Gateway, GatewaySettings, NOT_READY_RETRY},
     feed::{AskChanges, Feed, FeedError, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
-    peer_heartbeats::exchange_notes,
+    peer_heartbeats::exchange_heartbeats,
     read_progress::{ReadPart, ReadProgress},
     reply::{EventBody, Reply, StreamCut},
     rollout_store::{ReadRecord, RolloutStore, RolloutWrite, RolloutWriteResult, WriteRecord},
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -5,46 +5,46 @@
 use tokio::{net::UdpSocket, sync::mpsc};
 
 /// Maximum size of a datagram that is not fragmented.
-const LARGEST_NOTE: usize = 1400;
+const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Delay in which dispatches are batched before they are sent: the crash of a zone causes several
 /// at once, and a millisecond is short compared with the hundreds that a prefill takes.
-const GATHER: Duration = Duration::from_millis(1);
+const BATCH_DELAY: Duration = Duration::from_millis(1);
 
 /// Maximum number of suspects, and of crashes, in a heartbeat.
-const MOST_TOLD: usize = 12;
+const MAX_REPORTED: usize = 12;
 
 /// Maximum number of loads in a heartbeat that would be too large with all of them: some 25 bytes
 /// each, beside 700 bytes of suspects and crashes.
-const MOST_LOADS: usize = 20;
+const MAX_LOADS: usize = 20;
 
 /// Exchanges heartbeats with the other VMs; never returns.
-pub async fn exchange_notes(gateway: Arc<Gateway>, socket: UdpSocket) {
+pub async fn exchange_heartbeats(gateway: Arc<Gateway>, socket: UdpSocket) {
     let socket = Arc::new(socket);
     if let Some(datagrams) = gateway.outbox.take() {
-        tokio::spawn(empty_outbox(datagrams, socket.clone()));
+        tokio::spawn(send_outbox(datagrams, socket.clone()));
     }
-    tokio::spawn(take_notes(gateway.clone(), socket.clone()));
-    let incarnation = gateway.life.incarnation;
+    tokio::spawn(receive_datagrams(gateway.clone(), socket.clone()));
+    let incarnation = gateway.vm_incarnation.incarnation;
     let mut ticks = gateway.timer.subscribe(HEARTBEAT_INTERVAL);
     for number in 1.. {
         tokio::select! {
             _ = ticks.recv() => {
-                gateway.tell_zone(&[]);
-                let mut told = gateway.told();
+                gateway.advertise_to_zone(&[]);
+                let mut recipients = gateway.recipients();
                 // The seeds may not be among the live VMs, as after a restart of the whole system, so
                 // they are notified too.
-                told.extend(&gateway.settings.seeds);
-                tell(&socket, gateway.note(incarnation, number, true), told).await;
+                recipients.extend(&gateway.settings.seeds);
+                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, true), recipients).await;
             }
             () = gateway.dispatches.wait() => {
-                tokio::time::sleep(GATHER).await;
-                let told = gateway.told_of(&gateway.dispatches.take());
-                tell(&socket, gateway.note(incarnation, number, false), told).await;
+                tokio::time::sleep(BATCH_DELAY).await;
+                let recipients = gateway.dispatch_recipients(&gateway.dispatches.take());
+                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, false), recipients).await;
             }
             () = gateway.crashes_seen.notified() => {
-                tokio::time::sleep(GATHER).await;
-                tell(&socket, gateway.note(incarnation, number, false), gateway.told()).await;
+                tokio::time::sleep(BATCH_DELAY).await;
+                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, false), gateway.recipients()).await;
             }
         }
     }
@@ -52,26 +52,31 @@
 
 /// Sends a heartbeat. One that is too large, as on a VM with dozens of streams, is sent without
 /// members and with the largest loads only.
-async fn tell(socket: &UdpSocket, note: PeerHeartbeat, mut told: Vec<SocketAddr>) {
-    told.sort_unstable();
-    told.dedup();
-    let whole = PeerDatagram::Note(note);
-    if send(socket, &whole, &told).await {
+async fn send_heartbeat(
+    socket: &UdpSocket,
+    heartbeat: PeerHeartbeat,
+    mut recipients: Vec<SocketAddr>,
+) {
+    recipients.sort_unstable();
+    recipients.dedup();
+    let complete = PeerDatagram::Note(heartbeat);
+    if send(socket, &complete, &recipients).await {
         return;
     }
-    let PeerDatagram::Note(mut note) = whole else {
+    let PeerDatagram::Note(mut heartbeat) = complete else {
         return;
     };
-    note.members.clear();
-    note.loads
+    heartbeat.members.clear();
+    heartbeat
+        .loads
         .sort_by_key(|load| std::cmp::Reverse((load.reading_ms, load.calls)));
-    note.loads.truncate(MOST_LOADS);
-    if !send(socket, &PeerDatagram::Note(note), &told).await {
+    heartbeat.loads.truncate(MAX_LOADS);
+    if !send(socket, &PeerDatagram::Note(heartbeat), &recipients).await {
         tracing::warn!("heartbeat too large, not sent");
     }
 }
 
-async fn empty_outbox(
+async fn send_outbox(
     mut datagrams: mpsc::Receiver<(SocketAddr, PeerDatagram)>,
     socket: Arc<UdpSocket>,
 ) {
@@ -83,13 +88,13 @@
 }
 
 /// Sends a datagram to each address; returns `false` if it is too large.
-async fn send(socket: &UdpSocket, datagram: &PeerDatagram, told: &[SocketAddr]) -> bool {
-    let mut buf = Vec::with_capacity(LARGEST_NOTE);
+async fn send(socket: &UdpSocket, datagram: &PeerDatagram, recipients: &[SocketAddr]) -> bool {
+    let mut buf = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     ciborium::into_writer(datagram, &mut buf).expect("datagrams can be written as CBOR");
-    if buf.len() > LARGEST_NOTE {
+    if buf.len() > MAX_DATAGRAM_BYTES {
         return false;
     }
-    for address in told {
+    for address in recipients {
         if let Err(error) = socket.send_to(&buf, address).await {
             // A VM that has stopped refuses datagrams; the next heartbeat shows whether it is back.
             tracing::debug!(%address, %error, "datagram not sent");
@@ -98,8 +103,8 @@
     true
 }
 
-async fn take_notes(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    let mut buf = vec![0; LARGEST_NOTE];
+async fn receive_datagrams(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (len, address) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
@@ -110,9 +115,9 @@
             }
         };
         match ciborium::from_reader::<PeerDatagram, _>(&buf[..len]) {
-            Ok(PeerDatagram::Note(note)) => gateway.take_note(note, address),
-            Ok(PeerDatagram::Members(members)) => gateway.take_members(&members),
-            Ok(PeerDatagram::Gossip(news)) => gateway.take_gossip(&news, address),
+            Ok(PeerDatagram::Note(heartbeat)) => gateway.receive_heartbeat(heartbeat, address),
+            Ok(PeerDatagram::Members(members)) => gateway.receive_members(&members),
+            Ok(PeerDatagram::Gossip(news)) => gateway.receive_gossip(&news, address),
             Ok(PeerDatagram::LoanAsk(ask)) => gateway.lend(ask, address),
             Ok(PeerDatagram::Loan(loan)) => gateway.borrow(&loan, address),
             Ok(PeerDatagram::Restart(restart)) => gateway.take_restart(&restart),
@@ -126,22 +131,22 @@
 
 impl Gateway {
     /// Builds a heartbeat. Those that are sent after a dispatch or a crash leave out the members.
-    fn note(&self, incarnation: u64, number: u64, with_members: bool) -> PeerHeartbeat {
+    fn heartbeat(&self, incarnation: u64, number: u64, with_members: bool) -> PeerHeartbeat {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let mut loads = Vec::new();
         let mut suspects = Vec::new();
         for upstream in state.upstreams_mut() {
-            let reading = upstream.load.prefill_left(now);
+            let prefill = upstream.load.prefill_left(now);
             let calls = upstream.load.streams();
-            if calls > 0 || !reading.is_zero() {
+            if calls > 0 || !prefill.is_zero() {
                 loads.push(PeerLoad {
                     upstream: upstream.entry.id.clone(),
                     calls,
-                    reading_ms: u32::try_from(reading.as_millis()).unwrap_or(u32::MAX),
+                    reading_ms: u32::try_from(prefill.as_millis()).unwrap_or(u32::MAX),
                 });
             }
-            if upstream.health.is_suspect() && suspects.len() < MOST_TOLD {
+            if upstream.health.is_suspect() && suspects.len() < MAX_REPORTED {
                 suspects.push(upstream.entry.id.clone());
             }
         }
@@ -152,7 +157,7 @@
             number,
             loads,
             suspects,
-            crashes: state.crashes.next_to_send(MOST_TOLD, now),
+            crashes: state.crashes.next_to_send(MAX_REPORTED, now),
             members: if with_members {
                 state
                     .peers
@@ -166,7 +171,7 @@
     }
 
     /// Address of a random live VM.
-    pub(crate) fn a_peer(&self) -> Option<SocketAddr> {
+    pub(crate) fn random_peer(&self) -> Option<SocketAddr> {
         let now = self.timer.now();
         let state = self.state.lock();
         state.peers.sample_addresses(1, rand::random(), now).pop()
@@ -174,12 +179,13 @@
 
     /// Recipients of the periodic heartbeat: a few VMs always, and those that share upstreams in
     /// use here.
-    fn told(&self) -> Vec<SocketAddr> {
+    fn recipients(&self) -> Vec<SocketAddr> {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let mut told = state
-            .peers
-            .heartbeat_receivers(&self.settings.zone, rand::random(), now);
+        let mut recipients =
+            state
+                .peers
+                .heartbeat_receivers(&self.settings.zone, rand::random(), now);
         let used = state
             .upstreams_mut()
             // KV copies add little load and are in other zones: the VMs that share their holders
@@ -188,11 +194,11 @@
             .map(|upstream| upstream.entry.clone())
             .collect::<Vec<_>>();
         drop(state);
-        told.extend(self.told_of(&used));
-        told
+        recipients.extend(self.dispatch_recipients(&used));
+        recipients
     }
 
-    fn told_of(&self, dispatched: &[Arc<UpstreamEntry>]) -> Vec<SocketAddr> {
+    fn dispatch_recipients(&self, dispatched: &[Arc<UpstreamEntry>]) -> Vec<SocketAddr> {
         let now = self.timer.now();
         let state = self.state.lock();
         dispatched
@@ -206,28 +212,30 @@
     }
 
     /// Applies the status of VMs that another VM has sent.
-    fn take_members(&self, members: &[MemberStatus]) {
+    fn receive_members(&self, members: &[MemberStatus]) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         state.peers.apply_members(members, &self.settings.zone, now);
     }
 
     /// Applies a heartbeat of another VM that came from `address`.
-    pub fn take_note(&self, note: PeerHeartbeat, address: SocketAddr) {
-        if note.vm == self.settings.vm {
+    pub fn receive_heartbeat(&self, heartbeat: PeerHeartbeat, address: SocketAddr) {
+        if heartbeat.vm == self.settings.vm {
             return;
         }
         let now = self.timer.now();
-        let (vm, crashes) = (note.vm.clone(), note.crashes.clone());
-        let started = started_upstreams(&note);
-        let rollouts = note.rollouts.clone();
+        let (vm, crashes) = (heartbeat.vm.clone(), heartbeat.crashes.clone());
+        let started = started_upstreams(&heartbeat);
+        let rollouts = heartbeat.rollouts.clone();
         let mut state = self.state.lock();
-        let wanted = state.peers.requested_members(&note, rand::random(), now);
+        let wanted = state
+            .peers
+            .requested_members(&heartbeat, rand::random(), now);
         if !wanted.is_empty() {
             self.outbox.send(address, PeerDatagram::Members(wanted));
         }
         let before = state.peers.live_count(now);
-        if !state.peers.apply_heartbeat(note, address, now) {
+        if !state.peers.apply_heartbeat(heartbeat, address, now) {
             return;
         }
         for crash in crashes {
@@ -248,10 +256,10 @@
 }
 
 /// The upstreams that a heartbeat names whose process start is known.
-fn started_upstreams(note: &PeerHeartbeat) -> Vec<(UpstreamId, ProcessStart)> {
-    let loads = note.loads.iter().map(|load| &load.upstream);
+fn started_upstreams(heartbeat: &PeerHeartbeat) -> Vec<(UpstreamId, ProcessStart)> {
+    let loads = heartbeat.loads.iter().map(|load| &load.upstream);
     loads
-        .chain(&note.suspects)
+        .chain(&heartbeat.suspects)
         .filter_map(|upstream| Some((upstream.id.clone(), upstream.born?)))
         .collect()
 }
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -163,7 +163,7 @@
                 phase: RolloutPhase::Running,
                 stored: false,
             },
-            owner: self.gateway.life.to_string().into(),
+            owner: self.gateway.vm_incarnation.to_string().into(),
             address: self.gateway.own_address(),
             deadline_ms: stored.now_ms.saturating_add(left_ms),
         };
@@ -179,7 +179,7 @@
     /// Takes in what the store says of a rollout that others own or have ended; `false` if nobody looks after it.
     fn learn(&self, rollout: &Rollout, record: &RolloutRecord, now_ms: u64, now: Instant) -> bool {
         let left = Duration::from_millis(record.deadline_ms.saturating_sub(now_ms));
-        if record.owner.as_ref() == self.gateway.life.to_string()
+        if record.owner.as_ref() == self.gateway.vm_incarnation.to_string()
             && !record.progress.phase.is_final()
         {
             // The answer to its own claim was lost.
@@ -317,7 +317,7 @@
                     written: rollout.order.written,
                     to: rollout.order.to.clone(),
                     progress: progress(phase),
-                    owner: self.gateway.life.to_string().into(),
+                    owner: self.gateway.vm_incarnation.to_string().into(),
                     address: self.gateway.own_address(),
                     deadline_ms: own.owner.deadline_ms,
                 },
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -247,7 +247,7 @@
                     service: rollout.order.service.clone(),
                     written: rollout.order.written,
                     term: rollout.progress.term,
-                    vm: self.life.clone(),
+                    vm: self.vm_incarnation.clone(),
                     requests: rollout.grants.requests(),
                     spent: rollout.grants.spent(),
                     evidence: rollout.take_unreported(ROUTES_REPORTED),
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -24,7 +24,7 @@
         let given_up = upstream.given_up.subscribe();
         drop(state);
         if prompt_tokens > 0 {
-            gateway.dispatches.note(&entry);
+            gateway.dispatches.record(&entry);
         }
         Self {
             gateway: gateway.clone(),
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -11,10 +11,10 @@
 
 /// How long the zone may have a newer configuration before this VM repeats its own request, which
 /// should have been answered: far longer than a response in transit takes.
-const ZONE_AHEAD: Duration = Duration::from_millis(150);
+const ZONE_LEAD_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time within which this VM has read the table again after it missed an update.
-const TABLE_READ: Duration = Duration::from_millis(300);
+const TABLE_READ_TIME: Duration = Duration::from_millis(300);
 
 /// Configuration that another VM of the zone has in force.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -29,13 +29,13 @@
 
 impl Gateway {
     /// Records the configuration that another VM of the zone has in force.
-    pub(crate) fn config_told(&self, gossip: &ZoneGossip, by: SocketAddr) {
+    pub(crate) fn record_advertised_config(&self, gossip: &ZoneGossip, by: SocketAddr) {
         let Some(version) = gossip.config else {
             return;
         };
         let from_store = gossip.config_from_store;
         self.zone_config.send_if_modified(|newest| {
-            let newer = newest.is_none_or(|told| told.version < version);
+            let newer = newest.is_none_or(|advertised| advertised.version < version);
             if newer {
                 *newest = Some(AdvertisedConfig {
                     version,
@@ -66,12 +66,12 @@
             return None;
         }
         let now = self.timer.now();
-        let told_until = match self.gossip_state(ZoneRole::Member) {
+        let advertised_until = match self.gossip_state(ZoneRole::Member) {
             GossipState::Fresh(until) | GossipState::Behind(until) => until,
             GossipState::Silent => return None,
         };
         let state = self.state.lock();
-        let until = state.gossip.config_valid_until()?.min(told_until);
+        let until = state.gossip.config_valid_until()?.min(advertised_until);
         (!state.old_config && now < until).then_some(until)
     }
 
@@ -83,9 +83,10 @@
         loop {
             let until = self.config_relied_on_until()?;
             let own = self.config().map(|config| config.version);
-            let told = *newest.borrow_and_update();
-            if let Some(told) = told.filter(|told| own < Some(told.version)) {
-                return Some(told);
+            let advertised = *newest.borrow_and_update();
+            if let Some(advertised) = advertised.filter(|advertised| own < Some(advertised.version))
+            {
+                return Some(advertised);
             }
             let wait = until.since(self.timer.now());
             // In every case the state is checked again.
@@ -100,7 +101,7 @@
     /// Waits until another VM of the zone has had a newer configuration in force for longer than
     /// its transfer takes, and returns `true`; returns `false` once nobody advertises a
     /// configuration any more.
-    pub(crate) async fn zone_goes_ahead(&self) -> bool {
+    pub(crate) async fn wait_for_newer_config(&self) -> bool {
         let mut newest = self.zone_config.subscribe();
         let mut missed = false;
         loop {
@@ -114,13 +115,15 @@
                 // meantime.
                 GossipState::Silent => {
                     missed = true;
-                    self.timer.now().after(TABLE_READ)
+                    self.timer.now().after(TABLE_READ_TIME)
                 }
             };
             let own = self.config().map(|config| config.version);
-            let theirs = newest.borrow_and_update().map(|told| told.version);
+            let theirs = newest
+                .borrow_and_update()
+                .map(|advertised| advertised.version);
             if own < theirs {
-                tokio::time::sleep(ZONE_AHEAD).await;
+                tokio::time::sleep(ZONE_LEAD_TIMEOUT).await;
                 if self.config().map(|config| config.version) < theirs {
                     tracing::warn!(config = ?theirs,
                         "another VM of the zone has a newer configuration");
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -18,7 +18,7 @@
     /// Waits as long as other VMs advertise the table and no update is missing here.
     pub(crate) async fn rely_on_zone(&self) {
         loop {
-            let mut came = std::pin::pin!(self.gossip_came.notified());
+            let mut came = std::pin::pin!(self.gossip_received.notified());
             came.as_mut().enable();
             let role = self.zone_role();
             if role == ZoneRole::Reader {
@@ -35,9 +35,9 @@
     }
 
     /// Waits until the zone advertises what `relies` checks for.
-    pub(crate) async fn zone_tells(&self, relies: fn(&Self) -> bool) {
+    pub(crate) async fn wait_for_zone(&self, relies: fn(&Self) -> bool) {
         loop {
-            let mut came = std::pin::pin!(self.gossip_came.notified());
+            let mut came = std::pin::pin!(self.gossip_received.notified());
             came.as_mut().enable();
             if relies(self) {
                 return;
@@ -64,10 +64,10 @@
         } else {
             // Unchanged entries are applied too: an upstream that was considered gone is present
             // again with its next entry.
-            self.take_changes(read.current);
+            self.apply_changes(read.current);
         }
         if from_store {
-            self.tell_zone(&read.changed);
+            self.advertise_to_zone(&read.changed);
         }
     }
 
@@ -78,11 +78,14 @@
         let now = self.timer.now();
         let state = self.state.lock();
         let read_here = state.table_read.map(|at| now.since(at));
-        let told = match state.gossip.state(GOSSIP_MAX_AGE, now) {
+        let advertised = match state.gossip.state(GOSSIP_MAX_AGE, now) {
             GossipState::Fresh(_) => state.gossip.store_age(now),
             GossipState::Behind(_) | GossipState::Silent => None,
         };
-        let fresh = [read_here, told].into_iter().flatten().any(|a| a <= age);
+        let fresh = [read_here, advertised]
+            .into_iter()
+            .flatten()
+            .any(|a| a <= age);
         fresh.then(|| FeedPage {
             version: state.table.version(),
             rows: state.table.entries(),
@@ -96,7 +99,7 @@
 
     /// Advertises what this VM has read to the zone, if its role includes that and the data is
     /// recent.
-    pub(crate) fn tell_zone(&self, changes: &[UpstreamChange]) {
+    pub(crate) fn advertise_to_zone(&self, changes: &[UpstreamChange]) {
         if self.zone_role() == ZoneRole::Member {
             return;
         }
@@ -123,7 +126,7 @@
             age_ms: age_ms(read),
             changes: Vec::new(),
         };
-        let told = state.peers.addresses_in(&self.settings.zone, now);
+        let recipients = state.peers.addresses_in(&self.settings.zone, now);
         drop(state);
         let parts = if changes.is_empty() {
             vec![Vec::new()]
@@ -138,7 +141,7 @@
                 changes,
                 ..gossip.clone()
             };
-            for address in &told {
+            for address in &recipients {
                 self.outbox
                     .send(*address, PeerDatagram::Gossip(gossip.clone()));
             }
@@ -146,19 +149,19 @@
     }
 
     /// Applies another VM's gossip about the table that came from `address`.
-    pub fn take_gossip(&self, gossip: &ZoneGossip, address: SocketAddr) {
+    pub fn receive_gossip(&self, gossip: &ZoneGossip, address: SocketAddr) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         // The sender is a member that may not be known yet. Without it, this VM could consider
         // itself alone and read for the zone too.
-        let teller = MemberStatus {
+        let sender = MemberStatus {
             vm: gossip.vm.clone(),
             zone: None,
             address,
             age_ms: 0,
         };
         let zone = &self.settings.zone;
-        state.peers.apply_members(&[teller], zone, now);
+        state.peers.apply_members(&[sender], zone, now);
         let changes = state
             .table
             .apply_update(&gossip.changes, gossip.version, gossip.digest);
@@ -181,9 +184,9 @@
                 "gossip received"
             );
         }
-        self.take_changes(changes);
-        self.config_told(gossip, address);
-        self.gossip_came.notify_waiters();
+        self.apply_changes(changes);
+        self.record_advertised_config(gossip, address);
+        self.gossip_received.notify_waiters();
     }
 
     /// Whether the table is kept up to date here, from the store or through another VM of the zone.
@@ -234,7 +237,7 @@
         vms
     }
 
-    fn take_changes(&self, changes: Vec<UpstreamChange>) {
+    fn apply_changes(&self, changes: Vec<UpstreamChange>) {
         for TableRow { key, entry, .. } in changes {
             match (entry, key.parse::<UpstreamId>()) {
                 (Some(entry), _) => self.upstream_heard(entry),
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -234,7 +234,7 @@
 impl Running {
     /// Takes in another VM's word on the table, from [`TELLER`].
     pub fn hear_gossip(&self, gossip: &ZoneGossip) {
-        self.gateway.take_gossip(gossip, TELLER.parse().unwrap());
+        self.gateway.receive_gossip(gossip, TELLER.parse().unwrap());
     }
 
     pub fn call(&self, path: &str) -> Call {
@@ -277,7 +277,8 @@
     }
 
     pub fn hear(&self, note: PeerHeartbeat) {
-        self.gateway.take_note(note, ([127, 0, 0, 2], 9).into());
+        self.gateway
+            .receive_heartbeat(note, ([127, 0, 0, 2], 9).into());
     }
 
     /// A note without anything in it, newer than those before.
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -7,7 +7,7 @@
     RoutingConfig, UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
-    Feed, FeedError, FeedPage, exchange_notes, follow_config, follow_upstreams,
+    Feed, FeedError, FeedPage, exchange_heartbeats, follow_config, follow_upstreams,
 };
 use gateway_support::*;
 use googletest::prelude::*;
@@ -301,8 +301,8 @@
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     running
         .gateway
-        .take_note(running.peer_note(&other, "a"), peer.local_addr().unwrap());
-    tokio::spawn(exchange_notes(running.gateway.clone(), own));
+        .receive_heartbeat(running.peer_note(&other, "a"), peer.local_addr().unwrap());
+    tokio::spawn(exchange_heartbeats(running.gateway.clone(), own));
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed(&table)));
     let mut received = Vec::new();
     let mut buf = [0; 2000];
@@ -394,8 +394,8 @@
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     running
         .gateway
-        .take_note(running.peer_note("vm-2", "a"), peer.local_addr().unwrap());
-    tokio::spawn(exchange_notes(running.gateway.clone(), own));
+        .receive_heartbeat(running.peer_note("vm-2", "a"), peer.local_addr().unwrap());
+    tokio::spawn(exchange_heartbeats(running.gateway.clone(), own));
     let mut buf = [0; 2000];
     let first = peer.recv(&mut buf).await;
     running.handle("/once/1").await;
