--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -60,7 +60,7 @@
     /// suspended.
     known: watch::Sender<bool>,
     /// Counts the suspensions of this process.
-    pub(crate) wakes: watch::Sender<u64>,
+    pub(crate) suspensions: watch::Sender<u64>,
     /// Held while engines are queried for cached prompts.
     pub(crate) searching: tokio::sync::Mutex<()>,
     /// Requests for retry budget that other VMs have not answered yet.
@@ -123,7 +123,7 @@
             log: CallLog::default(),
             leaving: Mutex::default(),
             known: watch::Sender::new(false),
-            wakes: watch::Sender::new(0),
+            suspensions: watch::Sender::new(0),
             searching: tokio::sync::Mutex::default(),
             loans: Mutex::default(),
             started: timer.now(),
@@ -156,12 +156,12 @@
     /// Records that this process did not run for `gap`. Calls wait until configuration and
     /// upstreams have been read again, and the feeds read at once: until then a removed key would
     /// be accepted, and an upstream that has left would get calls.
-    pub fn woke(&self, gap: Duration) {
+    pub fn record_suspension(&self, gap: Duration) {
         tracing::warn!(gap_ms = millis(gap), "process was suspended");
         metrics::counter!("catkin_wakes_total").increment(1);
-        self.state.lock().woke();
+        self.state.lock().record_suspension();
         self.known.send_replace(false);
-        self.wakes.send_modify(|count| *count += 1);
+        self.suspensions.send_modify(|count| *count += 1);
         self.gossip_received.notify_waiters();
     }
 
@@ -242,7 +242,7 @@
         state.directory_read = DirectoryRead::Whole;
         self.known.send_replace(state.is_current());
         let changes = state.directory.apply_snapshot(entries, now);
-        state.forget_gone(now);
+        state.remove_gone(now);
         drop(state);
         self.presence_changed(&changes);
     }
@@ -267,7 +267,7 @@
     }
 
     /// Applies the current entry of one upstream.
-    pub fn upstream_heard(&self, entry: UpstreamEntry) {
+    pub fn upstream_updated(&self, entry: UpstreamEntry) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         state.rollouts.observe_version(&entry, false, now);
@@ -291,10 +291,10 @@
         let gone = change
             .as_ref()
             .filter(|(_, presence)| *presence == Presence::Gone);
-        let crashes = gone.map_or(0, |(id, _)| state.died(id, now));
+        let crashes = gone.map_or(0, |(id, _)| state.upstream_crashed(id, now));
         drop(state);
         if let Some((id, _)) = gone {
-            self.tell_crashes(id, crashes);
+            self.advertise_crashes(id, crashes);
         }
         self.presence_changed(change.as_slice());
     }
@@ -312,7 +312,7 @@
     }
 
     /// Records whether the platform responds.
-    pub fn platform_answers(&self, answers: bool) {
+    pub fn set_platform_reachable(&self, answers: bool) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         if answers {
@@ -465,7 +465,7 @@
     }
 
     /// Records that an upstream responded, with its load if it reported one.
-    pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
+    pub(crate) fn upstream_responded(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
@@ -491,7 +491,11 @@
     /// Records that another incarnation responds at the address of an upstream. If it names itself
     /// and is unknown, it is probed: a VM that is partitioned from the platform learns of new
     /// upstreams only this way.
-    pub(crate) fn replaced(self: &Arc<Self>, entry: &Arc<UpstreamEntry>, by: Option<UpstreamId>) {
+    pub(crate) fn upstream_replaced(
+        self: &Arc<Self>,
+        entry: &Arc<UpstreamEntry>,
+        by: Option<UpstreamId>,
+    ) {
         let mut state = self.state.lock();
         let changes = state.directory.record_denial(&entry.id, by.as_ref());
         let unknown = by.filter(|by| !state.directory.contains(by));
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -165,12 +165,12 @@
 /// Keeps the directory of upstreams up to date; never returns.
 pub async fn follow_upstreams(gateway: Arc<Gateway>, feed: Feed<UpstreamEntry>) {
     let mut follower = Follower::new(&gateway, &feed, Gateway::relies_on_zone, |gateway| {
-        gateway.platform_answers(false);
+        gateway.set_platform_reachable(false);
     });
     follower.first_rows = Gateway::put_first_upstreams;
     loop {
         if let Read::Page { page, whole } = follower.next(Duration::ZERO).await {
-            gateway.platform_answers(follower.answers);
+            gateway.set_platform_reachable(follower.answers);
             if follower.answers || gateway.is_behind(&page) {
                 gateway.table_read(&page, whole, follower.answers);
             }
@@ -255,7 +255,7 @@
     lost: fn(&Gateway),
     /// Receives the first rows of a full read before the remaining ones.
     first_rows: fn(&Gateway, Vec<TableRow<T>>),
-    wakes: watch::Receiver<u64>,
+    suspensions: watch::Receiver<u64>,
     /// Counts how often any feed found that the store responds again.
     returns: watch::Receiver<u64>,
 }
@@ -279,7 +279,7 @@
             relies,
             lost,
             first_rows: |_, _| {},
-            wakes: gateway.wakes.subscribe(),
+            suspensions: gateway.suspensions.subscribe(),
             returns: gateway.store_returns.subscribe(),
         }
     }
@@ -325,12 +325,12 @@
             let (gateway, first_rows) = (self.gateway, self.first_rows);
             let asked = while_it_progresses(asked, parts, bound, |rows| first_rows(gateway, rows));
             let asked_at = self.gateway.timer.now();
-            let woke = self.wakes.changed();
+            let suspended = self.suspensions.changed();
             let answer = tokio::select! {
                 answer = asked => answer,
                 // The connection may have been lost in the meantime, with its request still
                 // waiting.
-                Ok(()) = woke => {
+                Ok(()) = suspended => {
                     wait = Duration::ZERO;
                     continue;
                 }
@@ -376,7 +376,7 @@
     /// Waits for `length`, or until this process resumes after a suspension.
     async fn pause(&mut self, length: Duration) {
         // In either case the next request is sent afterwards.
-        let _ = tokio::time::timeout(length, self.wakes.changed()).await;
+        let _ = tokio::time::timeout(length, self.suspensions.changed()).await;
     }
 
     /// Records a failure; returns the feed of another VM if one can be read.
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -3,11 +3,11 @@
 
 /// Interval at which upstreams are checked for silence: short compared with the silence timeout,
 /// and only 20 wake-ups a second.
-const CHECK_PERIOD: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Probes silent upstreams, and detects suspensions of this process, until the gateway is dropped.
 pub(crate) async fn watch_upstreams(gateway: Weak<Gateway>) {
-    let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(CHECK_PERIOD)) else {
+    let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(CHECK_INTERVAL)) else {
         return;
     };
     let mut clocks = SuspendDetector::default();
@@ -16,7 +16,7 @@
             return;
         };
         if let Some(gap) = clocks.check(now, since_boot()) {
-            gateway.woke(gap);
+            gateway.record_suspension(gap);
         }
         for entry in due_probes(&gateway, now) {
             tokio::spawn(probe(gateway.clone(), entry));
@@ -68,7 +68,7 @@
         // reported load is not that of the earlier one.
         Ok(Ok(answer)) if entry.id.is_before(answer.born) => Some("started_again"),
         Ok(Ok(answer)) => {
-            gateway.heard(&entry, answer.load);
+            gateway.upstream_responded(&entry, answer.load);
             None
         }
         Ok(Err(fault)) => Some(fault.into()),
@@ -91,7 +91,7 @@
         gateway.upstream_started(&entry.id.id, born);
     }
     if fault.is_some() {
-        gateway.give_up(&entry);
+        gateway.fail_over(&entry);
     }
     fault.is_none()
 }
@@ -130,7 +130,7 @@
             entry,
             version: gateway.table_version(),
         };
-        if gateway.take_in(&restart, RestartEvidence::OwnProbe) {
+        if gateway.record_restart(&restart, RestartEvidence::OwnProbe) {
             gateway.report_restart(&restart);
         }
     }
@@ -138,22 +138,22 @@
 
 impl Gateway {
     /// Records that an upstream did not respond: its calls fail over, and it is ejected.
-    pub(crate) fn give_up(&self, entry: &Arc<UpstreamEntry>) {
+    pub(crate) fn fail_over(&self, entry: &Arc<UpstreamEntry>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
         let new = upstream.health.record_failure(now);
-        upstream.given_up.send_modify(|count| *count += 1);
-        let crashes = state.died(&entry.id, now);
+        upstream.failed_over.send_modify(|count| *count += 1);
+        let crashes = state.upstream_crashed(&entry.id, now);
         let zone_alarm = new && state.zones.record_loss(&entry.zone, &entry.id, now);
         drop(state);
-        self.tell_crashes(&entry.id, crashes);
+        self.advertise_crashes(&entry.id, crashes);
         self.log_suspect(entry, new, zone_alarm);
     }
 
     /// Notifies other VMs immediately that an upstream crashed while running calls: the callers
     /// retry within milliseconds, at any VM.
-    pub(crate) fn tell_crashes(&self, upstream: &UpstreamIncarnation, calls: usize) {
+    pub(crate) fn advertise_crashes(&self, upstream: &UpstreamIncarnation, calls: usize) {
         if calls > 0 {
             tracing::warn!(%upstream, calls, "upstream crashed while running calls");
             self.crashes_seen.notify_one();
@@ -177,17 +177,17 @@
     }
 
     /// Applies another VM's report of a restart, unless it is stale.
-    pub fn take_restart(&self, restart: &UpstreamRestart) {
+    pub fn receive_restart(&self, restart: &UpstreamRestart) {
         let table = TableFreshness {
             version: self.table_version(),
             current: self.table_is_current(),
         };
-        self.take_in(restart, RestartEvidence::PeerReport(table));
+        self.record_restart(restart, RestartEvidence::PeerReport(table));
     }
 
     /// Applies the restart of an upstream at the address of an earlier incarnation; returns whether
     /// the evidence was accepted.
-    fn take_in(&self, restart: &UpstreamRestart, evidence: RestartEvidence) -> bool {
+    fn record_restart(&self, restart: &UpstreamRestart, evidence: RestartEvidence) -> bool {
         let upstream = &restart.entry.id.id;
         let outcome = self.state.lock().directory.apply_restart(restart, evidence);
         let changes = match outcome {
@@ -212,18 +212,18 @@
     pub(crate) fn process_ended(&self, id: &UpstreamIncarnation) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let crashes = state.died(id, now);
-        if let Some(upstream) = state.known_upstream(id) {
+        let crashes = state.upstream_crashed(id, now);
+        if let Some(upstream) = state.existing_upstream(id) {
             upstream.health.record_failure(now);
-            upstream.given_up.send_modify(|count| *count += 1);
+            upstream.failed_over.send_modify(|count| *count += 1);
         }
         drop(state);
-        self.tell_crashes(id, crashes);
+        self.advertise_crashes(id, crashes);
     }
 
     /// Records that a stream from an upstream broke. The upstream is ejected until it responds
     /// again, and is probed at once; its other calls continue.
-    pub(crate) fn broke(self: &Arc<Self>, entry: &Arc<UpstreamEntry>) {
+    pub(crate) fn stream_broke(self: &Arc<Self>, entry: &Arc<UpstreamEntry>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
@@ -274,14 +274,14 @@
     }
 
     /// Records that the connection to an upstream broke while it was running a call with this body.
-    pub(crate) fn crashed_under(&self, entry: &UpstreamEntry, digest: u64) {
+    pub(crate) fn call_broke(&self, entry: &UpstreamEntry, digest: u64) {
         let crash = Crash {
             digest,
             upstream: entry.id.clone(),
             at: self.timer.now(),
             cleared: false,
         };
-        self.state.lock().broke_under(crash);
+        self.state.lock().record_broken_call(crash);
     }
 
     /// Records that the response of a call was complete.
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -120,7 +120,7 @@
             Ok(PeerDatagram::Gossip(news)) => gateway.receive_gossip(&news, address),
             Ok(PeerDatagram::LoanAsk(ask)) => gateway.lend(ask, address),
             Ok(PeerDatagram::Loan(loan)) => gateway.borrow(&loan, address),
-            Ok(PeerDatagram::Restart(restart)) => gateway.take_restart(&restart),
+            Ok(PeerDatagram::Restart(restart)) => gateway.receive_restart(&restart),
             Ok(PeerDatagram::Rollout(notice)) => _ = gateway.take_rollout(&notice),
             Ok(PeerDatagram::RolloutReport(report)) => gateway.take_report(&report, address),
             Ok(PeerDatagram::RolloutGrant(grant)) => gateway.take_grant(&grant, Some(address)),
@@ -239,7 +239,7 @@
             return;
         }
         for crash in crashes {
-            state.heard_of_crash(Crash { at: now, ..crash });
+            state.apply_crash(Crash { at: now, ..crash });
         }
         let live = state.peers.live_count(now);
         drop(state);
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -6,7 +6,7 @@
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) entry: Arc<UpstreamEntry>,
     /// Changes when the upstream is given up.
-    pub(crate) given_up: watch::Receiver<u64>,
+    pub(crate) failed_over: watch::Receiver<u64>,
 }
 
 impl RunGuard {
@@ -21,7 +21,7 @@
         let upstream = state.upstream(&entry, now);
         upstream.health.call_started(now);
         upstream.load.call_started(prompt_tokens, now);
-        let given_up = upstream.given_up.subscribe();
+        let failed_over = upstream.failed_over.subscribe();
         drop(state);
         if prompt_tokens > 0 {
             gateway.dispatches.record(&entry);
@@ -29,13 +29,13 @@
         Self {
             gateway: gateway.clone(),
             entry,
-            given_up,
+            failed_over,
         }
     }
 
     /// Waits until the upstream is given up.
     pub(crate) async fn lost(&mut self) {
-        if self.given_up.changed().await.is_err() {
+        if self.failed_over.changed().await.is_err() {
             // The sender is gone with the state of an upstream that no longer exists.
             std::future::pending::<()>().await;
         }
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -14,7 +14,7 @@
     budgets: Vec<(ServiceId, RouteRetryBudget)>,
     pub(crate) crashes: CrashTracker,
     /// Calls whose connection broke recently, until it is known whether their upstream crashed.
-    broken: Vec<Crash>,
+    broken_calls: Vec<Crash>,
     pub(crate) peers: PeerLoads,
     pub(crate) cached: CachedPrompts,
     /// The platform's table of upstreams, as read by this VM or advertised by another VM of the
@@ -60,15 +60,15 @@
     pub(crate) health: UpstreamHealth,
     pub(crate) load: UpstreamLoad,
     /// Counts how often the calls on the upstream were failed over.
-    pub(crate) given_up: watch::Sender<u64>,
+    pub(crate) failed_over: watch::Sender<u64>,
 }
 
 /// How long after a broken connection a crash of its upstream is attributed to the call: until the
 /// next caller is refused a connection or the entry of the upstream has expired.
-const DEATH_SHOWS: Duration = Duration::from_secs(5);
+const CRASH_ATTRIBUTION_WINDOW: Duration = Duration::from_secs(5);
 
 /// Maximum number of broken calls kept; the oldest are dropped first.
-const MOST_BROKEN: usize = 1024;
+const MAX_BROKEN_CALLS: usize = 1024;
 
 impl GatewayState {
     /// State of a VM that has not read anything yet.
@@ -82,7 +82,7 @@
             services_seen: ServicesSeen::default(),
             budgets: Vec::new(),
             crashes: CrashTracker::default(),
-            broken: Vec::new(),
+            broken_calls: Vec::new(),
             peers: PeerLoads::new(vm),
             cached: CachedPrompts::default(),
             table: UpstreamTable::default(),
@@ -108,7 +108,7 @@
     }
 
     /// Marks all state as old because this process did not run for a while.
-    pub(crate) fn woke(&mut self) {
+    pub(crate) fn record_suspension(&mut self) {
         self.old_config = true;
         self.old_directory = true;
         self.gossip = GossipView::default();
@@ -117,40 +117,44 @@
 
     /// Records that the connection of a call broke. Connections also break while their upstream
     /// lives, so no crash is attributed to the call before the upstream is known to have crashed.
-    pub(crate) fn broke_under(&mut self, crash: Crash) {
-        if self.broken.len() == MOST_BROKEN {
-            self.broken.remove(0);
+    pub(crate) fn record_broken_call(&mut self, crash: Crash) {
+        if self.broken_calls.len() == MAX_BROKEN_CALLS {
+            self.broken_calls.remove(0);
         }
-        self.broken.push(crash);
+        self.broken_calls.push(crash);
     }
 
     /// Records that an upstream crashed, and attributes the crash to the calls whose connections
     /// broke shortly before; returns how many of these records are new.
-    pub(crate) fn died(&mut self, upstream: &UpstreamIncarnation, now: Instant) -> usize {
-        self.broken
-            .retain(|crash| now.since(crash.at) < DEATH_SHOWS);
-        let (under, rest) = std::mem::take(&mut self.broken)
+    pub(crate) fn upstream_crashed(
+        &mut self,
+        upstream: &UpstreamIncarnation,
+        now: Instant,
+    ) -> usize {
+        self.broken_calls
+            .retain(|crash| now.since(crash.at) < CRASH_ATTRIBUTION_WINDOW);
+        let (attributed, rest) = std::mem::take(&mut self.broken_calls)
             .into_iter()
             .partition(|crash| crash.upstream == *upstream);
-        self.broken = rest;
-        let under: Vec<Crash> = under;
-        let news = under
+        self.broken_calls = rest;
+        let attributed: Vec<Crash> = attributed;
+        let is_new = attributed
             .into_iter()
-            .filter(|crash| self.heard_of_crash(crash.clone()));
-        news.count()
+            .filter(|crash| self.apply_crash(crash.clone()));
+        is_new.count()
     }
 
     /// Records a crash of an upstream under a call, observed here or by another VM; returns whether
     /// it is new.
-    pub(crate) fn heard_of_crash(&mut self, crash: Crash) -> bool {
+    pub(crate) fn apply_crash(&mut self, crash: Crash) -> bool {
         let (digest, now) = (crash.digest, crash.at);
-        let news = self.crashes.record_crash(crash);
-        if news && self.crashes.is_rejected(digest, now) {
+        let is_new = self.crashes.record_crash(crash);
+        if is_new && self.crashes.is_rejected(digest, now) {
             let crashes = self.crashes.crash_count(digest, now);
             tracing::warn!(body = %format_args!("{digest:016x}"), crashes,
                 "calls with this body are rejected from now on");
         }
-        news
+        is_new
     }
 
     /// State of an upstream, created if there is none.
@@ -167,7 +171,7 @@
                     entry: entry.clone(),
                     health: UpstreamHealth::new(now),
                     load: UpstreamLoad::default(),
-                    given_up: watch::Sender::new(0),
+                    failed_over: watch::Sender::new(0),
                 };
                 self.upstreams.insert(index, upstream);
                 index
@@ -177,7 +181,7 @@
     }
 
     /// State of an upstream, if there is any.
-    pub(crate) fn known_upstream(
+    pub(crate) fn existing_upstream(
         &mut self,
         id: &UpstreamIncarnation,
     ) -> Option<&mut UpstreamState> {
@@ -191,7 +195,7 @@
     }
 
     /// Drops the states of upstreams that are gone and have no call in flight.
-    pub(crate) fn forget_gone(&mut self, now: Instant) {
+    pub(crate) fn remove_gone(&mut self, now: Instant) {
         let directory = &self.directory;
         self.upstreams
             .retain(|u| u.health.in_flight() > 0 || directory.get_usable(&u.id, now).is_some());
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -227,7 +227,7 @@
         let Some(active) = &mut self.active else {
             return Ok(());
         };
-        self.gateway.heard(&active.guard.entry, None);
+        self.gateway.upstream_responded(&active.guard.entry, None);
         if active.splitter.push(bytes).is_err() {
             return self.lost(Loss::Torn);
         }
@@ -339,8 +339,8 @@
             copy = self.copy.as_ref().map(|c| tracing::field::display(c.holder.id.clone())),
             "run of a stream lost");
         if loss == Loss::Broken {
-            self.gateway.broke(entry);
-            self.gateway.crashed_under(entry, self.accepted.digest);
+            self.gateway.stream_broke(entry);
+            self.gateway.call_broke(entry, self.accepted.digest);
         }
     }
 }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -226,10 +226,10 @@
         answer: UpstreamResponse,
     ) -> Result<bool, StreamStop> {
         let entry = guard.entry.clone();
-        self.gateway.heard(&entry, answer.load);
+        self.gateway.upstream_responded(&entry, answer.load);
         if answer.other_incarnation || answer.not_executed {
             if answer.other_incarnation {
-                self.gateway.replaced(&entry, answer.incarnation);
+                self.gateway.upstream_replaced(&entry, answer.incarnation);
             }
             self.refused(&entry, answer.status);
             return Ok(false);
@@ -278,7 +278,7 @@
             let fault_name: &str = fault.into();
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
                 fault = fault_name, "call failed");
-            self.gateway.broke(entry);
+            self.gateway.stream_broke(entry);
             return Ok(false);
         }
         self.ran_on.push(entry.id.clone());
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -168,7 +168,7 @@
         let repeat = self.accepted.route.kind.may_retry();
         let answer = async {
             let answer = (gateway.transport.send)(call).await?;
-            gateway.heard(entry, answer.load);
+            gateway.upstream_responded(entry, answer.load);
             collect(answer).await
         };
         let mut answer = pin!(answer);
@@ -219,7 +219,7 @@
     fn judge(&self, entry: &Arc<UpstreamEntry>, answer: CollectedAnswer) -> Sent {
         let CollectedAnswer { head, body } = answer;
         if head.other_incarnation {
-            self.gateway.replaced(entry, None);
+            self.gateway.upstream_replaced(entry, None);
             return Sent::NotRun(NotRunEvidence::UpstreamRefused);
         }
         if head.not_executed {
@@ -250,11 +250,11 @@
             SendError::NoConnection => {
                 // Nothing arrived there, so the next send is the same one still.
                 self.send_paid = true;
-                self.gateway.broke(entry);
+                self.gateway.stream_broke(entry);
                 Sent::NotRun(NotRunEvidence::NoConnection)
             }
             SendError::Lost => {
-                self.gateway.crashed_under(entry, self.accepted.digest);
+                self.gateway.call_broke(entry, self.accepted.digest);
                 Sent::Lost
             }
             SendError::Crossed | SendError::Stalled => Sent::Lost,
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -78,7 +78,7 @@
     /// Waits until the zone advertises a newer configuration than the one in force here; returns
     /// `None` as soon as the zone cannot be relied on for it.
     pub(crate) async fn newer_config_in_zone(&self) -> Option<AdvertisedConfig> {
-        let mut wakes = self.wakes.subscribe();
+        let mut suspensions = self.suspensions.subscribe();
         let mut newest = self.zone_config.subscribe();
         loop {
             let until = self.config_relied_on_until()?;
@@ -92,7 +92,7 @@
             // In every case the state is checked again.
             tokio::select! {
                 _ = newest.changed() => {}
-                _ = wakes.changed() => {}
+                _ = suspensions.changed() => {}
                 () = tokio::time::sleep(wait) => {}
             }
         }
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -240,7 +240,7 @@
     fn apply_changes(&self, changes: Vec<UpstreamChange>) {
         for TableRow { key, entry, .. } in changes {
             match (entry, key.parse::<UpstreamId>()) {
-                (Some(entry), _) => self.upstream_heard(entry),
+                (Some(entry), _) => self.upstream_updated(entry),
                 (None, Ok(id)) => self.upstream_removed(&id),
                 // The key was never the id of an upstream, so there is nothing to remove.
                 (None, Err(error)) => tracing::debug!(%key, %error, "bad id of a removed entry"),
--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -189,7 +189,7 @@
     // The loss of the connection is not reported.
     let before = version(&running);
 
-    running.gateway.woke(Duration::from_secs(4));
+    running.gateway.record_suspension(Duration::from_secs(4));
     let start = running.timer.now();
     running.gateway.known().await;
 
--- a/crates/catkinward/tests/gateway_replaced.rs
+++ b/crates/catkinward/tests/gateway_replaced.rs
@@ -104,7 +104,7 @@
 
     running
         .gateway
-        .upstream_heard(born_upstream("engine-a1", ENGINES, "a", ProcessStart(2000)));
+        .upstream_updated(born_upstream("engine-a1", ENGINES, "a", ProcessStart(2000)));
     tokio::time::sleep(Duration::from_millis(20)).await;
 
     expect_that!(running.seen.lock().len(), eq(2));
@@ -142,7 +142,7 @@
         entry,
         version: 0,
     };
-    running.gateway.take_restart(&restart);
+    running.gateway.receive_restart(&restart);
     let stream = read_stream(running.handle("/stream/1").await).await;
 
     expect_that!(stream, eq(&(text(1, 3), true)));
@@ -173,7 +173,7 @@
         .gateway
         .upstream_removed(&"engine-a9".parse().unwrap());
 
-    running.gateway.take_restart(&restart);
+    running.gateway.receive_restart(&restart);
     read_stream(running.handle("/stream/1").await).await;
 
     expect_that!(running.sent_to(), not(contains(eq("engine-a9"))));
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -190,7 +190,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     running
         .gateway
-        .upstream_heard(upstream("engine-a1", ENGINES, "a"));
+        .upstream_updated(upstream("engine-a1", ENGINES, "a"));
     tokio::time::sleep(Duration::from_millis(1200)).await;
 
     cut.store(true, Ordering::Relaxed);
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -215,7 +215,7 @@
     let old = table.news(&[]);
     table.set_leaving(0);
 
-    running.gateway.woke(Duration::from_secs(4));
+    running.gateway.record_suspension(Duration::from_secs(4));
     running.hear_gossip(&old);
     tokio::time::sleep(Duration::from_millis(100)).await;
 
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -346,7 +346,10 @@
     let old = member.word(Duration::ZERO);
     member.source.set_version(3);
 
-    member.running.gateway.woke(Duration::from_secs(4));
+    member
+        .running
+        .gateway
+        .record_suspension(Duration::from_secs(4));
     member.running.hear_gossip(&old);
     tokio::time::sleep(Duration::from_millis(50)).await;
 
@@ -369,7 +372,10 @@
     tokio::time::sleep(PERIOD).await;
     member.hear(Duration::ZERO);
 
-    member.running.gateway.woke(Duration::from_secs(4));
+    member
+        .running
+        .gateway
+        .record_suspension(Duration::from_secs(4));
     let start = Instant::now();
     for _ in 0..8 {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -422,7 +428,10 @@
                 });
             }
             if rng.random_bool(0.02) {
-                member.running.gateway.woke(Duration::from_secs(2));
+                member
+                    .running
+                    .gateway
+                    .record_suspension(Duration::from_secs(2));
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
             expect_that!(member.version(), ge(in_force), "seed {seed}");
