--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -68,9 +68,9 @@
     /// When this process started.
     pub(crate) started: Instant,
     /// Number of calls that wait for retry budget.
-    pub(crate) waiting_repeats: AtomicU32,
+    pub(crate) waiting_retries: AtomicU32,
     /// Notifies waiting calls that a budget loan has arrived.
-    pub(crate) loan_came: Notify,
+    pub(crate) loan_arrived: Notify,
     /// Datagrams to other VMs that do not wait for the next heartbeat.
     pub(crate) outbox: Outbox,
     /// Upstreams that were sent a prompt; each triggers a heartbeat.
@@ -127,8 +127,8 @@
             searching: tokio::sync::Mutex::default(),
             loans: Mutex::default(),
             started: timer.now(),
-            waiting_repeats: AtomicU32::new(0),
-            loan_came: Notify::new(),
+            waiting_retries: AtomicU32::new(0),
+            loan_arrived: Notify::new(),
             outbox: Outbox::default(),
             dispatches: Dispatches::default(),
             crashes_seen: Notify::new(),
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -4,20 +4,20 @@
 
 /// How long a VM that was last seen counts as one that shares the retry budget. A partitioned VM
 /// continues to serve and to retry, so it must not be dropped early.
-const VM_MEMORY: Duration = Duration::from_secs(60);
+const VM_RETENTION: Duration = Duration::from_secs(60);
 
 /// Time after the start in which this VM takes no share of the slack. It knows few other VMs at
 /// first and would take the shares of all the others; VMs that restart together would exceed the
 /// budget several times over. The live VMs are known after some six heartbeats.
-const SETTLED_AFTER: Duration = Duration::from_secs(3);
+const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// Number of remaining retries at which loans are requested. A reply takes as long as sending a
 /// stream again, so the next lost stream does not have to wait for it.
-const FEW_LEFT: u32 = 2;
+const LOW_REMAINING: u32 = 2;
 
 /// Retries requested from each VM beyond those that calls wait for, since several streams are lost
 /// together.
-const WANTED_BEYOND: u32 = 1;
+const EXTRA_RETRIES: u32 = 1;
 
 /// Wait for loans when no retries remain: a reply from another zone takes 2 to 5 ms, and the caller
 /// of a broken stream waits in the meantime.
@@ -33,25 +33,25 @@
 
 /// How long a stream waits for retry budget before it fails. Engines keep the copy of its KV cache
 /// for some four seconds, and after a failure the retry of its caller repeats the whole prefill.
-pub(crate) const STREAM_PATIENCE: Duration = Duration::from_millis(2500);
+pub(crate) const STREAM_RETRY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long a plain call waits for retry budget: about the time in which its response is of full
 /// use.
-pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(100);
+pub(crate) const CALL_RETRY_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Gateway {
-    /// Takes a retry of a service from the budget. If none remain, waits up to `patience` for loans
+    /// Takes a retry of a service from the budget. If none remain, waits up to `max_wait` for loans
     /// from other VMs or for the budget's window to advance.
-    pub(crate) async fn pay_repeat(&self, service: &ServiceId, patience: Duration) -> bool {
-        if self.try_pay_repeat(service, 1) {
+    pub(crate) async fn take_retry(&self, service: &ServiceId, max_wait: Duration) -> bool {
+        if self.try_take_retry(service, 1) {
             return true;
         }
-        let waiting = Waiting::begin(&self.waiting_repeats);
-        let until = tokio::time::Instant::now() + patience;
+        let waiting = WaitingCall::begin(&self.waiting_retries);
+        let until = tokio::time::Instant::now() + max_wait;
         for round in 0.. {
-            let mut came = std::pin::pin!(self.loan_came.notified());
-            came.as_mut().enable();
-            if self.try_pay_repeat(service, waiting.count()) {
+            let mut arrived = std::pin::pin!(self.loan_arrived.notified());
+            arrived.as_mut().enable();
+            if self.try_take_retry(service, waiting.count()) {
                 return true;
             }
             let wait = if round < QUICK_ROUNDS {
@@ -64,7 +64,7 @@
                 break;
             }
             // Either way the budget is checked again.
-            let _ = tokio::time::timeout_at(until.min(now + wait), came).await;
+            let _ = tokio::time::timeout_at(until.min(now + wait), arrived).await;
         }
         metrics::counter!("catkin_repeats_refused_total").increment(1);
         tracing::warn!(%service, "retry budget exhausted");
@@ -72,23 +72,23 @@
     }
 
     /// Takes a retry if any remain, and requests loans for `waiting` calls if few remain.
-    fn try_pay_repeat(&self, service: &ServiceId, waiting: u32) -> bool {
+    fn try_take_retry(&self, service: &ServiceId, waiting: u32) -> bool {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let cfg = self.repeats(&state, now);
         let budget = state.budget(service);
-        let paid = budget.try_take(&cfg, now);
-        if budget.remaining(&cfg, now) <= FEW_LEFT {
+        let taken = budget.try_take(&cfg, now);
+        if budget.remaining(&cfg, now) <= LOW_REMAINING {
             let lenders = state
                 .peers
                 .sample_addresses(MAX_LENDERS, rand::random(), now);
             drop(state);
-            self.ask_for_loans(service, waiting + WANTED_BEYOND, lenders, now);
+            self.request_loans(service, waiting + EXTRA_RETRIES, lenders, now);
         }
-        paid
+        taken
     }
 
-    fn ask_for_loans(
+    fn request_loans(
         &self,
         service: &ServiceId,
         wanted: u32,
@@ -112,7 +112,7 @@
 
     /// Lends retries to another VM.
     pub(crate) fn lend(&self, ask: LoanAsk, borrower: SocketAddr) {
-        if self.waiting_repeats.load(Ordering::Relaxed) > 0 {
+        if self.waiting_retries.load(Ordering::Relaxed) > 0 {
             // The remaining and the new retries are for the calls that wait here.
             return;
         }
@@ -146,31 +146,31 @@
         drop(state);
         tracing::info!(service = %loan.service, number = loan.number, %lender, given,
             "retries borrowed");
-        self.loan_came.notify_waiters();
+        self.loan_arrived.notify_waiters();
     }
 
     /// The budget settings with the current number of VMs and slack.
     fn repeats(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
-        let settled = alone || now.since(self.started) >= SETTLED_AFTER;
+        let peers_known = alone || now.since(self.started) >= PEER_DISCOVERY_TIME;
         RouteRetryBudgetConfig {
-            slack: if settled {
+            slack: if peers_known {
                 self.settings.repeats.slack
             } else {
                 0.0
             },
-            vms: u32::try_from(state.peers.count_within(VM_MEMORY, now) + 1).unwrap_or(u32::MAX),
+            vms: u32::try_from(state.peers.count_within(VM_RETENTION, now) + 1).unwrap_or(u32::MAX),
             ..self.settings.repeats
         }
     }
 }
 
 /// Counts a call that waits for retry budget until it is dropped.
-struct Waiting<'a> {
+struct WaitingCall<'a> {
     count: &'a AtomicU32,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingCall<'a> {
     fn begin(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self { count }
@@ -181,7 +181,7 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -6,7 +6,7 @@
     kv_copy_manager::KvCopyManager,
     reply::StreamCut,
     reply_log::millis,
-    retries::{CALL_PATIENCE, STREAM_PATIENCE},
+    retries::{CALL_RETRY_TIMEOUT, STREAM_RETRY_TIMEOUT},
     run_guard::RunGuard,
     state::cached_tokens,
     stream_call::StreamStop,
@@ -85,12 +85,12 @@
     async fn pay_repeat(&mut self) -> bool {
         let time_left = self.accepted.time_left(self.gateway.timer.now());
         let patience = if self.gateway.settings.policy.repeat_wait {
-            STREAM_PATIENCE.min(time_left)
+            STREAM_RETRY_TIMEOUT.min(time_left)
         } else {
-            CALL_PATIENCE
+            CALL_RETRY_TIMEOUT
         };
         self.gateway
-            .pay_repeat(&self.accepted.service, patience)
+            .take_retry(&self.accepted.service, patience)
             .await
     }
 
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -1,6 +1,6 @@
 use super::{
-    accepted_call::AcceptedCall, reply_log::millis, retries::CALL_PATIENCE, run_guard::RunGuard,
-    upstream_transport::CONNECT_BOUND, *,
+    accepted_call::AcceptedCall, reply_log::millis, retries::CALL_RETRY_TIMEOUT,
+    run_guard::RunGuard, upstream_transport::CONNECT_BOUND, *,
 };
 use std::pin::pin;
 
@@ -139,7 +139,7 @@
         let paid = self.send_paid
             || self
                 .gateway
-                .pay_repeat(&self.accepted.service, CALL_PATIENCE)
+                .take_retry(&self.accepted.service, CALL_RETRY_TIMEOUT)
                 .await;
         paid.then_some(next)
     }
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -18,8 +18,8 @@
     /// Waits as long as other VMs advertise the table and no update is missing here.
     pub(crate) async fn rely_on_zone(&self) {
         loop {
-            let mut came = std::pin::pin!(self.gossip_received.notified());
-            came.as_mut().enable();
+            let mut arrived = std::pin::pin!(self.gossip_received.notified());
+            arrived.as_mut().enable();
             let role = self.zone_role();
             if role == ZoneRole::Reader {
                 return;
@@ -30,19 +30,19 @@
             };
             let wait = until.since(self.timer.now());
             // In either case the state is checked again.
-            let _ = tokio::time::timeout(wait, came).await;
+            let _ = tokio::time::timeout(wait, arrived).await;
         }
     }
 
     /// Waits until the zone advertises what `relies` checks for.
     pub(crate) async fn wait_for_zone(&self, relies: fn(&Self) -> bool) {
         loop {
-            let mut came = std::pin::pin!(self.gossip_received.notified());
-            came.as_mut().enable();
+            let mut arrived = std::pin::pin!(self.gossip_received.notified());
+            arrived.as_mut().enable();
             if relies(self) {
                 return;
             }
-            came.await;
+            arrived.await;
         }
     }
 
