--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -82,7 +82,7 @@
     /// Newest configuration that another VM of the zone has advertised.
     pub(crate) zone_config: watch::Sender<Option<AdvertisedConfig>>,
     /// Counts how often a feed found that the store responds again.
-    pub(crate) store_returns: watch::Sender<u64>,
+    pub(crate) store_recoveries: watch::Sender<u64>,
     /// This VM's name and the incarnation of its process.
     pub(crate) vm_incarnation: VmIncarnation,
     /// Rollouts that this VM owns, sorted by service.
@@ -134,7 +134,7 @@
             crashes_seen: Notify::new(),
             gossip_received: Notify::new(),
             zone_config: watch::Sender::new(None),
-            store_returns: watch::Sender::new(0),
+            store_recoveries: watch::Sender::new(0),
             readiness: Mutex::new(Readiness::NothingKnown),
             drain: Arc::default(),
             timer,
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -1,13 +1,13 @@
 //! Reads the tables of the platform store and follows their changes: the configuration and the
 //! entries of upstreams.
 
-use super::{read_progress::while_it_progresses, *};
+use super::{read_progress::wait_while_progressing, *};
 use tokio::sync::mpsc;
 
 /// Timeout of a request for changes, beyond its wait at the store, and of a step of a full read: a
 /// response takes some 4 ms, and a slow store responds within a second. A connection that has gone
 /// silent is detected this way.
-const STORE_BOUND: Duration = Duration::from_millis(900);
+const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long a request for changes of the configuration waits at the store while another VM of a
 /// small zone advertises the configuration in force there. If that one is newer, or nobody
@@ -17,34 +17,34 @@
 /// Interval of requests for changes of upstreams. Upstreams write their entries about every second,
 /// so a waiting request would return at once; a leaving upstream must get no new calls after two
 /// seconds.
-const UPSTREAM_PACE: Duration = Duration::from_millis(1100);
+const UPSTREAM_POLL_INTERVAL: Duration = Duration::from_millis(1100);
 
 /// Timeouts of requests while the store does not respond, in rotation. The short one detects
 /// recovery soon: a request sent just before it may hang on a dead connection, during which an
 /// older configuration stays in force. The long ones are for a slow store.
-const RETURN_BOUNDS: [Duration; 3] = [
+const RECOVERY_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(400),
     Duration::from_millis(900),
     Duration::from_secs(2),
 ];
 
 /// Timeout of a read from another VM, which has the data in memory: a round trip takes 2 ms.
-pub(crate) const PEER_BOUND: Duration = Duration::from_millis(250);
+pub(crate) const PEER_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A table of the platform store, with the ways to read it.
 pub struct Feed<T> {
     /// Name of the feed in logs and metrics.
     pub name: &'static str,
     /// Reads all rows.
-    pub read: ReadWhole<T>,
+    pub read: ReadSnapshot<T>,
     /// Requests the changes after a version; waits at the store for the given duration at most.
-    pub changes: AskChanges<T>,
+    pub changes: RequestChanges<T>,
     /// Reads all rows that another VM has, if that VM has recent responses of the platform.
     pub read_from_peer: ReadFromPeer<T>,
 }
 
 /// Reads all rows of a feed, and reports its progress.
-pub type ReadWhole<T> = Box<
+pub type ReadSnapshot<T> = Box<
     dyn Fn(ReadProgress<T>) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync,
 >;
 
@@ -53,7 +53,7 @@
     Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
 /// Requests the changes after a version.
-pub type AskChanges<T> =
+pub type RequestChanges<T> =
     Box<dyn Fn(u64, Duration) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
 /// Rows of a feed at one version.
@@ -96,8 +96,8 @@
                     from_store = advertised.from_store,
                     "a peer tells of a newer configuration");
                 if !advertised.from_store {
-                    let page = ask_peer(&feed, advertised.by).await;
-                    take_config(&gateway, page.as_ref());
+                    let page = read_peer(&feed, advertised.by).await;
+                    apply_config(&gateway, page.as_ref());
                 }
                 if gateway
                     .config()
@@ -110,25 +110,25 @@
                 // that does not wait, the read would never complete: the log shows `not read from a
                 // peer` and `store unreachable`, and callers of new routes are refused for many
                 // seconds.
-                Some(follower.ask_store(CONFIG_POLL_TIMEOUT).await)
+                Some(follower.next_from_store(CONFIG_POLL_TIMEOUT).await)
             }
-            None => ask_for_config(&gateway, &mut follower).await,
+            None => request_config(&gateway, &mut follower).await,
         };
         let Some(Read::Page { page, .. }) = read else {
             continue;
         };
-        if follower.answers {
+        if follower.reachable {
             gateway.config_read();
         }
         gateway.feed_read(|state| state.old_config = false);
-        if take_config(&gateway, Some(&page)) && follower.answers {
+        if apply_config(&gateway, Some(&page)) && follower.reachable {
             gateway.advertise_to_zone(&[]);
         }
     }
 }
 
 /// Requests a newer configuration from the store; `None` if the next read must go another way.
-async fn ask_for_config(
+async fn request_config(
     gateway: &Gateway,
     follower: &mut Follower<'_, RoutingConfig>,
 ) -> Option<Read<RoutingConfig>> {
@@ -154,7 +154,7 @@
 }
 
 /// Puts the configuration of a page in force; returns whether it is newer.
-fn take_config(gateway: &Gateway, page: Option<&FeedPage<RoutingConfig>>) -> bool {
+fn apply_config(gateway: &Gateway, page: Option<&FeedPage<RoutingConfig>>) -> bool {
     let rows = page.into_iter().flat_map(|page| &page.rows);
     let configs = rows.filter_map(|row| row.entry.as_ref());
     configs
@@ -170,12 +170,12 @@
     follower.first_rows = Gateway::put_first_upstreams;
     loop {
         if let Read::Page { page, whole } = follower.next(Duration::ZERO).await {
-            gateway.set_platform_reachable(follower.answers);
-            if follower.answers || gateway.is_behind(&page) {
-                gateway.table_read(&page, whole, follower.answers);
+            gateway.set_platform_reachable(follower.reachable);
+            if follower.reachable || gateway.is_behind(&page) {
+                gateway.table_read(&page, whole, follower.reachable);
             }
             gateway.feed_read(|state| state.old_directory = false);
-            follower.pause(UPSTREAM_PACE).await;
+            follower.pause(UPSTREAM_POLL_INTERVAL).await;
         }
         if gateway.relies_on_zone() {
             gateway.rely_on_zone().await;
@@ -188,21 +188,21 @@
 /// Reads a feed from another VM. The platform may reject some VMs and serve others; without this,
 /// the rejected ones would keep old state, send calls to leaving upstreams, and refuse new routes
 /// and keys.
-async fn ask_a_peer<T>(gateway: &Gateway, feed: &Feed<T>) -> Option<FeedPage<T>> {
-    ask_peer(feed, gateway.random_peer()?).await
+async fn read_random_peer<T>(gateway: &Gateway, feed: &Feed<T>) -> Option<FeedPage<T>> {
+    read_peer(feed, gateway.random_peer()?).await
 }
 
-async fn ask_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
+async fn read_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
     // VMs that read from a VM whose link is full must not keep it busy; they have the store.
-    let answer = tokio::time::timeout(PEER_BOUND, (feed.read_from_peer)(peer)).await;
+    let answer = tokio::time::timeout(PEER_READ_TIMEOUT, (feed.read_from_peer)(peer)).await;
     match answer.unwrap_or(Err(FeedError::NoAnswer)) {
         Ok(page) => {
             tracing::info!(feed = feed.name, %peer, version = page.version, "read from a peer");
             Some(page)
         }
-        Err(fault) => {
-            let fault_name: &str = fault.into();
-            tracing::info!(feed = feed.name, %peer, fault = fault_name, "not read from a peer");
+        Err(error) => {
+            let error_name: &str = error.into();
+            tracing::info!(feed = feed.name, %peer, fault = error_name, "not read from a peer");
             None
         }
     }
@@ -241,23 +241,23 @@
     /// longer keeps the changes.
     version: Option<u64>,
     /// Whether the store responds.
-    answers: bool,
-    faults: usize,
+    reachable: bool,
+    failures: usize,
     /// Failures since the store last responded.
-    faults_in_a_row: u32,
+    consecutive_failures: u32,
     /// Whether the delays grow while the store does not respond.
     backs_off: bool,
     /// Whether the last request failed, so that the next one is delayed.
-    waits: bool,
+    delay_next: bool,
     /// Whether other VMs of the zone advertise what this feed would read.
     relies: fn(&Gateway) -> bool,
     /// Called when the store does not respond.
-    lost: fn(&Gateway),
+    on_lost: fn(&Gateway),
     /// Receives the first rows of a full read before the remaining ones.
     first_rows: fn(&Gateway, Vec<TableRow<T>>),
     suspensions: watch::Receiver<u64>,
     /// Counts how often any feed found that the store responds again.
-    returns: watch::Receiver<u64>,
+    recoveries: watch::Receiver<u64>,
 }
 
 impl<'a, T> Follower<'a, T> {
@@ -265,22 +265,22 @@
         gateway: &'a Arc<Gateway>,
         feed: &'a Feed<T>,
         relies: fn(&Gateway) -> bool,
-        lost: fn(&Gateway),
+        on_lost: fn(&Gateway),
     ) -> Self {
         Self {
             gateway,
             feed,
             version: None,
-            answers: true,
-            faults: 0,
-            faults_in_a_row: 0,
+            reachable: true,
+            failures: 0,
+            consecutive_failures: 0,
             backs_off: true,
-            waits: false,
+            delay_next: false,
             relies,
-            lost,
+            on_lost,
             first_rows: |_, _| {},
             suspensions: gateway.suspensions.subscribe(),
-            returns: gateway.store_returns.subscribe(),
+            recoveries: gateway.store_recoveries.subscribe(),
         }
     }
 
@@ -288,46 +288,47 @@
     /// if the store does not respond here and other VMs of the zone advertise what it holds.
     async fn next(&mut self, wait: Duration) -> Read<T> {
         let relies = self.relies;
-        self.ask(wait, relies).await
+        self.request(wait, relies).await
     }
 
     /// The next page from the store, for data that the zone advertised but did not deliver.
-    async fn ask_store(&mut self, wait: Duration) -> Read<T> {
-        self.ask(wait, |_| false).await
+    async fn next_from_store(&mut self, wait: Duration) -> Read<T> {
+        self.request(wait, |_| false).await
     }
 
-    async fn ask(&mut self, wait: Duration, relies: fn(&Gateway) -> bool) -> Read<T> {
+    async fn request(&mut self, wait: Duration, relies: fn(&Gateway) -> bool) -> Read<T> {
         let mut wait = wait;
         loop {
-            if !self.answers {
-                if std::mem::take(&mut self.waits) {
-                    self.wait_for_return(relies).await;
+            if !self.reachable {
+                if std::mem::take(&mut self.delay_next) {
+                    self.wait_for_recovery(relies).await;
                 }
                 if self.version.is_some() && relies(self.gateway) {
                     return Read::Zone;
                 }
             }
             self.count_call();
-            let bound = if self.answers {
-                wait + STORE_BOUND
+            let max_wait = if self.reachable {
+                wait + STORE_TIMEOUT
             } else {
                 wait = Duration::ZERO;
-                RETURN_BOUNDS[self.faults % RETURN_BOUNDS.len()]
+                RECOVERY_TIMEOUTS[self.failures % RECOVERY_TIMEOUTS.len()]
             };
             let whole = self.version.is_none();
             let (progress, parts) = mpsc::unbounded_channel();
-            let asked = async {
+            let pending = async {
                 match self.version {
                     Some(version) => (self.feed.changes)(version, wait).await,
                     None => (self.feed.read)(progress).await,
                 }
             };
             let (gateway, first_rows) = (self.gateway, self.first_rows);
-            let asked = while_it_progresses(asked, parts, bound, |rows| first_rows(gateway, rows));
-            let asked_at = self.gateway.timer.now();
+            let pending =
+                wait_while_progressing(pending, parts, max_wait, |rows| first_rows(gateway, rows));
+            let sent_at = self.gateway.timer.now();
             let suspended = self.suspensions.changed();
             let answer = tokio::select! {
-                answer = asked => answer,
+                answer = pending => answer,
                 // The connection may have been lost in the meantime, with its request still
                 // waiting.
                 Ok(()) = suspended => {
@@ -335,33 +336,35 @@
                     continue;
                 }
             };
-            let fault = match answer {
+            let error = match answer {
                 Ok(page) => {
                     // The latency of a request that waited says nothing about the store.
                     if wait.is_zero() {
-                        let took = self.gateway.timer.now().since(asked_at);
+                        let took = self.gateway.timer.now().since(sent_at);
                         metrics::histogram!("catkin_store_call_seconds", "feed" => self.feed.name)
                             .record(took.as_secs_f64());
                     }
-                    if !self.answers {
+                    if !self.reachable {
                         tracing::info!(feed = self.feed.name, "store reachable");
-                        self.gateway.store_returns.send_modify(|count| *count += 1);
+                        self.gateway
+                            .store_recoveries
+                            .send_modify(|count| *count += 1);
                     }
-                    self.answers = true;
-                    self.faults_in_a_row = 0;
+                    self.reachable = true;
+                    self.consecutive_failures = 0;
                     self.version = Some(page.version);
                     return Read::Page { page, whole };
                 }
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            if let Some(page) = self.failed(fault).await {
+            if let Some(page) = self.failed(error).await {
                 return Read::Page { page, whole: true };
             }
         }
     }
 
     fn count_call(&self) {
-        let cause = if !self.answers {
+        let cause = if !self.reachable {
             StoreCallCause::StoreAway
         } else if self.version.is_none() {
             StoreCallCause::WholeRead
@@ -380,25 +383,25 @@
     }
 
     /// Records a failure; returns the feed of another VM if one can be read.
-    async fn failed(&mut self, fault: FeedError) -> Option<FeedPage<T>> {
-        let fault_name: &str = fault.into();
-        if self.answers {
+    async fn failed(&mut self, error: FeedError) -> Option<FeedPage<T>> {
+        let error_name: &str = error.into();
+        if self.reachable {
             tracing::warn!(
                 feed = self.feed.name,
-                fault = fault_name,
+                fault = error_name,
                 "store unreachable"
             );
         }
-        if fault == FeedError::HistoryGone {
+        if error == FeedError::HistoryGone {
             self.version = None;
             return None;
         }
-        self.answers = false;
-        self.faults += 1;
-        self.faults_in_a_row += 1;
-        (self.lost)(self.gateway);
-        self.waits = true;
-        let page = ask_a_peer(self.gateway, self.feed).await;
+        self.reachable = false;
+        self.failures += 1;
+        self.consecutive_failures += 1;
+        (self.on_lost)(self.gateway);
+        self.delay_next = true;
+        let page = read_random_peer(self.gateway, self.feed).await;
         if let Some(page) = &page {
             self.version = Some(page.version);
         }
@@ -408,24 +411,24 @@
     /// Waits before the next request to the store, unless another feed finds that it responds
     /// again. If each VM sent three requests a second, the store would get more of them during an
     /// outage than in all the time that it serves, and all of them at once when it recovers.
-    async fn wait_for_return(&mut self, relies: fn(&Gateway) -> bool) {
-        self.returns.mark_unchanged();
+    async fn wait_for_recovery(&mut self, relies: fn(&Gateway) -> bool) {
+        self.recoveries.mark_unchanged();
         // A large configuration arrives only within the longest of the timeouts in rotation. If the
         // delays between them grew, it would arrive many seconds after the store has recovered, and
         // callers of new routes would be refused.
-        let faults = if self.backs_off {
-            self.faults_in_a_row
+        let failures = if self.backs_off {
+            self.consecutive_failures
         } else {
             0
         };
         let role = self.gateway.zone_role();
         let zone_vms = self.gateway.zone_vms().len();
-        let wait = store_backoff(role, zone_vms, faults, rand::random());
+        let wait = store_backoff(role, zone_vms, failures, rand::random());
         // In every case the next step is a request to the store, or reliance on the zone.
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = self.gateway.wait_for_zone(relies) => {}
-            _ = self.returns.changed() => {}
+            _ = self.recoveries.changed() => {}
         }
     }
 }
--- a/crates/catkinward/src/gateway/kv_copy_manager.rs
+++ b/crates/catkinward/src/gateway/kv_copy_manager.rs
@@ -100,9 +100,9 @@
                 let copy = KvCopy::ordered(&self.gateway, holder, source);
                 self.made = Some((copy, now));
             }
-            Err(fault) => {
-                let fault_name: &str = fault.into();
-                tracing::warn!(holder = %holder.id, fault = fault_name, "KV cache not copied");
+            Err(error) => {
+                let error_name: &str = error.into();
+                tracing::warn!(holder = %holder.id, fault = error_name, "KV cache not copied");
                 self.not_before = now.after(FAULT_WAIT);
             }
         }
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -45,7 +45,9 @@
     call::{Call, Prompt},
     call_log::{CallLog, LineKind},
     core::{Gateway, GatewaySettings, NOT_READY_RETRY},
-    feed::{AskChanges, Feed, FeedError, FeedPage, ReadFromPeer, follow_config, follow_upstreams},
+    feed::{
+        Feed, FeedError, FeedPage, ReadFromPeer, RequestChanges, follow_config, follow_upstreams,
+    },
     peer_heartbeats::exchange_heartbeats,
     read_progress::{ReadPart, ReadProgress},
     reply::{EventBody, Reply, StreamCut},
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -118,7 +118,12 @@
             vm: self.settings.vm.clone(),
             config: config.map(|config| config.version),
             config_from_store: config.is_some_and(|config| {
-                !link_carries_config(self.settings.link, config.bytes, readers, feed::PEER_BOUND)
+                !link_carries_config(
+                    self.settings.link,
+                    config.bytes,
+                    readers,
+                    feed::PEER_READ_TIMEOUT,
+                )
             }),
             config_age_ms: state.config_read.map(age_ms),
             version: state.table.version(),
