--- a/crates/catkinward/src/gateway/accepted_call.rs
+++ b/crates/catkinward/src/gateway/accepted_call.rs
@@ -18,31 +18,31 @@
 
 /// Maximum idle time of a connection for a call that may be retried. Upstreams close idle
 /// connections after some seconds, and using one that was closed in the meantime costs a retry.
-const IDLE_FOR_REPEATABLE: Duration = Duration::from_secs(4);
+const RETRYABLE_MAX_IDLE: Duration = Duration::from_secs(4);
 
 /// Maximum idle time of a connection for a call that may not be retried. An error on a connection
 /// that its upstream was about to close would leave it unknown whether the call has run.
-const IDLE_FOR_ONCE: Duration = Duration::from_millis(800);
+const NON_RETRYABLE_MAX_IDLE: Duration = Duration::from_millis(800);
 
 /// Minimum share of the route's timeout that a caller allows on its first attempt. Callers'
 /// timeouts differ by about a sixth; one that retries after its VM stopped responding has far less
 /// time left.
-const FIRST_TRY_PART: f64 = 0.7;
+const FIRST_ATTEMPT_SHARE: f64 = 0.7;
 
 impl AcceptedCall {
-    pub(crate) fn longest_idle(&self) -> Duration {
+    pub(crate) fn max_idle(&self) -> Duration {
         if self.route.kind.may_retry() {
-            IDLE_FOR_REPEATABLE
+            RETRYABLE_MAX_IDLE
         } else {
-            IDLE_FOR_ONCE
+            NON_RETRYABLE_MAX_IDLE
         }
     }
 
     /// Whether the caller has tried before: it already has events, or less time left than a first
     /// attempt has.
-    pub(crate) fn comes_back(&self) -> bool {
-        let patience = self.deadline.since(self.call.arrived);
-        self.call.last_event.is_some() || patience < self.route.timeout.mul_f64(FIRST_TRY_PART)
+    pub(crate) fn is_reconnect(&self) -> bool {
+        let allowed = self.deadline.since(self.call.arrived);
+        self.call.last_event.is_some() || allowed < self.route.timeout.mul_f64(FIRST_ATTEMPT_SHARE)
     }
 
     pub(crate) fn time_left(&self, now: Instant) -> Duration {
--- a/crates/catkinward/src/gateway/call.rs
+++ b/crates/catkinward/src/gateway/call.rs
@@ -20,7 +20,7 @@
     /// API key that the caller presented.
     pub key: Option<Arc<str>>,
     /// How long the caller waits for the response, if it says so.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Number of the last event that the caller received in an earlier attempt.
     pub last_event: Option<u64>,
     /// Size and parts of the prompt, for calls to engines.
@@ -35,7 +35,7 @@
     /// Number of tokens in the prompt.
     pub tokens: u32,
     /// Maximum number of tokens to generate.
-    pub most_made: u32,
+    pub max_generated: u32,
     /// Parts of the prompt in order, if they are known; the last one is unique to this prompt.
     pub parts: Arc<[PromptPart]>,
 }
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -17,7 +17,7 @@
 
 /// How long a call waits for a process that has just started. The process reads what it needs
 /// within 0.2 s if the platform responds; if it does not, another VM serves the caller better.
-const LONGEST_START: Duration = Duration::from_millis(600);
+const MAX_START_WAIT: Duration = Duration::from_millis(600);
 
 /// Retry delay for a caller whose body crashed upstreams. The crash record outlasts the delay, so
 /// the delay only prevents immediate retries.
@@ -25,7 +25,7 @@
 
 /// Retry delay for a caller of a VM that is shutting down: short, since the retry goes to another
 /// VM.
-const LEAVING_RETRY: Duration = Duration::from_millis(20);
+const SHUTDOWN_RETRY: Duration = Duration::from_millis(20);
 
 /// Settings of a [`Gateway`].
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// Availability zone of this VM.
     pub zone: AvailabilityZone,
     /// Settings of the retry budgets.
-    pub repeats: RouteRetryBudgetConfig,
+    pub retry_budget: RouteRetryBudgetConfig,
     /// Addresses of a few VMs that receive heartbeats from the start; they may be outdated.
     pub seeds: Vec<SocketAddr>,
     /// Which mechanisms of routing and failover are enabled.
@@ -58,13 +58,13 @@
     pub(crate) leaving: Mutex<Option<Shutdown>>,
     /// Whether a configuration and upstreams are known and were read since this process was last
     /// suspended.
-    known: watch::Sender<bool>,
+    current: watch::Sender<bool>,
     /// Counts the suspensions of this process.
     pub(crate) suspensions: watch::Sender<u64>,
     /// Held while engines are queried for cached prompts.
-    pub(crate) searching: tokio::sync::Mutex<()>,
+    pub(crate) prompt_search_lock: tokio::sync::Mutex<()>,
     /// Requests for retry budget that other VMs have not answered yet.
-    pub(crate) loans: Mutex<LoanRequests>,
+    pub(crate) loan_requests: Mutex<LoanRequests>,
     /// When this process started.
     pub(crate) started: Instant,
     /// Number of calls that wait for retry budget.
@@ -122,10 +122,10 @@
             transport,
             log: CallLog::default(),
             leaving: Mutex::default(),
-            known: watch::Sender::new(false),
+            current: watch::Sender::new(false),
             suspensions: watch::Sender::new(0),
-            searching: tokio::sync::Mutex::default(),
-            loans: Mutex::default(),
+            prompt_search_lock: tokio::sync::Mutex::default(),
+            loan_requests: Mutex::default(),
             started: timer.now(),
             waiting_retries: AtomicU32::new(0),
             loan_arrived: Notify::new(),
@@ -147,10 +147,10 @@
     /// Waits for a limited time until a configuration and upstreams are known. Callers connect as
     /// soon as a process listens, a fifth of a second before it has read them; a caller that was
     /// told to retry and has no attempt left would be lost.
-    pub async fn known(&self) {
-        let mut known = self.known.subscribe();
+    pub async fn wait_until_current(&self) {
+        let mut current = self.current.subscribe();
         // The sender lives as long as `self`, so only the timeout can end the wait early.
-        let _ = tokio::time::timeout(LONGEST_START, known.wait_for(|known| *known)).await;
+        let _ = tokio::time::timeout(MAX_START_WAIT, current.wait_for(|current| *current)).await;
     }
 
     /// Records that this process did not run for `gap`. Calls wait until configuration and
@@ -160,7 +160,7 @@
         tracing::warn!(gap_ms = millis(gap), "process was suspended");
         metrics::counter!("catkin_wakes_total").increment(1);
         self.state.lock().record_suspension();
-        self.known.send_replace(false);
+        self.current.send_replace(false);
         self.suspensions.send_modify(|count| *count += 1);
         self.gossip_received.notify_waiters();
     }
@@ -169,7 +169,7 @@
     pub(crate) fn feed_read(&self, update: fn(&mut GatewayState)) {
         let mut state = self.state.lock();
         update(&mut state);
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
     }
 
     /// Serves a call.
@@ -215,7 +215,7 @@
         let version = config.version;
         let mut state = self.state.lock();
         let advanced = state.config.advance(config);
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
         drop(state);
         if advanced {
             tracing::info!(%version, "configuration in force");
@@ -240,7 +240,7 @@
             state.rollouts.observe_version(entry, at_start, now);
         }
         state.directory_read = DirectoryRead::Whole;
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
         let changes = state.directory.apply_snapshot(entries, now);
         state.remove_gone(now);
         drop(state);
@@ -261,7 +261,7 @@
             changes.extend(state.directory.apply_entry(entry));
         }
         state.directory_read = DirectoryRead::FirstRows;
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
         drop(state);
         self.presence_changed(&changes);
     }
@@ -341,21 +341,19 @@
         let service = route.service_for(draw).ok_or(Reply::NoRoute)?.clone();
         state
             .budget(&service)
-            .record_call(&self.settings.repeats, now);
+            .record_call(&self.settings.retry_budget, now);
         let digest = call.digest(team.as_ref());
         if state.crashes.is_rejected(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
         }
         if !self.takes(route.timeout) {
-            return Err(refused(call, RefusalReason::ShuttingDown, LEAVING_RETRY).into());
+            return Err(refused(call, RefusalReason::ShuttingDown, SHUTDOWN_RETRY).into());
         }
-        let patience = call
-            .patience
-            .map_or(route.timeout, |p| p.min(route.timeout));
+        let timeout = call.timeout.map_or(route.timeout, |p| p.min(route.timeout));
         if self.log.admits(LineKind::Accepted, now) {
             tracing::info!(request = %call.id, route = &*route.name, %service,
                 kind = %route.kind, config = %config.version,
-                patience_ms = millis(patience), tokens = call.prompt.as_ref().map(|p| p.tokens),
+                patience_ms = millis(timeout), tokens = call.prompt.as_ref().map(|p| p.tokens),
                 "accepted");
         }
         Ok(AcceptedCall {
@@ -364,25 +362,25 @@
             service,
             team,
             priority: holder.and_then(|h| h.priority).unwrap_or(route.priority),
-            deadline: call.arrived.after(patience),
+            deadline: call.arrived.after(timeout),
             digest,
         })
     }
 
     /// Selects an upstream; `cached` holds the cached tokens of the prompt by upstream, sorted by
     /// upstream.
-    pub(crate) fn place(
+    pub(crate) fn select(
         &self,
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
     ) -> Option<Arc<UpstreamEntry>> {
-        self.choose(
+        self.select_with(
             accepted,
             avoid,
             cached,
             Candidates::Open,
-            |candidates, who| select_upstream(candidates, who).cloned(),
+            |candidates, context| select_upstream(candidates, context).cloned(),
         )
     }
 
@@ -398,7 +396,7 @@
     }
 
     /// Selects the holder for a copy of a run's KV cache, if the service has copies.
-    pub(crate) fn place_copy(
+    pub(crate) fn select_holder(
         &self,
         accepted: &AcceptedCall,
         run: &UpstreamEntry,
@@ -410,9 +408,13 @@
             // Another version cannot resume from its KV cache.
             return None;
         }
-        self.choose(accepted, &[], &[], Candidates::Open, |candidates, who| {
-            select_copy_holder(candidates, run, who).cloned()
-        })
+        self.select_with(
+            accepted,
+            &[],
+            &[],
+            Candidates::Open,
+            |candidates, context| select_copy_holder(candidates, run, context).cloned(),
+        )
     }
 
     /// Whether the upstreams of a service hold copies of each other's KV caches.
@@ -421,20 +423,20 @@
             .is_some_and(|config| config.service(service).is_some_and(|spec| spec.copies))
     }
 
-    pub(crate) fn choose<T>(
+    pub(crate) fn select_with<T>(
         &self,
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Candidates,
-        choose: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
+        candidate_set: Candidates,
+        select: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
     ) -> T {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let zone = &self.settings.zone;
         let mut zone_vms = state.peers.live_in(zone, now).collect::<Vec<_>>();
         zone_vms.push(self.settings.vm.clone());
-        let who = PlacementContext {
+        let context = PlacementContext {
             zone: &self.settings.zone,
             vm: &self.settings.vm,
             zone_vms: &zone_vms,
@@ -443,13 +445,13 @@
             now,
             policy: &self.settings.policy,
         };
-        state.choose(
+        state.select_with(
             &accepted.service,
             avoid,
             cached,
-            among,
-            &who,
-            |candidates| choose(candidates, &who),
+            candidate_set,
+            &context,
+            |candidates| select(candidates, &context),
         )
     }
 
@@ -479,7 +481,7 @@
     }
 
     /// Records whether a call on an upstream failed.
-    pub(crate) fn outcome(&self, entry: &Arc<UpstreamEntry>, failed: bool) {
+    pub(crate) fn record_call_outcome(&self, entry: &Arc<UpstreamEntry>, failed: bool) {
         let now = self.timer.now();
         self.state
             .lock()
--- a/crates/catkinward/src/gateway/gauges.rs
+++ b/crates/catkinward/src/gateway/gauges.rs
@@ -5,23 +5,23 @@
 
 /// Interval at which the gauges are set: short enough for an endpoint that is scraped every few
 /// seconds.
-const PERIOD: Duration = Duration::from_secs(1);
+const INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sets the gauges until the gateway is dropped.
 pub(crate) async fn update_gauges(gateway: Weak<Gateway>) {
-    let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(PERIOD)) else {
+    let Some(mut ticks) = gateway.upgrade().map(|g| g.timer.subscribe(INTERVAL)) else {
         return;
     };
     while let Some(now) = ticks.recv().await {
         let Some(gateway) = gateway.upgrade() else {
             return;
         };
-        gateway.show(now);
+        gateway.set_gauges(now);
     }
 }
 
 impl Gateway {
-    fn show(&self, now: Instant) {
+    fn set_gauges(&self, now: Instant) {
         let reads = self.zone_role().polls_store();
         let mut state = self.state.lock();
         let usable = state.directory.usable_count(now);
--- a/crates/catkinward/src/gateway/health_check.rs
+++ b/crates/catkinward/src/gateway/health_check.rs
@@ -249,7 +249,7 @@
 
 impl Gateway {
     /// Whether a run may resume from a copy on this upstream: it takes calls and is not suspect.
-    pub(crate) fn may_use(&self, entry: &Arc<UpstreamEntry>) -> bool {
+    pub(crate) fn can_resume_on(&self, entry: &Arc<UpstreamEntry>) -> bool {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let usable = state.directory.get_usable(&entry.id, now).is_some();
@@ -285,7 +285,7 @@
     }
 
     /// Records that the response of a call was complete.
-    pub(crate) fn delivered(&self, digest: u64) {
+    pub(crate) fn record_delivery(&self, digest: u64) {
         self.state.lock().crashes.record_complete_response(digest);
     }
 }
--- a/crates/catkinward/src/gateway/kv_copy.rs
+++ b/crates/catkinward/src/gateway/kv_copy.rs
@@ -8,7 +8,7 @@
     /// Address and handle under which the copy can be fetched.
     pub(crate) source: CopySource,
     /// Whether the holder must be told to free the copy when it is dropped.
-    to_free: bool,
+    free_on_drop: bool,
 }
 
 impl KvCopy {
@@ -39,7 +39,7 @@
         gateway: &Arc<Gateway>,
         holder: Arc<UpstreamEntry>,
         source: CopySource,
-        to_free: bool,
+        free_on_drop: bool,
     ) -> Self {
         let now = gateway.timer.now();
         gateway
@@ -52,19 +52,19 @@
             gateway: gateway.clone(),
             holder,
             source,
-            to_free,
+            free_on_drop,
         }
     }
 
     /// Keeps the copy when it is dropped, because a run resumes from it or a later request has
     /// renewed it.
     pub(crate) fn keep(&mut self) {
-        self.to_free = false;
+        self.free_on_drop = false;
     }
 
     /// Whether a run could resume from the copy, according to the observed state of its holder.
     pub(crate) fn is_usable(&self) -> bool {
-        self.gateway.may_use(&self.holder)
+        self.gateway.can_resume_on(&self.holder)
     }
 }
 
@@ -74,7 +74,7 @@
         let mut state = self.gateway.state.lock();
         state.upstream(&self.holder, now).load.copy_removed();
         drop(state);
-        if self.to_free && self.gateway.settings.policy.freed_copies {
+        if self.free_on_drop && self.gateway.settings.policy.freed_copies {
             tokio::spawn((self.gateway.transport.free)(self.source.clone()));
         }
     }
--- a/crates/catkinward/src/gateway/kv_copy_manager.rs
+++ b/crates/catkinward/src/gateway/kv_copy_manager.rs
@@ -13,14 +13,14 @@
 use super::{accepted_call::AcceptedCall, kv_copy::KvCopy, *};
 
 /// Interval at which the copy holder is checked.
-const COPY_LOOK: Duration = Duration::from_millis(200);
+const HOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Age at which a copy that does not grow is renewed. Engines keep one for four seconds, and the
 /// tokens it lacks (some hundred) are processed again in some ten milliseconds.
-const RENEWED_AFTER: Duration = Duration::from_millis(2500);
+const RENEWAL_AGE: Duration = Duration::from_millis(2500);
 
 /// Delay after a copy request failed.
-const FAULT_WAIT: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// The KV copies of one run.
 pub(crate) struct KvCopyManager {
@@ -28,14 +28,14 @@
     /// Copy that grows with the run.
     growing: Option<KvCopy>,
     /// Copy that was requested later, with the time at which it was complete.
-    made: Option<(KvCopy, Instant)>,
-    making: Option<Making>,
+    requested: Option<(KvCopy, Instant)>,
+    pending: Option<PendingCopy>,
     not_before: Instant,
     /// Time of the next check. It is stored because every event of the stream cancels the wait.
-    look_at: tokio::time::Instant,
+    next_check: tokio::time::Instant,
 }
 
-struct Making {
+struct PendingCopy {
     holder: Arc<UpstreamEntry>,
     answer: BoxFuture<'static, Result<CopySource, CopyError>>,
 }
@@ -45,10 +45,10 @@
         Self {
             gateway: gateway.clone(),
             growing,
-            made: None,
-            making: None,
+            requested: None,
+            pending: None,
             not_before: Instant::default(),
-            look_at: tokio::time::Instant::now() + COPY_LOOK,
+            next_check: tokio::time::Instant::now() + HOLDER_CHECK_INTERVAL,
         }
     }
 
@@ -57,15 +57,20 @@
     /// takes precedence.
     pub(crate) fn into_best(self, after_silence: bool) -> Option<KvCopy> {
         let growing = self.growing.filter(KvCopy::is_usable);
-        let made = self.made.map(|(copy, _)| copy).filter(KvCopy::is_usable);
+        let requested = self
+            .requested
+            .map(|(copy, _)| copy)
+            .filter(KvCopy::is_usable);
         let own = &self.gateway.settings.zone;
-        match (growing, made) {
-            (Some(growing), Some(made))
-                if after_silence && growing.holder.zone != *own && made.holder.zone == *own =>
+        match (growing, requested) {
+            (Some(growing), Some(requested))
+                if after_silence
+                    && growing.holder.zone != *own
+                    && requested.holder.zone == *own =>
             {
-                Some(made)
+                Some(requested)
             }
-            (growing, made) => growing.or(made),
+            (growing, requested) => growing.or(requested),
         }
     }
 
@@ -80,54 +85,54 @@
 
     /// Waits until the pending copy request ends or, without one, until the next check is due.
     pub(crate) async fn wait(&mut self) {
-        let Some(making) = &mut self.making else {
-            tokio::time::sleep_until(self.look_at).await;
-            self.look_at = tokio::time::Instant::now() + COPY_LOOK;
+        let Some(pending) = &mut self.pending else {
+            tokio::time::sleep_until(self.next_check).await;
+            self.next_check = tokio::time::Instant::now() + HOLDER_CHECK_INTERVAL;
             return;
         };
-        let answer = (&mut making.answer).await;
-        let holder = making.holder.clone();
-        self.making = None;
+        let answer = (&mut pending.answer).await;
+        let holder = pending.holder.clone();
+        self.pending = None;
         let now = self.gateway.timer.now();
         match answer {
             Ok(source) => {
                 tracing::info!(handle = &*source.handle, holder = %holder.id, "KV cache copied");
-                if let Some((before, _)) = &mut self.made
+                if let Some((before, _)) = &mut self.requested
                     && before.source == source
                 {
                     before.keep();
                 }
                 let copy = KvCopy::ordered(&self.gateway, holder, source);
-                self.made = Some((copy, now));
+                self.requested = Some((copy, now));
             }
             Err(error) => {
                 let error_name: &str = error.into();
                 tracing::warn!(holder = %holder.id, fault = error_name, "KV cache not copied");
-                self.not_before = now.after(FAULT_WAIT);
+                self.not_before = now.after(RETRY_DELAY);
             }
         }
     }
 
     /// Requests a copy if no usable one exists.
-    pub(crate) fn look(&mut self, accepted: &AcceptedCall, run: &Arc<UpstreamEntry>) {
+    pub(crate) fn check(&mut self, accepted: &AcceptedCall, run: &Arc<UpstreamEntry>) {
         let now = self.gateway.timer.now();
         let grows = self.growing.as_ref().is_some_and(KvCopy::is_usable);
         let exposed = grows && self.is_exposed(run);
         if !grows && !self.gateway.settings.policy.remade_copies {
             return;
         }
-        if (grows && !exposed) || self.making.is_some() || now < self.not_before {
+        if (grows && !exposed) || self.pending.is_some() || now < self.not_before {
             return;
         }
-        let holder = match &self.made {
+        let holder = match &self.requested {
             Some((copy, at)) if copy.is_usable() => {
-                if now.since(*at) < RENEWED_AFTER {
+                if now.since(*at) < RENEWAL_AGE {
                     return;
                 }
                 // Only new tokens are copied to the same holder.
                 Some(copy.holder.clone())
             }
-            _ => self.gateway.place_copy(accepted, run),
+            _ => self.gateway.select_holder(accepted, run),
         };
         let Some(holder) = holder else {
             return;
@@ -140,7 +145,7 @@
             call: accepted.call.id.clone(),
             holder: holder.clone(),
         };
-        self.making = Some(Making {
+        self.pending = Some(PendingCopy {
             holder,
             answer: (self.gateway.transport.copy)(order),
         });
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -7,7 +7,7 @@
     self::{
         dispatches::Dispatches,
         outbox::Outbox,
-        readiness::{Readiness, ServicesSeen},
+        readiness::{Readiness, RecentServices},
         rollouts::OwnedRollout,
         state::{Candidates, DirectoryRead, GatewayState},
         zone_config::AdvertisedConfig,
--- a/crates/catkinward/src/gateway/prompt_search.rs
+++ b/crates/catkinward/src/gateway/prompt_search.rs
@@ -12,17 +12,21 @@
         let Some(prompt) = &accepted.call.prompt else {
             return Vec::new();
         };
-        if !accepted.comes_back() || prompt.parts.is_empty() {
+        if !accepted.is_reconnect() || prompt.parts.is_empty() {
             return Vec::new();
         }
         // Concurrent reconnecting callers wait for the same replies.
-        let searching = self.searching.lock().await;
-        let due = self.due_words(&accepted.service);
+        let prompt_search_lock = self.prompt_search_lock.lock().await;
+        let due = self.engines_to_query(&accepted.service);
         let asked = due.len();
-        let words =
-            futures::future::join_all(due.into_iter().map(|engine| self.ask_cached(engine)));
-        let answered = words.await.into_iter().filter(|answered| *answered).count();
-        drop(searching);
+        let replies =
+            futures::future::join_all(due.into_iter().map(|engine| self.query_cached(engine)));
+        let answered = replies
+            .await
+            .into_iter()
+            .filter(|answered| *answered)
+            .count();
+        drop(prompt_search_lock);
         let now = self.timer.now();
         let holders = self.state.lock().cached.holders(&prompt.parts, now);
         let best = holders.iter().map(|(_, tokens)| *tokens).max().unwrap_or(0);
@@ -31,7 +35,7 @@
         holders
     }
 
-    fn due_words(&self, service: &ServiceId) -> Vec<Arc<UpstreamEntry>> {
+    fn engines_to_query(&self, service: &ServiceId) -> Vec<Arc<UpstreamEntry>> {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let is_engine = state
@@ -53,7 +57,7 @@
         engines
     }
 
-    async fn ask_cached(&self, engine: Arc<UpstreamEntry>) -> bool {
+    async fn query_cached(&self, engine: Arc<UpstreamEntry>) -> bool {
         let asked = (self.transport.cached)(engine.clone());
         let now = self.timer.now();
         match tokio::time::timeout(PROMPT_SEARCH_TIMEOUT, asked).await {
--- a/crates/catkinward/src/gateway/readiness.rs
+++ b/crates/catkinward/src/gateway/readiness.rs
@@ -7,7 +7,7 @@
 /// removed made the VM ready again during the partition, and callers that came back from a working
 /// zone got `no_upstream`. Bounded so that taking a service out of operation does not leave all VMs
 /// without callers.
-const OUT_OF_REACH_FOR: Duration = Duration::from_secs(10);
+const LOST_SERVICE_RETENTION: Duration = Duration::from_secs(10);
 
 /// Readiness of this VM for new callers.
 #[derive(Clone, Debug, Eq, PartialEq, strum::IntoStaticStr)]
@@ -30,44 +30,45 @@
 
 /// Services that had upstreams at a recent readiness check.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ServicesSeen {
+pub(crate) struct RecentServices {
     /// Sorted by service, with the time at which it last had an upstream.
-    seen: Vec<(ServiceId, Instant)>,
+    last_seen: Vec<(ServiceId, Instant)>,
 }
 
-impl ServicesSeen {
+impl RecentServices {
     /// Records that a service has upstreams.
-    pub(crate) fn has_some(&mut self, service: &ServiceId, now: Instant) {
+    pub(crate) fn record_upstreams(&mut self, service: &ServiceId, now: Instant) {
         match self.position(service) {
-            Ok(index) => self.seen[index].1 = now,
-            Err(index) => self.seen.insert(index, (service.clone(), now)),
+            Ok(index) => self.last_seen[index].1 = now,
+            Err(index) => self.last_seen.insert(index, (service.clone(), now)),
         }
     }
 
-    /// Whether a service without upstreams had some within [`OUT_OF_REACH_FOR`].
-    pub(crate) fn had_some(&self, service: &ServiceId, now: Instant) -> bool {
-        let seen = self.position(service).map(|index| self.seen[index].1);
-        seen.is_ok_and(|at| now.since(at) < OUT_OF_REACH_FOR)
+    /// Whether a service without upstreams had some within [`LOST_SERVICE_RETENTION`].
+    pub(crate) fn had_recent_upstreams(&self, service: &ServiceId, now: Instant) -> bool {
+        let last_seen = self.position(service).map(|index| self.last_seen[index].1);
+        last_seen.is_ok_and(|at| now.since(at) < LOST_SERVICE_RETENTION)
     }
 
     fn position(&self, service: &ServiceId) -> Result<usize, usize> {
-        self.seen.binary_search_by(|(other, _)| other.cmp(service))
+        self.last_seen
+            .binary_search_by(|(other, _)| other.cmp(service))
     }
 }
 
 impl GatewayState {
     /// A service without a usable upstream for this VM, with the number of its upstreams.
-    fn out_of_reach(&mut self, now: Instant) -> Option<(ServiceId, usize)> {
+    fn unreachable_service(&mut self, now: Instant) -> Option<(ServiceId, usize)> {
         let config = self.config.get().cloned()?;
         let mut names = config.services.iter().map(|service| &service.name);
         names.find_map(|service| {
             let usable = self.directory.usable(service, now);
             let entries = usable.cloned().collect::<Vec<_>>();
             if entries.is_empty() {
-                let lost = self.services_seen.had_some(service, now);
+                let lost = self.recent_services.had_recent_upstreams(service, now);
                 return lost.then(|| (service.clone(), 0));
             }
-            self.services_seen.has_some(service, now);
+            self.recent_services.record_upstreams(service, now);
             let all_suspect = entries
                 .iter()
                 .all(|entry| self.upstream(entry, now).health.is_suspect());
@@ -102,7 +103,7 @@
         if !state.is_complete() {
             return Readiness::NothingKnown;
         }
-        match state.out_of_reach(now) {
+        match state.unreachable_service(now) {
             Some((service, upstreams)) => Readiness::OutOfReach { service, upstreams },
             None => Readiness::Ready,
         }
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -75,7 +75,7 @@
     fn try_take_retry(&self, service: &ServiceId, waiting: u32) -> bool {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let cfg = self.repeats(&state, now);
+        let cfg = self.budget_config(&state, now);
         let budget = state.budget(service);
         let taken = budget.try_take(&cfg, now);
         if budget.remaining(&cfg, now) <= LOW_REMAINING {
@@ -98,11 +98,11 @@
         if lenders.is_empty() || !self.settings.policy.loans {
             return;
         }
-        let mut loans = self.loans.lock();
-        let Some(ask) = loans.request(service, wanted, lenders.clone(), now) else {
+        let mut loan_requests = self.loan_requests.lock();
+        let Some(ask) = loan_requests.request(service, wanted, lenders.clone(), now) else {
             return;
         };
-        drop(loans);
+        drop(loan_requests);
         tracing::info!(%service, number = ask.number, lenders = lenders.len(),
             "retries requested from other VMs");
         for lender in lenders {
@@ -118,7 +118,7 @@
         }
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let cfg = self.repeats(&state, now);
+        let cfg = self.budget_config(&state, now);
         let given = state.budget(&ask.service).lend(&cfg, ask.wanted, now);
         drop(state);
         if given == 0 {
@@ -136,12 +136,12 @@
     /// Adds retries that another VM has lent.
     pub(crate) fn borrow(&self, loan: &Loan, lender: SocketAddr) {
         let now = self.timer.now();
-        let given = self.loans.lock().receive(loan, lender, now);
+        let given = self.loan_requests.lock().receive(loan, lender, now);
         if given == 0 {
             return;
         }
         let mut state = self.state.lock();
-        let cfg = self.repeats(&state, now);
+        let cfg = self.budget_config(&state, now);
         state.budget(&loan.service).borrow(&cfg, given, now);
         drop(state);
         tracing::info!(service = %loan.service, number = loan.number, %lender, given,
@@ -150,17 +150,17 @@
     }
 
     /// The budget settings with the current number of VMs and slack.
-    fn repeats(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
+    fn budget_config(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
         let peers_known = alone || now.since(self.started) >= PEER_DISCOVERY_TIME;
         RouteRetryBudgetConfig {
             slack: if peers_known {
-                self.settings.repeats.slack
+                self.settings.retry_budget.slack
             } else {
                 0.0
             },
             vms: u32::try_from(state.peers.count_within(VM_RETENTION, now) + 1).unwrap_or(u32::MAX),
-            ..self.settings.repeats
+            ..self.settings.retry_budget
         }
     }
 }
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -186,7 +186,7 @@
             .map(|entry| entry.id.clone())
             .collect::<Vec<_>>();
         drop(state);
-        let entry = self.choose(
+        let entry = self.select_with(
             accepted,
             &[],
             &[],
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -9,7 +9,7 @@
     /// Sorted by id.
     upstreams: Vec<UpstreamState>,
     pub(crate) zones: ZoneOutageDetector,
-    pub(crate) services_seen: ServicesSeen,
+    pub(crate) recent_services: RecentServices,
     /// Sorted by service.
     budgets: Vec<(ServiceId, RouteRetryBudget)>,
     pub(crate) crashes: CrashTracker,
@@ -30,7 +30,7 @@
     /// When the store last answered a request for the configuration.
     pub(crate) config_read: Option<Instant>,
     pub(crate) rollouts: Rollouts,
-    pub(crate) pace: StreamDurationEstimator,
+    pub(crate) stream_durations: StreamDurationEstimator,
 }
 
 /// How much of the directory has been read since this process started.
@@ -79,7 +79,7 @@
             directory_read: DirectoryRead::Nothing,
             upstreams: Vec::new(),
             zones: ZoneOutageDetector::default(),
-            services_seen: ServicesSeen::default(),
+            recent_services: RecentServices::default(),
             budgets: Vec::new(),
             crashes: CrashTracker::default(),
             broken_calls: Vec::new(),
@@ -90,7 +90,7 @@
             table_read: None,
             config_read: None,
             rollouts: Rollouts::new(rollouts),
-            pace: StreamDurationEstimator::default(),
+            stream_durations: StreamDurationEstimator::default(),
             old_config: false,
             old_directory: false,
         }
@@ -217,11 +217,11 @@
     fn eligible(
         &self,
         service: &ServiceId,
-        among: Candidates,
+        candidate_set: Candidates,
         now: Instant,
     ) -> Vec<Arc<UpstreamEntry>> {
         let usable = self.directory.usable(service, now).cloned();
-        let only = match among {
+        let only = match candidate_set {
             Candidates::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
@@ -240,17 +240,17 @@
     }
 
     /// Selects among the upstreams of a service that are not in `avoid`.
-    pub(crate) fn choose<T>(
+    pub(crate) fn select_with<T>(
         &mut self,
         service: &ServiceId,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Candidates,
-        who: &PlacementContext,
-        choose: impl FnOnce(&[PlacementCandidate]) -> T,
+        candidate_set: Candidates,
+        context: &PlacementContext,
+        select: impl FnOnce(&[PlacementCandidate]) -> T,
     ) -> T {
-        let now = who.now;
-        let mut entries = self.eligible(service, among, now);
+        let now = context.now;
+        let mut entries = self.eligible(service, candidate_set, now);
         entries.retain(|entry| !avoid.contains(&entry.id));
         for entry in &entries {
             self.upstream(entry, now);
@@ -268,16 +268,17 @@
                     entry,
                     load: &state.load,
                     suspect: state.health.is_suspect()
-                        || (who.policy.peer_suspects && peers.is_suspect(&entry.id)),
-                    suspect_zone: who.policy.zone_alarm && self.zones.is_suspect(&entry.zone, now),
+                        || (context.policy.peer_suspects && peers.is_suspect(&entry.id)),
+                    suspect_zone: context.policy.zone_alarm
+                        && self.zones.is_suspect(&entry.zone, now),
                     cached: cached_tokens(cached, &entry.id),
-                    peer_calls: if who.policy.peer_loads {
+                    peer_calls: if context.policy.peer_loads {
                         peers.calls(&entry.id)
                     } else {
                         0
                     },
-                    load_is_complete: knows_complete_load(&peers, entry, who),
-                    peer_prefill: if who.policy.peer_loads {
+                    load_is_complete: knows_complete_load(&peers, entry, context),
+                    peer_prefill: if context.policy.peer_loads {
                         peers.prefill_left(&entry.id)
                     } else {
                         Duration::ZERO
@@ -285,14 +286,18 @@
                 })
             })
             .collect::<Vec<_>>();
-        choose(&candidates)
+        select(&candidates)
     }
 }
 
 /// Whether the VM that selects receives the heartbeats of all VMs with calls on an upstream.
-fn knows_complete_load(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementContext) -> bool {
-    let in_zone = entry.zone == *who.zone;
-    let rank = in_zone.then(|| rank_of_vm(&entry.id, who.vm, who.zone_vms));
+fn knows_complete_load(
+    peers: &PeerView,
+    entry: &UpstreamEntry,
+    context: &PlacementContext,
+) -> bool {
+    let in_zone = entry.zone == *context.zone;
+    let rank = in_zone.then(|| rank_of_vm(&entry.id, context.vm, context.zone_vms));
     peers.knows_complete_load(rank)
 }
 
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -238,7 +238,7 @@
     fn look_at_copies(&mut self) {
         let has_copies = self.gateway.has_copies(&self.accepted.service);
         if let (Some(active), true) = (&mut self.active, self.delivered && has_copies) {
-            active.copies.look(&self.accepted, &active.guard.entry);
+            active.copies.check(&self.accepted, &active.guard.entry);
         }
     }
 
@@ -275,7 +275,7 @@
         self.ended = true;
         self.active = None;
         self.note_pace();
-        self.gateway.delivered(self.accepted.digest);
+        self.gateway.record_delivery(self.accepted.digest);
         let now = self.gateway.timer.now();
         if self.gateway.log.admits(LineKind::Answered, now) {
             let ms = millis(now.since(self.accepted.call.arrived));
@@ -295,7 +295,9 @@
         };
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
-        state.pace.record_complete(last, now.since(first));
+        state
+            .stream_durations
+            .record_complete(last, now.since(first));
     }
 
     /// Notes the loss of the active run. Its connection is closed before another run can begin, so
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -112,7 +112,12 @@
         let mut needed = prefill_time(self.tokens_to_read(entry));
         if policy.refuse_unfinished && self.sends == 0 {
             let had = self.accepted.call.last_event.unwrap_or(0);
-            let rest = self.gateway.state.lock().pace.min_remaining(had);
+            let rest = self
+                .gateway
+                .state
+                .lock()
+                .stream_durations
+                .min_remaining(had);
             needed += rest.unwrap_or_default();
         }
         self.accepted.time_left(now) < needed
@@ -147,7 +152,7 @@
         }
         let fresh = self
             .gateway
-            .place(&self.accepted, &self.avoid, &self.cached);
+            .select(&self.accepted, &self.avoid, &self.cached);
         if fresh.is_some() {
             return fresh;
         }
@@ -155,7 +160,7 @@
         if self.sends > 0 {
             tokio::time::sleep(REFUSED_WAIT).await;
         }
-        self.gateway.place(&self.accepted, &[], &self.cached)
+        self.gateway.select(&self.accepted, &[], &self.cached)
     }
 
     /// Sends it to an upstream; whether a run began.
@@ -167,7 +172,7 @@
         self.sends += 1;
         let gateway = self.gateway.clone();
         let from_copy = from.is_some();
-        let copy = gateway.place_copy(&self.accepted, &entry);
+        let copy = gateway.select_holder(&self.accepted, &entry);
         let now = gateway.timer.now();
         let time_left = self.accepted.time_left(now);
         // What goes on from a copy, or in the middle, is answered sooner than what begins.
@@ -181,7 +186,7 @@
             last_event: self.relay.last(),
             copy_to: copy.as_ref().map(|copy| copy.address),
             copy_from: from.as_ref().map(|copy| copy.source.clone()),
-            longest_idle: self.accepted.longest_idle(),
+            longest_idle: self.accepted.max_idle(),
             connect_bound: CONNECT_BOUND,
         };
         self.log_sent(&entry, copy.as_deref(), from_copy, time_left);
--- a/crates/catkinward/src/gateway/whole_call.rs
+++ b/crates/catkinward/src/gateway/whole_call.rs
@@ -70,7 +70,7 @@
         let queued = Queued::new(self.accepted.call.id.clone());
         self.gateway.wait_for_rollout(&self.accepted.service).await;
         let trial = self.gateway.place_trial(&self.accepted);
-        let first = trial.or_else(|| self.gateway.place(&self.accepted, &[], &[]));
+        let first = trial.or_else(|| self.gateway.select(&self.accepted, &[], &[]));
         let Some(mut entry) = first else {
             return refused(queued, RefusalReason::NoUpstream);
         };
@@ -84,7 +84,7 @@
                     dispatched.unknown().dispatch_again()
                 }
                 Sent::Answered(reply) => {
-                    self.gateway.delivered(self.accepted.digest);
+                    self.gateway.record_delivery(self.accepted.digest);
                     return reply;
                 }
                 Sent::TimedOut => return Reply::TimedOut,
@@ -135,7 +135,7 @@
         if self.sends >= self.most_sends || self.accepted.time_left(now).is_zero() {
             return None;
         }
-        let next = self.gateway.place(&self.accepted, &self.avoid, &[])?;
+        let next = self.gateway.select(&self.accepted, &self.avoid, &[])?;
         let paid = self.send_paid
             || self
                 .gateway
@@ -162,7 +162,7 @@
             last_event: None,
             copy_to: None,
             copy_from: None,
-            longest_idle: self.accepted.longest_idle(),
+            longest_idle: self.accepted.max_idle(),
             connect_bound: CONNECT_BOUND,
         };
         let repeat = self.accepted.route.kind.may_retry();
@@ -185,7 +185,7 @@
                     self.runs += 1;
                     if let Some(next) = self.next_for_repeat().await {
                         self.log_fault(entry, SendError::Stalled);
-                        gateway.outcome(entry, true);
+                        gateway.record_call_outcome(entry, true);
                         return Sent::Moved(next);
                     }
                     self.runs -= 1;
@@ -203,7 +203,7 @@
             Err(fault) => self.failed(entry, fault),
         };
         let failed = !matches!(sent, Sent::Answered(_));
-        gateway.outcome(entry, failed);
+        gateway.record_call_outcome(entry, failed);
         sent
     }
 
--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -191,7 +191,7 @@
 
     running.gateway.record_suspension(Duration::from_secs(4));
     let start = running.timer.now();
-    running.gateway.known().await;
+    running.gateway.wait_until_current().await;
 
     let waited = running.timer.now().since(start);
     expect_that!(before, eq(2));
--- a/crates/catkinward/tests/gateway_start.rs
+++ b/crates/catkinward/tests/gateway_start.rs
@@ -29,7 +29,7 @@
         gateway.put_upstreams(Vec::new());
     });
 
-    running.gateway.known().await;
+    running.gateway.wait_until_current().await;
 
     let waited = running.timer.now().since(start);
     expect_that!(running.gateway.is_ready(), eq(true));
@@ -44,7 +44,7 @@
     let running = GatewayFixture::new(|_| Script::Hang).unstarted();
     let start = running.timer.now();
 
-    running.gateway.known().await;
+    running.gateway.wait_until_current().await;
 
     let waited = running.timer.now().since(start);
     expect_that!(running.gateway.is_ready(), eq(false));
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -378,7 +378,7 @@
         .usual_upstreams()
         .start();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_millis(900));
+    call.timeout = Some(Duration::from_millis(900));
     let start = running.timer.now();
 
     let reply = running.gateway.handle(call).await;
@@ -400,7 +400,7 @@
         .holder("engine-b1")
         .start();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_millis(900));
+    call.timeout = Some(Duration::from_millis(900));
 
     let stream = read_stream(running.gateway.handle(call).await).await;
 
@@ -422,9 +422,9 @@
     }
     let sent = running.sent_to().len();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_millis(1600));
+    call.timeout = Some(Duration::from_millis(1600));
     let mut begun = running.call("/stream/1");
-    begun.patience = Some(Duration::from_millis(1600));
+    begun.timeout = Some(Duration::from_millis(1600));
     begun.last_event = Some(25);
 
     let refused = running.gateway.handle(call).await;
@@ -481,7 +481,7 @@
         .usual_upstreams()
         .start();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_secs(3));
+    call.timeout = Some(Duration::from_secs(3));
     let start = running.timer.now();
 
     let stream = read_stream(running.gateway.handle(call).await).await;
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -211,7 +211,7 @@
             rollouts: self.rollouts,
             vm: "vm-1".into(),
             zone: self.zone.parse().unwrap(),
-            repeats: self.repeats,
+            retry_budget: self.repeats,
             seeds: Vec::new(),
         };
         let gateway = Gateway::start(settings, timer.clone(), transport);
@@ -247,11 +247,11 @@
             headers: HeaderMap::new(),
             body: Bytes::from_static(b"body"),
             key: None,
-            patience: Some(Duration::from_secs(10)),
+            timeout: Some(Duration::from_secs(10)),
             last_event: None,
             prompt: Some(Prompt {
                 tokens: 8000,
-                most_made: 800,
+                max_generated: 800,
                 parts: prompt_parts(),
             }),
             arrived: self.timer.now(),
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -381,7 +381,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
         member.hear(Duration::ZERO);
     }
-    member.running.gateway.known().await;
+    member.running.gateway.wait_until_current().await;
 
     expect_that!(start.elapsed(), le(Duration::from_millis(100)));
 }
