--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -14,14 +14,14 @@
 /// A store with outages: requests that are sent during one are never answered, not even after it.
 #[derive(Clone)]
 struct FakeStore {
-    away: Arc<Mutex<bool>>,
+    down: Arc<Mutex<bool>>,
     config: Arc<Mutex<RoutingConfig>>,
 }
 
 impl FakeStore {
     fn new(config: RoutingConfig) -> Self {
         Self {
-            away: Arc::default(),
+            down: Arc::default(),
             config: Arc::new(Mutex::new(config)),
         }
     }
@@ -39,7 +39,7 @@
     }
 
     async fn read(self) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
-        if *self.away.lock() {
+        if *self.down.lock() {
             std::future::pending::<()>().await;
         }
         Ok(self.page())
@@ -53,7 +53,7 @@
     ) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
         let end = tokio::time::Instant::now() + wait;
         loop {
-            if *self.away.lock() {
+            if *self.down.lock() {
                 std::future::pending::<()>().await;
             }
             let page = self.page();
@@ -113,18 +113,18 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn change_after_an_outage_is_in_force_soon() {
-    for away in (4_000..7_000).step_by(170).map(Duration::from_millis) {
+    for down in (4_000..7_000).step_by(170).map(Duration::from_millis) {
         let (running, store) = following();
         tokio::time::sleep(Duration::from_secs(5)).await;
-        *store.away.lock() = true;
-        tokio::time::sleep(away).await;
+        *store.down.lock() = true;
+        tokio::time::sleep(down).await;
 
-        *store.away.lock() = false;
+        *store.down.lock() = false;
         store.set_version(3);
         // A change must be in force two seconds after the store's acknowledgement.
         tokio::time::sleep(Duration::from_millis(2600)).await;
 
-        expect_that!(version(&running), eq(3), "after {away:?}");
+        expect_that!(version(&running), eq(3), "after {down:?}");
     }
 }
 
@@ -132,11 +132,11 @@
 /// of them.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_the_store_turns_away_hears_from_a_peer() {
+async fn vm_rejected_by_the_store_reads_from_a_peer() {
     let running = GatewayFixture::new(|_| Script::Hang).start();
     let config = running.gateway.config().unwrap();
     let store = FakeStore::new(RoutingConfig::clone(&config));
-    *store.away.lock() = true;
+    *store.down.lock() = true;
     let peer = FakeStore::new(RoutingConfig::clone(&config));
     running.hear_of_peer();
     tokio::spawn(follow_config(
@@ -178,13 +178,13 @@
 /// and are not told that the route does not exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_was_suspended_reads_before_it_serves() {
+async fn suspended_vm_reads_before_it_serves() {
     let (running, store) = following();
     running.gateway.put_upstreams(Vec::new());
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    *store.away.lock() = true;
+    *store.down.lock() = true;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    *store.away.lock() = false;
+    *store.down.lock() = false;
     store.set_version(3);
     // The loss of the connection is not reported.
     let before = version(&running);
@@ -255,7 +255,7 @@
 /// all VMs.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn whole_read_that_progresses_is_not_given_up() {
+async fn full_read_with_progress_is_not_cancelled() {
     let (_, whole) = start_with(slow_table(5, false), 5).await;
 
     expect_that!(whole, le(Duration::from_millis(3600)));
@@ -274,7 +274,7 @@
 /// The connection of a full read goes silent.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn whole_read_that_stands_still_is_given_up() {
+async fn stalled_full_read_is_cancelled() {
     let reads = Arc::new(Mutex::new(0));
     let count = reads.clone();
     let stalled = slow_table(2, true);
@@ -297,7 +297,7 @@
 /// The store sends some bytes now and then but never completes the response.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn whole_read_without_an_end_is_given_up() {
+async fn endless_full_read_is_cancelled() {
     let reads = Arc::new(Mutex::new(0));
     let count = reads.clone();
     let trickle = |progress: ReadProgress<UpstreamEntry>| async move {
--- a/crates/catkinward/tests/gateway_start.rs
+++ b/crates/catkinward/tests/gateway_start.rs
@@ -55,26 +55,26 @@
 /// service would wait in vain, so the VM is not ready until such an upstream responds again.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_reaches_no_upstream_of_a_service_is_not_ready() {
-    let cut = Arc::new(AtomicBool::new(false));
-    let is_cut = cut.clone();
+async fn vm_without_reachable_upstream_of_a_service_is_not_ready() {
+    let partitioned = Arc::new(AtomicBool::new(false));
+    let is_partitioned = partitioned.clone();
     let running = GatewayFixture::new(|_| Script::Hang)
         .usual_upstreams()
-        .alive(move |id| !(is_cut.load(Ordering::Relaxed) && id.starts_with("plain")))
+        .alive(move |id| !(is_partitioned.load(Ordering::Relaxed) && id.starts_with("plain")))
         .start();
     let before = running.gateway.is_ready();
-    cut.store(true, Ordering::Relaxed);
+    partitioned.store(true, Ordering::Relaxed);
     for _ in 0..3 {
         // Each call finds one more upstream unreachable.
         running.handle("/once/1").await;
     }
-    let while_cut = running.gateway.is_ready();
-    cut.store(false, Ordering::Relaxed);
+    let while_partitioned = running.gateway.is_ready();
+    partitioned.store(false, Ordering::Relaxed);
     tokio::time::sleep(Duration::from_secs(2)).await;
 
     let after = running.gateway.is_ready();
 
-    expect_that!((before, while_cut, after), eq((true, false, true)));
+    expect_that!((before, while_partitioned, after), eq((true, false, true)));
 }
 
 /// A partitioned availability zone has one upstream of a service left, outside the partition. Three
@@ -83,7 +83,7 @@
 /// back from a working zone were refused (`not_run`, `no_upstream`) 414 times in five seconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_is_not_ready_once_the_last_upstream_of_a_service_has_lapsed() {
+async fn vm_is_not_ready_once_the_last_upstream_of_a_service_has_expired() {
     let running = GatewayFixture::new(|_| Script::Hang)
         .upstream("plain-b", PLAIN, "b")
         .upstream("engine-a", ENGINES, "a")
@@ -97,8 +97,8 @@
         .upstream_removed(&"plain-b".parse().unwrap());
 
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let lapsed = running.gateway.is_ready();
-    expect_that!((suspect, lapsed), eq((false, false)));
+    let expired = running.gateway.is_ready();
+    expect_that!((suspect, expired), eq((false, false)));
 }
 
 /// A service is taken out of operation, and its last upstream leaves. Guards against VMs that wait
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -16,7 +16,7 @@
 use tokio::net::UdpSocket;
 
 /// Interval between the heartbeats and the gossip of a VM.
-const PERIOD: Duration = Duration::from_millis(400);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A table of the store that counts its reads.
 #[derive(Clone)]
@@ -58,7 +58,7 @@
     }
 
     /// A feed that can be read from another VM only, since the store rejects all requests.
-    fn feed_of_a_peer(&self) -> Feed<UpstreamEntry> {
+    fn peer_feed(&self) -> Feed<UpstreamEntry> {
         let peer = self.clone();
         Feed {
             name: "upstreams",
@@ -88,11 +88,11 @@
     }
 
     /// Gossip of a VM that has just read the table.
-    fn news(&self, changes: &[UpstreamChange]) -> ZoneGossip {
+    fn gossip_with(&self, changes: &[UpstreamChange]) -> ZoneGossip {
         let mut table = UpstreamTable::default();
         table.apply_read(&self.rows.lock(), true, *self.version.lock());
         ZoneGossip {
-            vm: reader(),
+            vm: reader_name(),
             config: Some(ConfigVersion(1)),
             config_from_store: false,
             config_age_ms: Some(0),
@@ -109,7 +109,7 @@
 }
 
 /// Name of a VM that reads for a zone which also contains `vm-1`.
-fn reader() -> Arc<str> {
+fn reader_name() -> Arc<str> {
     let names = (2..100).map(|n| Arc::<str>::from(format!("vm-{n}")));
     names
         .into_iter()
@@ -123,19 +123,19 @@
         .to_vec()
 }
 
-fn hear_of_reader(running: &Running) {
-    running.hear(running.peer_note(&reader(), "a"));
+fn receive_reader_heartbeat(running: &Running) {
+    running.hear(running.peer_note(&reader_name(), "a"));
 }
 
 /// A VM next to one that has read and advertised the table for some seconds.
-async fn relying() -> (Running, FakeTable) {
+async fn relying_member() -> (Running, FakeTable) {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole)).start();
     let table = FakeTable::new(&entries());
     tokio::spawn(follow_upstreams(running.gateway.clone(), table.feed()));
     for _ in 0..10 {
-        hear_of_reader(&running);
-        running.hear_gossip(&table.news(&[]));
-        tokio::time::sleep(PERIOD).await;
+        receive_reader_heartbeat(&running);
+        running.hear_gossip(&table.gossip_with(&[]));
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
     }
     table.take_calls();
     (running, table)
@@ -145,13 +145,13 @@
 /// the store's requests.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_does_not_read_what_another_one_tells() {
-    let (running, table) = relying().await;
+async fn member_does_not_read_what_its_reader_advertises() {
+    let (running, table) = relying_member().await;
 
     for _ in 0..20 {
-        hear_of_reader(&running);
-        running.hear_gossip(&table.news(&[]));
-        tokio::time::sleep(PERIOD).await;
+        receive_reader_heartbeat(&running);
+        running.hear_gossip(&table.gossip_with(&[]));
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
     }
 
     expect_that!(table.take_calls(), eq(0));
@@ -161,12 +161,12 @@
 /// there either.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn upstream_that_leaves_gets_nothing_after_another_vms_word() {
-    let (running, table) = relying().await;
+async fn leaving_upstream_gets_no_calls_after_gossip() {
+    let (running, table) = relying_member().await;
     table.set_leaving(0);
     let change = table.rows.lock()[0].clone();
 
-    running.hear_gossip(&table.news(&[change]));
+    running.hear_gossip(&table.gossip_with(&[change]));
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
     }
@@ -179,9 +179,9 @@
 /// table itself before the two seconds have passed in which a leaving upstream may get calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_reads_by_itself_when_nobody_tells_any_more() {
-    let (running, table) = relying().await;
-    running.hear_gossip(&table.news(&[]));
+async fn member_reads_the_table_when_gossip_stops() {
+    let (running, table) = relying_member().await;
+    running.hear_gossip(&table.gossip_with(&[]));
 
     table.set_leaving(0);
     tokio::time::sleep(GOSSIP_MAX_AGE + Duration::from_millis(20)).await;
@@ -197,10 +197,10 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_missed_a_change_reads_the_table() {
-    let (running, table) = relying().await;
+    let (running, table) = relying_member().await;
     table.set_leaving(0);
 
-    running.hear_gossip(&table.news(&[]));
+    running.hear_gossip(&table.gossip_with(&[]));
     tokio::time::sleep(Duration::from_millis(100)).await;
 
     expect_that!(table.take_calls(), ge(1));
@@ -210,9 +210,9 @@
 /// relying on them: an upstream that had left in the meantime got calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_was_suspended_reads_the_table_whatever_it_hears() {
-    let (running, table) = relying().await;
-    let old = table.news(&[]);
+async fn suspended_vm_reads_the_table_despite_gossip() {
+    let (running, table) = relying_member().await;
+    let old = table.gossip_with(&[]);
     table.set_leaving(0);
 
     running.gateway.record_suspension(Duration::from_secs(4));
@@ -227,8 +227,8 @@
 /// up to 2.8 s passed.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn configuration_that_the_zone_has_is_asked_for_anew() {
-    let (running, table) = relying().await;
+async fn newer_configuration_of_the_zone_is_requested_again() {
+    let (running, table) = relying_member().await;
     let old = running.gateway.config().unwrap();
     let page = |version| FeedPage {
         version,
@@ -266,10 +266,10 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     for _ in 0..3 {
-        hear_of_reader(&running);
+        receive_reader_heartbeat(&running);
         running.hear_gossip(&ZoneGossip {
             config: Some(ConfigVersion(11)),
-            ..table.news(&[])
+            ..table.gossip_with(&[])
         });
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -281,13 +281,13 @@
 }
 
 /// Versions of the table that the reader of a zone advertises within a second.
-async fn told_to_the_zone(feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>) -> Vec<u64> {
-    let gossip = gossip_to_the_zone(GatewayFixture::new(|_| Script::Hang), feed).await;
+async fn advertised_versions(feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>) -> Vec<u64> {
+    let gossip = advertised_gossip(GatewayFixture::new(|_| Script::Hang), feed).await;
     gossip.iter().map(|gossip| gossip.version).collect()
 }
 
 /// Gossip that the reader of a zone sends within a second.
-async fn gossip_to_the_zone(
+async fn advertised_gossip(
     fixture: GatewayFixture,
     feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>,
 ) -> Vec<ZoneGossip> {
@@ -323,8 +323,8 @@
     let small = GatewayFixture::new(|_| Script::Hang).link(LinkRate(10_000_000), 200_000);
     let large = GatewayFixture::new(|_| Script::Hang).link(LinkRate(200_000_000), 200_000);
 
-    let by_small = gossip_to_the_zone(small, FakeTable::feed).await;
-    let by_large = gossip_to_the_zone(large, FakeTable::feed).await;
+    let by_small = advertised_gossip(small, FakeTable::feed).await;
+    let by_large = advertised_gossip(large, FakeTable::feed).await;
 
     expect_that!(by_small, not(is_empty()));
     expect_that!(
@@ -343,9 +343,9 @@
 /// have left would get calls.
 #[gtest]
 #[tokio::test]
-async fn what_a_peer_had_is_not_told_on() {
-    let from_store = told_to_the_zone(FakeTable::feed).await;
-    let from_peer = told_to_the_zone(FakeTable::feed_of_a_peer).await;
+async fn table_read_from_a_peer_is_not_advertised() {
+    let from_store = advertised_versions(FakeTable::feed).await;
+    let from_peer = advertised_versions(FakeTable::peer_feed).await;
 
     expect_that!(from_store, not(is_empty()));
     expect_that!(from_peer, is_empty());
@@ -355,26 +355,26 @@
 /// while these are recent, and never a table that was itself read from a peer.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn table_is_shown_in_whole_or_not_at_all() {
+async fn table_is_served_completely_or_not_at_all() {
     let age = Duration::from_millis(2200);
-    let (relying, table) = relying().await;
+    let (member, table) = relying_member().await;
     table.set_leaving(0);
     let change = table.rows.lock()[0].clone();
-    relying.hear_gossip(&table.news(std::slice::from_ref(&change)));
-    let shown = relying.gateway.table_page(age);
-    let turned_away = GatewayFixture::new(|_| Script::Hang).start();
-    hear_of_reader(&turned_away);
+    member.hear_gossip(&table.gossip_with(std::slice::from_ref(&change)));
+    let served = member.gateway.table_page(age);
+    let rejected = GatewayFixture::new(|_| Script::Hang).start();
+    receive_reader_heartbeat(&rejected);
     tokio::spawn(follow_upstreams(
-        turned_away.gateway.clone(),
-        table.feed_of_a_peer(),
+        rejected.gateway.clone(),
+        table.peer_feed(),
     ));
     tokio::time::sleep(Duration::from_millis(500)).await;
 
-    let from_a_peer = turned_away.gateway.table_page(age);
+    let from_a_peer = rejected.gateway.table_page(age);
     tokio::time::sleep(age).await;
-    let old = relying.gateway.table_page(Duration::ZERO);
+    let old = member.gateway.table_page(Duration::ZERO);
 
-    let entries = shown.map(|page| page.rows).unwrap_or_default();
+    let entries = served.map(|page| page.rows).unwrap_or_default();
     expect_that!(entries.len(), eq(2));
     expect_that!(entries.contains(&change), eq(true));
     expect_that!(from_a_peer.is_none(), eq(true));
@@ -386,7 +386,7 @@
 /// again.
 #[gtest]
 #[tokio::test]
-async fn a_crash_is_told_at_once() {
+async fn crash_is_advertised_at_once() {
     let running = GatewayFixture::new(|_| Script::Lost)
         .upstream("plain-a", PLAIN, "a")
         .start();
@@ -404,25 +404,25 @@
         .gateway
         .upstream_removed(&"plain-a".parse().unwrap());
 
-    let told = async {
+    let received_crashes = async {
         loop {
             let len = peer.recv(&mut buf).await.expect("a datagram");
-            if let Ok(PeerDatagram::Note(note)) = ciborium::from_reader(&buf[..len])
-                && !note.crashes.is_empty()
+            if let Ok(PeerDatagram::Note(heartbeat)) = ciborium::from_reader(&buf[..len])
+                && !heartbeat.crashes.is_empty()
             {
-                return note.crashes.len();
+                return heartbeat.crashes.len();
             }
         }
     };
-    let told = tokio::time::timeout(PERIOD / 2, told).await;
+    let received_crashes = tokio::time::timeout(GOSSIP_INTERVAL / 2, received_crashes).await;
     expect_that!(first, ok(anything()));
-    expect_that!(told, ok(eq(&1)));
+    expect_that!(received_crashes, ok(eq(&1)));
 }
 
 /// A third of a zone's engines crash, and the updates are sent in full datagrams. One that exceeds
 /// the MTU would be dropped, and each VM would read the table itself.
 #[gtest]
-fn a_full_word_on_changes_fits_into_a_datagram() {
+fn full_gossip_fits_into_a_datagram() {
     let change = |n: u64| UpstreamChange {
         key: format!("i-{:010x}", 0xff_ffff_ff00 + n).as_str().into(),
         written: u64::from(u32::MAX),
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -16,31 +16,31 @@
 use tokio::time::Instant;
 
 /// Interval between the heartbeats and the gossip of a VM.
-const PERIOD: Duration = Duration::from_millis(400);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Maximum time from the acknowledgement of a configuration until it is in force.
-const BOUND: Duration = Duration::from_secs(3);
+const MAX_DELAY: Duration = Duration::from_secs(3);
 
 /// The store and the peers that have the configuration, with a record of their reads.
 #[derive(Clone)]
-struct Source {
+struct ConfigSource {
     config: Arc<Mutex<RoutingConfig>>,
     store_answers: Arc<Mutex<bool>>,
     peer_answers: Arc<Mutex<bool>>,
     store_calls: Arc<Mutex<u32>>,
-    peers_asked: Arc<Mutex<Vec<SocketAddr>>>,
+    peers_read: Arc<Mutex<Vec<SocketAddr>>>,
     /// Time that the store takes to send a newer configuration.
     transfer: Arc<Mutex<Duration>>,
 }
 
-impl Source {
+impl ConfigSource {
     fn new(config: RoutingConfig) -> Self {
         Self {
             config: Arc::new(Mutex::new(config)),
             store_answers: Arc::new(Mutex::new(true)),
             peer_answers: Arc::new(Mutex::new(true)),
             store_calls: Arc::default(),
-            peers_asked: Arc::default(),
+            peers_read: Arc::default(),
             transfer: Arc::default(),
         }
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    async fn ask_store(
+    async fn read_store(
         self,
         after: u64,
         wait: Duration,
@@ -89,10 +89,10 @@
         let (reading, asking, peer) = (self.clone(), self.clone(), self.clone());
         Feed {
             name: "config",
-            read: Box::new(move |_| Box::pin(reading.clone().ask_store(0, Duration::ZERO))),
-            changes: Box::new(move |after, wait| Box::pin(asking.clone().ask_store(after, wait))),
+            read: Box::new(move |_| Box::pin(reading.clone().read_store(0, Duration::ZERO))),
+            changes: Box::new(move |after, wait| Box::pin(asking.clone().read_store(after, wait))),
             read_from_peer: Box::new(move |address| {
-                peer.peers_asked.lock().push(address);
+                peer.peers_read.lock().push(address);
                 let answers = *peer.peer_answers.lock();
                 let page = answers.then(|| peer.page());
                 Box::pin(async move { page.ok_or(FeedError::NoAnswer) })
@@ -108,7 +108,7 @@
 /// A VM that is a member of a zone of twenty VMs.
 struct Member {
     running: Running,
-    source: Source,
+    source: ConfigSource,
     others: Vec<Arc<str>>,
 }
 
@@ -116,9 +116,9 @@
     /// A member that has relied on its zone for some seconds.
     async fn relying() -> Self {
         let running = GatewayFixture::new(|_| Script::Hang).start();
-        let others = zone_in_which_vm_1_is_a_member();
+        let others = others_making_vm_1_a_member();
         let config = running.gateway.config().unwrap();
-        let source = Source::new(RoutingConfig {
+        let source = ConfigSource::new(RoutingConfig {
             version: ConfigVersion(2),
             ..RoutingConfig::clone(&config)
         });
@@ -132,8 +132,8 @@
             member.source.feed(),
         ));
         for _ in 0..25 {
-            member.hear(Duration::ZERO);
-            tokio::time::sleep(PERIOD).await;
+            member.receive(Duration::ZERO);
+            tokio::time::sleep(GOSSIP_INTERVAL).await;
         }
         member.source.take_store_calls();
         member
@@ -141,21 +141,21 @@
 
     /// Delivers heartbeats of all other VMs, and gossip of a VM that has the store's version and
     /// whose store contact is `config_age` old.
-    fn hear(&self, config_age: Duration) {
-        self.hear_notes();
+    fn receive(&self, config_age: Duration) {
+        self.receive_heartbeats();
         self.running.hear_gossip(&ZoneGossip {
             config: Some(self.source.version()),
-            ..self.word(config_age)
+            ..self.gossip(config_age)
         });
     }
 
-    fn hear_notes(&self) {
+    fn receive_heartbeats(&self) {
         for vm in &self.others {
             self.running.hear(self.running.peer_note(vm, "a"));
         }
     }
 
-    fn word(&self, config_age: Duration) -> ZoneGossip {
+    fn gossip(&self, config_age: Duration) -> ZoneGossip {
         ZoneGossip {
             vm: self.others[0].clone(),
             config: self.running.gateway.config().map(|config| config.version),
@@ -173,7 +173,7 @@
     }
 }
 
-fn zone_in_which_vm_1_is_a_member() -> Vec<Arc<str>> {
+fn others_making_vm_1_a_member() -> Vec<Arc<str>> {
     let others = |first: usize| {
         (first..first + 19)
             .map(|n| Arc::from(format!("vm-{n}")))
@@ -191,12 +191,12 @@
 /// VMs every few seconds were half of the store's requests on a calm day.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn member_of_a_large_zone_does_not_ask_the_store_for_the_configuration() {
+async fn member_of_a_large_zone_does_not_poll_the_store() {
     let member = Member::relying().await;
 
     for _ in 0..50 {
-        member.hear(Duration::from_secs(1));
-        tokio::time::sleep(PERIOD).await;
+        member.receive(Duration::from_secs(1));
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
     }
 
     expect_that!(member.source.take_store_calls(), eq(0));
@@ -206,16 +206,16 @@
 /// from there.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn newer_configuration_is_read_from_the_vm_that_tells_of_it() {
+async fn newer_configuration_is_read_from_the_vm_that_advertises_it() {
     let member = Member::relying().await;
     member.source.set_version(3);
 
-    member.hear(Duration::ZERO);
+    member.receive(Duration::ZERO);
     tokio::time::sleep(Duration::from_millis(20)).await;
 
     expect_that!(member.version(), eq(ConfigVersion(3)));
     expect_that!(member.source.take_store_calls(), eq(0));
-    let asked = member.source.peers_asked.lock().last().copied();
+    let asked = member.source.peers_read.lock().last().copied();
     expect_that!(asked, some(eq(TELLER.parse::<SocketAddr>().unwrap())));
 }
 
@@ -223,34 +223,34 @@
 /// configuration.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn configuration_that_its_teller_cannot_carry_is_read_from_the_store() {
+async fn configuration_too_large_for_the_advertisers_link_is_read_from_the_store() {
     let member = Member::relying().await;
-    let asked_before = member.source.peers_asked.lock().len();
+    let reads_before = member.source.peers_read.lock().len();
     member.source.set_version(3);
 
-    member.hear_notes();
+    member.receive_heartbeats();
     member.running.hear_gossip(&ZoneGossip {
         config: Some(member.source.version()),
         config_from_store: true,
-        ..member.word(Duration::ZERO)
+        ..member.gossip(Duration::ZERO)
     });
     tokio::time::sleep(Duration::from_millis(20)).await;
 
     expect_that!(member.version(), eq(ConfigVersion(3)));
     expect_that!(member.source.take_store_calls(), eq(1));
-    expect_that!(member.source.peers_asked.lock().len(), eq(asked_before));
+    expect_that!(member.source.peers_read.lock().len(), eq(reads_before));
 }
 
 /// The VM that advertised a newer configuration crashes before the others have read it. They read
 /// it from the store.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn newer_configuration_comes_from_the_store_if_its_teller_is_gone() {
+async fn newer_configuration_is_read_from_the_store_if_the_advertiser_is_gone() {
     let member = Member::relying().await;
     *member.source.peer_answers.lock() = false;
     member.source.set_version(3);
 
-    member.hear(Duration::ZERO);
+    member.receive(Duration::ZERO);
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     expect_that!(member.version(), eq(ConfigVersion(3)));
@@ -263,13 +263,13 @@
 /// refused for nine seconds after the acknowledgement.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn large_configuration_has_time_to_come_from_the_store() {
+async fn large_configuration_is_read_from_the_store_without_a_timeout() {
     let member = Member::relying().await;
     *member.source.peer_answers.lock() = false;
     *member.source.transfer.lock() = Duration::from_millis(1200);
     member.source.set_version(3);
 
-    member.hear(Duration::ZERO);
+    member.receive(Duration::ZERO);
     tokio::time::sleep(Duration::from_millis(1250)).await;
 
     expect_that!(member.version(), eq(ConfigVersion(3)));
@@ -281,27 +281,27 @@
 /// with which it would arrive so late that callers of its routes are refused.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn large_configuration_comes_soon_after_the_store_is_back() {
-    for away in (8_000..10_000).step_by(200).map(Duration::from_millis) {
+async fn large_configuration_is_read_soon_after_an_outage() {
+    for down in (8_000..10_000).step_by(200).map(Duration::from_millis) {
         let member = Member::relying().await;
         *member.source.peer_answers.lock() = false;
         *member.source.store_answers.lock() = false;
         *member.source.transfer.lock() = Duration::from_millis(1500);
         member.source.set_version(3);
         let start = Instant::now();
-        while start.elapsed() < away {
-            member.hear_notes();
-            tokio::time::sleep(PERIOD).await;
+        while start.elapsed() < down {
+            member.receive_heartbeats();
+            tokio::time::sleep(GOSSIP_INTERVAL).await;
         }
 
         *member.source.store_answers.lock() = true;
         let back = Instant::now();
-        while member.version() < ConfigVersion(3) && back.elapsed() < 3 * BOUND {
-            member.hear_notes();
-            tokio::time::sleep(PERIOD / 4).await;
+        while member.version() < ConfigVersion(3) && back.elapsed() < 3 * MAX_DELAY {
+            member.receive_heartbeats();
+            tokio::time::sleep(GOSSIP_INTERVAL / 4).await;
         }
 
-        expect_that!(back.elapsed(), le(Duration::from_secs(4)), "after {away:?}");
+        expect_that!(back.elapsed(), le(Duration::from_secs(4)), "after {down:?}");
     }
 }
 
@@ -310,29 +310,29 @@
 /// force in the whole zone.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn reader_that_is_out_of_touch_is_not_believed() {
+async fn reader_without_store_contact_is_not_relied_on() {
     let member = Member::relying().await;
     let start = Instant::now();
     member.source.set_version(3);
 
-    while member.version() < ConfigVersion(3) && start.elapsed() < 2 * BOUND {
-        member.hear_notes();
-        member.running.hear_gossip(&member.word(start.elapsed()));
-        tokio::time::sleep(PERIOD).await;
+    while member.version() < ConfigVersion(3) && start.elapsed() < 2 * MAX_DELAY {
+        member.receive_heartbeats();
+        member.running.hear_gossip(&member.gossip(start.elapsed()));
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
     }
 
-    expect_that!(start.elapsed(), le(CONFIG_GOSSIP_MAX_AGE + PERIOD));
+    expect_that!(start.elapsed(), le(CONFIG_GOSSIP_MAX_AGE + GOSSIP_INTERVAL));
 }
 
 /// All VMs that advertise crash at once, right after the store has acknowledged a change.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn configuration_is_asked_for_when_nobody_tells_any_more() {
+async fn configuration_is_requested_when_gossip_stops() {
     let member = Member::relying().await;
-    member.hear(Duration::ZERO);
+    member.receive(Duration::ZERO);
     member.source.set_version(3);
 
-    tokio::time::sleep(BOUND).await;
+    tokio::time::sleep(MAX_DELAY).await;
 
     expect_that!(member.version(), eq(ConfigVersion(3)));
 }
@@ -341,9 +341,9 @@
 /// would leave an old configuration in force.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_was_suspended_asks_the_store_whatever_it_hears() {
+async fn suspended_vm_requests_the_configuration_despite_gossip() {
     let member = Member::relying().await;
-    let old = member.word(Duration::ZERO);
+    let old = member.gossip(Duration::ZERO);
     member.source.set_version(3);
 
     member
@@ -360,7 +360,7 @@
 /// been read as well.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_was_suspended_serves_again_once_the_store_was_asked() {
+async fn suspended_vm_serves_again_once_the_store_was_read() {
     let member = Member::relying().await;
     let table = Feed {
         name: "upstreams",
@@ -369,8 +369,8 @@
         read_from_peer: Box::new(|_| Box::pin(std::future::pending())),
     };
     tokio::spawn(follow_upstreams(member.running.gateway.clone(), table));
-    tokio::time::sleep(PERIOD).await;
-    member.hear(Duration::ZERO);
+    tokio::time::sleep(GOSSIP_INTERVAL).await;
+    member.receive(Duration::ZERO);
 
     member
         .running
@@ -379,7 +379,7 @@
     let start = Instant::now();
     for _ in 0..8 {
         tokio::time::sleep(Duration::from_millis(5)).await;
-        member.hear(Duration::ZERO);
+        member.receive(Duration::ZERO);
     }
     member.running.gateway.wait_until_current().await;
 
@@ -398,33 +398,33 @@
 /// force within its bound, and an older configuration never replaces a newer one.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn change_is_in_force_within_its_bound_whatever_is_lost() {
+async fn change_is_in_force_within_its_bound_despite_losses() {
     for seed in 0..20 {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let member = Member::relying().await;
         let (mut newest, mut changed, mut in_force) = (2, Instant::now(), ConfigVersion(0));
-        let mut reader_asked = Instant::now();
-        let mut reader_knows = ConfigVersion(2);
+        let mut reader_contact = Instant::now();
+        let mut reader_version = ConfigVersion(2);
         for _ in 0..150 {
             if rng.random_bool(0.05) && member.version() == ConfigVersion(newest) {
                 newest += 1;
                 member.source.set_version(newest);
                 changed = Instant::now();
             }
-            let reader_in_touch = rng.random_bool(0.7);
-            if reader_in_touch {
-                reader_asked = Instant::now();
-                reader_knows = member.source.version();
+            let reader_has_contact = rng.random_bool(0.7);
+            if reader_has_contact {
+                reader_contact = Instant::now();
+                reader_version = member.source.version();
             }
             let store_answers = rng.random_bool(0.8);
             *member.source.store_answers.lock() = store_answers;
             *member.source.peer_answers.lock() = rng.random_bool(0.8);
-            member.hear_notes();
+            member.receive_heartbeats();
             if rng.random_bool(0.7) {
-                let word = member.word(reader_asked.elapsed());
+                let gossip = member.gossip(reader_contact.elapsed());
                 member.running.hear_gossip(&ZoneGossip {
-                    config: Some(reader_knows),
-                    ..word
+                    config: Some(reader_version),
+                    ..gossip
                 });
             }
             if rng.random_bool(0.02) {
@@ -438,9 +438,9 @@
             in_force = member.version();
             if !store_answers {
                 // The bound counts only while the store responds.
-                changed = changed.max(Instant::now().checked_sub(BOUND / 2).unwrap());
+                changed = changed.max(Instant::now().checked_sub(MAX_DELAY / 2).unwrap());
             }
-            let in_time = in_force == ConfigVersion(newest) || changed.elapsed() <= BOUND;
+            let in_time = in_force == ConfigVersion(newest) || changed.elapsed() <= MAX_DELAY;
             expect_that!(in_time, eq(true), "seed {seed}, version {newest}");
         }
     }
