--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records that a feed was read, whether or not it had changes.
-    pub(crate) fn feed_read(&self, update: fn(&mut GatewayState)) {
+    pub(crate) fn record_feed_read(&self, update: fn(&mut GatewayState)) {
         let mut state = self.state.lock();
         update(&mut state);
         self.current.send_replace(state.is_current());
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -118,9 +118,9 @@
             continue;
         };
         if follower.reachable {
-            gateway.config_read();
+            gateway.record_config_read();
         }
-        gateway.feed_read(|state| state.old_config = false);
+        gateway.record_feed_read(|state| state.config_is_stale = false);
         if apply_config(&gateway, Some(&page)) && follower.reachable {
             gateway.advertise_to_zone(&[]);
         }
@@ -172,9 +172,9 @@
         if let Read::Page { page, whole } = follower.next(Duration::ZERO).await {
             gateway.set_platform_reachable(follower.reachable);
             if follower.reachable || gateway.is_behind(&page) {
-                gateway.table_read(&page, whole, follower.reachable);
+                gateway.apply_table_read(&page, whole, follower.reachable);
             }
-            gateway.feed_read(|state| state.old_directory = false);
+            gateway.record_feed_read(|state| state.directory_is_stale = false);
             follower.pause(UPSTREAM_POLL_INTERVAL).await;
         }
         if gateway.relies_on_zone() {
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -32,19 +32,22 @@
             _ = ticks.recv() => {
                 gateway.advertise_to_zone(&[]);
                 let mut recipients = gateway.recipients();
-                // The seeds may not be among the live VMs, as after a restart of the whole system, so
-                // they are notified too.
+                // The seeds may not be among the live VMs, as after a restart of the whole system,
+                // so they are notified too.
                 recipients.extend(&gateway.settings.seeds);
-                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, true), recipients).await;
+                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, true), recipients)
+                    .await;
             }
             () = gateway.dispatches.wait() => {
                 tokio::time::sleep(BATCH_DELAY).await;
                 let recipients = gateway.dispatch_recipients(&gateway.dispatches.take());
-                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, false), recipients).await;
+                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, false), recipients)
+                    .await;
             }
             () = gateway.crashes_seen.notified() => {
                 tokio::time::sleep(BATCH_DELAY).await;
-                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, false), gateway.recipients()).await;
+                send_heartbeat(&socket, gateway.heartbeat(incarnation, number, false),
+                    gateway.recipients()).await;
             }
         }
     }
@@ -117,7 +120,7 @@
         match ciborium::from_reader::<PeerDatagram, _>(&buf[..len]) {
             Ok(PeerDatagram::Note(heartbeat)) => gateway.receive_heartbeat(heartbeat, address),
             Ok(PeerDatagram::Members(members)) => gateway.receive_members(&members),
-            Ok(PeerDatagram::Gossip(news)) => gateway.receive_gossip(&news, address),
+            Ok(PeerDatagram::Gossip(gossip)) => gateway.receive_gossip(&gossip, address),
             Ok(PeerDatagram::LoanAsk(ask)) => gateway.lend(ask, address),
             Ok(PeerDatagram::Loan(loan)) => gateway.borrow(&loan, address),
             Ok(PeerDatagram::Restart(restart)) => gateway.receive_restart(&restart),
--- a/crates/catkinward/src/gateway/prompt_search.rs
+++ b/crates/catkinward/src/gateway/prompt_search.rs
@@ -58,9 +58,9 @@
     }
 
     async fn query_cached(&self, engine: Arc<UpstreamEntry>) -> bool {
-        let asked = (self.transport.cached)(engine.clone());
+        let query = (self.transport.cached)(engine.clone());
         let now = self.timer.now();
-        match tokio::time::timeout(PROMPT_SEARCH_TIMEOUT, asked).await {
+        match tokio::time::timeout(PROMPT_SEARCH_TIMEOUT, query).await {
             Ok(Ok(parts)) => {
                 self.state
                     .lock()
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -124,7 +124,8 @@
         if given == 0 {
             return;
         }
-        tracing::info!(service = %ask.service, number = ask.number, %borrower, given, "retries lent");
+        tracing::info!(service = %ask.service, number = ask.number, %borrower, given,
+            "retries lent");
         let loan = Loan {
             service: ask.service,
             number: ask.number,
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -23,8 +23,8 @@
     pub(crate) gossip: GossipView,
     /// Whether the configuration, or the directory, has not been read since this process was last
     /// suspended.
-    pub(crate) old_config: bool,
-    pub(crate) old_directory: bool,
+    pub(crate) config_is_stale: bool,
+    pub(crate) directory_is_stale: bool,
     /// When this VM last read the table from the store.
     pub(crate) table_read: Option<Instant>,
     /// When the store last answered a request for the configuration.
@@ -91,8 +91,8 @@
             config_read: None,
             rollouts: Rollouts::new(rollouts),
             stream_durations: StreamDurationEstimator::default(),
-            old_config: false,
-            old_directory: false,
+            config_is_stale: false,
+            directory_is_stale: false,
         }
     }
 
@@ -104,13 +104,13 @@
     /// Whether configuration and upstreams are known and were read since this process was last
     /// suspended.
     pub(crate) fn is_current(&self) -> bool {
-        self.is_complete() && !self.old_config && !self.old_directory
+        self.is_complete() && !self.config_is_stale && !self.directory_is_stale
     }
 
     /// Marks all state as old because this process did not run for a while.
     pub(crate) fn record_suspension(&mut self) {
-        self.old_config = true;
-        self.old_directory = true;
+        self.config_is_stale = true;
+        self.directory_is_stale = true;
         self.gossip = GossipView::default();
         self.peers.discard_heartbeats();
     }
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records that the store answered a request for the configuration.
-    pub(crate) fn config_read(&self) {
+    pub(crate) fn record_config_read(&self) {
         let now = self.timer.now();
         self.state.lock().config_read = Some(now);
     }
@@ -72,7 +72,7 @@
         };
         let state = self.state.lock();
         let until = state.gossip.config_valid_until()?.min(advertised_until);
-        (!state.old_config && now < until).then_some(until)
+        (!state.config_is_stale && now < until).then_some(until)
     }
 
     /// Waits until the zone advertises a newer configuration than the one in force here; returns
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -49,7 +49,12 @@
     /// Applies rows of the table that this VM has read, and advertises the new ones to the zone if
     /// they come from the store. Rows from another VM may be two seconds old; advertised as new,
     /// they would be relied on for as long again.
-    pub(crate) fn table_read(&self, page: &FeedPage<UpstreamEntry>, whole: bool, from_store: bool) {
+    pub(crate) fn apply_table_read(
+        &self,
+        page: &FeedPage<UpstreamEntry>,
+        whole: bool,
+        from_store: bool,
+    ) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let read = state.table.apply_read(&page.rows, whole, page.version);
@@ -200,7 +205,7 @@
         let state = self.state.lock();
         let read = state
             .table_read
-            .is_some_and(|at| now.since(at) < GOSSIP_MAX_AGE && !state.old_directory);
+            .is_some_and(|at| now.since(at) < GOSSIP_MAX_AGE && !state.directory_is_stale);
         drop(state);
         read || matches!(self.gossip_state(ZoneRole::Member), GossipState::Fresh(_))
     }
@@ -218,7 +223,7 @@
         };
         let now = self.timer.now();
         let state = self.state.lock();
-        if state.old_directory {
+        if state.directory_is_stale {
             // Datagrams sent before this process was suspended still arrive and look recent.
             return GossipState::Silent;
         }
