--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! Routing of opaque calls from callers to upstreams and of responses back, whatever they contain.
 //!
-//! The wire formats are known only to the adapter, which passes calls to a [`Gateway`] and gives it
-//! an [`UpstreamTransport`].
+//! The wire formats are known only to the adapter, which passes calls to a `Gateway` and gives it
+//! an `UpstreamTransport`.
 
 pub(crate) use {
     self::{
