--- a/crates/catkinward/src/gateway/buffered_call.rs
+++ b/crates/catkinward/src/gateway/buffered_call.rs
@@ -1,6 +1,6 @@
 use super::{
-    accepted_call::AcceptedCall, reply_log::millis, retries::CALL_PATIENCE, run_guard::RunGuard,
-    upstream_transport::CONNECT_TIMEOUT, *,
+    accepted_call::AcceptedCall, reply_log::millis, retries::CALL_RETRY_TIMEOUT,
+    run_guard::RunGuard, upstream_transport::CONNECT_TIMEOUT, *,
 };
 use std::pin::pin;
 
@@ -70,7 +70,7 @@
         let queued = Queued::new(self.accepted.call.id.clone());
         self.gateway.wait_for_rollout(&self.accepted.service).await;
         let trial = self.gateway.select_canary_upstream(&self.accepted);
-        let first = trial.or_else(|| self.gateway.place(&self.accepted, &[], &[]));
+        let first = trial.or_else(|| self.gateway.select(&self.accepted, &[], &[]));
         let Some(mut entry) = first else {
             return refused(queued, RefusalReason::NoUpstream);
         };
@@ -84,7 +84,7 @@
                     dispatched.unknown().dispatch_again()
                 }
                 Sent::Answered(reply) => {
-                    self.gateway.delivered(self.accepted.digest);
+                    self.gateway.record_delivery(self.accepted.digest);
                     return reply;
                 }
                 Sent::TimedOut => return Reply::TimedOut,
@@ -135,11 +135,11 @@
         if self.sends >= self.max_sends || self.accepted.time_left(now).is_zero() {
             return None;
         }
-        let next = self.gateway.place(&self.accepted, &self.avoid, &[])?;
+        let next = self.gateway.select(&self.accepted, &self.avoid, &[])?;
         let paid = self.retry_prepaid
             || self
                 .gateway
-                .pay_repeat(&self.accepted.service, CALL_PATIENCE)
+                .take_retry(&self.accepted.service, CALL_RETRY_TIMEOUT)
                 .await;
         paid.then_some(next)
     }
@@ -168,7 +168,7 @@
         let retryable = self.accepted.route.kind.may_retry();
         let response = async {
             let response = (gateway.transport.send)(call).await?;
-            gateway.heard(entry, response.load);
+            gateway.upstream_responded(entry, response.load);
             collect(response).await
         };
         let mut response = pin!(response);
@@ -185,7 +185,7 @@
                     self.runs += 1;
                     if let Some(next) = self.next_for_retry().await {
                         self.log_send_error(entry, SendError::Stalled);
-                        gateway.outcome(entry, true);
+                        gateway.record_call_outcome(entry, true);
                         return Sent::Moved(next);
                     }
                     self.runs -= 1;
@@ -203,7 +203,7 @@
             Err(error) => self.handle_send_error(entry, error),
         };
         let failed = !matches!(sent, Sent::Answered(_));
-        gateway.outcome(entry, failed);
+        gateway.record_call_outcome(entry, failed);
         sent
     }
 
@@ -220,7 +220,7 @@
     fn classify_response(&self, entry: &Arc<UpstreamEntry>, response: CollectedResponse) -> Sent {
         let CollectedResponse { head, body } = response;
         if head.other_incarnation {
-            self.gateway.replaced(entry, None);
+            self.gateway.upstream_replaced(entry, None);
             return Sent::NotRun(NotRunEvidence::UpstreamRefused);
         }
         if head.not_executed {
@@ -251,11 +251,11 @@
             SendError::NoConnection => {
                 // Nothing was sent, so the next send does not count as another retry.
                 self.retry_prepaid = true;
-                self.gateway.broke(entry);
+                self.gateway.stream_broke(entry);
                 Sent::NotRun(NotRunEvidence::NoConnection)
             }
             SendError::Lost => {
-                self.gateway.crashed_under(entry, self.accepted.digest);
+                self.gateway.call_broke(entry, self.accepted.digest);
                 Sent::Lost
             }
             SendError::Crossed | SendError::Stalled => Sent::Lost,
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -1,129 +1,138 @@
-//! What the platform keeps and tells: the configuration, the entries of upstreams, other VMs.
+//! Reads the tables of the platform store and follows their changes: the configuration and the
+//! entries of upstreams.
 
-use super::{read_progress::while_it_progresses, *};
+use super::{read_progress::wait_while_progressing, *};
 use tokio::sync::mpsc;
 
-/// Bound of a question for changes that waits, and of a whole read: an answer takes some 4 ms; a
-/// store that is slow answers within a second. A connection that has gone silent is noticed so.
-const STORE_BOUND: Duration = Duration::from_millis(900);
+/// Timeout of a request for changes, beyond its wait at the store, and of a step of a full read: a
+/// response takes some 4 ms, and a slow store responds within a second. A connection that has gone
+/// silent is detected this way.
+const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a question for changes of the configuration waits at the store while another VM of a small zone tells
-/// what configuration is in force there: if a newer one is, or nobody tells any more, the question is asked anew
-/// over another connection.
+/// How long a request for changes of the configuration waits at the store while another VM of a
+/// small zone advertises the configuration in force there. If that one is newer, or nobody
+/// advertises any more, a new request is sent over another connection.
 const SHARED_CONFIG_WAIT: Duration = Duration::from_secs(8);
 
-/// Pace of questions for changes of upstreams. They write their entries about every second, so a
-/// question that waits would return at once; a leaving one must get nothing new after two seconds.
-const UPSTREAM_PACE: Duration = Duration::from_millis(1100);
+/// Interval of requests for changes of upstreams. Upstreams write their entries about every second,
+/// so a waiting request would return at once; a leaving upstream must get no new calls after two
+/// seconds.
+const UPSTREAM_POLL_INTERVAL: Duration = Duration::from_millis(1100);
 
-/// Bounds of the questions while the store is away, by turns. A short one notices its return soon: a
-/// question that was sent just before may hang on a connection that never comes back, and meanwhile
-/// an older configuration would stay in force here. The long ones are for a store that is slow.
-const RETURN_BOUNDS: [Duration; 3] = [
+/// Timeouts of requests while the store does not respond, in rotation. The short one detects
+/// recovery soon: a request sent just before it may hang on a dead connection, during which an
+/// older configuration stays in force. The long ones are for a slow store.
+const RECOVERY_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(400),
     Duration::from_millis(900),
     Duration::from_secs(2),
 ];
 
-/// Bound of an answer from another VM, which has it in memory: a way there and back takes 2 ms.
-pub(crate) const PEER_BOUND: Duration = Duration::from_millis(250);
+/// Timeout of a read from another VM, which has the data in memory: a round trip takes 2 ms.
+pub(crate) const PEER_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A part of what the platform keeps.
+/// A table of the platform store, with the ways to read it.
 pub struct Feed<T> {
-    /// Its name, for the log.
+    /// Name of the feed in logs and metrics.
     pub name: &'static str,
-    /// Reads all of it.
-    pub read: ReadWhole<T>,
-    /// Asks for what changed after a version; waits at the store for that long at most.
-    pub changes: AskChanges<T>,
-    /// Reads all of it as another VM has it, if that hears from the platform itself.
+    /// Reads all rows.
+    pub read: ReadSnapshot<T>,
+    /// Requests the changes after a version; waits at the store for the given duration at most.
+    pub changes: RequestChanges<T>,
+    /// Reads all rows that another VM has, if that VM has recent responses of the platform.
     pub read_from_peer: ReadFromPeer<T>,
 }
 
-/// Reads all of a feed, and shows what has come of it meanwhile.
-pub type ReadWhole<T> = Box<
+/// Reads all rows of a feed, and reports its progress.
+pub type ReadSnapshot<T> = Box<
     dyn Fn(ReadProgress<T>) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync,
 >;
 
-/// Reads a feed from another VM, named by the address that its notes come from.
+/// Reads a feed from another VM, which is identified by the address of its heartbeats.
 pub type ReadFromPeer<T> =
     Box<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
-/// Asks for changes after a version.
-pub type AskChanges<T> =
+/// Requests the changes after a version.
+pub type RequestChanges<T> =
     Box<dyn Fn(u64, Duration) -> BoxFuture<'static, Result<FeedPage<T>, FeedError>> + Send + Sync>;
 
-/// Entries as of one version.
+/// Rows of a feed at one version.
 #[derive(Clone, Debug)]
 pub struct FeedPage<T> {
-    /// Version up to which they hold.
+    /// Version of the store up to which the rows are complete.
     pub version: u64,
     /// Rows that were written or removed.
     pub rows: Vec<TableRow<T>>,
 }
 
-/// Why the platform's word could not be had.
+/// Why a feed could not be read.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, StdError, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum FeedError {
-    /// The changes asked for are no longer kept.
-    #[display("the changes asked for are no longer kept")]
+    /// The store no longer keeps the requested changes.
+    #[display("the store no longer keeps the requested changes")]
     HistoryGone,
-    /// It refused.
-    #[display("the platform refused")]
+    /// The store or the VM refused the request.
+    #[display("the platform refused the request")]
     Refused,
-    /// It did not answer.
-    #[display("the platform did not answer")]
+    /// There was no response in time.
+    #[display("the platform did not respond")]
     NoAnswer,
 }
 
-/// Keeps the configuration in force up to date.
+/// Keeps the configuration in force up to date; never returns.
 pub async fn follow_config(gateway: Arc<Gateway>, feed: Feed<RoutingConfig>) {
     let mut follower = Follower::new(&gateway, &feed, Gateway::relies_on_zone_config, |_| {});
     follower.backs_off = false;
     loop {
-        let told = if follower.version.is_some() {
+        let advertised = if follower.version.is_some() {
             gateway.newer_config_in_zone().await
         } else {
             None
         };
-        let read = match told {
-            Some(told) => {
-                tracing::info!(config = %told.version, peer = %told.by, from_store = told.from_store,
+        let read = match advertised {
+            Some(advertised) => {
+                tracing::info!(config = %advertised.version, peer = %advertised.by,
+                    from_store = advertised.from_store,
                     "a peer tells of a newer configuration");
-                if !told.from_store {
-                    let page = ask_peer(&feed, told.by).await;
-                    take_config(&gateway, page.as_ref());
+                if !advertised.from_store {
+                    let page = read_peer(&feed, advertised.by).await;
+                    apply_config(&gateway, page.as_ref());
                 }
-                if gateway.config().is_some_and(|c| c.version >= told.version) {
+                if gateway
+                    .config()
+                    .is_some_and(|c| c.version >= advertised.version)
+                {
                     continue;
                 }
-                // A large configuration takes a second over the link of a small VM, and the teller's link is shared by
-                // all who ask it. Bound like a question that does not wait, it would never come: one sees `not read
-                // from a peer`, `store unreachable` and callers of new routes refused for many seconds.
-                Some(follower.ask_store(CONFIG_POLL_TIMEOUT).await)
+                // A large configuration takes a second over the link of a small VM, and all VMs
+                // that read from the advertising VM share its link. With the timeout of a request
+                // that does not wait, the read would never complete: the log shows `not read from a
+                // peer` and `store unreachable`, and callers of new routes are refused for many
+                // seconds.
+                Some(follower.next_from_store(CONFIG_POLL_TIMEOUT).await)
             }
-            None => ask_for_config(&gateway, &mut follower).await,
+            None => request_config(&gateway, &mut follower).await,
         };
         let Some(Read::Page { page, .. }) = read else {
             continue;
         };
-        if follower.answers {
-            gateway.config_read();
+        if follower.reachable {
+            gateway.record_config_read();
         }
-        gateway.feed_read(|state| state.old_config = false);
-        if take_config(&gateway, Some(&page)) && follower.answers {
-            gateway.tell_zone(&[]);
+        gateway.record_feed_read(|state| state.config_is_stale = false);
+        if apply_config(&gateway, Some(&page)) && follower.reachable {
+            gateway.advertise_to_zone(&[]);
         }
     }
 }
 
-/// Asks the store for a newer configuration; `None` if it should be asked anew in another way.
-async fn ask_for_config(
+/// Requests a newer configuration from the store; `None` if the next read must go another way.
+async fn request_config(
     gateway: &Gateway,
     follower: &mut Follower<'_, RoutingConfig>,
 ) -> Option<Read<RoutingConfig>> {
-    // Others rely on the age of what those in front read.
+    // Other VMs rely on the age of what readers, standbys and deputies read.
     let in_front = gateway.zone_role() != ZoneRole::Member && gateway.is_in_large_zone();
     let shared = gateway.relies_on_zone() && !in_front;
     let wait = if shared {
@@ -133,10 +142,10 @@
     };
     let ahead = tokio::select! {
         read = follower.next(wait) => return Some(read),
-        ahead = gateway.zone_goes_ahead(), if shared => ahead,
+        ahead = gateway.wait_for_newer_config(), if shared => ahead,
     };
-    // Asked anew, it is not given up again: from a slow store the answer takes longer than the zone's
-    // word, and would never come.
+    // The second request is not cancelled: a slow store takes longer to respond than the gossip of
+    // the zone, so the response would never arrive.
     if ahead {
         Some(follower.next(Duration::ZERO).await)
     } else {
@@ -144,8 +153,8 @@
     }
 }
 
-/// Puts the configuration of a page in force; whether it is newer.
-fn take_config(gateway: &Gateway, page: Option<&FeedPage<RoutingConfig>>) -> bool {
+/// Puts the configuration of a page in force; returns whether it is newer.
+fn apply_config(gateway: &Gateway, page: Option<&FeedPage<RoutingConfig>>) -> bool {
     let rows = page.into_iter().flat_map(|page| &page.rows);
     let configs = rows.filter_map(|row| row.entry.as_ref());
     configs
@@ -153,101 +162,102 @@
         .fold(false, |any, newer| any | newer)
 }
 
-/// Keeps the directory of upstreams up to date.
+/// Keeps the directory of upstreams up to date; never returns.
 pub async fn follow_upstreams(gateway: Arc<Gateway>, feed: Feed<UpstreamEntry>) {
     let mut follower = Follower::new(&gateway, &feed, Gateway::relies_on_zone, |gateway| {
-        gateway.platform_answers(false);
+        gateway.set_platform_reachable(false);
     });
     follower.first_rows = Gateway::put_first_upstreams;
     loop {
         if let Read::Page { page, whole } = follower.next(Duration::ZERO).await {
-            gateway.platform_answers(follower.answers);
-            if follower.answers || gateway.is_behind(&page) {
-                gateway.table_read(&page, whole, follower.answers);
+            gateway.set_platform_reachable(follower.reachable);
+            if follower.reachable || gateway.is_behind(&page) {
+                gateway.apply_table_read(&page, whole, follower.reachable);
             }
-            gateway.feed_read(|state| state.old_directory = false);
-            follower.pause(UPSTREAM_PACE).await;
+            gateway.record_feed_read(|state| state.directory_is_stale = false);
+            follower.pause(UPSTREAM_POLL_INTERVAL).await;
         }
         if gateway.relies_on_zone() {
             gateway.rely_on_zone().await;
-            // What others told counts as read.
+            // Updates received from other VMs count as read.
             follower.version = Some(gateway.table_version());
         }
     }
 }
 
-/// What another VM has of a feed. The platform may turn some VMs away and serve the others: these
-/// would go on with what they knew, send calls to upstreams that are leaving, and refuse routes and
-/// keys that were added.
-async fn ask_a_peer<T>(gateway: &Gateway, feed: &Feed<T>) -> Option<FeedPage<T>> {
-    ask_peer(feed, gateway.a_peer()?).await
+/// Reads a feed from another VM. The platform may reject some VMs and serve others; without this,
+/// the rejected ones would keep old state, send calls to leaving upstreams, and refuse new routes
+/// and keys.
+async fn read_random_peer<T>(gateway: &Gateway, feed: &Feed<T>) -> Option<FeedPage<T>> {
+    read_peer(feed, gateway.random_peer()?).await
 }
 
-async fn ask_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
-    // A VM whose link is full must not be kept busy by those that read from it; they have the store.
-    let answer = tokio::time::timeout(PEER_BOUND, (feed.read_from_peer)(peer)).await;
+async fn read_peer<T>(feed: &Feed<T>, peer: SocketAddr) -> Option<FeedPage<T>> {
+    // VMs that read from a VM whose link is full must not keep it busy; they have the store.
+    let answer = tokio::time::timeout(PEER_READ_TIMEOUT, (feed.read_from_peer)(peer)).await;
     match answer.unwrap_or(Err(FeedError::NoAnswer)) {
         Ok(page) => {
             tracing::info!(feed = feed.name, %peer, version = page.version, "read from a peer");
             Some(page)
         }
-        Err(fault) => {
-            let fault_name: &str = fault.into();
-            tracing::info!(feed = feed.name, %peer, fault = fault_name, "not read from a peer");
+        Err(error) => {
+            let error_name: &str = error.into();
+            tracing::info!(feed = feed.name, %peer, fault = error_name, "not read from a peer");
             None
         }
     }
 }
 
-/// What came of a read.
+/// Result of a read.
 enum Read<T> {
-    /// Rows.
+    /// Rows were read.
     Page {
-        /// The rows.
+        /// The rows with their version.
         page: FeedPage<T>,
-        /// Whether they are the whole feed.
+        /// Whether the page holds the complete feed.
         whole: bool,
     },
-    /// The store does not answer here, and others of the zone tell what it says.
+    /// The store does not respond here, and other VMs of the zone advertise what it holds.
     Zone,
 }
 
-/// Why the store is asked, for the count of its calls.
+/// Reason of a request to the store, a label of the metric that counts these requests.
 #[derive(Clone, Copy, Debug, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 enum StoreCallCause {
-    /// Nothing is known yet, or the history that was asked for is gone.
+    /// Nothing was read yet, or the requested history is gone.
     WholeRead,
-    /// It may have changed.
+    /// The feed may have changed.
     Watch,
-    /// The store did not answer before.
+    /// The store did not respond before.
     StoreAway,
 }
 
-/// Reads a feed in whole, then its changes.
+/// Reads a complete feed, then its changes.
 struct Follower<'a, T> {
     gateway: &'a Arc<Gateway>,
     feed: &'a Feed<T>,
-    /// Version up to which it has read; none before the first time and when changes are no longer kept.
+    /// Version up to which the feed was read; `None` before the first read and when the store no
+    /// longer keeps the changes.
     version: Option<u64>,
-    /// Whether the store answers.
-    answers: bool,
-    faults: usize,
-    /// Faults since the store last answered.
-    faults_in_a_row: u32,
-    /// Whether its waits grow while the store is away.
+    /// Whether the store responds.
+    reachable: bool,
+    failures: usize,
+    /// Failures since the store last responded.
+    consecutive_failures: u32,
+    /// Whether the delays grow while the store does not respond.
     backs_off: bool,
-    /// Whether the store failed just now, and is to be left alone for a while.
-    waits: bool,
-    /// Whether others of the zone tell what this feed would read.
+    /// Whether the last request failed, so that the next one is delayed.
+    delay_next: bool,
+    /// Whether other VMs of the zone advertise what this feed would read.
     relies: fn(&Gateway) -> bool,
-    /// Called when the store does not answer.
-    lost: fn(&Gateway),
-    /// Takes the first rows of a whole read while the others come.
+    /// Called when the store does not respond.
+    on_lost: fn(&Gateway),
+    /// Receives the first rows of a full read before the remaining ones.
     first_rows: fn(&Gateway, Vec<TableRow<T>>),
-    wakes: watch::Receiver<u64>,
-    /// Counts the returns of the store that any feed noticed.
-    returns: watch::Receiver<u64>,
+    suspensions: watch::Receiver<u64>,
+    /// Counts how often any feed found that the store responds again.
+    recoveries: watch::Receiver<u64>,
 }
 
 impl<'a, T> Follower<'a, T> {
@@ -255,102 +265,106 @@
         gateway: &'a Arc<Gateway>,
         feed: &'a Feed<T>,
         relies: fn(&Gateway) -> bool,
-        lost: fn(&Gateway),
+        on_lost: fn(&Gateway),
     ) -> Self {
         Self {
             gateway,
             feed,
             version: None,
-            answers: true,
-            faults: 0,
-            faults_in_a_row: 0,
+            reachable: true,
+            failures: 0,
+            consecutive_failures: 0,
             backs_off: true,
-            waits: false,
+            delay_next: false,
             relies,
-            lost,
+            on_lost,
             first_rows: |_, _| {},
-            wakes: gateway.wakes.subscribe(),
-            returns: gateway.store_returns.subscribe(),
+            suspensions: gateway.suspensions.subscribe(),
+            recoveries: gateway.store_recoveries.subscribe(),
         }
     }
 
-    /// The next page. Waits at the store for that long at most, or for its return; ends early if the store does
-    /// not answer here and others of the zone tell what it says.
+    /// The next page. Waits at the store for `wait` at most, or until it responds again; ends early
+    /// if the store does not respond here and other VMs of the zone advertise what it holds.
     async fn next(&mut self, wait: Duration) -> Read<T> {
         let relies = self.relies;
-        self.ask(wait, relies).await
+        self.request(wait, relies).await
     }
 
-    /// The next page, whatever the zone tells: for what it told of and did not give.
-    async fn ask_store(&mut self, wait: Duration) -> Read<T> {
-        self.ask(wait, |_| false).await
+    /// The next page from the store, for data that the zone advertised but did not deliver.
+    async fn next_from_store(&mut self, wait: Duration) -> Read<T> {
+        self.request(wait, |_| false).await
     }
 
-    async fn ask(&mut self, wait: Duration, relies: fn(&Gateway) -> bool) -> Read<T> {
+    async fn request(&mut self, wait: Duration, relies: fn(&Gateway) -> bool) -> Read<T> {
         let mut wait = wait;
         loop {
-            if !self.answers {
-                if std::mem::take(&mut self.waits) {
-                    self.wait_for_return(relies).await;
+            if !self.reachable {
+                if std::mem::take(&mut self.delay_next) {
+                    self.wait_for_recovery(relies).await;
                 }
                 if self.version.is_some() && relies(self.gateway) {
                     return Read::Zone;
                 }
             }
             self.count_call();
-            let bound = if self.answers {
-                wait + STORE_BOUND
+            let max_wait = if self.reachable {
+                wait + STORE_TIMEOUT
             } else {
                 wait = Duration::ZERO;
-                RETURN_BOUNDS[self.faults % RETURN_BOUNDS.len()]
+                RECOVERY_TIMEOUTS[self.failures % RECOVERY_TIMEOUTS.len()]
             };
             let whole = self.version.is_none();
             let (progress, parts) = mpsc::unbounded_channel();
-            let asked = async {
+            let pending = async {
                 match self.version {
                     Some(version) => (self.feed.changes)(version, wait).await,
                     None => (self.feed.read)(progress).await,
                 }
             };
             let (gateway, first_rows) = (self.gateway, self.first_rows);
-            let asked = while_it_progresses(asked, parts, bound, |rows| first_rows(gateway, rows));
-            let asked_at = self.gateway.timer.now();
-            let woke = self.wakes.changed();
+            let pending =
+                wait_while_progressing(pending, parts, max_wait, |rows| first_rows(gateway, rows));
+            let sent_at = self.gateway.timer.now();
+            let suspended = self.suspensions.changed();
             let answer = tokio::select! {
-                answer = asked => answer,
-                // The connection may have been lost meanwhile, and its question waits at the store.
-                Ok(()) = woke => {
+                answer = pending => answer,
+                // The connection may have been lost in the meantime, with its request still
+                // waiting.
+                Ok(()) = suspended => {
                     wait = Duration::ZERO;
                     continue;
                 }
             };
-            let fault = match answer {
+            let error = match answer {
                 Ok(page) => {
-                    // A question that waited says nothing of the store's speed.
+                    // The latency of a request that waited says nothing about the store.
                     if wait.is_zero() {
-                        let took = self.gateway.timer.now().since(asked_at);
+                        let took = self.gateway.timer.now().since(sent_at);
                         metrics::histogram!("catkin_store_call_seconds", "feed" => self.feed.name)
                             .record(took.as_secs_f64());
                     }
-                    if !self.answers {
+                    if !self.reachable {
                         tracing::info!(feed = self.feed.name, "store reachable");
-                        self.gateway.store_returns.send_modify(|count| *count += 1);
+                        self.gateway
+                            .store_recoveries
+                            .send_modify(|count| *count += 1);
                     }
-                    self.answers = true;
-                    self.faults_in_a_row = 0;
+                    self.reachable = true;
+                    self.consecutive_failures = 0;
                     self.version = Some(page.version);
                     return Read::Page { page, whole };
                 }
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            if let Some(page) = self.failed(fault).await {
+            if let Some(page) = self.failed(error).await {
                 return Read::Page { page, whole: true };
             }
         }
     }
 
     fn count_call(&self) {
-        let cause = if !self.answers {
+        let cause = if !self.reachable {
             StoreCallCause::StoreAway
         } else if self.version.is_none() {
             StoreCallCause::WholeRead
@@ -362,59 +376,59 @@
             .increment(1);
     }
 
-    /// Waits, unless this process wakes meanwhile.
+    /// Waits for `length`, or until this process resumes after a suspension.
     async fn pause(&mut self, length: Duration) {
-        // Whichever comes first, the feed is asked then.
-        let _ = tokio::time::timeout(length, self.wakes.changed()).await;
+        // In either case the next request is sent afterwards.
+        let _ = tokio::time::timeout(length, self.suspensions.changed()).await;
     }
 
-    /// Notes a fault; returns what another VM has instead, if that is to be had.
-    async fn failed(&mut self, fault: FeedError) -> Option<FeedPage<T>> {
-        let fault_name: &str = fault.into();
-        if self.answers {
+    /// Records a failure; returns the feed of another VM if one can be read.
+    async fn failed(&mut self, error: FeedError) -> Option<FeedPage<T>> {
+        let error_name: &str = error.into();
+        if self.reachable {
             tracing::warn!(
                 feed = self.feed.name,
-                fault = fault_name,
+                fault = error_name,
                 "store unreachable"
             );
         }
-        if fault == FeedError::HistoryGone {
+        if error == FeedError::HistoryGone {
             self.version = None;
             return None;
         }
-        self.answers = false;
-        self.faults += 1;
-        self.faults_in_a_row += 1;
-        (self.lost)(self.gateway);
-        self.waits = true;
-        let page = ask_a_peer(self.gateway, self.feed).await;
+        self.reachable = false;
+        self.failures += 1;
+        self.consecutive_failures += 1;
+        (self.on_lost)(self.gateway);
+        self.delay_next = true;
+        let page = read_random_peer(self.gateway, self.feed).await;
         if let Some(page) = &page {
             self.version = Some(page.version);
         }
         page
     }
 
-    /// Waits before the store is asked again, unless somebody notices its return meanwhile.
-    ///
-    /// Asked by each VM three times a second, the store gets more calls while it is away than in all the time that
-    /// it serves, and all of them at once at its return.
-    async fn wait_for_return(&mut self, relies: fn(&Gateway) -> bool) {
-        self.returns.mark_unchanged();
-        // A large configuration comes only within the longest of the bounds that take turns. With waits that grow
-        // between them it would come many seconds after the return, and callers of new routes be refused.
-        let faults = if self.backs_off {
-            self.faults_in_a_row
+    /// Waits before the next request to the store, unless another feed finds that it responds
+    /// again. If each VM sent three requests a second, the store would get more of them during an
+    /// outage than in all the time that it serves, and all of them at once when it recovers.
+    async fn wait_for_recovery(&mut self, relies: fn(&Gateway) -> bool) {
+        self.recoveries.mark_unchanged();
+        // A large configuration arrives only within the longest of the timeouts in rotation. If the
+        // delays between them grew, it would arrive many seconds after the store has recovered, and
+        // callers of new routes would be refused.
+        let failures = if self.backs_off {
+            self.consecutive_failures
         } else {
             0
         };
         let role = self.gateway.zone_role();
         let zone_vms = self.gateway.zone_vms().len();
-        let wait = store_backoff(role, zone_vms, faults, rand::random());
-        // Whichever comes first, the store is asked then, or the zone relied on.
+        let wait = store_backoff(role, zone_vms, failures, rand::random());
+        // In every case the next step is a request to the store, or reliance on the zone.
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
-            () = self.gateway.zone_tells(relies) => {}
-            _ = self.returns.changed() => {}
+            () = self.gateway.wait_for_zone(relies) => {}
+            _ = self.recoveries.changed() => {}
         }
     }
 }
--- a/crates/catkinward/src/gateway/kv_copy_manager.rs
+++ b/crates/catkinward/src/gateway/kv_copy_manager.rs
@@ -1,40 +1,41 @@
-//! Keeps a copy of a run's memory somewhere, whatever becomes of its holders.
+//! Keeps a copy of a run's KV cache when copy holders are lost.
 //!
-//! A run's memory is copied as it grows to a holder that is named at its start. When that one dies the
-//! run goes on without a copy, and if its own upstream dies some seconds later, all that was read and
-//! made must be read again: a pause of one to four seconds in place of 20 ms. So a new copy is made
-//! as soon as the holder is lost, and renewed, since such a copy neither grows nor lasts.
+//! The KV cache of a run is copied as it grows to a holder that is set when the run starts. If that
+//! holder crashes, the run continues without a copy; if its own upstream crashes some seconds
+//! later, the prompt and all generated tokens must be processed again, a gap of one to four seconds
+//! instead of 20 ms. So a new copy is requested as soon as the holder is lost, and is renewed,
+//! because such a copy neither grows nor is kept for long.
 //!
-//! A run may be in another availability zone and its copy in a third, as after the loss of the own zone's
-//! upstreams. When the own zone is cut off then, its caller is still here, and both are out of reach. So such
-//! a run gets a second copy, in the own zone.
+//! A run may be in another availability zone and its copy in a third, as after the loss of the
+//! upstreams in the own zone. If the own zone is then partitioned, its caller is still connected
+//! here and both upstreams are unreachable. So such a run gets a second copy, in the own zone.
 
 use super::{accepted_call::AcceptedCall, kv_copy::KvCopy, *};
 
-/// How often the holder is looked at.
-const COPY_LOOK: Duration = Duration::from_millis(200);
+/// Interval at which the copy holder is checked.
+const HOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Age at which a copy that does not grow is renewed: engines keep one for four seconds, and what is
-/// missing in it (some hundred tokens) is read again in some ten milliseconds.
-const RENEWED_AFTER: Duration = Duration::from_millis(2500);
+/// Age at which a copy that does not grow is renewed. Engines keep one for four seconds, and the
+/// tokens it lacks (some hundred) are processed again in some ten milliseconds.
+const RENEWAL_AGE: Duration = Duration::from_millis(2500);
 
-/// Wait after a copy could not be made.
-const FAULT_WAIT: Duration = Duration::from_millis(400);
+/// Delay after a copy request failed.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The copies of one run.
+/// The KV copies of one run.
 pub(crate) struct KvCopyManager {
     gateway: Arc<Gateway>,
-    /// Grows with the run.
+    /// Copy that grows with the run.
     growing: Option<KvCopy>,
-    /// Was made later, with its time.
-    made: Option<(KvCopy, Instant)>,
-    making: Option<Making>,
+    /// Copy that was requested later, with the time at which it was complete.
+    requested: Option<(KvCopy, Instant)>,
+    pending: Option<PendingCopy>,
     not_before: Instant,
-    /// When to look again. Kept, since waits are cut short by every event of the stream.
-    look_at: tokio::time::Instant,
+    /// Time of the next check. It is stored because every event of the stream cancels the wait.
+    next_check: tokio::time::Instant,
 }
 
-struct Making {
+struct PendingCopy {
     holder: Arc<UpstreamEntry>,
     answer: BoxFuture<'static, Result<CopySource, CopyError>>,
 }
@@ -44,30 +45,37 @@
         Self {
             gateway: gateway.clone(),
             growing,
-            made: None,
-            making: None,
+            requested: None,
+            pending: None,
             not_before: Instant::default(),
-            look_at: tokio::time::Instant::now() + COPY_LOOK,
+            next_check: tokio::time::Instant::now() + HOLDER_CHECK_INTERVAL,
         }
     }
 
-    /// The best copy that there is: the one that grew with the run, which lacks least. After a silence, in
-    /// which the own zone may have been cut off, one in the own zone goes first.
+    /// The best usable copy: the one that grew with the run, since it lacks the fewest tokens.
+    /// After a silence, in which the own zone may have been partitioned, a copy in the own zone
+    /// takes precedence.
     pub(crate) fn into_best(self, after_silence: bool) -> Option<KvCopy> {
         let growing = self.growing.filter(KvCopy::is_usable);
-        let made = self.made.map(|(copy, _)| copy).filter(KvCopy::is_usable);
+        let requested = self
+            .requested
+            .map(|(copy, _)| copy)
+            .filter(KvCopy::is_usable);
         let own = &self.gateway.settings.zone;
-        match (growing, made) {
-            (Some(growing), Some(made))
-                if after_silence && growing.holder.zone != *own && made.holder.zone == *own =>
+        match (growing, requested) {
+            (Some(growing), Some(requested))
+                if after_silence
+                    && growing.holder.zone != *own
+                    && requested.holder.zone == *own =>
             {
-                Some(made)
+                Some(requested)
             }
-            (growing, made) => growing.or(made),
+            (growing, requested) => growing.or(requested),
         }
     }
 
-    /// Whether a run and the copy that grows with it are both out of reach if the own zone is cut off.
+    /// Whether a run and the copy that grows with it both become unreachable if the own zone is
+    /// partitioned.
     fn is_exposed(&self, run: &UpstreamEntry) -> bool {
         let own = &self.gateway.settings.zone;
         let second = self.gateway.settings.policy.second_copy;
@@ -75,56 +83,56 @@
         second && run.zone != *own && copy_elsewhere
     }
 
-    /// Waits until there is something to look at: the end of an order to copy, or some time.
+    /// Waits until the pending copy request ends or, without one, until the next check is due.
     pub(crate) async fn wait(&mut self) {
-        let Some(making) = &mut self.making else {
-            tokio::time::sleep_until(self.look_at).await;
-            self.look_at = tokio::time::Instant::now() + COPY_LOOK;
+        let Some(pending) = &mut self.pending else {
+            tokio::time::sleep_until(self.next_check).await;
+            self.next_check = tokio::time::Instant::now() + HOLDER_CHECK_INTERVAL;
             return;
         };
-        let answer = (&mut making.answer).await;
-        let holder = making.holder.clone();
-        self.making = None;
+        let answer = (&mut pending.answer).await;
+        let holder = pending.holder.clone();
+        self.pending = None;
         let now = self.gateway.timer.now();
         match answer {
             Ok(source) => {
-                tracing::info!(handle = &*source.handle, holder = %holder.id, "memory copied");
-                if let Some((before, _)) = &mut self.made
+                tracing::info!(handle = &*source.handle, holder = %holder.id, "KV cache copied");
+                if let Some((before, _)) = &mut self.requested
                     && before.source == source
                 {
                     before.keep();
                 }
                 let copy = KvCopy::ordered(&self.gateway, holder, source);
-                self.made = Some((copy, now));
+                self.requested = Some((copy, now));
             }
-            Err(fault) => {
-                let fault_name: &str = fault.into();
-                tracing::warn!(holder = %holder.id, fault = fault_name, "memory not copied");
-                self.not_before = now.after(FAULT_WAIT);
+            Err(error) => {
+                let error_name: &str = error.into();
+                tracing::warn!(holder = %holder.id, fault = error_name, "KV cache not copied");
+                self.not_before = now.after(RETRY_DELAY);
             }
         }
     }
 
-    /// Orders a copy if there is none that will do.
-    pub(crate) fn look(&mut self, accepted: &AcceptedCall, run: &Arc<UpstreamEntry>) {
+    /// Requests a copy if no usable one exists.
+    pub(crate) fn check(&mut self, accepted: &AcceptedCall, run: &Arc<UpstreamEntry>) {
         let now = self.gateway.timer.now();
         let grows = self.growing.as_ref().is_some_and(KvCopy::is_usable);
         let exposed = grows && self.is_exposed(run);
         if !grows && !self.gateway.settings.policy.remade_copies {
             return;
         }
-        if (grows && !exposed) || self.making.is_some() || now < self.not_before {
+        if (grows && !exposed) || self.pending.is_some() || now < self.not_before {
             return;
         }
-        let holder = match &self.made {
+        let holder = match &self.requested {
             Some((copy, at)) if copy.is_usable() => {
-                if now.since(*at) < RENEWED_AFTER {
+                if now.since(*at) < RENEWAL_AGE {
                     return;
                 }
-                // To the same holder only what is new is copied.
+                // Only new tokens are copied to the same holder.
                 Some(copy.holder.clone())
             }
-            _ => self.gateway.place_copy(accepted, run),
+            _ => self.gateway.select_holder(accepted, run),
         };
         let Some(holder) = holder else {
             return;
@@ -137,7 +145,7 @@
             call: accepted.call.id.clone(),
             holder: holder.clone(),
         };
-        self.making = Some(Making {
+        self.pending = Some(PendingCopy {
             holder,
             answer: (self.gateway.transport.copy)(order),
         });
--- a/crates/catkinward/src/gateway/prompt_search.rs
+++ b/crates/catkinward/src/gateway/prompt_search.rs
@@ -1,10 +1,10 @@
-//! Asks engines which of them still hold the prompt of a caller that comes back.
+//! Queries engines for cached prompts when a caller reconnects.
 
 use super::{accepted_call::AcceptedCall, *};
 
 impl Gateway {
-    /// Tokens of a call's prompt that engines hold, sorted by engine. Only for callers that come back:
-    /// the prompt of any other one has not been read yet.
+    /// Cached tokens of a call's prompt by engine, sorted by engine. Engines are queried only for
+    /// callers that reconnect: no engine has processed the prompt of any other caller yet.
     pub(crate) async fn search_prompt(
         &self,
         accepted: &AcceptedCall,
@@ -12,26 +12,30 @@
         let Some(prompt) = &accepted.call.prompt else {
             return Vec::new();
         };
-        if !accepted.comes_back() || prompt.parts.is_empty() {
+        if !accepted.is_reconnect() || prompt.parts.is_empty() {
             return Vec::new();
         }
-        // Those who come back together wait for the same words.
-        let searching = self.searching.lock().await;
-        let due = self.due_words(&accepted.service);
+        // Concurrent reconnecting callers wait for the same replies.
+        let prompt_search_lock = self.prompt_search_lock.lock().await;
+        let due = self.engines_to_query(&accepted.service);
         let asked = due.len();
-        let words =
-            futures::future::join_all(due.into_iter().map(|engine| self.ask_cached(engine)));
-        let answered = words.await.into_iter().filter(|answered| *answered).count();
-        drop(searching);
+        let replies =
+            futures::future::join_all(due.into_iter().map(|engine| self.query_cached(engine)));
+        let answered = replies
+            .await
+            .into_iter()
+            .filter(|answered| *answered)
+            .count();
+        drop(prompt_search_lock);
         let now = self.timer.now();
         let holders = self.state.lock().cached.holders(&prompt.parts, now);
         let best = holders.iter().map(|(_, tokens)| *tokens).max().unwrap_or(0);
         tracing::info!(request = %accepted.call.id, asked, answered, holders = holders.len(),
-            tokens = best, "engines asked for a prompt");
+            tokens = best, "engines queried for a cached prompt");
         holders
     }
 
-    fn due_words(&self, service: &ServiceId) -> Vec<Arc<UpstreamEntry>> {
+    fn engines_to_query(&self, service: &ServiceId) -> Vec<Arc<UpstreamEntry>> {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let is_engine = state
@@ -53,10 +57,10 @@
         engines
     }
 
-    async fn ask_cached(&self, engine: Arc<UpstreamEntry>) -> bool {
-        let asked = (self.transport.cached)(engine.clone());
+    async fn query_cached(&self, engine: Arc<UpstreamEntry>) -> bool {
+        let query = (self.transport.cached)(engine.clone());
         let now = self.timer.now();
-        match tokio::time::timeout(PROMPT_SEARCH_TIMEOUT, asked).await {
+        match tokio::time::timeout(PROMPT_SEARCH_TIMEOUT, query).await {
             Ok(Ok(parts)) => {
                 self.state
                     .lock()
@@ -66,7 +70,7 @@
             }
             Ok(Err(fault)) => {
                 let fault: &str = fault.into();
-                tracing::debug!(upstream = %engine.id, fault, "no word on cached prompts");
+                tracing::debug!(upstream = %engine.id, fault, "query for cached prompts failed");
                 false
             }
             Err(_) => false,
--- a/crates/catkinward/src/gateway/readiness.rs
+++ b/crates/catkinward/src/gateway/readiness.rs
@@ -1,74 +1,74 @@
-//! Whether new callers may come to this VM, and why not.
+//! Whether this VM accepts new callers, and the reason if it does not.
 
 use super::*;
 
-/// How long a service that has lost its last upstream counts as out of reach.
-///
-/// In an availability zone that is cut off, the entries of upstreams beyond the cut lapse a few seconds into it.
-/// Taken for a service that nobody runs, it made the VM ready again in the middle of the cut, and callers came
-/// back from the zone that serves them: `no_upstream` under each of their calls. Bounded, because a service that
-/// is taken out of operation must not leave all VMs without callers.
-const OUT_OF_REACH_FOR: Duration = Duration::from_secs(10);
+/// How long a service that has lost its last upstream counts as unreachable. In a partitioned
+/// availability zone, the entries of upstreams outside expire after a few seconds. Taking them for
+/// removed made the VM ready again during the partition, and callers that came back from a working
+/// zone got `no_upstream`. Bounded so that taking a service out of operation does not leave all VMs
+/// without callers.
+const LOST_SERVICE_RETENTION: Duration = Duration::from_secs(10);
 
-/// How this VM stands to new callers.
+/// Readiness of this VM for new callers.
 #[derive(Clone, Debug, Eq, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Readiness {
-    /// They may come.
+    /// New callers are accepted.
     Ready,
     /// No configuration, or no table of upstreams, has been read yet.
     NothingKnown,
-    /// None of the upstreams of a service answers.
+    /// No upstream of a service responds.
     OutOfReach {
-        /// The service.
+        /// The service whose upstreams are unreachable.
         service: ServiceId,
-        /// Its upstreams by their entries, all suspect; none where the last entry has lapsed.
+        /// Number of its upstreams with an entry, all suspect; 0 if the last entry has expired.
         upstreams: usize,
     },
     /// A shutdown has begun.
     ShuttingDown,
 }
 
-/// Services that had upstreams when they were last looked at.
+/// Services that had upstreams at a recent readiness check.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ServicesSeen {
-    /// Sorted by service, with the time at which it last had one.
-    seen: Vec<(ServiceId, Instant)>,
+pub(crate) struct RecentServices {
+    /// Sorted by service, with the time at which it last had an upstream.
+    last_seen: Vec<(ServiceId, Instant)>,
 }
 
-impl ServicesSeen {
-    /// Notes that a service has upstreams.
-    pub(crate) fn has_some(&mut self, service: &ServiceId, now: Instant) {
+impl RecentServices {
+    /// Records that a service has upstreams.
+    pub(crate) fn record_upstreams(&mut self, service: &ServiceId, now: Instant) {
         match self.position(service) {
-            Ok(index) => self.seen[index].1 = now,
-            Err(index) => self.seen.insert(index, (service.clone(), now)),
+            Ok(index) => self.last_seen[index].1 = now,
+            Err(index) => self.last_seen.insert(index, (service.clone(), now)),
         }
     }
 
-    /// Whether a service without upstreams had some a short while ago.
-    pub(crate) fn had_some(&self, service: &ServiceId, now: Instant) -> bool {
-        let seen = self.position(service).map(|index| self.seen[index].1);
-        seen.is_ok_and(|at| now.since(at) < OUT_OF_REACH_FOR)
+    /// Whether a service without upstreams had some within [`LOST_SERVICE_RETENTION`].
+    pub(crate) fn had_recent_upstreams(&self, service: &ServiceId, now: Instant) -> bool {
+        let last_seen = self.position(service).map(|index| self.last_seen[index].1);
+        last_seen.is_ok_and(|at| now.since(at) < LOST_SERVICE_RETENTION)
     }
 
     fn position(&self, service: &ServiceId) -> Result<usize, usize> {
-        self.seen.binary_search_by(|(other, _)| other.cmp(service))
+        self.last_seen
+            .binary_search_by(|(other, _)| other.cmp(service))
     }
 }
 
 impl GatewayState {
-    /// A service that none of its upstreams serves this VM, with their number.
-    fn out_of_reach(&mut self, now: Instant) -> Option<(ServiceId, usize)> {
+    /// A service without a usable upstream for this VM, with the number of its upstreams.
+    fn unreachable_service(&mut self, now: Instant) -> Option<(ServiceId, usize)> {
         let config = self.config.get().cloned()?;
         let mut names = config.services.iter().map(|service| &service.name);
         names.find_map(|service| {
             let usable = self.directory.usable(service, now);
             let entries = usable.cloned().collect::<Vec<_>>();
             if entries.is_empty() {
-                let lost = self.services_seen.had_some(service, now);
+                let lost = self.recent_services.had_recent_upstreams(service, now);
                 return lost.then(|| (service.clone(), 0));
             }
-            self.services_seen.has_some(service, now);
+            self.recent_services.record_upstreams(service, now);
             let all_suspect = entries
                 .iter()
                 .all(|entry| self.upstream(entry, now).health.is_suspect());
@@ -78,10 +78,11 @@
 }
 
 impl Gateway {
-    /// Whether new callers may come: everything needed is known, no shutdown has begun, and no service
-    /// is out of reach. In an availability zone that is cut off and has no upstream of a service left,
-    /// callers of that service would wait for nothing; the platform sends them to another zone instead.
-    /// Suspects are asked all the while, so the way back needs no call.
+    /// Whether new callers are accepted: a configuration and upstreams are known, no shutdown has
+    /// begun, and no service is unreachable. In a partitioned availability zone without an upstream
+    /// of a service, callers of that service would wait in vain; the platform sends them to another
+    /// zone. Suspect upstreams are probed all the time, so the VM becomes ready again without a
+    /// call.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let readiness = self.readiness();
@@ -102,7 +103,7 @@
         if !state.is_complete() {
             return Readiness::NothingKnown;
         }
-        match state.out_of_reach(now) {
+        match state.unreachable_service(now) {
             Some((service, upstreams)) => Readiness::OutOfReach { service, upstreams },
             None => Readiness::Ready,
         }
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -166,7 +166,7 @@
                 phase: RolloutPhase::Running,
                 stored: false,
             },
-            owner: self.gateway.life.to_string().into(),
+            owner: self.gateway.vm_incarnation.to_string().into(),
             address: self.gateway.own_address(),
             deadline_ms: stored.now_ms.saturating_add(left_ms),
         };
@@ -189,7 +189,7 @@
         now: Instant,
     ) -> bool {
         let left = Duration::from_millis(record.deadline_ms.saturating_sub(now_ms));
-        if record.owner.as_ref() == self.gateway.life.to_string()
+        if record.owner.as_ref() == self.gateway.vm_incarnation.to_string()
             && !record.progress.phase.is_final()
         {
             // The response to this VM's own claim was lost.
@@ -335,7 +335,7 @@
                     written: rollout.order.written,
                     to: rollout.order.to.clone(),
                     progress: progress(phase),
-                    owner: self.gateway.life.to_string().into(),
+                    owner: self.gateway.vm_incarnation.to_string().into(),
                     address: self.gateway.own_address(),
                     deadline_ms: owned.owner.deadline_ms,
                 },
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -193,7 +193,7 @@
             .map(|entry| entry.id.clone())
             .collect::<Vec<_>>();
         drop(state);
-        let entry = self.choose(
+        let entry = self.select_with(
             accepted,
             &[],
             &[],
@@ -254,7 +254,7 @@
                     service: rollout.order.service.clone(),
                     written: rollout.order.written,
                     term: rollout.progress.term,
-                    vm: self.life.clone(),
+                    vm: self.vm_incarnation.clone(),
                     requests: rollout.grants.requests(),
                     spent: rollout.grants.spent(),
                     evidence: rollout.take_unreported(MAX_REPORTED_ROUTES),
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -6,7 +6,7 @@
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) entry: Arc<UpstreamEntry>,
     /// Changes when the runs on the upstream are abandoned.
-    pub(crate) abandoned: watch::Receiver<u64>,
+    pub(crate) failed_over: watch::Receiver<u64>,
 }
 
 impl RunGuard {
@@ -21,21 +21,21 @@
         let upstream = state.upstream(&entry, now);
         upstream.health.call_started(now);
         upstream.load.call_started(prompt_tokens, now);
-        let abandoned = upstream.abandoned.subscribe();
+        let failed_over = upstream.failed_over.subscribe();
         drop(state);
         if prompt_tokens > 0 {
-            gateway.dispatches.note(&entry);
+            gateway.dispatches.record(&entry);
         }
         Self {
             gateway: gateway.clone(),
             entry,
-            abandoned,
+            failed_over,
         }
     }
 
     /// Waits until the runs on the upstream are abandoned.
     pub(crate) async fn upstream_abandoned(&mut self) {
-        if self.abandoned.changed().await.is_err() {
+        if self.failed_over.changed().await.is_err() {
             // The sender was dropped with the state of an upstream that no longer exists.
             std::future::pending::<()>().await;
         }
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -1,75 +1,77 @@
 use super::*;
 
-/// What the gateway knows, behind one lock.
+/// Mutable state of the gateway, behind one lock.
 pub(crate) struct GatewayState {
     pub(crate) config: NewestConfig,
     pub(crate) directory: UpstreamDirectory,
-    /// How far the directory has been read.
+    /// How much of the directory has been read.
     pub(crate) directory_read: DirectoryRead,
     /// Sorted by id.
     upstreams: Vec<UpstreamState>,
     pub(crate) zones: ZoneOutageDetector,
-    pub(crate) services_seen: ServicesSeen,
+    pub(crate) recent_services: RecentServices,
     /// Sorted by service.
     budgets: Vec<(ServiceId, RouteRetryBudget)>,
     pub(crate) crashes: CrashTracker,
-    /// Calls whose connection broke lately, until it shows whether their upstream died.
-    broken: Vec<Crash>,
+    /// Calls whose connection broke recently, until it is known whether their upstream crashed.
+    broken_calls: Vec<Crash>,
     pub(crate) peers: PeerLoads,
     pub(crate) cached: CachedPrompts,
-    /// The platform's table of upstreams, as read here or told by another VM of the zone.
+    /// The platform's table of upstreams, as read by this VM or advertised by another VM of the
+    /// zone.
     pub(crate) table: UpstreamTable,
     pub(crate) gossip: GossipView,
-    /// Whether the configuration, or the directory, was not read since this process last woke.
-    pub(crate) old_config: bool,
-    pub(crate) old_directory: bool,
-    /// When the table was last read here, from the store.
+    /// Whether the configuration, or the directory, has not been read since this process was last
+    /// suspended.
+    pub(crate) config_is_stale: bool,
+    pub(crate) directory_is_stale: bool,
+    /// When this VM last read the table from the store.
     pub(crate) table_read: Option<Instant>,
-    /// When the store last answered the question for the configuration.
+    /// When the store last answered a request for the configuration.
     pub(crate) config_read: Option<Instant>,
     pub(crate) rollouts: Rollouts,
-    pub(crate) pace: StreamDurationEstimator,
+    pub(crate) stream_durations: StreamDurationEstimator,
 }
 
-/// How far the directory has been read since this process started.
+/// How much of the directory has been read since this process started.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum DirectoryRead {
-    /// Not at all.
+    /// Nothing was read yet.
     Nothing,
-    /// Its first rows, which serve while the others come.
+    /// The first rows, which are used while the remaining ones are read.
     FirstRows,
-    /// Once, as a whole.
+    /// All rows were read at least once.
     Whole,
 }
 
-/// Which upstreams of a service are chosen from.
+/// Upstreams of a service that may be selected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Candidates<'a> {
-    /// Those that may get any request; if there are none, those that stop with the end of a rollout.
+    /// Those that may get any request; if there are none, those that a rollout retires.
     Open,
-    /// These.
+    /// Only the listed upstreams.
     Only(&'a [UpstreamIncarnation]),
 }
 
-/// What is known of one upstream.
+/// Health and load of one upstream.
 pub(crate) struct UpstreamState {
     id: UpstreamIncarnation,
     pub(crate) entry: Arc<UpstreamEntry>,
     pub(crate) health: UpstreamHealth,
     pub(crate) load: UpstreamLoad,
-    /// Counts how often its calls were given up.
-    pub(crate) abandoned: watch::Sender<u64>,
+    /// Counts how often the calls on the upstream were failed over.
+    pub(crate) failed_over: watch::Sender<u64>,
 }
 
-/// How long after a broken connection the death of its upstream is laid to the call: until its
-/// next caller is refused a connection or its entry has lapsed.
-const DEATH_SHOWS: Duration = Duration::from_secs(5);
+/// How long after a broken connection a crash of its upstream is attributed to the call: until the
+/// next caller is refused a connection or the entry of the upstream has expired.
+const CRASH_ATTRIBUTION_WINDOW: Duration = Duration::from_secs(5);
 
-/// Broken calls kept at most; the oldest go first.
-const MOST_BROKEN: usize = 1024;
+/// Maximum number of broken calls kept; the oldest are dropped first.
+const MAX_BROKEN_CALLS: usize = 1024;
 
 impl GatewayState {
-    /// The state of a VM that knows nothing yet.
+    /// State of a VM that has not read anything yet.
     pub(crate) fn new(vm: Arc<str>, rollouts: Option<RolloutSettings>) -> Self {
         Self {
             config: NewestConfig::default(),
@@ -77,10 +79,10 @@
             directory_read: DirectoryRead::Nothing,
             upstreams: Vec::new(),
             zones: ZoneOutageDetector::default(),
-            services_seen: ServicesSeen::default(),
+            recent_services: RecentServices::default(),
             budgets: Vec::new(),
             crashes: CrashTracker::default(),
-            broken: Vec::new(),
+            broken_calls: Vec::new(),
             peers: PeerLoads::new(vm),
             cached: CachedPrompts::default(),
             table: UpstreamTable::default(),
@@ -88,9 +90,9 @@
             table_read: None,
             config_read: None,
             rollouts: Rollouts::new(rollouts),
-            pace: StreamDurationEstimator::default(),
-            old_config: false,
-            old_directory: false,
+            stream_durations: StreamDurationEstimator::default(),
+            config_is_stale: false,
+            directory_is_stale: false,
         }
     }
 
@@ -99,56 +101,63 @@
         self.config.get().is_some() && self.directory_read > DirectoryRead::Nothing
     }
 
-    /// Whether what is known was also read since this process last woke.
+    /// Whether configuration and upstreams are known and were read since this process was last
+    /// suspended.
     pub(crate) fn is_current(&self) -> bool {
-        self.is_complete() && !self.old_config && !self.old_directory
+        self.is_complete() && !self.config_is_stale && !self.directory_is_stale
     }
 
-    /// Notes that this process did not run for a while: what it knows is as old as that.
-    pub(crate) fn woke(&mut self) {
-        self.old_config = true;
-        self.old_directory = true;
+    /// Marks all state as old because this process did not run for a while.
+    pub(crate) fn record_suspension(&mut self) {
+        self.config_is_stale = true;
+        self.directory_is_stale = true;
         self.gossip = GossipView::default();
         self.peers.discard_heartbeats();
     }
 
-    /// Notes that the connection of a call broke. Connections also break while their upstream lives,
-    /// so nothing is laid to the call before its death shows.
-    pub(crate) fn broke_under(&mut self, crash: Crash) {
-        if self.broken.len() == MOST_BROKEN {
-            self.broken.remove(0);
+    /// Records that the connection of a call broke. Connections also break while their upstream
+    /// lives, so no crash is attributed to the call before the upstream is known to have crashed.
+    pub(crate) fn record_broken_call(&mut self, crash: Crash) {
+        if self.broken_calls.len() == MAX_BROKEN_CALLS {
+            self.broken_calls.remove(0);
         }
-        self.broken.push(crash);
+        self.broken_calls.push(crash);
     }
 
-    /// Notes that an upstream died, under the calls whose connections broke shortly before; returns how many
-    /// that is news of.
-    pub(crate) fn died(&mut self, upstream: &UpstreamIncarnation, now: Instant) -> usize {
-        self.broken
-            .retain(|crash| now.since(crash.at) < DEATH_SHOWS);
-        let (under, rest) = std::mem::take(&mut self.broken)
+    /// Records that an upstream crashed, and attributes the crash to the calls whose connections
+    /// broke shortly before; returns how many of these records are new.
+    pub(crate) fn upstream_crashed(
+        &mut self,
+        upstream: &UpstreamIncarnation,
+        now: Instant,
+    ) -> usize {
+        self.broken_calls
+            .retain(|crash| now.since(crash.at) < CRASH_ATTRIBUTION_WINDOW);
+        let (attributed, rest) = std::mem::take(&mut self.broken_calls)
             .into_iter()
             .partition(|crash| crash.upstream == *upstream);
-        self.broken = rest;
-        let under: Vec<Crash> = under;
-        let news = under
+        self.broken_calls = rest;
+        let attributed: Vec<Crash> = attributed;
+        let is_new = attributed
             .into_iter()
-            .filter(|crash| self.heard_of_crash(crash.clone()));
-        news.count()
+            .filter(|crash| self.apply_crash(crash.clone()));
+        is_new.count()
     }
 
-    /// Takes in a death of an upstream under a call, seen here or by another VM; tells whether it is news.
-    pub(crate) fn heard_of_crash(&mut self, crash: Crash) -> bool {
+    /// Records a crash of an upstream under a call, observed here or by another VM; returns whether
+    /// it is new.
+    pub(crate) fn apply_crash(&mut self, crash: Crash) -> bool {
         let (digest, now) = (crash.digest, crash.at);
-        let news = self.crashes.record_crash(crash);
-        if news && self.crashes.is_rejected(digest, now) {
+        let is_new = self.crashes.record_crash(crash);
+        if is_new && self.crashes.is_rejected(digest, now) {
             let crashes = self.crashes.crash_count(digest, now);
-            tracing::warn!(body = %format_args!("{digest:016x}"), crashes, "body is refused from now on");
+            tracing::warn!(body = %format_args!("{digest:016x}"), crashes,
+                "calls with this body are rejected from now on");
         }
-        news
+        is_new
     }
 
-    /// State of an upstream, new if it has none.
+    /// State of an upstream, created if there is none.
     pub(crate) fn upstream(
         &mut self,
         entry: &Arc<UpstreamEntry>,
@@ -162,7 +171,7 @@
                     entry: entry.clone(),
                     health: UpstreamHealth::new(now),
                     load: UpstreamLoad::default(),
-                    abandoned: watch::Sender::new(0),
+                    failed_over: watch::Sender::new(0),
                 };
                 self.upstreams.insert(index, upstream);
                 index
@@ -171,8 +180,8 @@
         &mut self.upstreams[index]
     }
 
-    /// State of an upstream, if it has any.
-    pub(crate) fn known_upstream(
+    /// State of an upstream, if there is any.
+    pub(crate) fn existing_upstream(
         &mut self,
         id: &UpstreamIncarnation,
     ) -> Option<&mut UpstreamState> {
@@ -180,13 +189,13 @@
         Some(&mut self.upstreams[index])
     }
 
-    /// All upstreams that there is state of.
+    /// States of all upstreams, sorted by id.
     pub(crate) fn upstreams_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
         self.upstreams.iter_mut()
     }
 
-    /// Forgets upstreams that are gone and have no call in flight.
-    pub(crate) fn forget_gone(&mut self, now: Instant) {
+    /// Drops the states of upstreams that are gone and have no call in flight.
+    pub(crate) fn remove_gone(&mut self, now: Instant) {
         let directory = &self.directory;
         self.upstreams
             .retain(|u| u.health.in_flight() > 0 || directory.get_usable(&u.id, now).is_some());
@@ -204,15 +213,15 @@
         &mut self.budgets[index].1
     }
 
-    /// Upstreams of a service to choose from.
+    /// Upstreams of a service that may be selected.
     fn eligible(
         &self,
         service: &ServiceId,
-        among: Candidates,
+        candidate_set: Candidates,
         now: Instant,
     ) -> Vec<Arc<UpstreamEntry>> {
         let usable = self.directory.usable(service, now).cloned();
-        let only = match among {
+        let only = match candidate_set {
             Candidates::Only(only) => {
                 return usable.filter(|entry| only.contains(&entry.id)).collect();
             }
@@ -230,18 +239,18 @@
         if open.is_empty() { retired } else { open }
     }
 
-    /// Chooses among the upstreams of a service, less those in `avoid`.
-    pub(crate) fn choose<T>(
+    /// Selects among the upstreams of a service that are not in `avoid`.
+    pub(crate) fn select_with<T>(
         &mut self,
         service: &ServiceId,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Candidates,
-        who: &PlacementContext,
-        choose: impl FnOnce(&[PlacementCandidate]) -> T,
+        candidate_set: Candidates,
+        context: &PlacementContext,
+        select: impl FnOnce(&[PlacementCandidate]) -> T,
     ) -> T {
-        let now = who.now;
-        let mut entries = self.eligible(service, among, now);
+        let now = context.now;
+        let mut entries = self.eligible(service, candidate_set, now);
         entries.retain(|entry| !avoid.contains(&entry.id));
         for entry in &entries {
             self.upstream(entry, now);
@@ -259,16 +268,17 @@
                     entry,
                     load: &state.load,
                     suspect: state.health.is_suspect()
-                        || (who.policy.peer_suspects && peers.is_suspect(&entry.id)),
-                    suspect_zone: who.policy.zone_alarm && self.zones.is_suspect(&entry.zone, now),
+                        || (context.policy.peer_suspects && peers.is_suspect(&entry.id)),
+                    suspect_zone: context.policy.zone_alarm
+                        && self.zones.is_suspect(&entry.zone, now),
                     cached: cached_tokens(cached, &entry.id),
-                    peer_calls: if who.policy.peer_loads {
+                    peer_calls: if context.policy.peer_loads {
                         peers.calls(&entry.id)
                     } else {
                         0
                     },
-                    load_is_complete: knows_complete_load(&peers, entry, who),
-                    peer_prefill: if who.policy.peer_loads {
+                    load_is_complete: knows_complete_load(&peers, entry, context),
+                    peer_prefill: if context.policy.peer_loads {
                         peers.prefill_left(&entry.id)
                     } else {
                         Duration::ZERO
@@ -276,18 +286,22 @@
                 })
             })
             .collect::<Vec<_>>();
-        choose(&candidates)
+        select(&candidates)
     }
 }
 
-/// Whether all who have calls on an upstream tell the VM that chooses.
-fn knows_complete_load(peers: &PeerView, entry: &UpstreamEntry, who: &PlacementContext) -> bool {
-    let in_zone = entry.zone == *who.zone;
-    let rank = in_zone.then(|| rank_of_vm(&entry.id, who.vm, who.zone_vms));
+/// Whether the VM that selects receives the heartbeats of all VMs with calls on an upstream.
+fn knows_complete_load(
+    peers: &PeerView,
+    entry: &UpstreamEntry,
+    context: &PlacementContext,
+) -> bool {
+    let in_zone = entry.zone == *context.zone;
+    let rank = in_zone.then(|| rank_of_vm(&entry.id, context.vm, context.zone_vms));
     peers.knows_complete_load(rank)
 }
 
-/// Tokens of a prompt that an upstream holds.
+/// Number of prompt tokens that an upstream has cached.
 pub(crate) fn cached_tokens(
     cached: &[(UpstreamIncarnation, u32)],
     id: &UpstreamIncarnation,
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -228,7 +228,7 @@
         let Some(active) = &mut self.active else {
             return Ok(());
         };
-        self.gateway.heard(&active.guard.entry, None);
+        self.gateway.upstream_responded(&active.guard.entry, None);
         if active.splitter.push(bytes).is_err() {
             return self.lose_active_run(Loss::Torn);
         }
@@ -239,7 +239,7 @@
     fn check_copies(&mut self) {
         let has_copies = self.gateway.has_copies(&self.accepted.service);
         if let (Some(active), true) = (&mut self.active, self.delivered && has_copies) {
-            active.copies.look(&self.accepted, &active.guard.entry);
+            active.copies.check(&self.accepted, &active.guard.entry);
         }
     }
 
@@ -277,7 +277,7 @@
         self.ended = true;
         self.active = None;
         self.record_duration();
-        self.gateway.delivered(self.accepted.digest);
+        self.gateway.record_delivery(self.accepted.digest);
         let now = self.gateway.timer.now();
         if self.gateway.log.admits(LineKind::Answered, now) {
             let ms = millis(now.since(self.accepted.call.arrived));
@@ -297,7 +297,9 @@
         };
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
-        state.pace.record_complete(last, now.since(first));
+        state
+            .stream_durations
+            .record_complete(last, now.since(first));
     }
 
     /// Handles the loss of the active run. Its connection is closed before another run can begin, so
@@ -341,8 +343,8 @@
             copy = self.copy.as_ref().map(|c| tracing::field::display(c.holder.id.clone())),
             "run of a stream lost");
         if loss == Loss::Broken {
-            self.gateway.broke(entry);
-            self.gateway.crashed_under(entry, self.accepted.digest);
+            self.gateway.stream_broke(entry);
+            self.gateway.call_broke(entry, self.accepted.digest);
         }
     }
 }
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -7,7 +7,7 @@
     kv_copy_manager::KvCopyManager,
     reply::StreamCut,
     reply_log::millis,
-    retries::{CALL_PATIENCE, STREAM_PATIENCE},
+    retries::{CALL_RETRY_TIMEOUT, STREAM_RETRY_TIMEOUT},
     run_guard::RunGuard,
     state::cached_tokens,
     stream_call::StreamStop,
@@ -85,12 +85,12 @@
     async fn take_retry(&mut self) -> bool {
         let time_left = self.accepted.time_left(self.gateway.timer.now());
         let patience = if self.gateway.settings.policy.repeat_wait {
-            STREAM_PATIENCE.min(time_left)
+            STREAM_RETRY_TIMEOUT.min(time_left)
         } else {
-            CALL_PATIENCE
+            CALL_RETRY_TIMEOUT
         };
         self.gateway
-            .pay_repeat(&self.accepted.service, patience)
+            .take_retry(&self.accepted.service, patience)
             .await
     }
 
@@ -112,7 +112,12 @@
         let mut needed = prefill_time(self.prefill_tokens(entry));
         if policy.refuse_unfinished && self.sends == 0 {
             let had = self.accepted.call.last_event.unwrap_or(0);
-            let rest = self.gateway.state.lock().pace.min_remaining(had);
+            let rest = self
+                .gateway
+                .state
+                .lock()
+                .stream_durations
+                .min_remaining(had);
             needed += rest.unwrap_or_default();
         }
         self.accepted.time_left(now) < needed
@@ -147,7 +152,7 @@
         }
         let fresh = self
             .gateway
-            .place(&self.accepted, &self.avoid, &self.cached);
+            .select(&self.accepted, &self.avoid, &self.cached);
         if fresh.is_some() {
             return fresh;
         }
@@ -155,7 +160,7 @@
         if self.sends > 0 {
             tokio::time::sleep(REFUSED_RETRY_DELAY).await;
         }
-        self.gateway.place(&self.accepted, &[], &self.cached)
+        self.gateway.select(&self.accepted, &[], &self.cached)
     }
 
     /// Sends the stream to an upstream; returns whether a run started.
@@ -167,7 +172,7 @@
         self.sends += 1;
         let gateway = self.gateway.clone();
         let from_copy = from.is_some();
-        let copy = gateway.place_copy(&self.accepted, &entry);
+        let copy = gateway.select_holder(&self.accepted, &entry);
         let now = gateway.timer.now();
         let time_left = self.accepted.time_left(now);
         // A resumed run produces its first event sooner than a new one, so it is no sample for the rollout.
@@ -226,10 +231,10 @@
         response: UpstreamResponse,
     ) -> Result<bool, StreamStop> {
         let entry = guard.entry.clone();
-        self.gateway.heard(&entry, response.load);
+        self.gateway.upstream_responded(&entry, response.load);
         if response.other_incarnation || response.not_executed {
             if response.other_incarnation {
-                self.gateway.replaced(&entry, response.incarnation);
+                self.gateway.upstream_replaced(&entry, response.incarnation);
             }
             self.record_refusal(&entry, response.status);
             return Ok(false);
@@ -279,7 +284,7 @@
             let error_name: &str = error.into();
             tracing::warn!(request = %self.accepted.call.id, upstream = %entry.id,
                 fault = error_name, "call failed");
-            self.gateway.broke(entry);
+            self.gateway.stream_broke(entry);
             return Ok(false);
         }
         self.ran_on.push(entry.id.clone());
--- a/crates/catkinward/tests/gateway_replaced.rs
+++ b/crates/catkinward/tests/gateway_replaced.rs
@@ -103,7 +103,7 @@
     tokio::time::sleep(Duration::from_millis(170)).await;
     let start = running.timer.now();
 
-    running.gateway.upstream_heard(upstream_started_at(
+    running.gateway.upstream_updated(upstream_started_at(
         "engine-a1",
         ENGINES,
         "a",
@@ -146,7 +146,7 @@
         entry,
         version: 0,
     };
-    running.gateway.take_restart(&restart);
+    running.gateway.receive_restart(&restart);
     let stream = read_stream(running.handle("/stream/1").await).await;
 
     expect_that!(stream, eq(&(text(1, 3), true)));
@@ -176,7 +176,7 @@
         .gateway
         .upstream_removed(&"engine-a9".parse().unwrap());
 
-    running.gateway.take_restart(&restart);
+    running.gateway.receive_restart(&restart);
     read_stream(running.handle("/stream/1").await).await;
 
     expect_that!(running.sent_to(), not(contains(eq("engine-a9"))));
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -194,7 +194,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     running
         .gateway
-        .upstream_heard(upstream("engine-a1", ENGINES, "a"));
+        .upstream_updated(upstream("engine-a1", ENGINES, "a"));
     tokio::time::sleep(Duration::from_millis(1200)).await;
 
     partitioned.store(true, Ordering::Relaxed);
@@ -385,7 +385,7 @@
         .default_upstreams()
         .start();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_millis(900));
+    call.timeout = Some(Duration::from_millis(900));
     let start = running.timer.now();
 
     let reply = running.gateway.handle(call).await;
@@ -407,7 +407,7 @@
         .cached_on("engine-b1")
         .start();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_millis(900));
+    call.timeout = Some(Duration::from_millis(900));
 
     let stream = read_stream(running.gateway.handle(call).await).await;
 
@@ -430,9 +430,9 @@
     }
     let sent = running.sent_to().len();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_millis(1600));
+    call.timeout = Some(Duration::from_millis(1600));
     let mut resumed_call = running.call("/stream/1");
-    resumed_call.patience = Some(Duration::from_millis(1600));
+    resumed_call.timeout = Some(Duration::from_millis(1600));
     resumed_call.last_event = Some(25);
 
     let refused = running.gateway.handle(call).await;
@@ -489,7 +489,7 @@
         .default_upstreams()
         .start();
     let mut call = running.call("/stream/1");
-    call.patience = Some(Duration::from_secs(3));
+    call.timeout = Some(Duration::from_secs(3));
     let start = running.timer.now();
 
     let stream = read_stream(running.gateway.handle(call).await).await;
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -215,7 +215,7 @@
             rollouts: self.rollouts,
             vm: "vm-1".into(),
             zone: self.zone.parse().unwrap(),
-            repeats: self.retry_budget,
+            retry_budget: self.retry_budget,
             seeds: Vec::new(),
         };
         let gateway = Gateway::start(settings, timer.clone(), transport);
@@ -238,7 +238,7 @@
 impl Running {
     /// Delivers another VM's gossip about the upstream table, sent from [`PEER`].
     pub fn receive_gossip(&self, gossip: &ZoneGossip) {
-        self.gateway.take_gossip(gossip, PEER.parse().unwrap());
+        self.gateway.receive_gossip(gossip, PEER.parse().unwrap());
     }
 
     pub fn call(&self, path: &str) -> Call {
@@ -251,11 +251,11 @@
             headers: HeaderMap::new(),
             body: Bytes::from_static(b"body"),
             key: None,
-            patience: Some(Duration::from_secs(10)),
+            timeout: Some(Duration::from_secs(10)),
             last_event: None,
             prompt: Some(Prompt {
                 tokens: 8000,
-                most_made: 800,
+                max_generated: 800,
                 parts: prompt_parts(),
             }),
             arrived: self.timer.now(),
@@ -282,7 +282,7 @@
 
     pub fn receive_heartbeat(&self, heartbeat: PeerHeartbeat) {
         self.gateway
-            .take_note(heartbeat, ([127, 0, 0, 2], 9).into());
+            .receive_heartbeat(heartbeat, ([127, 0, 0, 2], 9).into());
     }
 
     /// An empty heartbeat, newer than the previous ones.
