--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -13,7 +13,7 @@
 pub(crate) struct AdmissionPool {
     pub(crate) service: ServiceId,
     pub(crate) timer: Arc<Timer>,
-    pub(crate) retry_budget: Mutex<ServiceRetryBudget>,
+    pub(crate) retry_budget: Mutex<LocalRetryBudget>,
     pub(crate) hedge: Mutex<Hedge>,
     pub(crate) hot_keys: Mutex<HotKeys>,
     pub(crate) reads: Mutex<ReadCoalescer<oneshot::Sender<CoalescedRead>>>,
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -35,7 +35,7 @@
     /// Its availability zone.
     pub zone: AvailabilityZone,
     /// Budget of repeats.
-    pub repeats: RouteRetryBudgetConfig,
+    pub repeats: SharedRetryBudgetConfig,
     /// Addresses of a few VMs for notes, to begin with; perhaps old ones.
     pub seeds: Vec<SocketAddr>,
     /// Which mechanisms decide.
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -29,7 +29,7 @@
         ResponseOutcome, RestartEvidence, RollbackReason, Rollout, RolloutGrant, RolloutNotice,
         RolloutOrder, RolloutOrderError, RolloutOwner, RolloutPhase, RolloutProgress,
         RolloutRecord, RolloutReport, RolloutSettings, RolloutVerdict, Rollouts, Route,
-        RouteRetryBudget, RouteRetryBudgetConfig, RoutingConfig, STANDBY_MAX_AGE, StaleRestart,
+        RoutingConfig, STANDBY_MAX_AGE, SharedRetryBudget, SharedRetryBudgetConfig, StaleRestart,
         StoredRecord, StreamDurationEstimator, SuspendDetector, TableFreshness, TableRow,
         UpstreamChange, UpstreamDirectory, UpstreamEntry, UpstreamHealth, UpstreamIncarnation,
         UpstreamLoad, UpstreamRestart, UpstreamTable, VersionAdmission, VersionSlots,
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -146,10 +146,10 @@
     }
 
     /// The budget of repeats as it is divided now.
-    fn repeats(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
+    fn repeats(&self, state: &GatewayState, now: Instant) -> SharedRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
         let settled = alone || now.since(self.started) >= SETTLED_AFTER;
-        RouteRetryBudgetConfig {
+        SharedRetryBudgetConfig {
             slack: if settled {
                 self.settings.repeats.slack
             } else {
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -11,7 +11,7 @@
     pub(crate) zones: ZoneOutageDetector,
     pub(crate) services_seen: ServicesSeen,
     /// Sorted by service.
-    budgets: Vec<(ServiceId, RouteRetryBudget)>,
+    budgets: Vec<(ServiceId, SharedRetryBudget)>,
     pub(crate) crashes: CrashTracker,
     /// Calls whose connection broke lately, until it shows whether their upstream died.
     broken: Vec<Crash>,
@@ -192,11 +192,11 @@
             .retain(|u| u.health.in_flight() > 0 || directory.get_usable(&u.id, now).is_some());
     }
 
-    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut RouteRetryBudget {
+    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut SharedRetryBudget {
         let index = match self.budgets.binary_search_by(|(s, _)| s.cmp(service)) {
             Ok(index) => index,
             Err(index) => {
-                let budget = (service.clone(), RouteRetryBudget::default());
+                let budget = (service.clone(), SharedRetryBudget::default());
                 self.budgets.insert(index, budget);
                 index
             }
--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -2,7 +2,7 @@
 
 mod gateway_support;
 
-use catkin_decisions::{RefusalReason, RouteRetryBudgetConfig};
+use catkin_decisions::{RefusalReason, SharedRetryBudgetConfig};
 use catkinward::gateway::Reply;
 use gateway_support::*;
 use googletest::prelude::*;
@@ -134,10 +134,10 @@
 async fn repeats_stay_within_the_budget() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"))
         .usual_upstreams()
-        .repeats(RouteRetryBudgetConfig {
+        .repeats(SharedRetryBudgetConfig {
             ratio: 0.2,
             slack: 10.0,
-            ..RouteRetryBudgetConfig::default()
+            ..SharedRetryBudgetConfig::default()
         })
         .start();
     for _ in 0..100 {
--- a/crates/catkinward/tests/gateway_streams.rs
+++ b/crates/catkinward/tests/gateway_streams.rs
@@ -2,7 +2,7 @@
 
 mod gateway_support;
 
-use catkin_decisions::RouteRetryBudgetConfig;
+use catkin_decisions::SharedRetryBudgetConfig;
 use catkinward::gateway::{Reply, UpstreamCall};
 use gateway_support::*;
 use googletest::prelude::*;
@@ -501,7 +501,7 @@
         Some(last) => Script::Stream(events(last + 1, 40), End::Whole),
         None => Script::Stream(events(1, 20), End::Break),
     })
-    .repeats(RouteRetryBudgetConfig {
+    .repeats(SharedRetryBudgetConfig {
         ratio: 0.0,
         slack: 2.0,
         window: Duration::from_secs(1),
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use catkin_decisions::{
     CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
-    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route,
-    RouteRetryBudgetConfig, RouteTable, RouteTarget, RoutingConfig, ServiceSpec, TableRow,
-    UpstreamEntry, ZoneGossip,
+    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route, RouteTable,
+    RouteTarget, RoutingConfig, ServiceSpec, SharedRetryBudgetConfig, TableRow, UpstreamEntry,
+    ZoneGossip,
 };
 use catkinward::{
     Timer,
@@ -51,7 +51,7 @@
     upstreams: Vec<UpstreamEntry>,
     routes: Vec<Route>,
     keys: Option<Vec<CallerKey>>,
-    repeats: RouteRetryBudgetConfig,
+    repeats: SharedRetryBudgetConfig,
     script: Scripted,
     alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     born: Starts,
@@ -82,9 +82,9 @@
                 route("/stream-once/", CallKind::Stream, ENGINES),
             ],
             keys: None,
-            repeats: RouteRetryBudgetConfig {
+            repeats: SharedRetryBudgetConfig {
                 slack: 100.0,
-                ..RouteRetryBudgetConfig::default()
+                ..SharedRetryBudgetConfig::default()
             },
             script: Box::new(script),
             alive: Arc::new(|_| true),
@@ -146,7 +146,7 @@
         self
     }
 
-    pub fn repeats(mut self, repeats: RouteRetryBudgetConfig) -> Self {
+    pub fn repeats(mut self, repeats: SharedRetryBudgetConfig) -> Self {
         self.repeats = repeats;
         self
     }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -98,6 +98,7 @@
     limit_kind::LimitKind,
     link_rate::LinkRate,
     loan_requests::{LoanRequests, MAX_LENDERS},
+    local_retry_budget::{LocalRetryBudget, LocalRetryBudgetConfig},
     model::Model,
     operator_name::OperatorName,
     order_permit::OrderPermit,
@@ -150,15 +151,14 @@
     rollout_record::{RolloutRecord, StoredRecord},
     rollouts::{ORDER_TIMEOUT, RolloutSettings, Rollouts, VersionAdmission},
     route::{Route, RouteTarget},
-    route_retry_budget::{RouteRetryBudget, RouteRetryBudgetConfig},
     route_table::RouteTable,
     routing_config::{CallerKey, CallerLimits, NewestConfig, RoutingConfig, ServiceSpec},
     service::Service,
     service_id::ServiceId,
     service_kind::ServiceKind,
-    service_retry_budget::{ServiceRetryBudget, ServiceRetryBudgetConfig},
     service_time::ServiceTime,
     serving_model::serving_model,
+    shared_retry_budget::{SharedRetryBudget, SharedRetryBudgetConfig},
     slice_allocator::{SLICE_LEASE, SLICE_RENEWAL_INTERVAL, SliceAllocator},
     slice_grant::SliceGrant,
     slice_request::SliceRequest,
@@ -276,6 +276,7 @@
 mod limit_kind;
 mod link_rate;
 mod loan_requests;
+mod local_retry_budget;
 mod model;
 mod operator_name;
 mod order_permit;
@@ -323,15 +324,14 @@
 mod rollout_record;
 mod rollouts;
 mod route;
-mod route_retry_budget;
 mod route_table;
 mod routing_config;
 mod service;
 mod service_id;
 mod service_kind;
-mod service_retry_budget;
 mod service_time;
 mod serving_model;
+mod shared_retry_budget;
 mod slice_allocator;
 mod slice_grant;
 mod slice_request;
--- a/crates/decisions/src/service_retry_budget.rs
+++ b/crates/decisions/src/local_retry_budget.rs
@@ -12,9 +12,9 @@
 
 use super::*;
 
-/// Settings of a [`ServiceRetryBudget`].
+/// Settings of a [`LocalRetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServiceRetryBudgetConfig {
+pub struct LocalRetryBudgetConfig {
     /// Number of successes that earn one retry.
     pub successes_per_retry: u32,
     /// Maximum number of accumulated retries, which a new budget starts with.
@@ -27,7 +27,7 @@
     pub max_delay_bound: Duration,
 }
 
-impl Default for ServiceRetryBudgetConfig {
+impl Default for LocalRetryBudgetConfig {
     fn default() -> Self {
         Self {
             successes_per_retry: 10,
@@ -42,16 +42,16 @@
 /// Retry budget of one kind of call. Each service and each kind of platform call has its own, so that
 /// an outage of one does not exhaust the budget of another.
 #[derive(Clone, Debug)]
-pub struct ServiceRetryBudget {
-    cfg: ServiceRetryBudgetConfig,
+pub struct LocalRetryBudget {
+    cfg: LocalRetryBudgetConfig,
     /// Balance, counted in successes to avoid fractions of a retry.
     balance: u32,
 }
 
-impl ServiceRetryBudget {
+impl LocalRetryBudget {
     /// Creates a full budget.
     #[must_use]
-    pub fn new(cfg: ServiceRetryBudgetConfig) -> Self {
+    pub fn new(cfg: LocalRetryBudgetConfig) -> Self {
         Self {
             cfg,
             balance: cfg.burst * cfg.successes_per_retry,
@@ -101,8 +101,8 @@
     }
 }
 
-impl Default for ServiceRetryBudget {
+impl Default for LocalRetryBudget {
     fn default() -> Self {
-        Self::new(ServiceRetryBudgetConfig::default())
+        Self::new(LocalRetryBudgetConfig::default())
     }
 }
--- a/crates/decisions/src/route_retry_budget.rs
+++ b/crates/decisions/src/shared_retry_budget.rs
@@ -23,9 +23,9 @@
 /// a window less one bucket, retries over a window plus one bucket.
 const USABLE_FRACTION: f64 = 0.97;
 
-/// Settings of a [`RouteRetryBudget`].
+/// Settings of a [`SharedRetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RouteRetryBudgetConfig {
+pub struct SharedRetryBudgetConfig {
     /// Number of retries allowed per call.
     pub ratio: f64,
     /// Number of additional retries per window over all VMs.
@@ -36,7 +36,7 @@
     pub vms: u32,
 }
 
-impl Default for RouteRetryBudgetConfig {
+impl Default for SharedRetryBudgetConfig {
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -49,11 +49,11 @@
 
 /// Calls, retries and loans of one service, counted in the buckets of a sliding window.
 #[derive(Clone, Debug)]
-pub struct RouteRetryBudget {
+pub struct SharedRetryBudget {
     buckets: [Bucket; STORED_BUCKETS],
 }
 
-impl Default for RouteRetryBudget {
+impl Default for SharedRetryBudget {
     fn default() -> Self {
         Self {
             buckets: [Bucket::default(); STORED_BUCKETS],
@@ -71,14 +71,14 @@
     borrowed: u32,
 }
 
-impl RouteRetryBudget {
+impl SharedRetryBudget {
     /// Records a call of a caller.
-    pub fn record_call(&mut self, cfg: &RouteRetryBudgetConfig, now: Instant) {
+    pub fn record_call(&mut self, cfg: &SharedRetryBudgetConfig, now: Instant) {
         self.bucket(cfg, now).calls += 1;
     }
 
     /// Takes one retry from the budget and returns whether one was left.
-    pub fn try_take(&mut self, cfg: &RouteRetryBudgetConfig, now: Instant) -> bool {
+    pub fn try_take(&mut self, cfg: &SharedRetryBudgetConfig, now: Instant) -> bool {
         let allowed = self.remaining(cfg, now) > 0;
         if allowed {
             self.bucket(cfg, now).retries += 1;
@@ -88,7 +88,7 @@
 
     /// Number of retries that may be sent now.
     #[must_use]
-    pub fn remaining(&self, cfg: &RouteRetryBudgetConfig, now: Instant) -> u32 {
+    pub fn remaining(&self, cfg: &SharedRetryBudgetConfig, now: Instant) -> u32 {
         let current = bucket_number(cfg, now);
         let oldest_retry_bucket = current.saturating_sub(u64::from(BUCKETS_PER_WINDOW));
         let oldest_call_bucket = oldest_retry_bucket + 1;
@@ -113,18 +113,18 @@
     /// Lends up to `wanted` retries to another VM and returns how many. It lends even the last one,
     /// because a call is waiting at the borrower and none here: when each of 90 VMs kept one back, a
     /// tenth of all retries remained unused.
-    pub fn lend(&mut self, cfg: &RouteRetryBudgetConfig, wanted: u32, now: Instant) -> u32 {
+    pub fn lend(&mut self, cfg: &SharedRetryBudgetConfig, wanted: u32, now: Instant) -> u32 {
         let given = wanted.min(self.remaining(cfg, now));
         self.bucket(cfg, now).retries += given;
         given
     }
 
     /// Adds retries that another VM lent.
-    pub fn borrow(&mut self, cfg: &RouteRetryBudgetConfig, given: u32, now: Instant) {
+    pub fn borrow(&mut self, cfg: &SharedRetryBudgetConfig, given: u32, now: Instant) {
         self.bucket(cfg, now).borrowed += given;
     }
 
-    fn bucket(&mut self, cfg: &RouteRetryBudgetConfig, now: Instant) -> &mut Bucket {
+    fn bucket(&mut self, cfg: &SharedRetryBudgetConfig, now: Instant) -> &mut Bucket {
         let number = bucket_number(cfg, now);
         let index = usize::try_from(number).unwrap_or(0) % self.buckets.len();
         let bucket = &mut self.buckets[index];
@@ -138,7 +138,7 @@
     }
 }
 
-fn bucket_number(cfg: &RouteRetryBudgetConfig, now: Instant) -> u64 {
+fn bucket_number(cfg: &SharedRetryBudgetConfig, now: Instant) -> u64 {
     let length = (cfg.window / BUCKETS_PER_WINDOW).max(Duration::from_millis(1));
     // Numbers start at 1, because an unused bucket has number 0.
     u64::try_from(now.0.as_nanos() / length.as_nanos()).unwrap_or(u64::MAX - 1) + 1
--- a/crates/decisions/tests/service_retry_budget.rs
+++ b/crates/decisions/tests/local_retry_budget.rs
@@ -1,6 +1,6 @@
 //! Tests of the retry budget that successful calls replenish.
 
-use catkin_decisions::{FailedCall, RetryRefusal, ServiceRetryBudget, ServiceRetryBudgetConfig};
+use catkin_decisions::{FailedCall, LocalRetryBudget, LocalRetryBudgetConfig, RetryRefusal};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 }
 
 /// Number of calls sent, including retries, in an outage in which all `calls` fail.
-fn sent_in_outage(budget: &mut ServiceRetryBudget, calls: u32) -> u32 {
+fn sent_in_outage(budget: &mut LocalRetryBudget, calls: u32) -> u32 {
     (0..calls)
         .map(|_| {
             let mut call = idempotent();
@@ -30,10 +30,10 @@
 /// continue after its cause is gone.
 #[gtest]
 fn an_outage_adds_at_most_a_tenth() {
-    let mut budget = ServiceRetryBudget::default();
-    let mut unbounded = ServiceRetryBudget::new(ServiceRetryBudgetConfig {
+    let mut budget = LocalRetryBudget::default();
+    let mut unbounded = LocalRetryBudget::new(LocalRetryBudgetConfig {
         successes_per_retry: 0,
-        ..ServiceRetryBudgetConfig::default()
+        ..LocalRetryBudgetConfig::default()
     });
 
     let sent = sent_in_outage(&mut budget, 1000);
@@ -45,7 +45,7 @@
 
 #[gtest]
 fn successes_earn_retries() {
-    let mut budget = ServiceRetryBudget::default();
+    let mut budget = LocalRetryBudget::default();
     sent_in_outage(&mut budget, 1000);
 
     let refused = budget.try_retry(idempotent(), 0.5);
@@ -62,7 +62,7 @@
 /// the record twice.
 #[gtest]
 fn never_retries_a_call_that_may_have_run() {
-    let mut budget = ServiceRetryBudget::default();
+    let mut budget = LocalRetryBudget::default();
     let call = FailedCall {
         sent: 1,
         ..FailedCall::default()
@@ -84,7 +84,7 @@
 /// Guards against a retry of a request that crashes every upstream that runs it.
 #[gtest]
 fn never_retries_a_poisoned_request() {
-    let mut budget = ServiceRetryBudget::default();
+    let mut budget = LocalRetryBudget::default();
     let call = FailedCall {
         poisoned: true,
         ..idempotent()
@@ -99,7 +99,7 @@
 proptest! {
     #[test]
     fn retries_never_exceed_the_earned_ones_and_the_burst(events in prop::collection::vec(any::<bool>(), 0..400)) {
-        let mut budget = ServiceRetryBudget::default();
+        let mut budget = LocalRetryBudget::default();
         let (mut successes, mut retries) = (0, 0);
 
         for success in events {
@@ -116,7 +116,7 @@
 
     #[test]
     fn delays_stay_within_their_bound(sent in 1..3_u32, random in 0.0..1.0_f64) {
-        let mut budget = ServiceRetryBudget::default();
+        let mut budget = LocalRetryBudget::default();
 
         let delay = budget.try_retry(FailedCall { sent, ..idempotent() }, random).expect("a full budget");
 
--- a/crates/decisions/tests/route_retry_budget.rs
+++ b/crates/decisions/tests/shared_retry_budget.rs
@@ -1,6 +1,6 @@
 //! Tests of the retry budget that all VMs share within a sliding window, and of its loans.
 
-use catkin_decisions::{Instant, RouteRetryBudget, RouteRetryBudgetConfig};
+use catkin_decisions::{Instant, SharedRetryBudget, SharedRetryBudgetConfig};
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, prop, prop_assert, prop_oneof, proptest};
 use rand::{RngExt, SeedableRng};
@@ -9,8 +9,8 @@
 
 const VMS: u32 = 8;
 
-fn cfg() -> RouteRetryBudgetConfig {
-    RouteRetryBudgetConfig {
+fn cfg() -> SharedRetryBudgetConfig {
+    SharedRetryBudgetConfig {
         ratio: 0.8,
         slack: 150.0,
         window: Duration::from_secs(10),
@@ -27,7 +27,7 @@
 #[gtest]
 fn all_vms_together_stay_within_the_budget() {
     let cfg = cfg();
-    let mut vms = vec![RouteRetryBudget::default(); VMS as usize];
+    let mut vms = vec![SharedRetryBudget::default(); VMS as usize];
     let (mut calls, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(5) {
         for (index, vm) in vms.iter_mut().enumerate() {
@@ -64,7 +64,7 @@
 #[gtest]
 fn vm_without_calls_may_use_its_part_of_the_slack() {
     let cfg = cfg();
-    let mut vm = RouteRetryBudget::default();
+    let mut vm = SharedRetryBudget::default();
 
     let allowed = (0..1000).filter(|_| vm.try_take(&cfg, at(1000))).count();
 
@@ -77,7 +77,7 @@
 #[gtest]
 fn exhausted_vm_borrows_retries_within_the_budget() {
     let cfg = cfg();
-    let mut vms = vec![RouteRetryBudget::default(); VMS as usize];
+    let mut vms = vec![SharedRetryBudget::default(); VMS as usize];
     let mut sent = 0;
     for step in 0..40 {
         let now = at(1000 + step);
@@ -105,9 +105,9 @@
 /// demand is uneven: when lenders kept the last retry back, one stream in six was cut.
 #[gtest]
 fn a_mass_crash_leaves_no_vm_without_retries_while_others_have_some() {
-    let cfg = RouteRetryBudgetConfig { vms: 90, ..cfg() };
+    let cfg = SharedRetryBudgetConfig { vms: 90, ..cfg() };
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let mut vms = vec![RouteRetryBudget::default(); 90];
+    let mut vms = vec![SharedRetryBudget::default(); 90];
     let (mut needed, mut sent) = (0, 0);
     for ms in (0..20_000).step_by(10) {
         // 85 streams per second over all VMs.
@@ -128,9 +128,9 @@
 
 /// Takes a retry, or borrows two retries from each of six random VMs in up to five rounds.
 fn take_with_loans(
-    vms: &mut [RouteRetryBudget],
+    vms: &mut [SharedRetryBudget],
     borrower: usize,
-    cfg: &RouteRetryBudgetConfig,
+    cfg: &SharedRetryBudgetConfig,
     rng: &mut impl rand::RngExt,
     now: Instant,
 ) -> bool {
@@ -178,7 +178,7 @@
     #[test]
     fn total_stays_within_the_budget_with_loans_and_losses(steps in prop::collection::vec(step(), 1..1500)) {
         let cfg = cfg();
-        let mut vms = vec![Some(RouteRetryBudget::default()); VMS as usize];
+        let mut vms = vec![Some(SharedRetryBudget::default()); VMS as usize];
         let (mut ms, mut calls, mut retries) = (0, Vec::new(), Vec::new());
         for step in steps {
             match step {
@@ -209,7 +209,7 @@
 #[gtest]
 fn a_loan_ends_with_its_window() {
     let cfg = cfg();
-    let mut vm = RouteRetryBudget::default();
+    let mut vm = SharedRetryBudget::default();
     vm.borrow(&cfg, 10, at(1000));
 
     let (at_once, later) = (vm.remaining(&cfg, at(1000)), vm.remaining(&cfg, at(11_600)));
