--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -7,7 +7,7 @@
     /// How far the directory has been read.
     pub(crate) directory_read: DirectoryRead,
     /// Sorted by id.
-    upstreams: Vec<UpstreamState>,
+    upstreams: Vec<UpstreamIncarnationState>,
     pub(crate) zones: ZoneOutageDetector,
     pub(crate) services_seen: ServicesSeen,
     /// Sorted by service.
@@ -52,7 +52,7 @@
 }
 
 /// What is known of one upstream.
-pub(crate) struct UpstreamState {
+pub(crate) struct UpstreamIncarnationState {
     id: UpstreamIncarnation,
     pub(crate) entry: Arc<UpstreamEntry>,
     pub(crate) health: UpstreamHealth,
@@ -153,11 +153,11 @@
         &mut self,
         entry: &Arc<UpstreamEntry>,
         now: Instant,
-    ) -> &mut UpstreamState {
+    ) -> &mut UpstreamIncarnationState {
         let index = match self.upstreams.binary_search_by(|u| u.id.cmp(&entry.id)) {
             Ok(index) => index,
             Err(index) => {
-                let upstream = UpstreamState {
+                let upstream = UpstreamIncarnationState {
                     id: entry.id.clone(),
                     entry: entry.clone(),
                     health: UpstreamHealth::new(now),
@@ -175,13 +175,13 @@
     pub(crate) fn known_upstream(
         &mut self,
         id: &UpstreamIncarnation,
-    ) -> Option<&mut UpstreamState> {
+    ) -> Option<&mut UpstreamIncarnationState> {
         let index = self.upstreams.binary_search_by(|u| u.id.cmp(id)).ok()?;
         Some(&mut self.upstreams[index])
     }
 
     /// All upstreams that there is state of.
-    pub(crate) fn upstreams_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
+    pub(crate) fn upstreams_mut(&mut self) -> impl Iterator<Item = &mut UpstreamIncarnationState> {
         self.upstreams.iter_mut()
     }
 
