--- a/crates/decisions/src/error.rs
+++ b/crates/decisions/src/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Display, Error, PartialEq)]
 pub enum Error {
     /// An attempt skipped one or more tokens.
-    #[display("attempt {attempt} sent token {found}, expected token {expected}")]
+    #[display("attempt {attempt} sent token {found} where token {expected} was due")]
     Gap {
         /// Attempt that sent the event.
         attempt: Attempt,
@@ -14,7 +14,7 @@
         found: TokenIndex,
     },
     /// The length in an end event differs from the number of tokens delivered.
-    #[display("attempt {attempt} ended with length {claimed} after {delivered} delivered tokens")]
+    #[display("attempt {attempt} ended at {claimed} tokens where {delivered} were delivered")]
     Length {
         /// Attempt that sent the event.
         attempt: Attempt,
@@ -24,9 +24,7 @@
         delivered: TokenIndex,
     },
     /// A response carries the id of another request.
-    #[display(
-        "mismatched response: it belongs to request `{found}`, expected request `{expected}`"
-    )]
+    #[display("a reply to request `{found}` came in answer to request `{expected}`")]
     Crossed {
         /// Id of the request that was sent.
         expected: RequestId,
@@ -70,9 +68,7 @@
         lead: Duration,
     },
     /// A malformed clock reading.
-    #[display(
-        "a clock reading must be microseconds, a dot and a count, as in `1700000000000000.0`"
-    )]
+    #[display("a clock reading must be microseconds, a point and a count")]
     HybridTime,
     /// A malformed event id.
     #[display("an event id must be a token index, `@`, a chain id, `.` and a VM id")]
