--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -61,7 +61,7 @@
             let at = now.before(Duration::from_millis((*age).into()));
             table.record_seen(at, entry.clone());
         }
-        table.record_answer(now, sender);
+        table.record_response(now, sender);
         drop(table);
         self.choose_holders();
         self.gossip.spread(gossip, sender);
--- a/crates/catkinward/src/peer_links.rs
+++ b/crates/catkinward/src/peer_links.rs
@@ -50,7 +50,7 @@
         let now = self.timer.now();
         match &opened {
             Ok(link) => {
-                self.table.lock().record_answer(now, &peer.vm);
+                self.table.lock().record_response(now, &peer.vm);
                 let mut links = self.links.lock();
                 match links.binary_search_by(|(vm, _)| vm.cmp(&peer.vm)) {
                     Ok(i) => links[i].1 = link.clone(),
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -204,7 +204,7 @@
         };
         count(answer.as_ref().err());
         match &answer {
-            Ok(_) => budget.lock().record_answer(),
+            Ok(_) => budget.lock().record_response(),
             Err(fault) => {
                 tracing::debug!(%fault, "platform call failed");
                 budget
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -19,7 +19,7 @@
     sent: Instant,
     /// Whether its answer is still due.
     awaits: AtomicBool,
-    asked: AskedReport,
+    asked: PendingReport,
     run: Option<TrackedRunId>,
 }
 
@@ -107,7 +107,7 @@
 
     fn awaits_no_more(&self, record: &mut UpstreamRecord) {
         if self.awaits.swap(false, Ordering::Relaxed) {
-            record.response_settled(self.sent);
+            record.response_ended(self.sent);
         }
     }
 
@@ -131,7 +131,7 @@
             .record
             .lock()
             .evidence
-            .record_reply(self.incarnation, now);
+            .record_response(self.incarnation, now);
         if let Some(run) = self.run {
             self.known.poison.lock().finished(run);
         }
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -68,7 +68,7 @@
     pub(crate) fn reported(
         &self,
         state: &UpstreamState,
-        asked: AskedReport,
+        asked: PendingReport,
         report: UpstreamReport,
     ) {
         let (incarnation, leaving) = (report.incarnation, report.leaving);
--- a/crates/decisions/src/call_limiter.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that a call was answered, which ends any pause.
-    pub fn record_answer(&mut self) {
+    pub fn record_response(&mut self) {
         self.consecutive_failures = 0;
     }
 
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -188,7 +188,7 @@
     upstream_id::UpstreamId,
     upstream_incarnation::UpstreamIncarnation,
     upstream_load::{LoadSample, UpstreamLoad, prefill_time},
-    upstream_record::{AskedReport, UpstreamRecord},
+    upstream_record::{PendingReport, UpstreamRecord},
     upstream_report::UpstreamReport,
     upstream_restart::{RestartEvidence, StaleRestart, TableFreshness, UpstreamRestart},
     upstream_slots::{CapacityReport, UpstreamSlots},
--- a/crates/decisions/src/peer_table.rs
+++ b/crates/decisions/src/peer_table.rs
@@ -16,7 +16,7 @@
     entry: PeerEntry,
     last_seen: Instant,
     /// Time of its last answer.
-    last_answer: Option<Instant>,
+    last_response: Option<Instant>,
     /// Time of the last call that it did not answer; `None` if it has answered since.
     last_failure: Option<Instant>,
 }
@@ -25,7 +25,7 @@
 const SKIPPED_AFTER_FAILURE: Duration = Duration::from_secs(2);
 
 /// How long after its last answer a VM that does not answer may still serve callers.
-const SERVING_AFTER_ANSWER: Duration = Duration::from_secs(5);
+const SERVING_AFTER_RESPONSE: Duration = Duration::from_secs(5);
 
 /// How long a VM is retained that no peer advertises any more.
 const PEER_RETENTION: Duration = Duration::from_secs(120);
@@ -69,7 +69,7 @@
                 Peer {
                     entry,
                     last_seen: at,
-                    last_answer: None,
+                    last_response: None,
                     last_failure: None,
                 },
             ),
@@ -77,10 +77,10 @@
     }
 
     /// Records that a VM answered.
-    pub fn record_answer(&mut self, now: Instant, vm: &VmId) {
+    pub fn record_response(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
             self.peers[i].last_failure = None;
-            self.peers[i].last_answer = Some(now);
+            self.peers[i].last_response = Some(now);
             self.peers[i].last_seen = now;
         }
     }
@@ -190,7 +190,7 @@
     #[must_use]
     pub fn nearest_including_silent(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
         let mut nearest = self.nearest(now, limit);
-        let silent = self.peers.iter().filter(|peer| !peer.answers(now));
+        let silent = self.peers.iter().filter(|peer| !peer.is_responsive(now));
         nearest.extend(silent.map(|peer| peer.entry.clone()));
         nearest.truncate(limit);
         nearest
@@ -201,10 +201,10 @@
     pub fn may_serve(&self, now: Instant, vm: &VmId) -> bool {
         let peer = self.position(vm).ok().map(|i| &self.peers[i]);
         peer.is_some_and(|peer| {
-            let answered_recently = peer
-                .last_answer
-                .is_some_and(|at| now.since(at) <= SERVING_AFTER_ANSWER);
-            peer.last_failure.is_none() || answered_recently
+            let responded_recently = peer
+                .last_response
+                .is_some_and(|at| now.since(at) <= SERVING_AFTER_RESPONSE);
+            peer.last_failure.is_none() || responded_recently
         })
     }
 
@@ -221,14 +221,14 @@
         vm: &VmId,
         zone: &AvailabilityZone,
     ) -> (Vec<PeerEntry>, Vec<PeerEntry>) {
-        let answering = self
+        let responsive = self
             .peers
             .iter()
-            .filter(|peer| peer.answers(now))
+            .filter(|peer| peer.is_responsive(now))
             .map(|peer| peer.entry.clone())
             .filter(|entry| entry.vm != *vm)
             .collect();
-        rendezvous_rank(vm.as_str(), answering, |entry: &PeerEntry| {
+        rendezvous_rank(vm.as_str(), responsive, |entry: &PeerEntry| {
             entry.vm.to_string()
         })
         .into_iter()
@@ -242,7 +242,7 @@
 
 impl Peer {
     /// Whether no call to the VM has failed since its last answer, or within [`SKIPPED_AFTER_FAILURE`].
-    fn answers(&self, now: Instant) -> bool {
+    fn is_responsive(&self, now: Instant) -> bool {
         self.last_failure
             .is_none_or(|at| now.since(at) > SKIPPED_AFTER_FAILURE)
     }
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -77,7 +77,7 @@
 
     /// Records a reply of the process that was given work as `incarnation`; the reply was sent after
     /// `sent`.
-    pub fn record_reply(&mut self, incarnation: Incarnation, sent: Instant) {
+    pub fn record_response(&mut self, incarnation: Incarnation, sent: Instant) {
         if self.current == Some(incarnation) {
             self.last_seen = self.last_seen.max(sent);
         }
--- a/crates/decisions/src/upstream_load.rs
+++ b/crates/decisions/src/upstream_load.rs
@@ -67,8 +67,8 @@
     }
 
     /// Records a load report of the upstream.
-    pub fn record_report(&mut self, reading: LoadSample, now: Instant) {
-        let all = reading.running + reading.waiting;
+    pub fn record_report(&mut self, sample: LoadSample, now: Instant) {
+        let all = sample.running + sample.waiting;
         self.others = Some((all.saturating_sub(self.own_calls), now));
     }
 
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -15,31 +15,31 @@
 const SLOW_START: Duration = Duration::from_secs(10);
 
 /// How long an observed latency counts.
-const RESPONSE_TIME_TTL: Duration = Duration::from_secs(10);
+const LATENCY_TTL: Duration = Duration::from_secs(10);
 
 /// Number of unanswered requests below which their mean wait says little.
-const MIN_UNANSWERED: u32 = 3;
+const MIN_OUTSTANDING: u32 = 3;
 
 /// Weight of a new latency in the moving average.
-const RESPONSE_TIME_WEIGHT: f64 = 0.2;
+const LATENCY_WEIGHT: f64 = 0.2;
 
 /// What this VM knows of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamRecord {
     /// Evidence on whether the upstream may get new work.
     pub evidence: UpstreamEvidence,
-    suspicion: FailureEjection,
+    ejection: FailureEjection,
     report: UpstreamReport,
     own_requests: u32,
     own_requests_in_report: u32,
-    response_time: Option<(f64, Instant)>,
+    mean_latency: Option<(f64, Instant)>,
     /// Number of requests without a response, and the sum of the times at which they were sent, in seconds.
-    unanswered: (u32, f64),
+    outstanding: (u32, f64),
 }
 
 /// A load report that was requested and has not arrived yet.
 #[derive(Clone, Copy, Debug)]
-pub struct AskedReport {
+pub struct PendingReport {
     at: Instant,
     own_requests: u32,
 }
@@ -48,8 +48,8 @@
     /// Marks the request of a load report. Also called when a request is dispatched whose reply may carry a
     /// load report.
     #[must_use]
-    pub fn report_requested(&self, now: Instant) -> AskedReport {
-        AskedReport {
+    pub fn report_requested(&self, now: Instant) -> PendingReport {
+        PendingReport {
             at: now,
             own_requests: self.own_requests,
         }
@@ -58,7 +58,7 @@
     /// Records a load report. Returns the former incarnation if the report shows that it was replaced.
     pub fn record_report(
         &mut self,
-        request: AskedReport,
+        request: PendingReport,
         report: UpstreamReport,
     ) -> Option<Incarnation> {
         let former = self
@@ -83,46 +83,46 @@
 
     /// Counts a request sent at `sent` whose response is outstanding.
     pub fn response_awaited(&mut self, sent: Instant) {
-        self.unanswered.0 += 1;
-        self.unanswered.1 += sent.0.as_secs_f64();
+        self.outstanding.0 += 1;
+        self.outstanding.1 += sent.0.as_secs_f64();
     }
 
     /// Stops counting a request sent at `sent`, which was answered or given up.
-    pub fn response_settled(&mut self, sent: Instant) {
-        self.unanswered.0 = self.unanswered.0.saturating_sub(1);
-        self.unanswered.1 -= sent.0.as_secs_f64();
+    pub fn response_ended(&mut self, sent: Instant) {
+        self.outstanding.0 = self.outstanding.0.saturating_sub(1);
+        self.outstanding.1 -= sent.0.as_secs_f64();
     }
 
     /// Seconds that a response takes, if known. An upstream that becomes slow sends no response for as long
     /// as its responses take by then, and would get its full share meanwhile; so the mean wait of the
     /// unanswered requests counts where it is longer.
-    fn response_time(&self, now: Instant) -> Option<f64> {
-        let (response_time, _) = self
-            .response_time
-            .filter(|(_, at)| now.since(*at) <= RESPONSE_TIME_TTL)?;
-        let (count, sum) = self.unanswered;
-        if count < MIN_UNANSWERED {
-            return Some(response_time);
+    fn mean_latency(&self, now: Instant) -> Option<f64> {
+        let (mean_latency, _) = self
+            .mean_latency
+            .filter(|(_, at)| now.since(*at) <= LATENCY_TTL)?;
+        let (count, sum) = self.outstanding;
+        if count < MIN_OUTSTANDING {
+            return Some(mean_latency);
         }
-        Some(response_time.max(now.0.as_secs_f64() - sum / f64::from(count)))
+        Some(mean_latency.max(now.0.as_secs_f64() - sum / f64::from(count)))
     }
 
     /// Records the latency of a response.
     pub fn record_response(&mut self, incarnation: Incarnation, sent: Instant, now: Instant) {
-        self.evidence.record_reply(incarnation, sent);
+        self.evidence.record_response(incarnation, sent);
         let latency = now.since(sent).as_secs_f64();
-        let response_time = match self.response_time {
-            Some((response_time, at)) if now.since(at) <= RESPONSE_TIME_TTL => {
-                response_time + RESPONSE_TIME_WEIGHT * (latency - response_time)
+        let mean_latency = match self.mean_latency {
+            Some((mean_latency, at)) if now.since(at) <= LATENCY_TTL => {
+                mean_latency + LATENCY_WEIGHT * (latency - mean_latency)
             }
             _ => latency,
         };
-        self.response_time = Some((response_time, now));
+        self.mean_latency = Some((mean_latency, now));
     }
 
     /// Records that the upstream failed a request.
     pub fn record_failure(&mut self, now: Instant) {
-        self.suspicion.record_failure(now);
+        self.ejection.record_failure(now);
     }
 
     /// Number of requests of this VM in flight there.
@@ -158,9 +158,9 @@
         Ok(Candidate {
             load: others + self.own_requests,
             capacity: self.report.capacity.max(1),
-            weight: self.suspicion.weight(now)
+            weight: self.ejection.weight(now)
                 * slow_start_weight(self.evidence.since(), SLOW_START, now).max(0.1),
-            latency: self.response_time(now),
+            latency: self.mean_latency(now),
             own_zone: true,
             affinity: 0,
             eligible,
--- a/crates/decisions/tests/call_limiter.rs
+++ b/crates/decisions/tests/call_limiter.rs
@@ -61,7 +61,7 @@
         .filter(|ms| {
             let allowed = budget.try_take(at(*ms));
             if allowed {
-                budget.record_answer();
+                budget.record_response();
             }
             allowed
         })
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -290,7 +290,7 @@
         (0..4).for_each(|_| record.response_awaited(later));
     }
     let before = choice_counts(&eligible_candidates(&records, later), false)[2];
-    (0..4).for_each(|_| records[2].response_settled(later));
+    (0..4).for_each(|_| records[2].response_ended(later));
     (0..4).for_each(|_| records[2].response_awaited(NOW));
 
     let after = choice_counts(&eligible_candidates(&records, later), false)[2];
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -41,7 +41,7 @@
 /// Records a report and a reply that lag and do not yet say that the upstream is leaving.
 fn record_lagging_reports(evidence: &mut UpstreamEvidence, at: Instant) {
     evidence.record_report(FIRST, false, at);
-    evidence.record_reply(FIRST, at);
+    evidence.record_response(FIRST, at);
 }
 
 /// An upstream starts leaving and only one source reports it; all others lag and still show it as live.
@@ -202,7 +202,7 @@
                     last_heard = now;
                 }
                 Observation::Reply => {
-                    evidence.record_reply(FIRST, ms(now));
+                    evidence.record_response(FIRST, ms(now));
                     last_heard = now;
                 }
                 Observation::Listed(leaving) => {
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -64,7 +64,7 @@
 fn vm_that_misses_an_answer_may_serve_until_it_has_been_silent_for_long() {
     let mut table = table(0, 3);
 
-    table.record_answer(at(10), &vm(1));
+    table.record_response(at(10), &vm(1));
     table.record_failure(at(11), &vm(1));
     table.record_failure(at(11), &vm(2));
 
@@ -72,7 +72,7 @@
     expect_true!(table.may_serve(at(15), &vm(1)));
     expect_false!(table.may_serve(at(16), &vm(1)));
     expect_false!(table.may_serve(at(11), &vm(2)));
-    table.record_answer(at(17), &vm(2));
+    table.record_response(at(17), &vm(2));
     expect_true!(table.may_serve(at(17), &vm(2)));
 }
 
@@ -168,7 +168,7 @@
 #[gtest]
 fn vm_that_no_peer_advertises_is_removed() {
     let mut table = table(0, 8);
-    table.record_answer(at(50), &vm(1));
+    table.record_response(at(50), &vm(1));
 
     table.expire(at(121));
 
