--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -188,7 +188,7 @@
         queue.evict_idle_teams();
         queue.set_upstreams(reports.iter().map(|(id, _)| id.clone()));
         for (id, report) in reports {
-            queue.apply_report(id, *report, share(id));
+            queue.record_report(id, *report, share(id));
         }
         self.publish(&queue);
         drop(queue);
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -341,7 +341,7 @@
             .budget(&service)
             .record_call(&self.settings.repeats, now);
         let digest = call.digest(team.as_ref());
-        if state.crashes.is_rejected(digest, now) {
+        if state.crashes.is_refused(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
         }
         if !self.takes(route.timeout) {
--- a/crates/catkinward/src/gateway/rollouts.rs
+++ b/crates/catkinward/src/gateway/rollouts.rs
@@ -293,7 +293,7 @@
             return None;
         }
         for evidence in &report.evidence {
-            let judged = owned.owner.judge.add_report(&report.vm, evidence);
+            let judged = owned.owner.judge.record_report(&report.vm, evidence);
             if let Some(judged) = judged.filter(|judged| judged.new_bad > 0) {
                 log_bad_answers(report, &evidence.route, &judged);
             }
@@ -306,7 +306,10 @@
             0
         } else {
             let (requests, spent) = (report.requests, report.spent);
-            owned.owner.ledger.report(&report.vm, requests, spent)
+            owned
+                .owner
+                .ledger
+                .record_report(&report.vm, requests, spent)
         };
         let mut undersampled_routes = owned.owner.judge.undersampled_routes();
         undersampled_routes.truncate(ROUTES_WANTED);
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -141,7 +141,7 @@
     pub(crate) fn heard_of_crash(&mut self, crash: Crash) -> bool {
         let (digest, now) = (crash.digest, crash.at);
         let news = self.crashes.record_crash(crash);
-        if news && self.crashes.is_rejected(digest, now) {
+        if news && self.crashes.is_refused(digest, now) {
             let crashes = self.crashes.crash_count(digest, now);
             tracing::warn!(body = %format_args!("{digest:016x}"), crashes, "body is refused from now on");
         }
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -104,7 +104,7 @@
 
     /// Notes that a process of an upstream died, under whatever runs there.
     pub(crate) fn died(&self, state: &UpstreamState, incarnation: Incarnation) {
-        state.record.lock().evidence.record_gone(incarnation);
+        state.record.lock().evidence.record_ended(incarnation);
         let now = self.timer.now();
         let marks = self
             .poison
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -54,7 +54,7 @@
         let mut poison = self.known.poison.lock();
         if want
             .digest
-            .is_some_and(|digest| poison.refuses(digest, now))
+            .is_some_and(|digest| poison.is_refused(digest, now))
         {
             return Err(NoUpstream::Poisoned);
         }
@@ -85,7 +85,7 @@
         self.known
             .poison
             .lock()
-            .refuses(digest, self.known.timer.now())
+            .is_refused(digest, self.known.timer.now())
     }
 
     /// Holds an upstream on which a request runs already, whether or not it may get new work.
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -101,7 +101,7 @@
     }
 
     /// Applies a load report of an upstream; `share` is this VM's part of the reported capacity.
-    pub fn apply_report(
+    pub fn record_report(
         &mut self,
         upstream: &UpstreamId,
         report: CapacityReport,
--- a/crates/decisions/src/crash_tracker.rs
+++ b/crates/decisions/src/crash_tracker.rs
@@ -134,7 +134,7 @@
 
     /// Whether a call is rejected because of its crashes.
     #[must_use]
-    pub fn is_rejected(&self, digest: u64, now: Instant) -> bool {
+    pub fn is_refused(&self, digest: u64, now: Instant) -> bool {
         self.crash_count(digest, now) >= MAX_CRASHES_PER_BODY
     }
 
--- a/crates/decisions/src/exposure.rs
+++ b/crates/decisions/src/exposure.rs
@@ -73,7 +73,7 @@
     }
 
     /// Applies the counts reported by a VM, and returns the total that the VM has been granted.
-    pub fn report(&mut self, vm: &VmIncarnation, requests: u64, spent: u64) -> u64 {
+    pub fn record_report(&mut self, vm: &VmIncarnation, requests: u64, spent: u64) -> u64 {
         let index = match self.accounts.binary_search_by(|(other, _)| other.cmp(vm)) {
             Ok(index) => index,
             Err(index) => {
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -111,7 +111,7 @@
 impl PoisonTracker {
     /// Whether a digest is refused on all upstreams.
     #[must_use]
-    pub fn refuses(&self, digest: RequestDigest, now: Instant) -> bool {
+    pub fn is_refused(&self, digest: RequestDigest, now: Instant) -> bool {
         let (open, all) = self.count_crashes(digest, now);
         open >= MAX_OPEN_CRASHES_PER_DIGEST || all >= MAX_CRASHES_PER_DIGEST
     }
@@ -134,7 +134,7 @@
         allows_probation: bool,
         now: Instant,
     ) -> Result<(), PoisonBlock> {
-        if self.refuses(digest, now) {
+        if self.is_refused(digest, now) {
             return Err(PoisonBlock::Refused);
         }
         let mut other_upstreams = self.runs[self.run_range(digest)]
@@ -252,7 +252,7 @@
     ///
     /// Fails if another VM has since reported crashes of the request or a run with precedence.
     pub fn commit(&mut self, run: TrackedRunId, now: Instant) -> Result<(), PoisonBlock> {
-        if self.refuses(run.digest, now) {
+        if self.is_refused(run.digest, now) {
             return Err(PoisonBlock::Refused);
         }
         let own = self.suspect_run(run);
@@ -393,7 +393,7 @@
         let sharing = self.records.iter().filter(shared);
         let mut digests = sharing.map(|record| record.digest).collect::<Vec<_>>();
         digests.dedup();
-        digests.retain(|digest| self.refuses(*digest, now));
+        digests.retain(|digest| self.is_refused(*digest, now));
         let records = digests
             .into_iter()
             .flat_map(|digest| self.records_of(digest, now));
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -114,7 +114,7 @@
 impl RolloutJudge {
     /// Applies the counts of a VM on a route. Returns the evidence they added, once the old
     /// versions have enough responses on the route.
-    pub fn add_report(
+    pub fn record_report(
         &mut self,
         vm: &VmIncarnation,
         evidence: &RouteEvidence,
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -99,7 +99,7 @@
     /// Whether its row was read from the platform's table.
     has_row: bool,
     /// When it was first found to be removed or superseded.
-    gone_since: Option<Instant>,
+    removed_since: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -159,7 +159,7 @@
                     entry: Arc::new(entry),
                     presence,
                     has_row: true,
-                    gone_since: None,
+                    removed_since: None,
                 };
                 self.known.insert(index, known);
                 Some(presence)
@@ -543,10 +543,10 @@
     /// Whether it has been removed or superseded for so long that it can be evicted.
     fn is_evictable(&mut self, now: Instant) -> bool {
         if !self.is_removed(now) && self.presence != Presence::Superseded {
-            self.gone_since = None;
+            self.removed_since = None;
             return false;
         }
-        let since = *self.gone_since.get_or_insert(now);
+        let since = *self.removed_since.get_or_insert(now);
         now.since(since) >= REMOVED_RETENTION
     }
 
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -113,7 +113,7 @@
     }
 
     /// Records that the process is certainly gone; only another incarnation counts from now on.
-    pub fn record_gone(&mut self, incarnation: Incarnation) {
+    pub fn record_ended(&mut self, incarnation: Incarnation) {
         if self.current == Some(incarnation) {
             self.current = None;
         }
--- a/crates/decisions/src/upstream_table.rs
+++ b/crates/decisions/src/upstream_table.rs
@@ -74,8 +74,8 @@
         }
         let mut rows = rows.to_vec();
         if whole {
-            let gone = self.removals_absent_from(&rows, version);
-            self.set_rows(gone, &mut read);
+            let removals = self.removals_absent_from(&rows, version);
+            self.set_rows(removals, &mut read);
         } else {
             rows.retain(|row| row.written > self.version || self.is_current_version(row));
         }
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -39,7 +39,7 @@
         sharers: 1,
         rounding_threshold: 999,
     };
-    queue.apply_report(&upstream(), report, share);
+    queue.record_report(&upstream(), report, share);
     queue.take_slot(at(0), Lane::Quick, &upstream());
     queue.release_slot(Lane::Quick, &upstream(), Some(Duration::from_millis(100)));
     queue
--- a/crates/decisions/tests/crash_tracker.rs
+++ b/crates/decisions/tests/crash_tracker.rs
@@ -46,7 +46,7 @@
 fn third_crash_rejects_the_call() {
     let rejected = [2, 3].map(|n| {
         let tracker = tracker((0..n).map(|n| crash(CRASHING, n, 0)));
-        tracker.is_rejected(CRASHING, at(1))
+        tracker.is_refused(CRASHING, at(1))
     });
 
     expect_that!(rejected, eq([false, true]));
@@ -79,7 +79,7 @@
 
     send_crashes(&mut peer, &mut local, 1);
 
-    expect_that!(local.is_rejected(HARMLESS, at(1)), eq(false));
+    expect_that!(local.is_refused(HARMLESS, at(1)), eq(false));
 }
 
 /// The other VM learns that the call received a response, and serves it as well.
@@ -88,13 +88,13 @@
     let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
     let mut peer = CrashTracker::default();
     send_crashes(&mut local, &mut peer, 0);
-    let before = peer.is_rejected(HARMLESS, at(1));
+    let before = peer.is_refused(HARMLESS, at(1));
 
     local.record_complete_response(HARMLESS);
     send_crashes(&mut local, &mut peer, 1);
 
     expect_that!(before, eq(true));
-    expect_that!(peer.is_rejected(HARMLESS, at(1)), eq(false));
+    expect_that!(peer.is_refused(HARMLESS, at(1)), eq(false));
 }
 
 /// A crash after a complete response counts like any other.
@@ -107,7 +107,7 @@
         tracker.record_crash(crash(CRASHING, n, 1));
     }
 
-    expect_that!(tracker.is_rejected(CRASHING, at(2)), eq(true));
+    expect_that!(tracker.is_refused(CRASHING, at(2)), eq(true));
 }
 
 /// A stream ran beside the call that crashes engines when the third of them crashed, and has lost two more
@@ -120,8 +120,8 @@
 
     let tracker = tracker(crashing.chain(beside));
 
-    expect_that!(tracker.is_rejected(CRASHING, at(6)), eq(true));
-    expect_that!(tracker.is_rejected(HARMLESS, at(6)), eq(false));
+    expect_that!(tracker.is_refused(CRASHING, at(6)), eq(true));
+    expect_that!(tracker.is_refused(HARMLESS, at(6)), eq(false));
 }
 
 /// Two calls under which the same engines crashed cannot be distinguished.
@@ -131,6 +131,6 @@
 
     let tracker = tracker(both.into_iter().flatten());
 
-    let rejected = [CRASHING, HARMLESS].map(|digest| tracker.is_rejected(digest, at(4)));
+    let rejected = [CRASHING, HARMLESS].map(|digest| tracker.is_refused(digest, at(4)));
     expect_that!(rejected, eq([true, true]));
 }
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -160,7 +160,7 @@
 fn a_dead_process_gets_no_work() {
     let mut evidence = reported_at(ms(0));
 
-    evidence.record_gone(FIRST);
+    evidence.record_ended(FIRST);
     evidence.record_report(FIRST, false, ms(10));
 
     expect_that!(evidence.eligible(ms(20)), err(eq(&Ineligible::NoReport)));
--- a/crates/decisions/tests/exposure.rs
+++ b/crates/decisions/tests/exposure.rs
@@ -54,7 +54,7 @@
 fn no_requests_and_no_slack_give_no_exposures() {
     let mut ledger = ExposureLedger::new(ExposureLimit { slack: 0, ..LIMIT });
 
-    let granted = ledger.report(&vm_incarnation(1, 1), 9, 0);
+    let granted = ledger.record_report(&vm_incarnation(1, 1), 9, 0);
 
     expect_that!(granted, eq(0));
 }
@@ -65,9 +65,9 @@
 fn exposures_accumulate_before_they_are_granted() {
     let mut ledger = ExposureLedger::new(ExposureLimit { slack: 0, ..LIMIT });
 
-    let before = ledger.report(&vm_incarnation(1, 1), 230, 0);
-    let then = ledger.report(&vm_incarnation(1, 1), 240, 0);
-    let after = ledger.report(&vm_incarnation(2, 1), 0, 0);
+    let before = ledger.record_report(&vm_incarnation(1, 1), 230, 0);
+    let then = ledger.record_report(&vm_incarnation(1, 1), 240, 0);
+    let after = ledger.record_report(&vm_incarnation(2, 1), 0, 0);
 
     expect_that!((before, then, after), eq((0, 2, 2)));
 }
@@ -165,7 +165,7 @@
             }
             let (id, term, requests, spent) = report;
             let ledger = &mut self.ledgers[usize::try_from(term).unwrap() - 1];
-            let granted = ledger.report(&id, requests, spent);
+            let granted = ledger.record_report(&id, requests, spent);
             self.replies.push((id, term, granted));
         }
         for reply in std::mem::take(&mut self.replies) {
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -399,7 +399,7 @@
                 capacity,
                 waiting: 0,
             };
-            admission.apply_report(id, report, CapacityShare::of(&vm, id, sharers));
+            admission.record_report(id, report, CapacityShare::of(&vm, id, sharers));
         }
         Self {
             admission,
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -161,7 +161,7 @@
     start(&mut tracker, poison_digest(), 1);
     crash(&mut tracker, 1);
 
-    let refused = [600, 601].map(|seconds| tracker.refuses(poison_digest(), at(seconds)));
+    let refused = [600, 601].map(|seconds| tracker.is_refused(poison_digest(), at(seconds)));
 
     expect_that!(refused, eq([true, false]));
 }
@@ -180,8 +180,8 @@
 
     first.merge(&second.deltas(at(0)), at(0));
 
-    expect_that!(first.refuses(poison_digest(), at(0)), eq(true));
-    expect_that!(second.refuses(poison_digest(), at(0)), eq(true));
+    expect_that!(first.is_refused(poison_digest(), at(0)), eq(true));
+    expect_that!(second.is_refused(poison_digest(), at(0)), eq(true));
 }
 
 #[gtest]
@@ -337,7 +337,7 @@
 
         let unfinished = simulation.requests.iter().filter(|r| !r.done).count();
         let refused_unrelated = (1..=unrelated_count)
-            .filter(|n| simulation.tracker.refuses(digest(*n), at(0)))
+            .filter(|n| simulation.tracker.is_refused(digest(*n), at(0)))
             .count();
         prop_assert!(simulation.engines_lost <= 2, "{} engines lost", simulation.engines_lost);
         prop_assert_eq!((unfinished, refused_unrelated), (0, 0));
--- a/crates/decisions/tests/poison_attribution.rs
+++ b/crates/decisions/tests/poison_attribution.rs
@@ -25,8 +25,8 @@
 
     crash_at(&mut tracker, 2, at(3));
 
-    expect_that!(tracker.refuses(poison_digest(), at(3)), eq(true));
-    expect_that!(tracker.refuses(unrelated_digest(), at(3)), eq(false));
+    expect_that!(tracker.is_refused(poison_digest(), at(3)), eq(true));
+    expect_that!(tracker.is_refused(unrelated_digest(), at(3)), eq(false));
 }
 
 /// The poison request ran on another VM, whose records arrive after the second crash of the unrelated
@@ -42,14 +42,14 @@
         start_at(&mut tracker, unrelated_digest(), n, now);
         crash_at(&mut tracker, n, now);
     }
-    let before = tracker.refuses(unrelated_digest(), at(3));
+    let before = tracker.is_refused(unrelated_digest(), at(3));
 
     let own = tracker.records_of(unrelated_digest(), at(3));
     tracker.merge(&peer.explaining_records(&own, at(3)), at(3));
 
     expect_that!(before, eq(true));
-    expect_that!(tracker.refuses(unrelated_digest(), at(3)), eq(false));
-    expect_that!(tracker.refuses(poison_digest(), at(3)), eq(true));
+    expect_that!(tracker.is_refused(unrelated_digest(), at(3)), eq(false));
+    expect_that!(tracker.is_refused(poison_digest(), at(3)), eq(true));
 }
 
 /// Two requests were in flight at the same two crashes, so nothing distinguishes them. If neither
@@ -67,7 +67,7 @@
     }
 
     let refused =
-        [poison_digest(), unrelated_digest()].map(|digest| tracker.refuses(digest, at(2)));
+        [poison_digest(), unrelated_digest()].map(|digest| tracker.is_refused(digest, at(2)));
 
     expect_that!(refused, eq([true, true]));
 }
@@ -94,7 +94,7 @@
             for record in records {
                 tracker.merge(&[*record], at(10));
             }
-            (0..5).map(|n| tracker.refuses(digest(n), at(10))).collect::<Vec<_>>()
+            (0..5).map(|n| tracker.is_refused(digest(n), at(10))).collect::<Vec<_>>()
         };
         let in_order = refused(&records);
 
--- a/crates/decisions/tests/rollout_judge.rs
+++ b/crates/decisions/tests/rollout_judge.rs
@@ -79,7 +79,7 @@
         }
         for (vm_incarnation, evidence) in &vms {
             for route in evidence {
-                judge.add_report(vm_incarnation, route);
+                judge.record_report(vm_incarnation, route);
             }
         }
         if let RolloutVerdict::Bad { .. } = judge.verdict() {
@@ -176,7 +176,7 @@
     evidence.new.count(ResponseOutcome::Failure);
 
     for report in [&evidence, &early, &evidence] {
-        judge.add_report(&vm_incarnation, report);
+        judge.record_report(&vm_incarnation, report);
     }
 
     expect_that!(judge.totals(), eq((2, 2)));
@@ -198,11 +198,11 @@
             evidence.old.count(success);
             evidence.new.count(success);
         }
-        judge.add_report(&vm_incarnation, &evidence);
+        judge.record_report(&vm_incarnation, &evidence);
         for _ in 0..failures {
             evidence.new.count(ResponseOutcome::Failure);
         }
-        judge.add_report(&vm_incarnation, &evidence);
+        judge.record_report(&vm_incarnation, &evidence);
         verdicts.push(judge.verdict());
     }
 
@@ -256,7 +256,7 @@
     for report in reports {
         sum.old.merge(&report.old);
         sum.new.merge(&report.new);
-        judge.add_report(&vm, &sum);
+        judge.record_report(&vm, &sum);
     }
     judge.verdict()
 }
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -55,8 +55,8 @@
 
     crash_at(&mut tracker, 1, at(5));
 
-    expect_that!(tracker.refuses(poison_digest(), at(5)), eq(true));
-    expect_that!(tracker.refuses(unrelated_digest(), at(5)), eq(false));
+    expect_that!(tracker.is_refused(poison_digest(), at(5)), eq(true));
+    expect_that!(tracker.is_refused(unrelated_digest(), at(5)), eq(false));
 }
 
 /// Guards against blaming a suspect for a crash long after its announcement, which another request
@@ -67,7 +67,7 @@
 
     crash_at(&mut tracker, 1, at(11));
 
-    expect_that!(tracker.refuses(poison_digest(), at(11)), eq(false));
+    expect_that!(tracker.is_refused(poison_digest(), at(11)), eq(false));
 }
 
 /// Guards against sending a suspect to a third upstream before the liveness of the second one was
@@ -201,12 +201,15 @@
     withdrawn_first.withdrawn(&run_on(1));
     crash(&mut withdrawn_first, 1);
     crash(&mut crashed_first, 1);
-    let refused_before = crashed_first.refuses(poison_digest(), at(0));
+    let refused_before = crashed_first.is_refused(poison_digest(), at(0));
     crashed_first.withdrawn(&run_on(1));
 
     expect_that!(refused_before, eq(true));
-    expect_that!(withdrawn_first.refuses(poison_digest(), at(0)), eq(false));
-    expect_that!(crashed_first.refuses(poison_digest(), at(0)), eq(false));
+    expect_that!(
+        withdrawn_first.is_refused(poison_digest(), at(0)),
+        eq(false)
+    );
+    expect_that!(crashed_first.is_refused(poison_digest(), at(0)), eq(false));
     expect_that!(
         withdrawn_first.unchecked(poison_digest(), at(0)),
         is_empty()
@@ -224,7 +227,7 @@
 
     tracker.withdrawn(&run_on(1));
 
-    expect_that!(tracker.refuses(poison_digest(), at(0)), eq(true));
+    expect_that!(tracker.is_refused(poison_digest(), at(0)), eq(true));
 }
 
 /// Guards against blaming a suspect for a crash between its announcement and its dispatch.
@@ -237,5 +240,5 @@
 
     crash(&mut tracker, 1);
 
-    expect_that!(tracker.refuses(poison_digest(), at(0)), eq(false));
+    expect_that!(tracker.is_refused(poison_digest(), at(0)), eq(false));
 }
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -101,13 +101,13 @@
     tracker.record_crash(crash("u1"));
     tracker.record_crash(crash("u2"));
     let repeated_is_new = tracker.record_crash(crash("u2"));
-    let rejected_after_two = tracker.is_rejected(7, at(10));
+    let refused_after_two = tracker.is_refused(7, at(10));
     tracker.record_crash(crash("u3"));
 
     expect_that!(repeated_is_new, eq(false));
-    expect_that!(rejected_after_two, eq(false));
-    expect_that!(tracker.is_rejected(7, at(10)), eq(true));
-    expect_that!(tracker.is_rejected(8, at(10)), eq(false));
+    expect_that!(refused_after_two, eq(false));
+    expect_that!(tracker.is_refused(7, at(10)), eq(true));
+    expect_that!(tracker.is_refused(8, at(10)), eq(false));
 }
 
 /// A call's upstreams crashed in zone after zone by coincidence, and then it received a complete response.
@@ -126,5 +126,5 @@
 
     tracker.record_complete_response(7);
 
-    expect_that!(tracker.is_rejected(7, at(10)), eq(false));
+    expect_that!(tracker.is_refused(7, at(10)), eq(false));
 }
