--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -102,7 +102,7 @@
         let mut queue = self.queue.lock();
         let upstream = choose(&queue.full_upstreams(now, lane))
             .or_else(|| if must { choose(&[]) } else { None })?;
-        queue.take_slot(now, lane, upstream.id());
+        queue.acquire_slot(now, lane, upstream.id());
         drop(queue);
         Some(SlotGuard::new(self.clone(), lane, upstream))
     }
@@ -110,7 +110,7 @@
     /// Takes a place for a request that runs at an upstream already.
     pub(crate) fn hold(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> SlotGuard {
         let now = self.timer.now();
-        self.queue.lock().take_slot(now, lane, upstream.id());
+        self.queue.lock().acquire_slot(now, lane, upstream.id());
         SlotGuard::new(self.clone(), lane, upstream)
     }
 
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -350,7 +350,7 @@
         loop {
             let waiting = self.node.timer.now();
             let mut event = attempt.stream.next(stalls.timeout()).await?;
-            stalls.observe(self.node.timer.now().since(waiting));
+            stalls.record_gap(self.node.timer.now().since(waiting));
             let mut finish = None;
             // All that has come already goes on together, with one round of copies.
             loop {
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -150,7 +150,7 @@
     fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let choose = self.chooser(avoid.to_vec());
         let place = self.pool.take(Lane::Quick, false, choose)?;
-        if !self.pool.hedge.lock().try_spend(true) {
+        if !self.pool.hedge.lock().try_take(true) {
             return None;
         }
         self.pool.count("catkin_hedges_total");
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -71,7 +71,7 @@
         let now = self.timer.now();
         let mut slices = self.slices.lock();
         let slice = self.slice(&mut slices, team, kind, limit, now);
-        slice.take(cost.into(), now)
+        slice.try_take(cost.into(), now)
     }
 
     /// Gives back what a request that was let through did not use.
--- a/crates/decisions/examples/slices.rs
+++ b/crates/decisions/examples/slices.rs
@@ -71,10 +71,10 @@
 
     fn admits(&mut self, vm: usize, now: u64, cut_off: bool) -> bool {
         match self {
-            Self::Fixed(slices) => slices[vm].take(1.0, at(now)).is_ok(),
+            Self::Fixed(slices) => slices[vm].try_take(1.0, at(now)).is_ok(),
             Self::PerRequest(strategy) => !cut_off && strategy.admits(now),
             Self::Batched(strategy) => strategy.admits(vm),
-            Self::Slices(strategy) => strategy.slices[vm].take(1.0, at(now)).is_ok(),
+            Self::Slices(strategy) => strategy.slices[vm].try_take(1.0, at(now)).is_ok(),
         }
     }
 
@@ -95,7 +95,7 @@
 impl PerRequest {
     fn admits(&mut self, now: u64) -> bool {
         self.writes += 1;
-        self.table.take(1.0, at(now)).is_ok()
+        self.table.try_take(1.0, at(now)).is_ok()
     }
 }
 
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -182,7 +182,7 @@
 
     /// Returns whether an upstream has a free slot for this lane.
     #[must_use]
-    pub fn has_room(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
+    pub fn has_free_slot(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
         self.find(upstream)
             .is_ok_and(|i| self.upstreams[i].1.has_free_slot(now, lane))
     }
@@ -195,53 +195,53 @@
         upstream: &UpstreamId,
     ) -> Option<Dispatched<T>> {
         let request = self.lanes[lane.index()].queue.pop(now)?;
-        self.take_slot(now, lane, upstream);
+        self.acquire_slot(now, lane, upstream);
         Some(request.dispatch())
     }
 
     /// Dequeues the next request of a lane for which `choose` finds an upstream, and takes a slot
     /// there. `choose` receives the request and the list of full upstreams.
-    pub fn dispatch_where<P>(
+    pub fn dispatch_where<C>(
         &mut self,
         now: Instant,
         lane: Lane,
-        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
-    ) -> Option<(Dispatched<T>, P)> {
+        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, C)>,
+    ) -> Option<(Dispatched<T>, C)> {
         let full = self.full_upstreams(now, lane);
-        let tries = PopOptions {
+        let options = PopOptions {
             teams: MAX_TEAMS_TRIED,
             below_share_only: false,
         };
-        if let Some(placed) = self.dispatch_next(now, lane, &full, tries, &choose) {
-            return Some(placed);
+        if let Some(dispatched) = self.dispatch_next(now, lane, &full, options, &choose) {
+            return Some(dispatched);
         }
         if lane != Lane::Quick {
             return None;
         }
         let without_extra_slots = self.without_extra_slots();
-        let tries = PopOptions {
+        let options = PopOptions {
             below_share_only: true,
-            ..tries
+            ..options
         };
-        self.dispatch_next(now, lane, &without_extra_slots, tries, &choose)
+        self.dispatch_next(now, lane, &without_extra_slots, options, &choose)
     }
 
-    fn dispatch_next<P>(
+    fn dispatch_next<C>(
         &mut self,
         now: Instant,
         lane: Lane,
         full: &[UpstreamId],
-        tries: PopOptions,
-        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
-    ) -> Option<(Dispatched<T>, P)> {
+        options: PopOptions,
+        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, C)>,
+    ) -> Option<(Dispatched<T>, C)> {
         if full.len() == self.upstreams.len() {
             return None;
         }
         let queue = &mut self.lanes[lane.index()].queue;
-        let (request, (upstream, place)) =
-            queue.pop_where(now, tries, |request| choose(request.request(), full))?;
-        self.take_slot(now, lane, &upstream);
-        Some((request.dispatch(), place))
+        let (request, (upstream, choice)) =
+            queue.pop_where(now, options, |request| choose(request.request(), full))?;
+        self.acquire_slot(now, lane, &upstream);
+        Some((request.dispatch(), choice))
     }
 
     /// Upstreams whose extra slots, reserved for teams below their fair share, are taken as well.
@@ -255,7 +255,7 @@
 
     /// Takes a slot of an upstream regardless of its limit. A generation that resumes after a lost
     /// upstream uses this, because it was accepted earlier and must not be refused now.
-    pub fn take_slot(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
+    pub fn acquire_slot(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
         let cfg = self.cfg.limit;
         let i = self.find(upstream).unwrap_or_else(|i| {
             let slots = UpstreamSlots::new(cfg);
@@ -271,7 +271,7 @@
             self.upstreams[i].1.release(lane);
         }
         if let Some(held) = held {
-            self.lanes[lane.index()].service_time.observe(held);
+            self.lanes[lane.index()].service_time.record_sample(held);
         }
     }
 
@@ -290,9 +290,9 @@
     }
 
     /// Removes a queued request whose caller has disconnected.
-    pub fn withdraw(&mut self, place: QueuePosition) -> Option<NotRun<T>> {
-        let queue = &mut self.lanes[place.lane.index()].queue;
-        let request = queue.remove(place.ticket)?;
+    pub fn withdraw(&mut self, position: QueuePosition) -> Option<NotRun<T>> {
+        let queue = &mut self.lanes[position.lane.index()].queue;
+        let request = queue.remove(position.ticket)?;
         Some(request.refuse(RefusalReason::CallerLeft, Duration::ZERO))
     }
 
@@ -338,7 +338,7 @@
         let slots = shares
             .map(|(_, slots)| slots.lane_limit(now, arrival.lane))
             .sum();
-        if lane.queue.is_empty() && self.has_free_slot(now, arrival.lane) {
+        if lane.queue.is_empty() && self.any_free_slot(now, arrival.lane) {
             return Duration::ZERO;
         }
         let observed = lane.queue.observed_wait(&arrival.team.id);
@@ -358,7 +358,7 @@
         )
     }
 
-    fn has_free_slot(&self, now: Instant, lane: Lane) -> bool {
+    fn any_free_slot(&self, now: Instant, lane: Lane) -> bool {
         self.upstreams
             .iter()
             .any(|(_, slots)| slots.has_free_slot(now, lane))
--- a/crates/decisions/src/capacity_share.rs
+++ b/crates/decisions/src/capacity_share.rs
@@ -54,7 +54,7 @@
         let sharers = u64::from(self.sharers.max(1));
         let thousandths = u64::from(capacity) * percent * 10 / sharers;
         let rounded_up = thousandths % 1000 > u64::from(self.rounding_threshold);
-        let part = thousandths / 1000 + u64::from(rounded_up);
-        u32::try_from(part).unwrap_or(u32::MAX).max(1)
+        let share = thousandths / 1000 + u64::from(rounded_up);
+        u32::try_from(share).unwrap_or(u32::MAX).max(1)
     }
 }
--- a/crates/decisions/src/engine_priority.rs
+++ b/crates/decisions/src/engine_priority.rs
@@ -20,7 +20,7 @@
 
 impl EnginePriority {
     /// The priority of a second copy that is sent while the first still runs.
-    pub const SECOND_COPY: Self = Self(0);
+    pub const HEDGE: Self = Self(0);
 
     /// The priority of an attempt that has `delivered` tokens as its forced prefix.
     #[must_use]
--- a/crates/decisions/src/fair_queue.rs
+++ b/crates/decisions/src/fair_queue.rs
@@ -5,7 +5,7 @@
 //! next request is taken from the team that has received the least service relative to its weight
 //! (start-time fair queueing; Goyal, Vin and Cheng, 1996). A backlog delays only its own team.
 //!
-//! The data layout suits 10,000 queued requests of 2,100 teams. A team keeps its slot until idle
+//! The data layout suits 10,000 queued requests of 2,100 teams. A team keeps its index until idle
 //! teams are dropped. `ready` holds the teams with queued requests in descending order of their tag,
 //! so that the next one is popped off the end and each change moves at most a few kilobytes of plain
 //! numbers. Removing a request from the middle of a FIFO leaves an empty entry that is skipped later.
@@ -53,10 +53,10 @@
 /// Queue of the requests of many teams in weighted fair order.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    /// Index into `slots` for each team, sorted by team.
+    /// Index into `team_queues` for each team, sorted by team.
     teams: Vec<(TeamId, usize)>,
-    slots: Vec<TeamSlot<T>>,
-    /// Tag and slot of each team with queued requests, in descending order.
+    team_queues: Vec<TeamQueue<T>>,
+    /// Tag and index of each team with queued requests, in descending order.
     ready: Vec<(u64, usize)>,
     virtual_time: u64,
     next_number: u64,
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug)]
-struct TeamSlot<T> {
+struct TeamQueue<T> {
     weight: u32,
     /// Virtual start time of the team's next request.
     tag: u64,
@@ -96,7 +96,7 @@
     fn default() -> Self {
         Self {
             teams: Vec::new(),
-            slots: Vec::new(),
+            team_queues: Vec::new(),
             ready: Vec::new(),
             virtual_time: 0,
             next_number: 0,
@@ -121,20 +121,20 @@
 
     /// Appends a request to its team's backlog.
     pub fn push(&mut self, team: &QueueTeam, cost: u32, item: T) -> Ticket {
-        let slot = self.find_or_insert_slot(team);
+        let team_index = self.find_or_insert_team(team);
         let number = self.next_number;
         self.next_number += 1;
-        self.slots[slot].entries.push_back(Entry {
+        self.team_queues[team_index].entries.push_back(Entry {
             number,
             cost: cost.max(1),
             item: Some(item),
         });
-        self.slots[slot].queued += 1;
+        self.team_queues[team_index].queued += 1;
         self.len += 1;
-        if self.slots[slot].queued == 1 {
-            self.activate(slot, team.weight);
+        if self.team_queues[team_index].queued == 1 {
+            self.activate(team_index, team.weight);
         }
-        Ticket { number, slot }
+        Ticket { number, team_index }
     }
 
     /// Removes and returns the next request.
@@ -144,43 +144,43 @@
             .map(|(item, ())| item)
     }
 
-    /// Removes and returns the first request for which `place` returns a value, trying the first
+    /// Removes and returns the first request for which `choose` returns a value, trying the first
     /// request of each of the next teams. A request that cannot be dispatched now, for example
     /// because no upstream has loaded its model, blocks only its own team.
-    pub fn pop_where<P>(
+    pub fn pop_where<C>(
         &mut self,
         now: Instant,
-        tries: PopOptions,
-        mut place: impl FnMut(&T) -> Option<P>,
-    ) -> Option<(T, P)> {
-        let first = self.ready.len().saturating_sub(tries.teams);
-        let (i, place) = (first..self.ready.len()).rev().find_map(|i| {
-            let team = &mut self.slots[self.ready[i].1];
-            if tries.below_share_only && !team.is_below_share {
+        options: PopOptions,
+        mut choose: impl FnMut(&T) -> Option<C>,
+    ) -> Option<(T, C)> {
+        let first = self.ready.len().saturating_sub(options.teams);
+        let (i, choice) = (first..self.ready.len()).rev().find_map(|i| {
+            let team = &mut self.team_queues[self.ready[i].1];
+            if options.below_share_only && !team.is_below_share {
                 return None;
             }
             let request = team.peek()?;
-            Some((i, place(request)?))
+            Some((i, choose(request)?))
         })?;
-        let (tag, slot) = self.ready.remove(i);
+        let (tag, team_index) = self.ready.remove(i);
         self.virtual_time = self.virtual_time.max(tag);
-        let team = &mut self.slots[slot];
+        let team = &mut self.team_queues[team_index];
         let (cost, item) = team.pop_first()?;
         self.len -= 1;
         team.tag = tag + u64::from(cost) * TAG_PER_COST / u64::from(team.weight);
         team.is_below_share = false;
         team.drain_rate.record_dispatch(now);
         if team.queued == 0 {
-            self.deactivate(slot);
+            self.deactivate(team_index);
         } else {
-            self.insert_ready(slot);
+            self.insert_ready(team_index);
         }
-        Some((item, place))
+        Some((item, choice))
     }
 
     /// Removes a queued request; `None` if it is no longer queued.
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
-        let team = self.slots.get_mut(ticket.slot)?;
+        let team = self.team_queues.get_mut(ticket.team_index)?;
         let i = team
             .entries
             .binary_search_by_key(&ticket.number, |entry| entry.number)
@@ -189,11 +189,11 @@
         team.queued -= 1;
         self.len -= 1;
         if team.queued == 0 {
-            let key = (team.tag, ticket.slot);
+            let key = (team.tag, ticket.team_index);
             if let Ok(i) = self.ready.binary_search_by(|entry| key.cmp(entry)) {
                 self.ready.remove(i);
             }
-            self.deactivate(ticket.slot);
+            self.deactivate(ticket.team_index);
         }
         Some(item)
     }
@@ -202,15 +202,15 @@
     /// than its fair share when it arrived.
     #[must_use]
     pub fn is_below_share(&self, ticket: Ticket) -> bool {
-        self.slots
-            .get(ticket.slot)
+        self.team_queues
+            .get(ticket.team_index)
             .is_some_and(|team| team.is_below_share && team.queued == 1)
     }
 
     /// Returns whether a request is still queued.
     #[must_use]
     pub fn contains(&self, ticket: Ticket) -> bool {
-        self.slots.get(ticket.slot).is_some_and(|team| {
+        self.team_queues.get(ticket.team_index).is_some_and(|team| {
             team.entries
                 .binary_search_by_key(&ticket.number, |entry| entry.number)
                 .is_ok_and(|i| team.entries[i].item.is_some())
@@ -221,8 +221,8 @@
     /// and, of each other team, as many as its weight allows to be served meanwhile.
     #[must_use]
     pub fn requests_ahead(&self, team: &QueueTeam) -> u32 {
-        let slot = self.find_slot(&team.id);
-        let own = slot.map_or(0, |slot| self.slots[slot].queued);
+        let team_index = self.find_team(&team.id);
+        let own = team_index.map_or(0, |team_index| self.team_queues[team_index].queued);
         let own_weight = u64::from(team.weight.max(1));
         let mut active = self.active_weight;
         if own == 0 {
@@ -237,11 +237,12 @@
     /// drains; `None` until enough requests of the backlog were dispatched.
     #[must_use]
     pub fn observed_wait(&self, team: &TeamId) -> Option<Duration> {
-        let slot = &self.slots[self.find_slot(team)?];
-        (slot.drain_rate.dispatches >= MIN_DISPATCHES_FOR_ESTIMATE).then(|| {
-            slot.drain_rate
+        let queue = &self.team_queues[self.find_team(team)?];
+        (queue.drain_rate.dispatches >= MIN_DISPATCHES_FOR_ESTIMATE).then(|| {
+            queue
+                .drain_rate
                 .mean_interval
-                .saturating_mul(slot.queued + 1)
+                .saturating_mul(queue.queued + 1)
         })
     }
 
@@ -251,52 +252,52 @@
             return;
         }
         self.teams.clear();
-        self.slots.clear();
+        self.team_queues.clear();
     }
 
-    fn find_slot(&self, id: &TeamId) -> Option<usize> {
+    fn find_team(&self, id: &TeamId) -> Option<usize> {
         let i = self.teams.binary_search_by(|(team, _)| team.cmp(id)).ok()?;
         Some(self.teams[i].1)
     }
 
-    fn find_or_insert_slot(&mut self, team: &QueueTeam) -> usize {
+    fn find_or_insert_team(&mut self, team: &QueueTeam) -> usize {
         match self.teams.binary_search_by(|(id, _)| id.cmp(&team.id)) {
             Ok(i) => self.teams[i].1,
             Err(i) => {
-                let slot = self.slots.len();
-                self.teams.insert(i, (team.id.clone(), slot));
-                self.slots.push(TeamSlot::default());
-                slot
+                let team_index = self.team_queues.len();
+                self.teams.insert(i, (team.id.clone(), team_index));
+                self.team_queues.push(TeamQueue::default());
+                team_index
             }
         }
     }
 
-    fn activate(&mut self, slot: usize, weight: u32) {
-        let team = &mut self.slots[slot];
+    fn activate(&mut self, team_index: usize, weight: u32) {
+        let team = &mut self.team_queues[team_index];
         team.weight = weight.max(1);
         team.is_below_share = team.tag <= self.virtual_time;
         // A team that was idle starts at the current virtual time: it neither accumulates service for
         // a burst nor is charged for service that it received while no other team had requests.
         team.tag = team.tag.max(self.virtual_time);
         self.active_weight += u64::from(team.weight);
-        self.insert_ready(slot);
+        self.insert_ready(team_index);
     }
 
-    fn deactivate(&mut self, slot: usize) {
-        let team = &mut self.slots[slot];
+    fn deactivate(&mut self, team_index: usize) {
+        let team = &mut self.team_queues[team_index];
         team.entries.clear();
         team.drain_rate = DrainRate::default();
         self.active_weight -= u64::from(team.weight);
     }
 
-    fn insert_ready(&mut self, slot: usize) {
-        let key = (self.slots[slot].tag, slot);
+    fn insert_ready(&mut self, team_index: usize) {
+        let key = (self.team_queues[team_index].tag, team_index);
         let i = self.ready.partition_point(|entry| *entry > key);
         self.ready.insert(i, key);
     }
 }
 
-impl<T> Default for TeamSlot<T> {
+impl<T> Default for TeamQueue<T> {
     fn default() -> Self {
         Self {
             weight: 1,
@@ -309,7 +310,7 @@
     }
 }
 
-impl<T> TeamSlot<T> {
+impl<T> TeamQueue<T> {
     /// Drops the empty entries at the front and returns the first request.
     fn peek(&mut self) -> Option<&T> {
         while self
--- a/crates/decisions/src/hedge.rs
+++ b/crates/decisions/src/hedge.rs
@@ -89,7 +89,7 @@
 
     /// Takes the cost of a second copy from the budget; false if the call is not idempotent or the budget
     /// is too small.
-    pub fn try_spend(&mut self, idempotent: bool) -> bool {
+    pub fn try_take(&mut self, idempotent: bool) -> bool {
         if !idempotent || self.credit < self.cfg.calls_per_hedge {
             return false;
         }
--- a/crates/decisions/src/service_time.rs
+++ b/crates/decisions/src/service_time.rs
@@ -22,7 +22,7 @@
 
 impl ServiceTime {
     /// Records how long a request occupied its slot.
-    pub fn observe(&mut self, sample: Duration) {
+    pub fn record_sample(&mut self, sample: Duration) {
         let mean = self.mean.unwrap_or(sample);
         let previous = mean / WEIGHT_DIVISOR * (WEIGHT_DIVISOR - 1);
         self.mean = Some(previous + sample / WEIGHT_DIVISOR);
--- a/crates/decisions/src/stall_detector.rs
+++ b/crates/decisions/src/stall_detector.rs
@@ -55,7 +55,7 @@
 
     /// Records the gap before an event. A new gap has a weight of an eighth in the mean and of a quarter in
     /// the deviation, as in the round-trip estimate of TCP (RFC 6298).
-    pub fn observe(&mut self, gap: Duration) {
+    pub fn record_gap(&mut self, gap: Duration) {
         let error = gap.abs_diff(self.mean);
         self.deviation = (self.deviation * 3 + error) / 4;
         self.mean = (self.mean * 7 + gap) / 8;
--- a/crates/decisions/src/team_slice.rs
+++ b/crates/decisions/src/team_slice.rs
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// Returns the delay after which the refused request may be retried.
-    pub fn take(&mut self, cost: f64, now: Instant) -> Result<(), Duration> {
+    pub fn try_take(&mut self, cost: f64, now: Instant) -> Result<(), Duration> {
         self.record_demand(cost, now);
         self.refill(now);
         // A request that costs more than the balance is admitted while the balance is at least 1, and
--- a/crates/decisions/src/ticket.rs
+++ b/crates/decisions/src/ticket.rs
@@ -2,5 +2,5 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Ticket {
     pub(crate) number: u64,
-    pub(crate) slot: usize,
+    pub(crate) team_index: usize,
 }
--- a/crates/decisions/src/upstream_slots.rs
+++ b/crates/decisions/src/upstream_slots.rs
@@ -39,9 +39,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamSlots {
     limit: ConcurrencyLimit,
-    part: Option<u32>,
+    vm_share: Option<u32>,
     /// The part without the extra slots that compensate for the time that requests travel.
-    base_part: Option<u32>,
+    base_share: Option<u32>,
     in_flight: [u32; Lane::COUNT],
     quick_seen: Option<Instant>,
     below_share_seen: Option<Instant>,
@@ -65,18 +65,18 @@
     pub fn record_report(&mut self, report: CapacityReport, share: CapacityShare) {
         let CapacityReport { capacity, waiting } = report;
         self.limit.record_waiting(waiting);
-        let part = share.slots(capacity, Lane::Quick);
-        if self.part.replace(part).is_none() {
-            self.limit.start_at(part);
+        let vm_share = share.slots(capacity, Lane::Quick);
+        if self.vm_share.replace(vm_share).is_none() {
+            self.limit.start_at(vm_share);
         }
-        self.base_part = Some(share.slots(capacity, Lane::Long));
+        self.base_share = Some(share.slots(capacity, Lane::Long));
     }
 
     /// Maximum number of requests in flight.
     #[must_use]
     pub fn limit(&self) -> u32 {
         let limit = self.limit.limit();
-        self.part.map_or(limit, |part| limit.min(part))
+        self.vm_share.map_or(limit, |share| limit.min(share))
     }
 
     /// Whether a request of this lane may be sent to the upstream now.
@@ -157,7 +157,7 @@
 
     fn base_limit(&self) -> u32 {
         let limit = self.limit();
-        self.base_part.map_or(limit, |part| limit.min(part))
+        self.base_share.map_or(limit, |share| limit.min(share))
     }
 
     fn has_recent_below_share(&self, now: Instant) -> bool {
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -40,7 +40,7 @@
         rounding_threshold: 999,
     };
     queue.record_report(&upstream(), report, share);
-    queue.take_slot(at(0), Lane::Quick, &upstream());
+    queue.acquire_slot(at(0), Lane::Quick, &upstream());
     queue.release_slot(Lane::Quick, &upstream(), Some(Duration::from_millis(100)));
     queue
 }
@@ -48,8 +48,8 @@
 /// The same queue with both slots taken.
 fn full_queue() -> AdmissionQueue<u32> {
     let mut queue = queue();
-    queue.take_slot(at(0), Lane::Quick, &upstream());
-    queue.take_slot(at(0), Lane::Quick, &upstream());
+    queue.acquire_slot(at(0), Lane::Quick, &upstream());
+    queue.acquire_slot(at(0), Lane::Quick, &upstream());
     queue
 }
 
--- a/crates/decisions/tests/hedge.rs
+++ b/crates/decisions/tests/hedge.rs
@@ -37,8 +37,8 @@
 fn never_hedges_a_call_that_is_not_idempotent() {
     let mut hedge = observed_hedge();
 
-    expect_that!(hedge.try_spend(false), eq(false));
-    expect_that!(hedge.try_spend(true), eq(true));
+    expect_that!(hedge.try_take(false), eq(false));
+    expect_that!(hedge.try_take(true), eq(true));
 }
 
 /// All upstreams become slow at once and every call is late. Without the budget, hedges would double the
@@ -50,7 +50,7 @@
     let hedges = (0..1000)
         .filter(|_| {
             hedge.record_latency(ms(1000));
-            hedge.try_spend(true)
+            hedge.try_take(true)
         })
         .count();
 
--- a/crates/decisions/tests/lane.rs
+++ b/crates/decisions/tests/lane.rs
@@ -14,7 +14,7 @@
 #[gtest]
 fn order_of_preemption() {
     let priorities = [
-        EnginePriority::SECOND_COPY,
+        EnginePriority::HEDGE,
         EnginePriority::of(Lane::Long, TokenIndex(0)),
         EnginePriority::of(Lane::Long, TokenIndex(9)),
         EnginePriority::of(Lane::Quick, TokenIndex(0)),
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -36,7 +36,7 @@
     (0..per_second)
         .filter(|n| {
             slice
-                .take(1.0, ms(second * 1000 + n * 1000 / per_second))
+                .try_take(1.0, ms(second * 1000 + n * 1000 / per_second))
                 .is_ok()
         })
         .count()
@@ -115,21 +115,21 @@
 #[gtest]
 fn a_refusal_says_when_to_retry() {
     let mut slice = TeamSlice::fixed(2.0, ms(0));
-    while slice.take(1.0, ms(0)).is_ok() {}
+    while slice.try_take(1.0, ms(0)).is_ok() {}
 
-    let wait = slice.take(1.0, ms(0)).expect_err("used up");
+    let wait = slice.try_take(1.0, ms(0)).expect_err("used up");
 
-    expect_that!(slice.take(1.0, Instant(wait)), ok(anything()));
+    expect_that!(slice.try_take(1.0, Instant(wait)), ok(anything()));
 }
 
 #[gtest]
 fn a_large_request_is_admitted_and_repaid() {
     let mut slice = TeamSlice::fixed(10.0, ms(0));
 
-    let large = slice.take(50.0, ms(0));
-    let next = slice.take(1.0, ms(1000));
+    let large = slice.try_take(50.0, ms(0));
+    let next = slice.try_take(1.0, ms(1000));
     slice.refund(45.0);
-    let after = slice.take(1.0, ms(1000));
+    let after = slice.try_take(1.0, ms(1000));
 
     expect_that!(large, ok(anything()));
     expect_that!(next, err(anything()));
--- a/crates/decisions/tests/stall_detector.rs
+++ b/crates/decisions/tests/stall_detector.rs
@@ -8,7 +8,7 @@
 fn detector_after(gaps: impl IntoIterator<Item = u64>) -> StallDetector {
     let mut detector = StallDetector::default();
     for gap in gaps {
-        detector.observe(ms(gap));
+        detector.record_gap(ms(gap));
     }
     detector
 }
