--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -1,6 +1,6 @@
 //! Admission control: which requests are queued, dispatched or refused on arrival.
 //!
-//! Under sustained overload, a queue without refusals grows until every answer is late, and the
+//! Under sustained overload, a queue without refusals grows until every response is late, and the
 //! upstreams do only wasted work. A request is therefore refused on arrival if its estimated wait
 //! does not let it start by its latest start, which is its deadline less the mean service time. The
 //! wait is estimated from how fast the team's backlog drains, or else by Little's law over the slots
@@ -51,7 +51,7 @@
     pub lane: Lane,
     /// Work relative to other requests of the lane: 1 for a call, more for a longer generation.
     pub cost: u32,
-    /// Time at which the caller stops waiting for an answer.
+    /// Time at which the caller stops waiting for a response.
     pub deadline: Instant,
 }
 
@@ -100,7 +100,7 @@
             .collect();
     }
 
-    /// Applies a load report of an upstream; `share` is this VM's part of the reported capacity.
+    /// Applies a load report of an upstream; `share` is this VM's share of the reported capacity.
     pub fn record_report(
         &mut self,
         upstream: &UpstreamId,
@@ -244,7 +244,7 @@
         Some((request.dispatch(), choice))
     }
 
-    /// Upstreams whose extra slots, reserved for teams below their fair share, are taken as well.
+    /// Upstreams whose extra slots, reserved for teams below their fair share, are in use as well.
     fn without_extra_slots(&self) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
@@ -265,7 +265,7 @@
         self.upstreams[i].1.acquire(now, lane);
     }
 
-    /// Releases a slot; `held` is how long an answered request occupied it, `None` if unanswered.
+    /// Releases a slot; `held` is how long the request occupied it, `None` if it got no response.
     pub fn release_slot(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.release(lane);
@@ -275,14 +275,14 @@
         }
     }
 
-    /// Records the latency until the first part of an answer.
+    /// Records the latency until the first part of a response.
     pub fn record_latency(&mut self, upstream: &UpstreamId, latency: Duration) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.record_latency(latency);
         }
     }
 
-    /// Records that an upstream refused a request because it is full, or did not answer in time.
+    /// Records that an upstream refused a request because it is full, or did not respond in time.
     pub fn record_overload(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.record_overload();
@@ -296,7 +296,7 @@
         Some(request.refuse(RefusalReason::CallerLeft, Duration::ZERO))
     }
 
-    /// Removes the requests that can no longer be answered in time.
+    /// Removes the requests that can no longer be served in time.
     pub fn expire(&mut self, now: Instant) -> Vec<NotRun<T>> {
         let reason = if self.upstreams.is_empty() {
             RefusalReason::NoUpstream
--- a/crates/decisions/src/bundle_refusal.rs
+++ b/crates/decisions/src/bundle_refusal.rs
@@ -71,7 +71,7 @@
         /// Operator whose sign-off took effect.
         by: OperatorName,
     },
-    /// The table service rejected the change although nobody else changed the rows.
+    /// The table service rejected the change although no other operator changed the rows.
     #[display("the table service rejected the change although all its conditions hold")]
     UnexpectedConflict,
 }
--- a/crates/decisions/src/bundle_view.rs
+++ b/crates/decisions/src/bundle_view.rs
@@ -4,7 +4,7 @@
 //! order and more than once. A VM only moves to a larger version. A VM that starts has no version
 //! yet, and the first one that a peer advertises may be stale; serving it would undo a later release
 //! on this VM. So a starting VM waits for the table service, and uses the largest version that its
-//! peers advertise only if the table service has not answered for a while.
+//! peers advertise only if the table service has not responded for a while.
 
 use super::*;
 
--- a/crates/decisions/src/cached_prompts.rs
+++ b/crates/decisions/src/cached_prompts.rs
@@ -1,16 +1,16 @@
 //! Which engines still hold parts of a prompt in their prefix cache.
 //!
 //! Load pattern: VMs lose power or are killed, in the worst case all at once, and the callers of their
-//! streams reconnect to VMs that have no state for them. Some engine has already read each prompt and
-//! caches it for a while. Placement by load alone sends nearly all of these calls to other engines, which
-//! read the prompt again: about one second of engine time per prompt, and for callers close to their
+//! streams reconnect to VMs that have no state for them. Some engine has already processed each prompt
+//! and caches it for a while. Placement by load alone sends nearly all of these calls to other engines,
+//! which repeat the prefill: about one second of engine time per prompt, and for callers close to their
 //! deadline all the time that is left. So engines are queried for what they hold.
 //!
-//! The answers are hints: a part may be evicted before the call arrives, and is then read again.
+//! The reports are hints: a part may be evicted before the call arrives, and is then processed again.
 
 use super::*;
 
-/// How long an engine's answer is used. Callers of a lost VM reconnect within a few hundred milliseconds
+/// How long an engine's report is used. Callers of a lost VM reconnect within a few hundred milliseconds
 /// of each other, so one query per engine serves all of them.
 pub const CACHE_REPORT_TTL: Duration = Duration::from_secs(2);
 
@@ -18,20 +18,20 @@
 /// availability zone at the target size.
 const MAX_ENGINES_QUERIED: usize = 48;
 
-/// Time-out for the engines' answers. An answer takes 2 to 5 ms; a caller that reconnects has already
-/// lost far more than the time-out.
+/// Timeout for the engines' reports. A report takes 2 to 5 ms; a caller that reconnects has already lost
+/// far more than the timeout.
 pub const PROMPT_SEARCH_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Share of the VM's link that the answers may use during the time-out; the rest is for streams.
+/// Share of the VM's link that the reports may use during the timeout; the rest is for streams.
 const LINK_SHARE: f64 = 0.5;
 
-/// Bytes of an answer per part that it lists.
+/// Bytes of a report per part that it lists.
 const BYTES_PER_PART: f64 = 48.0;
 
-/// Assumed number of parts in an answer until the first one arrives.
+/// Assumed number of parts in a report until the first one arrives.
 const INITIAL_MEAN_PARTS: f64 = 128.0;
 
-/// Weight of the latest answer in the moving average of answer sizes.
+/// Weight of the latest report in the moving average of report sizes.
 const SIZE_WEIGHT: f64 = 0.1;
 
 /// Maximum number of parts kept per engine, the newest ones. This is many times the number of prompts
@@ -52,7 +52,7 @@
 pub struct CachedPrompts {
     /// Sorted by engine.
     engines: Vec<EngineCache>,
-    /// Moving average of the number of parts in an answer.
+    /// Moving average of the number of parts in a report.
     mean_parts: f64,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl CachedPrompts {
-    /// Number of engines to query at once, limited so that their answers do not delay the streams on the
+    /// Number of engines to query at once, limited so that their reports do not delay the streams on the
     /// VM's link.
     #[must_use]
     pub fn max_queries(&self, link: Option<LinkRate>) -> usize {
@@ -91,13 +91,13 @@
         max_answers.min(MAX_ENGINES_QUERIED)
     }
 
-    /// Whether an engine should be queried, because its last answer is missing or too old.
+    /// Whether an engine should be queried, because its last report is missing or too old.
     #[must_use]
     pub fn needs_query(&self, engine: &UpstreamIncarnation, now: Instant) -> bool {
         self.get(engine, now).is_none()
     }
 
-    /// Stores an engine's answer: the parts with the number of tokens held of each, oldest entry first. A
+    /// Records an engine's report: the parts with the number of tokens held of each, oldest entry first. A
     /// later entry for the same part replaces an earlier one.
     pub fn record_report(
         &mut self,
--- a/crates/decisions/src/call_kind.rs
+++ b/crates/decisions/src/call_kind.rs
@@ -21,7 +21,7 @@
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
--- a/crates/decisions/src/call_limiter.rs
+++ b/crates/decisions/src/call_limiter.rs
@@ -2,9 +2,9 @@
 //!
 //! While the platform is down or slow, calls of every VM wait for it. Without a limit all VMs retry
 //! throughout the outage, and at its end the accumulated calls arrive at once: the platform refuses
-//! most of them and remains unusable. With the limiter, a VM sends one call per pause during an
-//! outage, pauses grow exponentially with jitter, and after the first answer the VM keeps to its
-//! share of the platform's rate.
+//! most of them and remains unusable. With the limiter, a VM sends one call per backoff interval
+//! during an outage, the intervals grow exponentially with jitter, and after the first response the VM
+//! keeps to its share of the platform's rate.
 //!
 //! The platform handles several hundred writes and about 2,000 reads per second. Among 8 VMs that is
 //! about 40 writes and 200 reads per second each; half of the reads are left to operators.
@@ -19,12 +19,12 @@
     pub refill_interval: Duration,
     /// Maximum number of calls that may be sent at once.
     pub burst: u32,
-    /// Consecutive failures after which calls are paused. A single lost answer must not delay the
+    /// Consecutive failures after which the backoff begins. A single lost response must not delay the
     /// call that finds out whether the lost one took effect.
     pub failures_before_backoff: u32,
-    /// Length of the first pause; each further one is twice as long.
+    /// First backoff interval; each further one is twice as long.
     pub initial_backoff: Duration,
-    /// Maximum pause, which bounds how late the end of an outage is noticed.
+    /// Maximum backoff interval, which bounds how late the end of an outage is noticed.
     pub max_backoff: Duration,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Token bucket of calls that also pauses for growing intervals while calls fail.
+/// Token bucket of calls with an exponential backoff while calls fail.
 #[derive(Clone, Debug)]
 pub struct CallLimiter {
     cfg: CallLimiterSettings,
@@ -75,26 +75,26 @@
         }
         self.full_at = full_at;
         if in_backoff {
-            // A single call per pause probes whether the outage has ended.
+            // A single call per backoff interval probes whether the outage has ended.
             self.backoff_until = now.after(self.backoff());
         }
         true
     }
 
-    /// Records that a call was answered, which ends any pause.
+    /// Records the response to a call, which ends the backoff.
     pub fn record_response(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Records that a call failed. `jitter`, from 0 to 1, varies the pause between half and all of
-    /// its length, so that the VMs do not call simultaneously.
+    /// Records that a call failed. `jitter`, from 0 to 1, varies the backoff between half and all
+    /// of its length, so that the VMs do not call simultaneously.
     pub fn record_failure(&mut self, now: Instant, jitter: f64) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         let factor = 0.5 + jitter.clamp(0.0, 1.0) / 2.0;
         self.backoff_until = now.after(self.backoff().mul_f64(factor));
     }
 
-    /// Time until a call may be sent, provided that no other call is sent, answered or fails.
+    /// Time until a call may be sent, provided that no other call is sent, succeeds or fails.
     #[must_use]
     pub fn time_until_available(&self, now: Instant) -> Duration {
         let refill_interval = self.cfg.refill_interval;
--- a/crates/decisions/src/capacity_share.rs
+++ b/crates/decisions/src/capacity_share.rs
@@ -1,29 +1,29 @@
-//! This VM's part of the capacity of an upstream that several VMs use.
+//! This VM's share of the capacity of an upstream that several VMs use.
 //!
 //! If each of 8 VMs sends an upstream as many requests as it runs at once, eight times its capacity
 //! is sent and the excess waits inside the upstream, where neither deadlines nor fairness apply. Each
-//! VM therefore keeps to its part of the capacity.
+//! VM therefore keeps to its share of the capacity.
 //!
-//! A part is seldom a whole number: 4 slots among 3 VMs are 1.33 each. If all VMs rounded down, a
+//! A share is seldom a whole number: 4 slots among 3 VMs are 1.33 each. If all VMs rounded down, a
 //! quarter of the upstream would stay idle; if all rounded up, it would receive half as much again as
 //! it can run. Each VM therefore rounds by a pseudo-random number that depends on the VM and the
 //! upstream, so that the sum over all VMs is right on average.
 //!
-//! For quick calls the parts add up to more than the capacity, because a slot is idle while its answer
+//! For quick calls the shares add up to more than the capacity, because a slot is idle while its response
 //! and the next request are on the network: with 1 ms one way and calls of 20 ms, a tenth of the time.
-//! In the row `overload 2x` of `docs/LOAD.md`, parts that add up to 100 percent use 0.91 of the
+//! In the row `overload 2x` of `docs/LOAD.md`, shares that add up to 100 percent use 0.91 of the
 //! capacity, 110 percent use 0.95, 115 percent use 0.96 and 120 percent use 0.99.
 
 use super::*;
 
-/// Sum of the parts of all VMs for quick calls, in percent of the capacity.
+/// Sum of the shares of all VMs for quick calls, in percent of the capacity.
 const QUICK_CAPACITY_PERCENT: u64 = 120;
 
-/// Sum of the parts of all VMs for generations, in percent of the capacity. It leaves no excess,
+/// Sum of the shares of all VMs for generations, in percent of the capacity. It leaves no excess,
 /// because a generation would wait inside the upstream for minutes.
 const LONG_CAPACITY_PERCENT: u64 = 100;
 
-/// The inputs from which a VM computes its part of the capacity of an upstream.
+/// The inputs from which a VM computes its share of the capacity of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CapacityShare {
     /// Number of VMs that use the upstream, including this one.
--- a/crates/decisions/src/concurrency_limit.rs
+++ b/crates/decisions/src/concurrency_limit.rs
@@ -106,7 +106,7 @@
         self.reports_no_queue = waiting == 0;
     }
 
-    /// Records the latency of an answer; `in_flight` counts the requests in flight, including its own.
+    /// Records the latency of a response; `in_flight` counts the requests in flight, including its own.
     pub fn record_latency(&mut self, latency: Duration, in_flight: u32) {
         self.latency_sum = self.latency_sum.saturating_add(latency);
         self.samples += 1;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Records that the upstream refused a request because it is full, or did not answer in time.
+    /// Records that the upstream refused a request because it is full, or did not respond in time.
     pub fn record_overload(&mut self) {
         self.decrease();
         self.start_window();
--- a/crates/decisions/src/crash_tracker.rs
+++ b/crates/decisions/src/crash_tracker.rs
@@ -2,13 +2,13 @@
 //!
 //! A call whose body crashes its upstream is retried by its caller on any VM, and so takes down one
 //! upstream after the other, together with all calls that run there. Each VM records which upstreams
-//! crashed while running a call, sends these records to the other VMs, and rejects the call from the third
+//! crashed while running a call, sends these records to the other VMs, and refuses the call from the third
 //! crash on. A call that received a complete response is cleared, whichever upstreams crashed under it
-//! before. Crashes that a rejected call explains are not attributed to the calls that ran beside it.
+//! before. Crashes that a refused call explains are not attributed to the calls that ran beside it.
 
 use super::*;
 
-/// Number of crashed upstreams at which a call is rejected. Two may be a coincidence, because whole
+/// Number of crashed upstreams at which a call is refused. Two may be a coincidence, because whole
 /// availability zones crash together.
 pub const MAX_CRASHES_PER_BODY: usize = 3;
 
@@ -123,7 +123,7 @@
     }
 
     /// Number of upstreams that crashed while running a call, without the crashes that are explained by a
-    /// call rejected earlier.
+    /// call refused earlier.
     #[must_use]
     pub fn crash_count(&self, digest: u64, now: Instant) -> usize {
         let own_limit_at = self.limit_reached_at(digest, now);
@@ -132,7 +132,7 @@
             .count()
     }
 
-    /// Whether a call is rejected because of its crashes.
+    /// Whether a call is refused because of its crashes.
     #[must_use]
     pub fn is_refused(&self, digest: u64, now: Instant) -> bool {
         self.crash_count(digest, now) >= MAX_CRASHES_PER_BODY
--- a/crates/decisions/src/drop_reason.rs
+++ b/crates/decisions/src/drop_reason.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum DropReason {
-    /// The event arrived after the end of the answer.
+    /// The event arrived after the end of the response.
     AfterEnd,
     /// The event belongs to a superseded attempt.
     OldAttempt,
--- a/crates/decisions/src/dropped_counts.rs
+++ b/crates/decisions/src/dropped_counts.rs
@@ -3,7 +3,7 @@
 /// Number of events that a relay has dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DroppedCounts {
-    /// Events that arrived after the end of the answer.
+    /// Events that arrived after the end of the response.
     pub after_end: u64,
     /// Events of superseded attempts.
     pub old_attempt: u64,
--- a/crates/decisions/src/engine_priority.rs
+++ b/crates/decisions/src/engine_priority.rs
@@ -4,9 +4,9 @@
 //! priorities it preempts the request that arrived last, such as a quick call. Engines run larger
 //! numbers first, so requests are preempted in this order:
 //!
-//! 0. a second copy of a request, whose loss leaves the caller's answer to the first copy;
+//! 0. a hedge, whose loss does no harm, because the original request still runs;
 //! 1. a generation whose caller has received no token yet;
-//! 2. a generation resumed after a loss: its caller has received a part of the answer and waits for
+//! 2. a generation resumed after a loss: its caller has received a part of the response and waits for
 //!    the rest, and the work spent on that part is lost if the generation fails again;
 //! 3. a quick call, which occupies its batch slot only for a short time.
 //!
@@ -19,7 +19,7 @@
 pub struct EnginePriority(pub u8);
 
 impl EnginePriority {
-    /// The priority of a second copy that is sent while the first still runs.
+    /// The priority of a hedge, which is sent while the original request still runs.
     pub const HEDGE: Self = Self(0);
 
     /// The priority of an attempt that has `delivered` tokens as its forced prefix.
--- a/crates/decisions/src/engine_view.rs
+++ b/crates/decisions/src/engine_view.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Number of engines that retain an old model version in use. With two, the streams of one that dies can
+/// Number of engines that retain an old model version in use. With two, the streams of one that crashes can
 /// resume on the other.
 const RETAINING_ENGINES: usize = 2;
 
@@ -23,8 +23,8 @@
     view.target.models.iter().any(|m| m.name == model.name)
 }
 
-/// Whether engine `i` may load a model now: it is loading it already, or fewer than `loads_at_once` other
-/// engines are loading and another replica serves the model meanwhile, unless there is no other replica.
+/// Whether engine `i` may load a model now: it is loading it already, or fewer than `max_concurrent_loads`
+/// other engines are loading and another replica serves the model meanwhile, unless there is no other replica.
 pub(crate) fn may_load(
     i: usize,
     model: &Model,
--- a/crates/decisions/src/finish.rs
+++ b/crates/decisions/src/finish.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Why a completed answer ended.
+/// Why a complete response ended.
 #[derive(
     Clone,
     Copy,
@@ -16,7 +16,7 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Finish {
-    /// The answer reached the requested maximum length.
+    /// The response reached the requested maximum length.
     Length,
     /// The model emitted an end token or a stop sequence.
     Stop,
--- a/crates/decisions/src/hedge.rs
+++ b/crates/decisions/src/hedge.rs
@@ -1,10 +1,10 @@
-//! Hedging: sends a second copy of a quick idempotent call that takes long.
+//! Hedging: sends a quick idempotent call that takes long to a second upstream.
 //!
-//! Load pattern: one upstream of many answers slowly for a moment, because of a pause or a long job
+//! Load pattern: one upstream of many responds slowly for a moment, because of a pause or a long job
 //! beside the call. Without hedging the slowest upstream determines every caller's p99. A call that
 //! has waited longer than the p95 of the recent calls of its service is sent once more, to another
-//! upstream; the first answer is used and the other call is cancelled. When all upstreams are slow,
-//! hedges would double the load that made them slow, so they are paid from a budget that calls earn.
+//! upstream; the first response is used and the other call is cancelled. When all upstreams are slow,
+//! hedges would double the load that made them slow, so they are taken from a budget that calls replenish.
 //!
 //! One call in twenty exceeds the p95, so a budget of one hedge per 20 calls does not bind while one
 //! upstream is slow, and limits the extra load when all are. A window of 256 calls is the shortest
@@ -19,11 +19,11 @@
 pub struct HedgeConfig {
     /// Number of latest calls that the p95 is taken from.
     pub window: usize,
-    /// Number of answered calls required before the first hedge.
+    /// Number of completed calls required before the first hedge.
     pub min_calls: usize,
-    /// Number of answered calls that earn one hedge.
+    /// Number of completed calls that earn one hedge.
     pub calls_per_hedge: u32,
-    /// Maximum number of hedges that can be saved up.
+    /// Maximum number of hedges that can accumulate in the budget.
     pub burst: u32,
 }
 
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Records the latency of an answered call. For a hedged call this is the time since the first
-    /// copy was sent.
+    /// Records the latency of a completed call. For a hedged call this is the time since the original
+    /// call was sent.
     pub fn record_latency(&mut self, latency: Duration) {
         let max_credit = self.cfg.burst * self.cfg.calls_per_hedge;
         self.credit = (self.credit + 1).min(max_credit);
@@ -76,8 +76,8 @@
         self.sorted.insert(i, latency);
     }
 
-    /// How long to wait for the first copy before sending a second one; `None` until
-    /// [`HedgeConfig::min_calls`] calls have been answered.
+    /// How long to wait for a response before sending a hedge; `None` until [`HedgeConfig::min_calls`]
+    /// calls have completed.
     #[must_use]
     pub fn delay(&self) -> Option<Duration> {
         if self.sorted.len() < self.cfg.min_calls.max(1) {
@@ -87,8 +87,7 @@
         self.sorted.get(i).copied()
     }
 
-    /// Takes the cost of a second copy from the budget; false if the call is not idempotent or the budget
-    /// is too small.
+    /// Takes a hedge from the budget; false if the call is not idempotent or the budget is exhausted.
     pub fn try_take(&mut self, idempotent: bool) -> bool {
         if !idempotent || self.credit < self.cfg.calls_per_hedge {
             return false;
--- a/crates/decisions/src/ineligible.rs
+++ b/crates/decisions/src/ineligible.rs
@@ -6,7 +6,7 @@
     /// No report of the upstream has been received.
     #[display("no report of the upstream has been received")]
     NoReport,
-    /// Its last report or reply is too old to rely on.
+    /// Its last report or response is too old to rely on.
     #[display("the upstream's last report is too old")]
     Stale,
     /// It is leaving the service.
--- a/crates/decisions/src/lease.rs
+++ b/crates/decisions/src/lease.rs
@@ -6,7 +6,7 @@
 //! time, and acquires the lease only after it has expired for the holder.
 //!
 //! The remaining case is a holder that is paused between its last check of the clock and its order.
-//! Its term is then outdated: engines that check terms reject the order, and the state of the other
+//! Its term is then outdated: engines that check terms refuse the order, and the state of the other
 //! engines is read back and corrected.
 
 use super::*;
@@ -60,7 +60,7 @@
     }
 
     /// Records that an engine has seen this term, from an earlier lease. The next write uses a
-    /// greater term; otherwise the engine would reject all orders.
+    /// greater term; otherwise the engine would refuse all orders.
     pub fn observe_term(&mut self, term: Term) {
         self.highest_seen_term = self.highest_seen_term.max(term);
     }
@@ -72,7 +72,7 @@
         (now < since.after(self.cfg.duration)).then_some(term)
     }
 
-    /// Returns a permit for one order if the order can be answered before the lease expires and the
+    /// Returns a permit for one order if the order can complete before the lease expires and the
     /// row was read or written recently.
     ///
     /// A gap of more than two renewal intervals since then means that the holder was paused. It has
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,7 @@
-//! Everything that catkinward decides, without network, async or clock.
+//! The decision logic of catkinward, free of network access, async code and clocks.
 //!
-//! Time comes in as [`Instant`] values since an arbitrary start, so that each decision can be read
-//! and tested by itself. The daemon feeds events in and obeys what comes out.
+//! Times are passed in as [`Instant`] values since an arbitrary origin, so that each decision can be
+//! read and tested by itself. The daemon passes events in and carries out the resulting decisions.
 
 pub(crate) use {
     crate::claim_change::ConflictOutcome,
--- a/crates/decisions/src/loan_requests.rs
+++ b/crates/decisions/src/loan_requests.rs
@@ -6,17 +6,17 @@
 //!
 //! Several requests may be open at once, because loans for an earlier one arrive after the next was
 //! sent. When only the latest request was open, one loan in five was lost: it was deducted from its
-//! lender's budget and added to nobody's.
+//! lender's budget and not added to any other.
 
 use super::*;
 
-/// Minimum interval between two loan requests for a service; an answer takes 1 to 5 ms.
+/// Minimum interval between two loan requests for a service; a reply takes 1 to 5 ms.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Maximum number of VMs that receive a loan request.
 pub const MAX_LENDERS: usize = 6;
 
-/// How long a loan request stays open. This is far longer than an answer takes, and far shorter than
+/// How long a loan request stays open. This is far longer than a reply takes, and far shorter than
 /// the window in which the lender counts the loan as spent.
 const REQUEST_TTL: Duration = Duration::from_millis(500);
 
--- a/crates/decisions/src/local_retry_budget.rs
+++ b/crates/decisions/src/local_retry_budget.rs
@@ -1,9 +1,10 @@
-//! Retry budget of a service that is replenished by successful calls.
+//! Retry budget of one VM for a service, replenished by successful calls. In contrast to the
+//! [`SharedRetryBudget`], it does not depend on the other VMs.
 //!
 //! When an upstream or the platform fails for a while, all calls fail. Without a budget every call
 //! becomes `max_sends` calls when the least capacity is available, and a retry storm meets the end of
 //! the outage. Here a success earns a tenth of a retry, so that beyond a fixed burst retries add at
-//! most a tenth to the load, however long the outage lasts. Waits are random between zero and an
+//! most a tenth to the load, however long the outage lasts. Delays are random between zero and an
 //! exponentially growing bound, so that calls that failed together are not retried together.
 //!
 //! A tenth is the most that retries may add in an outage. The burst allows a VM with little traffic
@@ -21,9 +22,9 @@
     pub burst: u32,
     /// Maximum number of times that a call is sent, including the first.
     pub max_sends: u32,
-    /// Maximum wait before the first retry.
+    /// Maximum delay of the first retry.
     pub initial_delay_bound: Duration,
-    /// Maximum wait before any retry.
+    /// Maximum delay of any retry.
     pub max_delay_bound: Duration,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Retry budget of one kind of call. Each service and each kind of platform call has its own, so that
+/// Local retry budget of one kind of call. Each service and each kind of platform call has its own, so that
 /// an outage of one does not exhaust the budget of another.
 #[derive(Clone, Debug)]
 pub struct LocalRetryBudget {
--- a/crates/decisions/src/order_permit.rs
+++ b/crates/decisions/src/order_permit.rs
@@ -17,7 +17,7 @@
         self.term
     }
 
-    /// Time by which the order must be answered; it is abandoned afterwards.
+    /// Time by which the order must complete; it is abandoned afterwards.
     #[must_use]
     pub fn deadline(&self) -> Instant {
         self.deadline
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Records that an order was sent, whether or not it was answered.
+    /// Records that an order was sent, whether or not a response arrived.
     pub fn record_sent(&mut self, now: Instant, state: &EngineState) {
         let sent = SentOrder {
             at: now,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Records that an engine rejected its last order: the engine is not counted as loading for
+    /// Records that an engine refused its last order: the engine is not counted as loading for
     /// that order, so it does not delay other engines.
     pub fn record_refused(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.position(upstream) {
--- a/crates/decisions/src/peer_heartbeat.rs
+++ b/crates/decisions/src/peer_heartbeat.rs
@@ -24,7 +24,7 @@
     /// Calls during which upstreams crashed.
     #[serde(rename = "c")]
     pub crashes: Vec<Crash>,
-    /// A few of the other VMs that the VM has received heartbeats or updates of.
+    /// A few of the other VMs that the VM has received heartbeats or advertisements of.
     #[serde(rename = "m")]
     pub members: Vec<MemberStatus>,
     /// Whether the VM knows few VMs of its zone and requests more of them.
@@ -44,7 +44,7 @@
     /// The VM's streams on the upstream, plus the KV copies kept there of streams on other upstreams.
     #[serde(rename = "c")]
     pub calls: u32,
-    /// Milliseconds until the upstream will have read the prompts that the VM has sent there.
+    /// Milliseconds until the upstream has completed the prefill of the prompts that the VM sent there.
     #[serde(rename = "r")]
     pub reading_ms: u32,
 }
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -1,7 +1,7 @@
 //! Membership of the other VMs, and the loads that they advertise in heartbeats.
 //!
-//! Load pattern: a zone's upstreams crash together, and within milliseconds several VMs send the long
-//! prompts that were lost to the upstreams that look idle to each of them: the same ones. Four prompts
+//! Load pattern: a zone's upstreams crash together, and within milliseconds several VMs resend the
+//! lost long prompts to the upstreams that appear idle to each of them: the same ones. Four prompts
 //! of 8,000 tokens then queue on one upstream, the last for 5 s and more, while others are idle. The
 //! upstreams' own reports are a few hundred milliseconds late. So a VM notifies others at once where it
 //! sends its prompts.
@@ -10,14 +10,15 @@
 //! numbers detect heartbeats that arrive out of order.
 //!
 //! In a small system each VM sends its heartbeats to all others. In a larger one each upstream is shared by
-//! a few VMs of its zone, and every VM with calls on the upstream sends its heartbeats to these. Membership
-//! ([`SHARERS_PER_UPSTREAM`]), by gossip: each heartbeat lists a few members and goes to a few other VMs. So the traffic
-//! of a VM does not grow with the number of VMs, and the VMs that use an upstream most know its load.
+//! a few VMs of its zone ([`SHARERS_PER_UPSTREAM`]), and every VM with calls on the upstream sends its
+//! heartbeats to these. Membership spreads by gossip: each heartbeat lists a few members and goes to a few
+//! other VMs. So the traffic of a VM does not grow with the number of VMs, and the VMs that use an upstream
+//! most know its load.
 
 use super::*;
 
 /// How long a VM is considered alive after its last heartbeat, if each VM sends to all others. This is
-/// several heartbeat intervals, so that lost datagrams do not make a VM look dead.
+/// several heartbeat intervals, so that a VM is not considered lost because of lost datagrams.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a VM is considered alive after it was last seen, if membership spreads by gossip. With four
--- a/crates/decisions/src/peer_table.rs
+++ b/crates/decisions/src/peer_table.rs
@@ -3,7 +3,7 @@
 /// The other VMs, sorted by id, with the results of the latest calls to each.
 ///
 /// The platform's list of VMs lags and may be unreachable. So it is merged with what peers advertise, and
-/// a VM that does not answer is skipped for a while even if it is listed.
+/// a VM that does not respond is skipped for a while even if it is listed.
 #[derive(Debug)]
 pub struct PeerTable {
     own: VmId,
@@ -15,16 +15,16 @@
 struct Peer {
     entry: PeerEntry,
     last_seen: Instant,
-    /// Time of its last answer.
+    /// Time of its last response.
     last_response: Option<Instant>,
-    /// Time of the last call that it did not answer; `None` if it has answered since.
+    /// Time of the last call without a response; `None` if it has responded since.
     last_failure: Option<Instant>,
 }
 
-/// How long a VM that did not answer is skipped.
+/// How long a VM that did not respond is skipped.
 const SKIPPED_AFTER_FAILURE: Duration = Duration::from_secs(2);
 
-/// How long after its last answer a VM that does not answer may still serve callers.
+/// How long after its last response a VM that does not respond may still serve callers.
 const SERVING_AFTER_RESPONSE: Duration = Duration::from_secs(5);
 
 /// How long a VM is retained that no peer advertises any more.
@@ -48,8 +48,8 @@
     }
 
     /// Records that a VM was alive at `at`. Peers advertise a VM together with the age of that
-    /// observation: if each advertisement counted as a sign of life, VMs would advertise a dead VM to each
-    /// other forever.
+    /// observation: if each advertisement counted as a sign of life, VMs would advertise a crashed VM to
+    /// each other forever.
     pub fn record_seen(&mut self, at: Instant, entry: PeerEntry) {
         if entry.vm == self.own {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Records that a VM answered.
+    /// Records a response of a VM.
     pub fn record_response(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
             self.peers[i].last_failure = None;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records that a VM did not answer.
+    /// Records that a VM did not respond.
     pub fn record_failure(&mut self, now: Instant, vm: &VmId) {
         if let Ok(i) = self.position(vm) {
             self.peers[i].last_failure = Some(now);
@@ -147,7 +147,7 @@
         chosen
     }
 
-    /// The VMs that keep the progress replicas of `vm`: among those that answer, the highest ranked in its
+    /// The VMs that keep the progress replicas of `vm`: among those that respond, the highest ranked in its
     /// availability zone and the highest ranked outside. Every VM computes the same result from the same
     /// list, so a VM that knows which one ran a generation knows which ones to query.
     #[must_use]
@@ -177,7 +177,7 @@
             .collect()
     }
 
-    /// Up to `limit` VMs that answer, those of the own availability zone first. They are queried for a caller
+    /// Up to `limit` VMs that respond, those of the own availability zone first. They are queried for a caller
     /// that cannot name the VM that served it.
     #[must_use]
     pub fn nearest(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
@@ -185,7 +185,7 @@
         inside.into_iter().chain(outside).take(limit).collect()
     }
 
-    /// As [`Self::nearest`], followed by VMs that recently did not answer: such a VM may only be slow and
+    /// As [`Self::nearest`], followed by VMs that recently did not respond: such a VM may only be slow and
     /// still serve callers.
     #[must_use]
     pub fn nearest_including_silent(&self, now: Instant, limit: usize) -> Vec<PeerEntry> {
@@ -196,7 +196,7 @@
         nearest
     }
 
-    /// Whether a VM may still serve callers: its last call did not fail, or it answered recently.
+    /// Whether a VM may still serve callers: its last call did not fail, or it responded recently.
     #[must_use]
     pub fn may_serve(&self, now: Instant, vm: &VmId) -> bool {
         let peer = self.position(vm).ok().map(|i| &self.peers[i]);
@@ -241,7 +241,7 @@
 }
 
 impl Peer {
-    /// Whether no call to the VM has failed since its last answer, or within [`SKIPPED_AFTER_FAILURE`].
+    /// Whether no call to the VM has failed since its last response, or within [`SKIPPED_AFTER_FAILURE`].
     fn is_responsive(&self, now: Instant) -> bool {
         self.last_failure
             .is_none_or(|at| now.since(at) > SKIPPED_AFTER_FAILURE)
--- a/crates/decisions/src/peer_view.rs
+++ b/crates/decisions/src/peer_view.rs
@@ -41,7 +41,7 @@
             }));
         }
         loads.sort_unstable_by_key(|load| load.upstream);
-        // An engine reads prompts one after the other, so the prefill times are added like the calls.
+        // An engine processes prompts one after the other, so the prefill times are added like the calls.
         loads.dedup_by(|next, sum| {
             let same = next.upstream == sum.upstream;
             if same {
@@ -65,7 +65,7 @@
         self.load(upstream).map_or(0, |load| load.calls)
     }
 
-    /// Time until an upstream has read the prompts of other VMs.
+    /// Time until an upstream has completed the prefill of other VMs' prompts.
     #[must_use]
     pub fn prefill_left(&self, upstream: &UpstreamIncarnation) -> Duration {
         self.load(upstream)
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,9 +1,9 @@
 //! Placement of calls on upstreams, by the expected wait at each upstream.
 //!
-//! Load pattern: long prompts are read (prefilled) one after the other and delay the calls beside them, so
+//! Load pattern: long prompts are prefilled one after the other and delay the calls beside them, so
 //! the number of calls is a poor estimate of the wait; a prompt of 8,000 tokens counts as one second.
 //! Several VMs decide from late reports and know only their own dispatches. If each chose the upstream that
-//! looks best, all would choose the same one. So the upstreams of an availability zone are partitioned
+//! seems best, all would choose the same one. So the upstreams of an availability zone are partitioned
 //! among its VMs by rendezvous hashing, and a VM uses an upstream of another VM's partition only if it is
 //! clearly better.
 //!
@@ -16,17 +16,17 @@
 
 use super::*;
 
-/// Cost of placing a prompt beside one running stream on an engine. Reading a prompt of 8,000 tokens makes
+/// Cost of placing a prompt beside one running stream on an engine. The prefill of 8,000 tokens makes
 /// each of the 40 steps during that time about 25 ms longer, so the running stream takes one second more
 /// and is exposed to losses for that much longer. Larger than the cost of another VM's partition, so that
 /// an idle engine there is used first.
 pub const STREAM_COST: f64 = 300.0;
 
-/// Cost of each call in flight at a plain service: the usual duration of such a call.
+/// Cost of each call in flight at a plain service: the typical duration of such a call.
 const CALL_COST: f64 = 30.0;
 
 /// Cost of another zone for streams. Smaller than [`STREAM_COST`], so that an idle engine in another zone
-/// is used before a prompt is read beside a running stream in the own zone. Zones crash in turn and
+/// is used before a prompt is prefilled beside a running stream in the own zone. Zones crash in turn and
 /// callers are unevenly distributed over them; with a larger cost, the streams of a zone pile up on the
 /// engines that are left in it.
 pub const OTHER_ZONE_STREAM_COST: f64 = 100.0;
@@ -34,12 +34,12 @@
 /// Cost of another zone for plain calls: that of two more calls waiting in the own zone.
 const OTHER_ZONE_CALL_COST: f64 = 60.0;
 
-/// Cost of an upstream in another VM's partition of the zone. Smaller than the reading time of a long
-/// prompt, so that such an upstream is preferred to one with a prompt still to be read.
+/// Cost of an upstream in another VM's partition of the zone. Smaller than the prefill time of a long
+/// prompt, so that such an upstream is preferred to one with a pending prefill.
 pub const OTHER_PARTITION_COST: f64 = 180.0;
 
 /// Cost of an upstream of the own zone that this VM does not share, so that it is not notified of the
-/// dispatches there. It equals half the reading time of a prompt of 8,000 tokens, since another VM may be
+/// dispatches there. It equals half the prefill time of a prompt of 8,000 tokens, since another VM may be
 /// about to send a prompt there.
 pub const UNSHARED_COST: f64 = 500.0;
 
@@ -51,7 +51,7 @@
 /// Cost of a suspect zone; higher than that of any load that is still served in time.
 const SUSPECT_ZONE_COST: f64 = 20_000.0;
 
-/// Cost of a suspect upstream; higher than that of a suspect zone, since the upstream itself had a fault.
+/// Cost of a suspect upstream; higher than that of a suspect zone, since the upstream itself has failed.
 const SUSPECT_COST: f64 = 40_000.0;
 
 /// Cost, for plain calls, of an upstream whose latest calls all failed: a retry takes the time of one call
@@ -60,7 +60,7 @@
 
 /// Cost of another zone for KV copies, in calls: a copy holder in the own zone may have this many more
 /// calls. If a run is in another zone and its KV copy in a third one, both are lost when the own zone is
-/// cut off, although the caller is still connected here.
+/// partitioned, although the caller is still connected here.
 const OTHER_ZONE_COPY_COST: u32 = 6;
 
 /// An upstream that a call can be placed on, with its observed state.
@@ -81,7 +81,7 @@
     pub load_is_complete: bool,
     /// Number of prompt tokens in the upstream's prefix cache.
     pub cached: u32,
-    /// Time until the upstream has read the prompts of other VMs.
+    /// Time until the upstream has completed the prefill of other VMs' prompts.
     pub peer_prefill: Duration,
 }
 
@@ -184,7 +184,7 @@
     cost
 }
 
-/// Cost of the streams, the KV copies and the unread prompts on an engine for the next prompt.
+/// Cost of the streams, the KV copies and the pending prefill on an engine for the next prompt.
 fn load_cost(candidate: &PlacementCandidate, context: &PlacementContext) -> f64 {
     let (load, now) = (candidate.load, context.now);
     let stream_cost = context.policy.stream_cost;
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -24,13 +24,13 @@
 //! A crash that a refused request explains is not attributed to the other requests on that
 //! upstream, on this VM or another. The cause is the request that reached the limit first, by the
 //! times of the crashes. Otherwise a request that ran next to the poison request twice would also
-//! be refused, and its caller would lose an answer without cause.
+//! be refused, and its caller would lose a response without cause.
 //!
-//! A run counts as a possible cause of a crash if the upstream had begun to answer it, or was
+//! A run counts as a possible cause of a crash if the upstream had begun to respond, or was
 //! confirmed alive right before the request was sent ([`PoisonTracker::liveness_confirmed`]).
-//! Otherwise the upstream may have been dead already, as after the loss of a rack, so the crash only
+//! Otherwise the upstream may have crashed before, as after the loss of a rack, so the crash only
 //! makes the request a suspect. Suspects are sent only to upstreams that were just confirmed alive,
-//! so a request that crashes upstreams before they answer is also refused after its second upstream.
+//! so a request that crashes upstreams before they respond is also refused after its second upstream.
 //!
 //! A VM may fail together with the second upstream, and its caller reconnects to another VM. The
 //! run of a suspect is therefore announced to the other VMs before the request is sent
@@ -102,7 +102,7 @@
     on_probation: bool,
     /// Whether the request has been sent, or is sent next.
     sent: bool,
-    /// Whether the upstream has begun to answer, or was confirmed alive right before the request
+    /// Whether the upstream has begun to respond, or was confirmed alive right before the request
     /// was sent.
     upstream_was_alive: bool,
     steps: u32,
@@ -215,7 +215,7 @@
         self.remove(run);
     }
 
-    /// Records that the upstream has begun to answer, so the run counts as a possible cause if the
+    /// Records that the upstream has begun to respond, so the run counts as a possible cause if the
     /// upstream crashes.
     pub fn response_started(&mut self, run: TrackedRunId) {
         if let Some(run) = self.run_mut(run) {
@@ -233,7 +233,8 @@
     }
 
     /// Records that the upstream of a run was confirmed alive and that the request is sent now. If
-    /// the upstream crashes afterwards, the run counts as a possible cause, answered or not.
+    /// the upstream crashes afterwards, the run counts as a possible cause, with or without a
+    /// response.
     pub fn liveness_confirmed(&mut self, run: TrackedRunId) {
         self.response_started(run);
     }
@@ -288,7 +289,7 @@
         self.remote_runs.announced(run, false, now);
     }
 
-    /// Records the answer of another VM that a suspect already runs there.
+    /// Records the reply of another VM that a suspect already runs there.
     pub fn running_on_peer(&mut self, run: SuspectRun, now: Instant) {
         self.remote_runs.announced(run, true, now);
     }
@@ -513,8 +514,8 @@
         }
     }
 
-    /// Puts the running copies of a digest that has just become a suspect on probation. Otherwise a
-    /// second copy that is already running could crash the upstream of an unrelated request on
+    /// Puts the current runs of a digest that has just become a suspect on probation. Otherwise a
+    /// second run in progress could crash the upstream of an unrelated request on
     /// probation, and the crash would be attributed to both.
     fn start_probation(&mut self, digest: RequestDigest) {
         let run_range = self.run_range(digest);
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -1,4 +1,4 @@
-//! Switches and costs of the decision mechanisms, so that each can be switched off for a measurement.
+//! Switches and costs of the decision mechanisms, so that the effect of each can be measured.
 //!
 //! By default every switch is on and every cost has its normal value. Test runs set other values as a
 //! comma-separated list of `field=value`; `docs/DECISIONS.md` shows the effect of each field.
@@ -32,13 +32,13 @@
     pub zone_alarm: bool,
     /// Engines are queried for the cached prompts of callers that reconnect.
     pub prompt_search: bool,
-    /// Streams whose prompt cannot be read before their deadline are refused at once.
+    /// Streams whose prefill cannot complete before their deadline are refused at once.
     pub refuse_late: bool,
     /// Streams that cannot complete before their deadline are refused at once.
     pub refuse_unfinished: bool,
-    /// VMs lend each other retry budget.
+    /// VMs lend parts of their retry budgets to each other.
     pub loans: bool,
-    /// Streams wait for a retry when the retry budget is used up.
+    /// Streams wait for a retry when the retry budget is exhausted.
     pub repeat_wait: bool,
     /// Cost of placing a prompt beside one running stream on an engine.
     pub stream_cost: f64,
--- a/crates/decisions/src/progress_head.rs
+++ b/crates/decisions/src/progress_head.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// Properties of a generation that stay the same on every VM and engine that continues it. An answer
-/// continued with another model version or seed would be a mixture of two answers.
+/// Properties of a generation that stay the same on every VM and engine that continues it. A response
+/// continued with another model version or seed would be a mixture of two responses.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ProgressHead {
     /// Digest of the request, to detect another request under the same idempotency key.
     pub digest: RequestDigest,
     /// Version of the bundle in force when the request was accepted.
     pub bundle: BundleVersion,
-    /// Model, with version and adapter, that generates the answer.
+    /// Model, with version and adapter, that generates the response.
     pub model: Model,
     /// Sampling seed passed to every engine that continues the generation.
     pub seed: u64,
--- a/crates/decisions/src/progress_record.rs
+++ b/crates/decisions/src/progress_record.rs
@@ -15,7 +15,7 @@
     pub upstream: Option<UpstreamId>,
     /// All tokens delivered so far.
     pub tokens: TokenLog,
-    /// Why the answer ended, once it is complete.
+    /// Why the response ended, once it is complete.
     pub finish: Option<Finish>,
 }
 
@@ -55,7 +55,7 @@
     /// Whether a caller at `point` can be resumed from this replica, which must hold all tokens that
     /// the caller has, on the caller's chain. Two VMs may have continued the same generation with
     /// different tokens, and a caller of one must not receive tokens of the other, because that
-    /// would mix two answers.
+    /// would mix two responses.
     #[must_use]
     pub fn can_resume(&self, point: &ResumePoint) -> bool {
         let shared = match point.origin {
--- a/crates/decisions/src/progress_store.rs
+++ b/crates/decisions/src/progress_store.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns the attempt with which another VM has taken over the chain of an update. A paused VM
-    /// may wake up and send updates after a takeover; the replica of the new VM lists the chain in
+    /// may resume and send updates after a takeover; the replica of the new VM lists the chain in
     /// its lineage.
     fn superseded_by(&self, update: &ProgressUpdate) -> Option<Attempt> {
         self.replicas_of(&update.id)
--- a/crates/decisions/src/progress_update.rs
+++ b/crates/decisions/src/progress_update.rs
@@ -25,7 +25,7 @@
     /// Tokens delivered since the last update.
     #[serde(rename = "t")]
     pub tokens: TokenLog,
-    /// Why the answer ended, once it is complete.
+    /// Why the response ended, once it is complete.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<Finish>,
 }
--- a/crates/decisions/src/read_coalescer.rs
+++ b/crates/decisions/src/read_coalescer.rs
@@ -3,17 +3,17 @@
 //! When a map tile or a price list becomes hot, the same read may arrive a hundred times while one
 //! such read takes to run. Without coalescing each one occupies a slot and the service does the same
 //! work a hundred times. Here the first read is the leader and is sent; the others are followers and
-//! receive a copy of its answer. The key includes the team, so that an answer is never shared between
+//! receive a copy of its response. The key includes the team, so that a response is never shared between
 //! teams, and only idempotent reads may be added. If the leader fails or its caller disconnects, the
 //! first follower becomes the leader and is sent.
 //!
-//! An answer is shared only with reads that arrived before it, so no caller receives an answer that is
-//! older than its own call.
+//! A response is shared only with reads that arrived before it, so no caller receives a response that
+//! is older than its own call.
 
 use super::*;
 use std::collections::VecDeque;
 
-/// The reads in flight and the followers that wait for their answers.
+/// The reads in flight and the followers that wait for their responses.
 #[derive(Debug)]
 pub struct ReadCoalescer<F> {
     followers: CallTable<VecDeque<F>>,
@@ -44,13 +44,13 @@
         self.followers.values().map(VecDeque::len).sum()
     }
 
-    /// Ends a read that was answered and returns its followers.
+    /// Ends a read that has a response and returns its followers.
     #[must_use]
     pub fn complete(&mut self, key: &CallKey) -> VecDeque<F> {
         self.followers.remove(key).unwrap_or_default()
     }
 
-    /// Ends a leader without an answer and returns the follower that becomes the leader.
+    /// Ends a leader without a response and returns the follower that becomes the leader.
     #[must_use]
     pub fn fail_leader(&mut self, key: &CallKey) -> Option<F> {
         let next = self.followers.get_mut(key)?.pop_front();
--- a/crates/decisions/src/received_end.rs
+++ b/crates/decisions/src/received_end.rs
@@ -7,8 +7,8 @@
     pub request_id: RequestId,
     /// Attempt that the event names.
     pub attempt: Attempt,
-    /// Number of tokens of the complete answer, including the forced prefix.
+    /// Number of tokens of the complete response, including the forced prefix.
     pub tokens: TokenIndex,
-    /// Why the answer ended.
+    /// Why the response ended.
     pub finish: Finish,
 }
--- a/crates/decisions/src/received_token.rs
+++ b/crates/decisions/src/received_token.rs
@@ -7,7 +7,7 @@
     pub request_id: RequestId,
     /// Attempt that generated the token.
     pub attempt: Attempt,
-    /// Index in the complete answer, including the forced prefix.
+    /// Index in the complete response, including the forced prefix.
     pub index: TokenIndex,
     /// Id and bytes of the token.
     pub token: Token,
--- a/crates/decisions/src/refusal_reason.rs
+++ b/crates/decisions/src/refusal_reason.rs
@@ -26,7 +26,7 @@
     NotClaimed,
     /// No upstream accepts work.
     NoUpstream,
-    /// Upstreams died earlier while they ran the same request.
+    /// Upstreams crashed earlier while they ran the same request.
     Poisoned,
     /// The queue has reached its maximum length.
     QueueFull,
--- a/crates/decisions/src/relay.rs
+++ b/crates/decisions/src/relay.rs
@@ -77,7 +77,7 @@
         &self.delivered
     }
 
-    /// Why the answer ended, once it is complete.
+    /// Why the response ended, once it is complete.
     #[must_use]
     pub fn finish(&self) -> Option<Finish> {
         self.finish
--- a/crates/decisions/src/request_state.rs
+++ b/crates/decisions/src/request_state.rs
@@ -26,13 +26,13 @@
     may_have_run: bool,
 }
 
-/// A request that was answered.
+/// A request that has a response.
 #[derive(Debug)]
 pub struct Done<T> {
     request: T,
 }
 
-/// A request without an answer, which may or may not have run.
+/// A request without a response, which may or may not have run.
 #[derive(Debug)]
 pub struct Unknown<T> {
     request: T,
@@ -95,14 +95,14 @@
         &mut self.request
     }
 
-    /// Records that the request was answered.
+    /// Records that the request has a response.
     pub fn done(self) -> Done<T> {
         Done {
             request: self.request,
         }
     }
 
-    /// Abandons the request without an answer; whether it ran is unknown.
+    /// Abandons the request without a response; whether it ran is unknown.
     pub fn unknown(self) -> Unknown<T> {
         Unknown {
             request: self.request,
@@ -125,7 +125,7 @@
 }
 
 impl<T> Done<T> {
-    /// Returns the answered request.
+    /// Returns the request that has a response.
     pub fn into_request(self) -> T {
         self.request
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns the request without an answer.
+    /// Returns the request without a response.
     pub fn into_request(self) -> T {
         self.request
     }
--- a/crates/decisions/src/retry_refusal.rs
+++ b/crates/decisions/src/retry_refusal.rs
@@ -6,8 +6,8 @@
     /// The call may have run and must not run twice.
     #[display("the call may have run and is not idempotent")]
     MayHaveRun,
-    /// Upstreams died while they ran this request.
-    #[display("upstreams died under this request")]
+    /// Upstreams crashed while they ran this request.
+    #[display("upstreams crashed while running this request")]
     Poisoned,
     /// The call was sent the maximum number of times.
     #[display("the call was sent the maximum number of times")]
--- a/crates/decisions/src/service_time.rs
+++ b/crates/decisions/src/service_time.rs
@@ -1,13 +1,13 @@
 //! Estimates the queueing time of a request from the observed service times.
 //!
 //! Load pattern: more requests arrive than can be served, and those admitted into an overlong queue are
-//! answered late or not at all. Without an estimate of the wait a request is refused only after its
+//! served late or not at all. Without an estimate of the wait a request is refused only after its
 //! deadline has passed, which is the worst moment for its caller.
 //!
 //! By Little's law, `slots / mean service time` requests start per second while all slots are in use. That
-//! holds from the first answer on, and also when slots are few and slow because other VMs use the same
+//! holds from the first response on, and also when slots are few and slow because other VMs use the same
 //! upstreams. The weight of 1/16 smooths service times whose variation is as large as their mean, and
-//! follows an upstream that becomes slow within a few dozen answers.
+//! follows an upstream that becomes slow within a few dozen responses.
 
 use super::*;
 
--- a/crates/decisions/src/shared_retry_budget.rs
+++ b/crates/decisions/src/shared_retry_budget.rs
@@ -1,11 +1,12 @@
-//! Retry budget of this VM for a service: how many retries it may send in a sliding window.
+//! Retry budget that all VMs share for a service: how many retries this VM may send in a sliding
+//! window.
 //!
 //! While upstreams fail or refuse, unlimited retries multiply the calls when the least capacity is
 //! available. In any window, all VMs together may send `ratio` times the callers' calls plus
 //! `slack` retries. Each VM may use `ratio` times its own calls and an equal part of the slack, so
 //! that the sum holds independently of the other VMs.
 //!
-//! Losses are uneven: a VM whose zone is cut off loses all its streams at once, while other VMs need no
+//! Losses are uneven: a VM whose zone is partitioned loses all its streams at once, while other VMs need no
 //! retries. A VM whose budget is exhausted therefore requests loans. The lender counts a loan as
 //! spent, so that the sum still holds. Without loans, one stream in 30 was cut for lack of budget
 //! while all VMs together used a third of theirs.
@@ -47,7 +48,8 @@
     }
 }
 
-/// Calls, retries and loans of one service, counted in the buckets of a sliding window.
+/// This VM's part of the shared retry budget of one service: calls, retries and loans, counted in the
+/// buckets of a sliding window.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     buckets: [Bucket; STORED_BUCKETS],
--- a/crates/decisions/src/store_backoff.rs
+++ b/crates/decisions/src/store_backoff.rs
@@ -1,4 +1,4 @@
-//! Delay before a VM retries the platform's store after it did not answer.
+//! Delay before a VM retries the platform's store after it did not respond.
 //!
 //! If every VM of a large deployment calls an unreachable or refusing store three times per second,
 //! these calls are most of the calls of a day, and all VMs call at once when the store returns. To
--- a/crates/decisions/src/subset.rs
+++ b/crates/decisions/src/subset.rs
@@ -1,7 +1,7 @@
 //! The subset of upstreams that one VM connects to.
 //!
 //! Load pattern: 400 VMs and 900 upstreams would make 360,000 connections and twice as many load
-//! reports a second. Without subsets an upstream answers 800 report requests a second, and a VM exceeds
+//! reports a second. Without subsets an upstream serves 800 report requests a second, and a VM exceeds
 //! its control traffic limit of 3 KB a second. Each VM takes the upstreams with the highest rendezvous
 //! scores for its own name, so that adding or removing a VM changes no other VM's subset, and adding or
 //! removing an upstream changes at most one member of any subset.
--- a/crates/decisions/src/suspect_runs.rs
+++ b/crates/decisions/src/suspect_runs.rs
@@ -40,7 +40,7 @@
 }
 
 impl SuspectRuns {
-    /// Records an announcement, or a run that another VM reports in answer to an announcement.
+    /// Records an announcement, or a run that another VM reports in reply to an announcement.
     /// `sent` states whether the request is known to have been sent.
     pub fn announced(&mut self, run: SuspectRun, sent: bool, now: Instant) {
         self.runs
--- a/crates/decisions/src/suspend_detector.rs
+++ b/crates/decisions/src/suspend_detector.rs
@@ -2,14 +2,14 @@
 //! stopped.
 //!
 //! Such a process continues as if no time had passed: its view of configurations, upstreams and other VMs
-//! is as old as the gap, but looks fresh. The steady clock stands still while the VM is suspended, whereas
+//! is as old as the gap, but appears fresh. The steady clock stands still while the VM is suspended, whereas
 //! the clock that counts from boot goes on. While a process is stopped, its steady clock goes on, but
 //! nothing reads it.
 
 use super::*;
 
 /// Minimum gap that is reported. Readings are taken every 50 ms, and some 100 ms late on a VM that is five
-/// times slower than usual; a view that is older by less does no harm.
+/// times slower than typical; a view that is older by less does no harm.
 const MIN_GAP: Duration = Duration::from_millis(400);
 
 /// Compares successive readings of the steady clock and of the clock that counts from boot.
--- a/crates/decisions/src/table_replica.rs
+++ b/crates/decisions/src/table_replica.rs
@@ -1,7 +1,7 @@
 //! Replica of a platform table for peers whose own reads the platform rejects.
 //!
 //! Changes are useful only to a VM that has all earlier rows. A VM may have received these from elsewhere
-//! and then read only changes itself. If it stored just the changes, they would look like the complete
+//! and then read only changes itself. If it stored just the changes, they would appear to be the complete
 //! table, and a peer that reads them would take all other rows for removed, or a configuration for
 //! unchanged. Changes that do not continue from the stored version therefore make the replica incomplete
 //! until the complete table is read again.
--- a/crates/decisions/src/table_row.rs
+++ b/crates/decisions/src/table_row.rs
@@ -7,7 +7,7 @@
     #[serde(rename = "k")]
     pub key: Arc<str>,
     /// Version of the store at which the row was written or removed. Rows arrive late, repeatedly and out
-    /// of order; the version tells which of two is newer.
+    /// of order; the version shows which of two is newer.
     #[serde(rename = "w")]
     pub written: u64,
     /// Content of the row; `None` if it was removed.
--- a/crates/decisions/src/token_index.rs
+++ b/crates/decisions/src/token_index.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Zero-based index of a token in the complete answer; also used as a number of tokens.
+/// Zero-based index of a token in the complete response; also used as a number of tokens.
 #[derive(
     Clone,
     Copy,
--- a/crates/decisions/src/token_log.rs
+++ b/crates/decisions/src/token_log.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The tokens of an answer in a compact form: about 14 bytes per token instead of 56 for a vector of
+/// The tokens of a response in a compact form: about 14 bytes per token instead of 56 for a vector of
 /// [`Token`]. The size determines how many generations a VM can replicate.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "TokenLogParts")]
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -1,7 +1,7 @@
 //! Directory of the known upstreams, built from the entries that the platform stores for them.
 //!
 //! An entry that says "leaving" applies for as long as that incarnation is known. A removed entry means
-//! that the upstream is gone, with one exception: during an outage of the platform, entries expire although
+//! that the upstream has stopped, with one exception: during an outage of the platform, entries expire although
 //! their upstreams are alive, and return within [`LAPSE_GRACE`] of the platform's return. Without that
 //! exception an outage would end with no upstreams at all, and every call would be refused.
 //!
@@ -74,7 +74,7 @@
     Leaving,
     /// Its entry was removed.
     Gone,
-    /// It has restarted under its id, so this incarnation is permanently gone.
+    /// It has restarted under its id, so this incarnation has ended permanently.
     Superseded,
 }
 
@@ -279,7 +279,7 @@
     ) -> Vec<PresenceChange> {
         let comparisons = &self.comparisons;
         entries.sort_by(|a, b| comparisons.record(a.id.cmp(&b.id)));
-        // The order of two listed entries with one address does not tell which is newer, so neither
+        // The order of two listed entries with one address does not show which is newer, so neither
         // replaces the other; the older one is removed soon. If the newer one counted as replaced, it would
         // get no calls for as long as it lives.
         let listed = entries
@@ -511,7 +511,7 @@
         }
     }
 
-    /// Whether its row was removed, or has lapsed for so long that it counts as removed.
+    /// Whether its row was removed, or has been expired for so long that it counts as removed.
     fn is_removed(&self, now: Instant) -> bool {
         match self.presence {
             Presence::Gone => true,
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -2,7 +2,7 @@
 //!
 //! Upstreams leave all day, by orders, crashes and restarts, and each source from which a VM learns of it
 //! lags or fails at times. Without one rule for all sources, work is sent to upstreams that are about to
-//! end, and the callers pay with a resume each. New work therefore needs recent evidence from the upstream
+//! end, and each caller has to be resumed elsewhere. New work therefore needs recent evidence from the upstream
 //! itself, and no notice of leaving from any source.
 //!
 //! Leaving is permanent for an incarnation: reports and list entries arrive late and out of order, and an
@@ -11,7 +11,7 @@
 //! Callers are promised that a leaving upstream gets no new work after a few seconds, here 3. The last
 //! dispatch happens at most [`EVIDENCE_MAX_AGE`] (2 s) after the last evidence from the upstream and takes at
 //! most 1 s to reach it; any other source alone has 3 s minus its own lag. Reports are requested twice a
-//! second, so four must be lost before a healthy upstream counts as gone. `tests/eligibility.rs` checks
+//! second, so four must be lost before a healthy upstream counts as lost. `tests/eligibility.rs` checks
 //! these bounds.
 
 use super::*;
@@ -48,8 +48,8 @@
     /// Records a load report that was requested at `requested_at`. Its evidence dates from then: an
     /// upstream that was paused may respond long after the request.
     ///
-    /// Returns the former incarnation if this is the first report of another one; the former process is
-    /// then gone.
+    /// Returns the former incarnation if this is the first report of another one; the former process
+    /// has then ended.
     pub fn record_report(
         &mut self,
         incarnation: Incarnation,
@@ -75,8 +75,8 @@
         former
     }
 
-    /// Records a reply of the process that was given work as `incarnation`; the reply was sent after
-    /// `sent`.
+    /// Records a response of the process that was given work as `incarnation`; the response was sent
+    /// after `sent`.
     pub fn record_response(&mut self, incarnation: Incarnation, sent: Instant) {
         if self.current == Some(incarnation) {
             self.last_seen = self.last_seen.max(sent);
@@ -112,7 +112,7 @@
         };
     }
 
-    /// Records that the process is certainly gone; only another incarnation counts from now on.
+    /// Records that the process has certainly ended; only another incarnation counts from now on.
     pub fn record_ended(&mut self, incarnation: Incarnation) {
         if self.current == Some(incarnation) {
             self.current = None;
--- a/crates/decisions/src/upstream_health.rs
+++ b/crates/decisions/src/upstream_health.rs
@@ -1,9 +1,9 @@
 //! Failure detector that decides when an upstream is probed.
 //!
-//! A dead VM, a network partition and an engine that processes a long prompt look alike: no data arrives. A
-//! caller in the middle of a stream tolerates a pause of well under a second, so silence on all connections
-//! to an upstream starts one probe (a request for its load report, on a separate connection), however many
-//! calls wait there. The streams fail over only if the probe fails.
+//! A crashed VM, a network partition and an engine that processes a long prompt have the same symptom: no
+//! data arrives. A caller in the middle of a stream tolerates a pause of well under a second, so silence on
+//! all connections to an upstream starts one probe (a request for its load report, on a separate
+//! connection), however many calls wait there. The streams fail over only if the probe fails.
 
 use super::*;
 
@@ -37,7 +37,7 @@
 }
 
 impl UpstreamHealth {
-    /// An upstream that was heard from at `now`.
+    /// Creates the health of an upstream that was last seen at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
--- a/crates/decisions/src/upstream_incarnation.rs
+++ b/crates/decisions/src/upstream_incarnation.rs
@@ -1,7 +1,7 @@
-//! Tells the successive processes of one upstream apart.
+//! Distinguishes the successive processes of one upstream.
 //!
 //! An upstream may restart under its id. The new process has no state of the earlier one, so what is known
-//! about the earlier process (its load, its silence, the memory that it keeps, that it is leaving) must not
+//! about the earlier process (its load, its silence, the KV copies that it keeps, that it is leaving) must not
 //! be applied to the new one. Such knowledge is therefore keyed by [`UpstreamIncarnation`] and not by the
 //! id.
 
@@ -10,7 +10,7 @@
 /// One process of an upstream, identified by the upstream's id and the start time of the process.
 ///
 /// Incarnations of one id are ordered by start time. Not every upstream reports when it started; without a
-/// start time only the id tells incarnations apart.
+/// start time only the id distinguishes incarnations.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct UpstreamIncarnation {
     /// Id of the upstream.
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -1,12 +1,12 @@
 //! What one VM knows of one upstream, summarized as a [`Candidate`].
 //!
 //! Load reports lag by up to half a second, in which a VM dispatches many requests. If the VM's own
-//! dispatches since the report did not count, all of them would go to the upstream that looked idle in it.
-//! A new process has cold caches and would be flooded just because it is idle, so its weight climbs. An
-//! upstream that is slow without being busy is recognized by the latency of its responses.
+//! dispatches since the report did not count, all of them would go to the upstream that the report shows
+//! as idle. A new process has cold caches and would be overloaded just because it is idle, so its weight
+//! climbs. An upstream that is slow without being busy is recognized by the latency of its responses.
 //!
-//! The slow start lasts 20 report periods. Latencies expire after the same time, so that a slow upstream is
-//! tried again by then.
+//! The slow start lasts 20 report periods. Latencies expire after the same time, so that a slow upstream
+//! gets requests again by then.
 
 use super::*;
 use crate::failure_ejection::slow_start_weight;
@@ -17,7 +17,7 @@
 /// How long an observed latency counts.
 const LATENCY_TTL: Duration = Duration::from_secs(10);
 
-/// Number of unanswered requests below which their mean wait says little.
+/// Minimum number of outstanding requests for their mean wait to be significant.
 const MIN_OUTSTANDING: u32 = 3;
 
 /// Weight of a new latency in the moving average.
@@ -45,8 +45,8 @@
 }
 
 impl UpstreamRecord {
-    /// Marks the request of a load report. Also called when a request is dispatched whose reply may carry a
-    /// load report.
+    /// Marks the request of a load report. Also called when a request is dispatched whose response may
+    /// carry a load report.
     #[must_use]
     pub fn report_requested(&self, now: Instant) -> PendingReport {
         PendingReport {
@@ -87,15 +87,15 @@
         self.outstanding.1 += sent.0.as_secs_f64();
     }
 
-    /// Stops counting a request sent at `sent`, which was answered or given up.
+    /// Stops counting a request sent at `sent`, which has a response or was abandoned.
     pub fn response_ended(&mut self, sent: Instant) {
         self.outstanding.0 = self.outstanding.0.saturating_sub(1);
         self.outstanding.1 -= sent.0.as_secs_f64();
     }
 
-    /// Seconds that a response takes, if known. An upstream that becomes slow sends no response for as long
-    /// as its responses take by then, and would get its full share meanwhile; so the mean wait of the
-    /// unanswered requests counts where it is longer.
+    /// Expected latency of a response in seconds, if known. An upstream that becomes slow sends no response
+    /// for as long as its responses then take, and would get its full share meanwhile; so the mean wait of
+    /// the outstanding requests counts where it is longer.
     fn mean_latency(&self, now: Instant) -> Option<f64> {
         let (mean_latency, _) = self
             .mean_latency
--- a/crates/decisions/src/upstream_slots.rs
+++ b/crates/decisions/src/upstream_slots.rs
@@ -5,7 +5,7 @@
 //! long requests for as long as quick calls have been seen within the last minute; an engine without quick
 //! calls is used in full.
 //!
-//! Teams that have had less than their share are separated from the others, too. While a busy team keeps
+//! Teams below their fair share are separated from the others, too. While a busy team keeps
 //! every slot taken, a call of another team would wait for a slot and then again inside an upstream that is
 //! filled beyond what it runs at once. Such a call may therefore exceed the limit by a quarter, and while
 //! there are such calls, the other teams are held to what the upstream runs at once.
@@ -17,10 +17,10 @@
 /// Divisor of the limit that gives the slots reserved for quick calls.
 const RESERVE_DIVISOR: u32 = 5;
 
-/// Divisor of the limit that gives the extra slots for quick requests of teams below their share.
+/// Divisor of the limit that gives the extra slots for quick requests of teams below their fair share.
 const EXTRA_DIVISOR: u32 = 4;
 
-/// How long after a request of a team below its share the other teams are held to the base part.
+/// How long after a request of a team below its fair share the other teams are limited to the base share.
 const BELOW_SHARE_PERIOD: Duration = Duration::from_secs(1);
 
 /// How long after the last quick call the reserve is kept.
@@ -39,8 +39,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamSlots {
     limit: ConcurrencyLimit,
+    /// This VM's share of the reported capacity.
     vm_share: Option<u32>,
-    /// The part without the extra slots that compensate for the time that requests travel.
+    /// The share without the extra slots that compensate for network delays.
     base_share: Option<u32>,
     in_flight: [u32; Lane::COUNT],
     quick_seen: Option<Instant>,
@@ -48,7 +49,7 @@
 }
 
 impl UpstreamSlots {
-    /// An upstream with nothing in flight.
+    /// Creates the slots of an upstream with no request in flight.
     #[must_use]
     pub fn new(cfg: ConcurrencyLimitConfig) -> Self {
         Self {
@@ -57,11 +58,11 @@
         }
     }
 
-    /// Records a load report. The limit is bounded by this node's part of the reported capacity.
+    /// Records a load report. The limit is bounded by this VM's share of the reported capacity.
     ///
     /// A limit learned from latency alone adapts too late for generations: an overfilled engine stays
-    /// overfilled for minutes. And where nodes find their limits separately, one that joined late may stay
-    /// below its part (see `docs/LOAD.md`, rows without load reports).
+    /// overfilled for minutes. And where VMs find their limits separately, one that joined late may stay
+    /// below its share (see `docs/LOAD.md`, rows without load reports).
     pub fn record_report(&mut self, report: CapacityReport, share: CapacityShare) {
         let CapacityReport { capacity, waiting } = report;
         self.limit.record_waiting(waiting);
@@ -91,7 +92,7 @@
         total < limit && self.in_flight[lane.index()] < self.lane_limit(now, lane)
     }
 
-    /// Whether a quick request of a team that has had less than its share may be sent now, even though
+    /// Whether a quick request of a team below its fair share may be sent now, even though
     /// other requests may not.
     #[must_use]
     pub fn has_extra_slot(&self) -> bool {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Records a quick request of a team that has had less than its share. While there are such requests,
+    /// Records a quick request of a team below its fair share. While there are such requests,
     /// those of other teams do not fill the upstream beyond what it runs at once.
     pub fn record_below_share(&mut self, now: Instant) {
         self.below_share_seen = Some(now);
@@ -150,7 +151,7 @@
         self.limit.record_latency(latency, in_flight);
     }
 
-    /// Records that the upstream rejected a request for lack of capacity, or did not respond in time.
+    /// Records that the upstream refused a request because it is full, or did not respond in time.
     pub fn record_overload(&mut self) {
         self.limit.record_overload();
     }
--- a/crates/decisions/src/utf8_joiner.rs
+++ b/crates/decisions/src/utf8_joiner.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the buffered bytes as text at the end of an answer; an incomplete character becomes
+    /// Returns the buffered bytes as text at the end of a response; an incomplete character becomes
     /// U+FFFD.
     pub fn finish(&mut self) -> String {
         String::from_utf8_lossy(&std::mem::take(&mut self.pending)).into_owned()
--- a/crates/decisions/src/zone_outage_detector.rs
+++ b/crates/decisions/src/zone_outage_detector.rs
@@ -1,6 +1,6 @@
 //! Detects that several upstreams of an availability zone are lost together.
 //!
-//! Most upstreams of a zone may die or go silent at the same moment. Each loss is detected separately, a
+//! Most upstreams of a zone may crash or become silent at the same moment. Each loss is detected separately, a
 //! few hundred milliseconds apart, and meanwhile calls that lost one upstream are sent to the next one in
 //! the same zone and lose that too. After a few losses within a short time, the whole zone is used only as
 //! a last resort for a while.
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -102,7 +102,7 @@
     expect_that!(refused.reason(), eq(RefusalReason::QueueFull));
 }
 
-/// Guards against sending a request that upstreams can no longer answer in time, because they became
+/// Guards against sending a request that upstreams can no longer serve in time, because they became
 /// slower after it was admitted. It is refused at its latest start, before its caller times out.
 #[gtest]
 fn queued_request_expires_at_its_latest_start() {
--- a/crates/decisions/tests/cached_prompts.rs
+++ b/crates/decisions/tests/cached_prompts.rs
@@ -76,8 +76,8 @@
     expect_that!(cached.holders(&[part("own", 8000)], later), is_empty());
 }
 
-/// Callers of lost VMs reconnect to a VM with a slow link. The answers of all engines at once would delay its
-/// streams, so the number of engines queried depends on the link and on the size of the answers.
+/// Callers of lost VMs reconnect to a VM with a slow link. The reports of all engines at once would delay its
+/// streams, so the number of engines queried depends on the link and on the size of the reports.
 #[gtest]
 fn number_of_queried_engines_fits_the_link() {
     let mut cached = CachedPrompts::default();
--- a/crates/decisions/tests/call_limiter.rs
+++ b/crates/decisions/tests/call_limiter.rs
@@ -46,8 +46,8 @@
     expect_that!(sent, all![ge(60), le(100)]);
 }
 
-/// Guards against a burst of accumulated calls when an outage ends. The first answered call ends the
-/// pause, and the waiting calls are sent at the configured rate.
+/// Guards against a burst of accumulated calls when an outage ends. The first response ends the
+/// backoff, and the waiting calls are sent at the configured rate.
 #[gtest]
 fn no_retry_storm_at_the_end_of_an_outage() {
     let mut budget = budget();
@@ -70,7 +70,7 @@
     expect_that!(sent, all![ge(10), le(5 + 20)]);
 }
 
-/// Guards against a pause after a single lost answer, which would delay the call that finds out
+/// Guards against a backoff after a single lost response, which would delay the call that finds out
 /// whether the lost call took effect.
 #[gtest]
 fn a_single_failure_causes_no_backoff() {
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -264,7 +264,7 @@
     candidates.map(|c| c.expect("eligible")).collect()
 }
 
-/// One upstream answers ten times slower than the others although its load is the same.
+/// One upstream responds ten times slower than the others although its load is the same.
 #[gtest]
 fn a_slow_upstream_is_rarely_chosen() {
     let mut records = [record(2), record(2), record(2)];
@@ -279,7 +279,7 @@
     );
 }
 
-/// An upstream becomes ten times slower. Before its first slow answer only the age of the requests in flight
+/// An upstream becomes ten times slower. Before its first slow response only the age of the requests in flight
 /// shows it; if it got its full share until then, all of these requests would be late.
 #[gtest]
 fn an_upstream_whose_requests_wait_is_rarely_chosen() {
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -88,9 +88,9 @@
     );
 }
 
-/// The result of a claim is lost and the platform store fails, so the caller is told that its order
-/// did not run. The claim may have been committed, however. Without a release, a retry would be
-/// told that the outcome is unknown, although the order certainly did not run.
+/// The result of a claim is lost and the platform store fails, so the caller receives the response that its order
+/// did not run. The claim may have been committed, however. Without a release, a retry would
+/// fail with an unknown outcome, although the order certainly did not run.
 #[gtest]
 fn abandoned_claim_that_may_have_committed_is_released() {
     let mut queue = ClaimQueue::default();
@@ -402,7 +402,7 @@
         };
     }
 
-    /// Delivers and answers all calls until nothing is pending.
+    /// Delivers all calls and their results until nothing is pending.
     fn run_to_completion(&mut self) {
         while self.calls.iter().any(|call| !call.done) {
             self.deliver(0, true);
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -10,7 +10,7 @@
     Duration::from_millis(u64::from(ms))
 }
 
-/// Records answers of an upstream that runs `servers` requests of 20 ms at once, for a VM that always
+/// Records responses of an upstream that runs `servers` requests of 20 ms at once, for a VM that always
 /// has as many requests in flight as its limit allows.
 fn answer_at_limit(limit: &mut ConcurrencyLimit, servers: u32, answers: u32) {
     for _ in 0..answers {
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -89,7 +89,7 @@
     expect_that!(evidence.eligible(ms(9000)), err(eq(&Ineligible::Stale)));
 }
 
-/// An upstream is paused for 10 s and then answers a report request sent before the pause. The answer is
+/// An upstream is paused for 10 s and then responds to a report request sent before the pause. The response is
 /// evidence only for the time of that request.
 #[gtest]
 fn a_late_report_dates_from_its_request() {
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -32,7 +32,7 @@
 }
 
 /// The leader of coalesced reads fails, or its caller disconnects. The followers' reads can still be
-/// answered, so they must not fail with it.
+/// served, so they must not fail with it.
 #[gtest]
 fn failed_leader_does_not_fail_its_followers() {
     let mut merger = ReadCoalescer::default();
--- a/crates/decisions/tests/lease.rs
+++ b/crates/decisions/tests/lease.rs
@@ -402,7 +402,7 @@
 
     /// Holders crash, are paused and resume, and lose results, while calls arrive late. Two holders
     /// at once would send conflicting orders to an engine, and with the same term their orders
-    /// could not be told apart.
+    /// could not be distinguished.
     #[test]
     fn at_most_one_holder_and_no_term_is_reused(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_u64..12), 0..300),
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -83,7 +83,7 @@
     run_both(&format!("overload {factor:.0}x{reports}"), site, &jobs)
 }
 
-/// Guards against a queue that grows until every answer is late when twice as many calls arrive as
+/// Guards against a queue that grows until every response is late when twice as many calls arrive as
 /// three plain workers can serve.
 #[gtest]
 fn overload_2x_serves_what_fits_and_refuses_the_rest_at_once() {
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -45,7 +45,7 @@
     pub servers: usize,
     /// Index of a slow upstream and the factor by which its service times are longer.
     pub slow: Option<(usize, u32)>,
-    /// Whether the upstreams are engines, which send a first token before the answer is complete.
+    /// Whether the upstreams are engines, which send a first token before the response is complete.
     pub engines: bool,
     /// Whether the upstreams report their capacity.
     pub report: bool,
@@ -58,7 +58,7 @@
     Admission,
 }
 
-/// What a caller received, and the time of the answer or refusal.
+/// What a caller received, and the time of the response or refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Received {
     #[default]
@@ -111,7 +111,7 @@
     rng: Xoshiro256PlusPlus,
 }
 
-/// One-way network delay of a request or an answer.
+/// One-way network delay of a request or a response.
 const ONE_WAY: Duration = Duration::from_millis(1);
 
 /// Latency of an engine's first token without queueing.
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Delivers the answer unless the caller has timed out.
+    /// Delivers the response unless the caller has timed out.
     fn answer(&mut self, job: usize) {
         let Job {
             arrival, deadline, ..
--- a/crates/decisions/tests/load_support/verdict.rs
+++ b/crates/decisions/tests/load_support/verdict.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct Verdict {
     pub offered: usize,
-    /// Work for answers delivered in time while the load lasted, as a fraction of the work that the
+    /// Work for responses delivered in time while the load lasted, as a fraction of the work that the
     /// upstreams could have done in that time.
     pub of_capacity: f64,
     pub answered: usize,
@@ -17,7 +17,7 @@
     pub quick_p99: Duration,
     /// Indexed by team.
     pub quick_p99_of: Vec<Duration>,
-    /// Jain's fairness index of the teams' answered requests relative to their max-min fair shares.
+    /// Jain's fairness index of the teams' served requests relative to their max-min fair shares.
     pub jain: f64,
     /// Fraction of the upstreams' work for callers that had timed out.
     pub wasted: f64,
@@ -118,7 +118,7 @@
     values.get(i).copied().unwrap_or_default()
 }
 
-/// Jain's fairness index of answers relative to the max-min fair shares of the site's capacity.
+/// Jain's fairness index of responses relative to the max-min fair shares of the site's capacity.
 #[allow(clippy::cast_precision_loss)]
 fn jain(site: &Site, jobs: &[Job], answered: &[usize], end: Duration) -> f64 {
     let work = jobs
--- a/crates/decisions/tests/local_retry_budget.rs
+++ b/crates/decisions/tests/local_retry_budget.rs
@@ -27,7 +27,7 @@
 }
 
 /// Guards against retries that triple the load while all upstreams of a service fail. The outage would
-/// continue after its cause is gone.
+/// continue after its cause has ended.
 #[gtest]
 fn an_outage_adds_at_most_a_tenth() {
     let mut budget = LocalRetryBudget::default();
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -155,7 +155,7 @@
     expect_that!(fleet.max_sent, le(6));
 }
 
-/// A VM of a large zone dies. All others must remove it, although most of them never received a heartbeat of
+/// A VM of a large zone crashes. All others must remove it, although most of them never received a heartbeat of
 /// it.
 #[gtest]
 fn a_dead_vm_is_removed_in_a_large_zone() {
@@ -211,8 +211,8 @@
     expect_that!(from_elsewhere.len(), eq(2 * SHARERS_PER_UPSTREAM));
 }
 
-/// A peer's old advertisement of a VM arrives after a heartbeat of the VM itself. It must not make the VM look
-/// dead, or restore a former address.
+/// A peer's old advertisement of a VM arrives after a heartbeat of the VM itself. It must not make the VM
+/// count as lost, or restore a former address.
 #[gtest]
 fn an_old_advertisement_of_a_vm_is_ignored() {
     let mut peers = PeerLoads::new(name(0));
@@ -232,8 +232,8 @@
     expect_that!(peers.live_count(at(5050).after(PEER_TIMEOUT)), eq(1));
 }
 
-/// Two VMs have streams and unread prompts on one engine, and a third one places its own prompt. Prompts are
-/// read one after the other, so their reading times add up, less the age of each heartbeat.
+/// Two VMs have streams and pending prefill on one engine, and a third one sends its own prompt. Prompts are
+/// processed one after the other, so their prefill times add up, less the age of each heartbeat.
 #[gtest]
 fn loads_of_several_vms_on_an_engine_add_up() {
     let (shared, other) = (
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -59,7 +59,7 @@
     expect_that!(table.nearest_including_silent(at(11), 2), eq(&answering));
 }
 
-/// Guards against treating a slow VM as dead, and against waiting for one that is dead.
+/// Guards against treating a slow VM as crashed, and against waiting for one that has crashed.
 #[gtest]
 fn vm_that_misses_an_answer_may_serve_until_it_has_been_silent_for_long() {
     let mut table = table(0, 3);
@@ -89,7 +89,7 @@
 
 /// Updates must reach every VM although each exchanges them with only six others. If the neighbours formed
 /// separate groups, a rollout would never take effect in some of them. An exchange goes both ways: if VMs
-/// only sent updates, the one VM in 400 that is nobody's neighbour would receive nothing.
+/// only sent updates, the one VM in 400 that is no other VM's neighbour would receive nothing.
 #[gtest]
 fn updates_reach_all_of_400_vms_within_five_exchanges() {
     let neighbours = (0..400)
@@ -132,7 +132,7 @@
     );
 }
 
-/// A router dies, and its caller reconnects to some other VM. Whichever that is, it must query the VMs that
+/// A router crashes, and its caller reconnects to some other VM. Whichever that is, it must query the VMs that
 /// hold the progress replica.
 #[gtest]
 fn every_vm_queries_a_holder_of_the_replicas() {
@@ -152,7 +152,7 @@
     }
 }
 
-/// A VM dies without notice and stays in the platform's list. Progress replicas sent there would be lost.
+/// A VM crashes without notice and stays in the platform's list. Progress replicas sent there would be lost.
 #[gtest]
 fn vm_that_does_not_answer_is_skipped_for_a_while() {
     let mut table = table(0, 8);
@@ -175,7 +175,7 @@
     expect_that!(table.entries().count(), eq(1));
 }
 
-/// A VM is gone for good, but the others keep advertising it to each other. If that kept it in their tables,
+/// A VM has been removed permanently, but the others keep advertising it to each other. If that kept it in their tables,
 /// it would be chosen as a holder of replicas forever.
 #[gtest]
 fn advertisements_of_a_vm_do_not_keep_it_alive() {
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -33,8 +33,8 @@
     expect_that!(result, err(eq(PoisonBlock::Refused)));
 }
 
-/// A rack loses power: the engine of a request fails, and the next engine is down before it has
-/// answered. If the request were taken for a poison request, it would be refused for ten minutes.
+/// A rack loses power: the engine of a request fails, and the next engine fails before it has
+/// responded. If the request were taken for a poison request, it would be refused for ten minutes.
 #[gtest]
 fn request_with_one_crash_and_one_dead_engine_is_not_refused() {
     let mut tracker = tracker_after_one_crash();
@@ -46,9 +46,9 @@
     expect_that!(result, ok(eq(())));
 }
 
-/// A request crashes each engine before its answer is read, as happens if the process exits within
+/// A request crashes each engine before its response is read, as happens if the process exits within
 /// the few milliseconds before the response head is sent. It must cost no more engines than a
-/// request that is answered first.
+/// request that receives a response first.
 #[gtest]
 fn request_that_crashes_engines_before_the_response_costs_two() {
     let mut tracker = PoisonTracker::default();
@@ -70,7 +70,7 @@
 }
 
 /// A rack loses power: a request is sent to several of its engines in turn, and none of them begins
-/// to answer. The caller must still be served by the next live engine.
+/// to respond. The caller must still be served by the next live engine.
 #[gtest]
 fn request_sent_only_to_dead_engines_is_not_refused() {
     let mut tracker = PoisonTracker::default();
@@ -264,7 +264,7 @@
                         let run =
                             self.tracker
                                 .started(request.digest, engine(n), incarnation, at(0));
-                        // Engines begin to answer a request before they compute.
+                        // Engines begin to respond to a request before they compute.
                         self.tracker.response_started(run);
                         request.run = Some((run, n));
                         request.steps_of_run = 0;
--- a/crates/decisions/tests/poison_attribution.rs
+++ b/crates/decisions/tests/poison_attribution.rs
@@ -11,8 +11,8 @@
 
 /// An unrelated request shares an engine with a poison request, which is refused after this second
 /// crash. The unrelated request is resumed, and its next engine also crashes, because another VM has
-/// not yet heard of the refusal and runs the poison request there. If both crashes were attributed
-/// to the unrelated request, its caller would be refused after receiving part of the answer.
+/// not yet received the records and runs the poison request there. If both crashes were attributed
+/// to the unrelated request, its caller would be refused after receiving part of the response.
 #[gtest]
 fn crashes_of_a_refused_request_are_not_attributed_to_others() {
     let mut tracker = PoisonTracker::default();
--- a/crates/decisions/tests/progress.rs
+++ b/crates/decisions/tests/progress.rs
@@ -106,7 +106,7 @@
 }
 
 /// A connection between two VMs breaks and an update is lost. A replica with a gap would give a
-/// reconnecting caller an answer with missing tokens.
+/// reconnecting caller a response with missing tokens.
 #[gtest]
 fn update_after_a_gap_is_refused() {
     let mut store = store();
@@ -118,7 +118,7 @@
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
-/// A router is paused, another one takes over its generation, and the first one wakes up and sends
+/// A router is paused, another one takes over its generation, and the first one resumes and sends
 /// buffered updates. It must learn that it was superseded, and the replica of the second router must
 /// not change.
 #[gtest]
@@ -133,8 +133,8 @@
     expect_that!(tokens(&store), eq(&vec![0, 1, 2]));
 }
 
-/// A paused router wakes up just before the first update of the router that took over arrives, and
-/// adds tokens that the second router's caller never received. They must not appear in the answer
+/// A paused router resumes just before the first update of the router that took over arrives, and
+/// adds tokens that the second router's caller never received. They must not appear in the response
 /// if that caller reconnects again.
 #[gtest]
 fn tokens_after_a_takeover_are_not_mixed() {
--- a/crates/decisions/tests/relay.rs
+++ b/crates/decisions/tests/relay.rs
@@ -47,7 +47,7 @@
     );
 }
 
-/// An engine is paused, a second one takes over, and the first one wakes up and continues to send.
+/// An engine is paused, a second one takes over, and the first one resumes and continues to send.
 /// Without fencing, the caller would receive a mixture of two generations.
 #[gtest]
 fn drops_events_of_a_superseded_attempt() {
@@ -76,7 +76,7 @@
     expect_that!(relay.live(), eq(old));
 }
 
-/// An event between engine and router is lost. The answer would lack a token.
+/// An event between engine and router is lost. The response would lack a token.
 #[gtest]
 fn refuses_a_gap() {
     let (mut relay, attempt) = relay_with(2);
@@ -93,7 +93,7 @@
     );
 }
 
-/// An engine confuses two streams. The caller would receive another caller's answer.
+/// An engine confuses two streams. The caller would receive another caller's response.
 #[gtest]
 fn refuses_another_requests_token() {
     let (mut relay, attempt) = relay_with(2);
@@ -108,8 +108,8 @@
     expect_that!(relay.next(), eq(TokenIndex(2)));
 }
 
-/// An engine reports the end of an answer, but tokens before the end were lost. The caller would
-/// take a truncated answer for a complete one.
+/// An engine reports the end of a response, but tokens before the end were lost. The caller would
+/// take a truncated response for a complete one.
 #[gtest]
 fn refuses_an_end_with_missing_tokens() {
     let (mut relay, attempt) = relay_with(2);
@@ -145,7 +145,7 @@
 
 proptest! {
     /// Attempts are reserved and adopted, and their events arrive late, twice or out of order, in
-    /// random sequences. The answer must always be the output of one chain of attempts, each of
+    /// random sequences. The response must always be the output of one chain of attempts, each of
     /// which continues exactly the tokens delivered before it.
     #[test]
     fn answer_is_always_a_prefix_of_one_chain(steps in prop::collection::vec(step(), 0..200)) {
--- a/crates/decisions/tests/request_state.rs
+++ b/crates/decisions/tests/request_state.rs
@@ -24,7 +24,7 @@
     expect_that!(queued.map(|it| *it.request()).ok(), some(eq("ticket")));
 }
 
-/// Guards against reporting "not run" for a call that may have run. Its first answer is lost and the
+/// Guards against reporting "not run" for a call that may have run. Its first response is lost and the
 /// second upstream is unreachable: that the second attempt has not run proves nothing about the first.
 #[gtest]
 fn request_that_may_have_run_is_never_reported_as_not_run() {
--- a/crates/decisions/tests/rollouts.rs
+++ b/crates/decisions/tests/rollouts.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// Guards against an end that nobody stores, because its notice arrived before the withdrawal of
+/// Guards against an end that no VM stores, because its notice arrived before the withdrawal of
 /// the order.
 #[gtest]
 fn withdrawal_returns_a_rollout_whose_end_is_not_stored() {
--- a/crates/decisions/tests/store_backoff.rs
+++ b/crates/decisions/tests/store_backoff.rs
@@ -14,7 +14,7 @@
 /// Duration of the outage of the store.
 const OUTAGE: Duration = Duration::from_secs(5);
 
-/// Time from the store's answer to a reader until the other VMs of its zone are notified.
+/// Time from the store's response to a reader until the other VMs of its zone are notified.
 const NOTIFY_DELAY: Duration = Duration::from_millis(10);
 
 fn zone(number: usize) -> Vec<Arc<str>> {
@@ -93,7 +93,7 @@
 
 /// Guards against a number of store readers that grows with the zone, and with it the calls of the
 /// store. A zone has one reader; a large one also has one standby and up to two deputies, which notify
-/// the others if nobody else does.
+/// the others if no other VM does.
 #[gtest]
 fn number_of_store_readers_does_not_grow_with_the_zone() {
     for size in [1, 3, 8, 9, 64, 200, 400] {
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -123,7 +123,7 @@
 }
 
 /// Guards against sending a request that reached the limit of crashes while the VM waited for the
-/// answers of its peers.
+/// replies of its peers.
 #[gtest]
 fn commit_fails_once_the_request_is_refused() {
     let mut other = PoisonTracker::default();
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -44,7 +44,7 @@
     expect_that!(usable(&directory, at(0)).is_empty(), eq(true));
 }
 
-/// An entry that is removed while the platform responds means that its upstream is gone.
+/// An entry that is removed while the platform responds means that its upstream has stopped.
 #[gtest]
 fn removed_entry_removes_its_upstream() {
     let mut directory = UpstreamDirectory::default();
@@ -57,7 +57,7 @@
 }
 
 /// The platform is unavailable and loses entries of live upstreams. These stay in use until they had time
-/// to return; one that does not return is gone.
+/// to return; one that does not return was removed.
 #[gtest]
 fn expired_entries_stay_usable_within_the_grace_period() {
     let mut directory = UpstreamDirectory::default();
@@ -217,7 +217,7 @@
 }
 
 /// An older entry of a leaving upstream is read again before its entry is removed, and once more
-/// afterwards. The upstream stays gone.
+/// afterwards. The upstream stays removed.
 #[gtest]
 fn late_entries_do_not_restore_a_removed_upstream() {
     let mut directory = UpstreamDirectory::default();
