--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -37,7 +37,7 @@
     fill(&mut queue);
     print_cost("offer and withdraw", |i| {
         let offered = queue.offer(now, &arrivals[i * 11 % TEAMS], Queued::new(i));
-        offered.map(|place| queue.withdraw(place).is_some())
+        offered.map(|position| queue.withdraw(position).is_some())
     });
     print_cost("offer and dispatch", |i| {
         let offered = queue.offer(now, &arrivals[i * 11 % TEAMS], Queued::new(i));
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Cusum {
     sum: f64,
-    answers: u32,
+    responses: u32,
     bad: u32,
 }
 
@@ -156,7 +156,7 @@
             .chain([&self.all_routes])
             .all(|s| s.sum <= GOOD_THRESHOLD);
         if all_below_threshold
-            && self.all_routes.answers >= MIN_ROUTE_SAMPLES
+            && self.all_routes.responses >= MIN_ROUTE_SAMPLES
             && self.undersampled_routes().is_empty()
         {
             return RolloutVerdict::Good;
@@ -174,7 +174,7 @@
     /// Number of responses of the new version, and of the bad ones among them.
     #[must_use]
     pub fn totals(&self) -> (u32, u32) {
-        (self.all_routes.answers, self.all_routes.bad)
+        (self.all_routes.responses, self.all_routes.bad)
     }
 
     fn route(&mut self, name: &Arc<str>) -> usize {
@@ -204,9 +204,9 @@
             .median()
             .filter(|_| old.total() >= MIN_BASELINE_SAMPLES)?;
         let max_good_bucket = (median + SLOW_BUCKETS).max(latency_bucket(MIN_SLOW_LATENCY));
-        let answers = self.sum.new.since(&self.judged);
+        let responses = self.sum.new.since(&self.judged);
         self.judged = self.sum.new.clone();
-        let (total, bad) = (answers.total(), answers.bad(max_good_bucket));
+        let (total, bad) = (responses.total(), responses.bad(max_good_bucket));
         let mut expected_bad = estimate_bad_fraction(old.bad(max_good_bucket), old.total());
         if same_report.total() >= MIN_REPORT_SAMPLES {
             let fraction =
@@ -227,7 +227,7 @@
     }
 
     fn is_undersampled(&self) -> bool {
-        self.sum.old.total() >= MIN_BASELINE_SAMPLES && self.cusum.answers < MIN_ROUTE_SAMPLES
+        self.sum.old.total() >= MIN_BASELINE_SAMPLES && self.cusum.responses < MIN_ROUTE_SAMPLES
     }
 }
 
@@ -240,14 +240,14 @@
         let good_weight = ((1.0 - bad_if_worse) / (1.0 - expected_bad)).ln();
         self.sum = (self.sum + f64::from(good) * good_weight).max(0.0);
         self.sum += f64::from(bad) * (bad_if_worse / expected_bad).ln();
-        self.answers += total;
+        self.responses += total;
         self.bad += bad;
     }
 
     fn bad_verdict(&self, route: Option<Arc<str>>) -> RolloutVerdict {
         RolloutVerdict::Bad {
             route,
-            answers: self.answers,
+            answers: self.responses,
             bad: self.bad,
         }
     }
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -63,9 +63,9 @@
 fn request_with_a_free_slot_starts_however_near_its_deadline() {
     let mut queue = queue();
 
-    let place = queue.offer(at(0), &arrival(110), Queued::new(1));
+    let position = queue.offer(at(0), &arrival(110), Queued::new(1));
 
-    expect_that!(place.is_ok(), eq(true));
+    expect_that!(position.is_ok(), eq(true));
     let dispatched = queue.dispatch(at(0), Lane::Quick, &upstream());
     expect_that!(dispatched.map(|it| *it.request()), some(eq(1)));
 }
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -296,7 +296,7 @@
         let i = open[pick % open.len()];
         self.calls[i].done = true;
         let group = self.calls[i].group.clone();
-        let answer = self.transact(&group);
+        let result = self.transact(&group);
         let call = &self.calls[i];
         let vm = call.vm;
         let is_awaited = self.vms[vm].epoch == call.epoch && self.vms[vm].awaited_call == Some(i);
@@ -304,7 +304,7 @@
             self.return_result(
                 vm,
                 if result_returned {
-                    &answer
+                    &result
                 } else {
                     &GroupResult::Unknown
                 },
--- a/crates/decisions/tests/concurrency_limit.rs
+++ b/crates/decisions/tests/concurrency_limit.rs
@@ -12,8 +12,8 @@
 
 /// Records responses of an upstream that runs `servers` requests of 20 ms at once, for a VM that always
 /// has as many requests in flight as its limit allows.
-fn answer_at_limit(limit: &mut ConcurrencyLimit, servers: u32, answers: u32) {
-    for _ in 0..answers {
+fn respond_at_limit(limit: &mut ConcurrencyLimit, servers: u32, responses: u32) {
+    for _ in 0..responses {
         let in_flight = limit.limit();
         limit.record_latency(ms(20) * in_flight.max(servers) / servers, in_flight);
     }
@@ -23,7 +23,7 @@
 fn rises_to_the_capacity_of_the_upstream_and_not_far_beyond() {
     let mut limit = ConcurrencyLimit::default();
 
-    answer_at_limit(&mut limit, 16, 20_000);
+    respond_at_limit(&mut limit, 16, 20_000);
 
     expect_that!(limit.limit(), all![ge(16), le(28)]);
 }
@@ -45,7 +45,7 @@
 #[gtest]
 fn falls_when_the_upstream_slows_down() {
     let mut limit = ConcurrencyLimit::default();
-    answer_at_limit(&mut limit, 16, 5000);
+    respond_at_limit(&mut limit, 16, 5000);
     let before = limit.limit();
 
     for _ in 0..2000 {
@@ -61,7 +61,7 @@
 #[gtest]
 fn adapts_to_a_permanent_change_of_latency() {
     let mut limit = ConcurrencyLimit::default();
-    answer_at_limit(&mut limit, 16, 5000);
+    respond_at_limit(&mut limit, 16, 5000);
     limit.record_waiting(0);
 
     for _ in 0..20_000 {
--- a/crates/decisions/tests/fair_queue.rs
+++ b/crates/decisions/tests/fair_queue.rs
@@ -113,15 +113,15 @@
     queue.push(&team("a", 1), 1, "behind it");
     queue.push(&team("b", 1), 1, "other team");
 
-    let tries = PopOptions {
+    let options = PopOptions {
         teams: 4,
         ..PopOptions::default()
     };
 
-    let placed = queue.pop_where(at(0), tries, |item| (*item != "nowhere").then_some(7));
-    let next = queue.pop_where(at(0), tries, |item| (*item != "nowhere").then_some(7));
+    let dispatched = queue.pop_where(at(0), options, |item| (*item != "nowhere").then_some(7));
+    let next = queue.pop_where(at(0), options, |item| (*item != "nowhere").then_some(7));
 
-    expect_that!(placed, some(eq(("other team", 7))));
+    expect_that!(dispatched, some(eq(("other team", 7))));
     expect_that!(next, none());
     expect_that!(queue.len(), eq(2));
 }
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -10,23 +10,23 @@
 
 #[gtest]
 fn identical_reads_get_the_leaders_answer() {
-    let mut merger = ReadCoalescer::default();
+    let mut coalescer = ReadCoalescer::default();
     let tile = key("cobalt", "/tiles/7");
 
-    let joined = [1, 2, 3].map(|read| merger.join(&tile, read));
+    let joined = [1, 2, 3].map(|read| coalescer.join(&tile, read));
 
     expect_that!(joined, eq([Some(1), None, None]));
-    expect_that!(merger.complete(&tile), elements_are![eq(&2), eq(&3)]);
-    expect_that!(merger.join(&tile, 4), some(eq(4)));
+    expect_that!(coalescer.complete(&tile), elements_are![eq(&2), eq(&3)]);
+    expect_that!(coalescer.join(&tile, 4), some(eq(4)));
 }
 
 #[gtest]
 fn reads_of_another_team_or_path_are_not_coalesced() {
-    let mut merger = ReadCoalescer::default();
-    merger.join(&key("cobalt", "/tiles/7"), 1);
+    let mut coalescer = ReadCoalescer::default();
+    coalescer.join(&key("cobalt", "/tiles/7"), 1);
 
-    let other_team = merger.join(&key("carrier", "/tiles/7"), 2);
-    let other_path = merger.join(&key("cobalt", "/tiles/8"), 3);
+    let other_team = coalescer.join(&key("carrier", "/tiles/7"), 2);
+    let other_path = coalescer.join(&key("cobalt", "/tiles/8"), 3);
 
     expect_that!((other_team, other_path), eq((Some(2), Some(3))));
 }
@@ -35,16 +35,16 @@
 /// served, so they must not fail with it.
 #[gtest]
 fn failed_leader_does_not_fail_its_followers() {
-    let mut merger = ReadCoalescer::default();
+    let mut coalescer = ReadCoalescer::default();
     let tile = key("cobalt", "/tiles/7");
     for read in [1, 2, 3] {
-        merger.join(&tile, read);
+        coalescer.join(&tile, read);
     }
 
-    let next = merger.fail_leader(&tile);
+    let next = coalescer.fail_leader(&tile);
 
     expect_that!(next, some(eq(2)));
-    expect_that!(merger.complete(&tile), elements_are![eq(&3)]);
+    expect_that!(coalescer.complete(&tile), elements_are![eq(&3)]);
 }
 
 #[gtest]
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -63,7 +63,7 @@
 pub enum Received {
     #[default]
     Nothing,
-    Answer(Duration),
+    Response(Duration),
     Refusal(Duration),
 }
 
@@ -73,7 +73,7 @@
     Reach { job: usize, upstream: usize },
     Finish { job: usize, upstream: usize },
     Return { job: usize, upstream: usize },
-    Wake(usize),
+    Expire(usize),
 }
 
 struct Node {
@@ -183,7 +183,7 @@
                 self.returned(job, upstream);
                 node_of(job)
             }
-            Event::Wake(node) => node,
+            Event::Expire(node) => node,
         };
         match self.policy {
             Policy::Baseline => self.dispatch_baseline(node),
@@ -229,7 +229,7 @@
         match offered {
             Ok(_) => {
                 if let Some(Instant(at)) = self.nodes[node].admission.next_expiry() {
-                    self.schedule(at.max(self.now), Event::Wake(node));
+                    self.schedule(at.max(self.now), Event::Expire(node));
                 }
             }
             Err(not_run) => self.not_run(&not_run),
@@ -281,13 +281,13 @@
     }
 
     fn dispatch_baseline(&mut self, node: usize) {
-        let places = u32::try_from(self.site.servers.div_ceil(NODES)).expect("a small number");
+        let slots = u32::try_from(self.site.servers.div_ceil(NODES)).expect("a small number");
         while !self.nodes[node].fifo.is_empty() {
             let state = &mut self.nodes[node];
             let n = self.site.upstreams;
             let Some(upstream) = (0..n)
                 .map(|i| (state.next_upstream + i) % n)
-                .find(|i| state.in_flight[*i] < places)
+                .find(|i| state.in_flight[*i] < slots)
             else {
                 return;
             };
@@ -322,7 +322,7 @@
     }
 
     fn returned(&mut self, job: usize, upstream: usize) {
-        self.answer(job);
+        self.deliver_response(job);
         let held = self.now.saturating_sub(self.sent[job]);
         let first_part = if self.site.engines {
             self.started[job].saturating_sub(self.sent[job]) + FIRST_TOKEN + ONE_WAY
@@ -347,17 +347,17 @@
             return node.hot_keys.release(&key);
         }
         for follower in node.coalescer.complete(&key) {
-            self.answer(follower);
+            self.deliver_response(follower);
         }
     }
 
     /// Delivers the response unless the caller has timed out.
-    fn answer(&mut self, job: usize) {
+    fn deliver_response(&mut self, job: usize) {
         let Job {
             arrival, deadline, ..
         } = self.jobs[job];
         if self.now <= arrival + deadline {
-            self.received[job] = Received::Answer(self.now);
+            self.received[job] = Received::Response(self.now);
         }
     }
 
--- a/crates/decisions/tests/load_support/verdict.rs
+++ b/crates/decisions/tests/load_support/verdict.rs
@@ -30,7 +30,7 @@
             let waits = all()
                 .filter(|(job, _)| job.lane == Lane::Quick && team.is_none_or(|t| t == job.team))
                 .filter_map(|(job, got)| match got {
-                    Received::Answer(at) => Some(at.saturating_sub(job.arrival)),
+                    Received::Response(at) => Some(at.saturating_sub(job.arrival)),
                     _ => None,
                 });
             percentile(waits.collect(), 0.99)
@@ -43,13 +43,13 @@
             .collect::<Vec<_>>();
         let answered = received
             .iter()
-            .filter(|got| matches!(got, Received::Answer(_)));
+            .filter(|got| matches!(got, Received::Response(_)));
         let end = jobs.last().map_or(Duration::ZERO, |job| job.arrival);
         let useful = |until: Duration| -> Duration {
             received
                 .iter()
                 .zip(work)
-                .filter(|(got, _)| matches!(got, Received::Answer(at) if *at <= until))
+                .filter(|(got, _)| matches!(got, Received::Response(at) if *at <= until))
                 .map(|(_, work)| *work)
                 .sum()
         };
@@ -59,7 +59,7 @@
         let answered_of = (0..site.teams)
             .map(|team| {
                 all()
-                    .filter(|(job, got)| job.team == team && matches!(got, Received::Answer(_)))
+                    .filter(|(job, got)| job.team == team && matches!(got, Received::Response(_)))
                     .count()
             })
             .collect::<Vec<_>>();
--- a/crates/decisions/tests/peer_loads.rs
+++ b/crates/decisions/tests/peer_loads.rs
@@ -158,7 +158,7 @@
 /// A VM of a large zone crashes. All others must remove it, although most of them never received a heartbeat of
 /// it.
 #[gtest]
-fn a_dead_vm_is_removed_in_a_large_zone() {
+fn a_crashed_vm_is_removed_in_a_large_zone() {
     let mut fleet = Fleet::new(120, 4);
     fleet.run(30, &[]);
 
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -45,23 +45,23 @@
     let mut table = table(0, 4);
     table.record_failure(at(10), &vm(1));
 
-    let (answering, all) = (
+    let (responsive, all) = (
         table.nearest(at(11), 16),
         table.nearest_including_silent(at(11), 16),
     );
 
     expect_that!(
-        names(&answering),
+        names(&responsive),
         unordered_elements_are![eq("vm-2"), eq("vm-3")]
     );
     expect_that!(all.last(), some(eq(&entry(1))));
     expect_that!(all.len(), eq(3));
-    expect_that!(table.nearest_including_silent(at(11), 2), eq(&answering));
+    expect_that!(table.nearest_including_silent(at(11), 2), eq(&responsive));
 }
 
 /// Guards against treating a slow VM as crashed, and against waiting for one that has crashed.
 #[gtest]
-fn vm_that_misses_an_answer_may_serve_until_it_has_been_silent_for_long() {
+fn vm_that_misses_a_response_may_serve_until_it_has_been_silent_for_long() {
     let mut table = table(0, 3);
 
     table.record_response(at(10), &vm(1));
@@ -154,7 +154,7 @@
 
 /// A VM crashes without notice and stays in the platform's list. Progress replicas sent there would be lost.
 #[gtest]
-fn vm_that_does_not_answer_is_skipped_for_a_while() {
+fn vm_that_does_not_respond_is_skipped_for_a_while() {
     let mut table = table(0, 8);
     let first = table.holders(at(0), &vm(0), &entry(0).zone)[0].vm.clone();
 
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -36,7 +36,7 @@
 /// A rack loses power: the engine of a request fails, and the next engine fails before it has
 /// responded. If the request were taken for a poison request, it would be refused for ten minutes.
 #[gtest]
-fn request_with_one_crash_and_one_dead_engine_is_not_refused() {
+fn request_with_one_crash_and_one_failed_engine_is_not_refused() {
     let mut tracker = tracker_after_one_crash();
     tracker.started(unrelated_digest(), engine(1), FIRST, at(0));
 
@@ -72,7 +72,7 @@
 /// A rack loses power: a request is sent to several of its engines in turn, and none of them begins
 /// to respond. The caller must still be served by the next live engine.
 #[gtest]
-fn request_sent_only_to_dead_engines_is_not_refused() {
+fn request_sent_only_to_crashed_engines_is_not_refused() {
     let mut tracker = PoisonTracker::default();
     for n in 0..5 {
         tracker.started(unrelated_digest(), engine(n), FIRST, at(0));
--- a/crates/decisions/tests/relay.rs
+++ b/crates/decisions/tests/relay.rs
@@ -148,10 +148,10 @@
     /// random sequences. The response must always be the output of one chain of attempts, each of
     /// which continues exactly the tokens delivered before it.
     #[test]
-    fn answer_is_always_a_prefix_of_one_chain(steps in prop::collection::vec(step(), 0..200)) {
+    fn response_is_always_a_prefix_of_one_chain(steps in prop::collection::vec(step(), 0..200)) {
         let mut relay = Relay::new(request());
         let mut reserved = Vec::new();
-        let mut answer: Vec<Token> = Vec::new();
+        let mut response: Vec<Token> = Vec::new();
         let mut prefixes: Vec<Vec<Token>> = Vec::new();
         let mut ended = false;
 
@@ -159,18 +159,18 @@
             match step {
                 Step::Reserve => {
                     reserved.push(relay.reserve());
-                    prefixes.push(answer.clone());
+                    prefixes.push(response.clone());
                 }
                 Step::Adopt(i) if i < reserved.len() && relay.adopt(reserved[i]) => {
-                    prop_assert_eq!(&prefixes[i], &answer);
+                    prop_assert_eq!(&prefixes[i], &response);
                 }
                 Step::Token(i, index) if i < reserved.len() => {
                     let received = token(reserved[i].attempt(), index);
                     if let Ok(Delivery::Token(at, token)) = relay.token(received) {
                         prop_assert!(!ended);
                         prop_assert_eq!(reserved[i].attempt(), relay.live());
-                        prop_assert_eq!(usize::try_from(at.0).expect("small"), answer.len());
-                        answer.push(token);
+                        prop_assert_eq!(usize::try_from(at.0).expect("small"), response.len());
+                        response.push(token);
                     }
                 }
                 Step::End(i, tokens) if i < reserved.len() => {
@@ -182,13 +182,13 @@
                     };
                     if let Ok(Delivery::End(_)) = relay.end(&end) {
                         prop_assert!(!ended);
-                        prop_assert_eq!(usize::try_from(tokens).expect("small"), answer.len());
+                        prop_assert_eq!(usize::try_from(tokens).expect("small"), response.len());
                         ended = true;
                     }
                 }
                 _ => {}
             }
-            let ids = answer.iter().map(|token| token.id).collect::<Vec<_>>();
+            let ids = response.iter().map(|token| token.id).collect::<Vec<_>>();
             prop_assert_eq!(relay.delivered().ids(), &ids[..]);
         }
     }
