--- a/crates/decisions/examples/choice.rs
+++ b/crates/decisions/examples/choice.rs
@@ -27,8 +27,8 @@
     };
     let mut record = UpstreamRecord::default();
     for at in [Instant::default(), NOW] {
-        let asked = record.report_requested(at);
-        record.record_report(asked, report.clone());
+        let pending = record.report_requested(at);
+        record.record_report(pending, report.clone());
     }
     record
 }
--- a/crates/decisions/examples/slices.rs
+++ b/crates/decisions/examples/slices.rs
@@ -139,7 +139,7 @@
 }
 
 struct Slices {
-    home: SliceAllocator,
+    allocator: SliceAllocator,
     slices: Vec<TeamSlice>,
 }
 
@@ -157,7 +157,7 @@
                 vm: vm(vm_number),
                 demand: self.slices[vm_number].demand(at(now)),
             };
-            let grant = self.home.grant(&request, at(now)).expect("a holder");
+            let grant = self.allocator.grant(&request, at(now)).expect("a holder");
             self.slices[vm_number].apply_grant(&grant, at(now), at(now));
         }
     }
@@ -245,9 +245,9 @@
         Strategy::PerRequest(PerRequest { table, writes: 0 }),
     );
     run("batched", Strategy::Batched(Batched::default()));
-    let home = SliceAllocator::new(LIMIT, (0..VMS).map(vm).collect(), at(0));
+    let allocator = SliceAllocator::new(LIMIT, (0..VMS).map(vm).collect(), at(0));
     let slices = fixed_slices();
-    run("slices", Strategy::Slices(Slices { home, slices }));
+    run("slices", Strategy::Slices(Slices { allocator, slices }));
     println!(
         "target: 5800 writes/s per request, {} batched over 100 ms",
         pairs_a_second(100)
--- a/crates/decisions/src/capacity_share.rs
+++ b/crates/decisions/src/capacity_share.rs
@@ -35,8 +35,8 @@
 impl CapacityShare {
     /// Creates the share of a VM at an upstream that `sharers` VMs use.
     #[must_use]
-    pub fn of(node: &VmId, upstream: &UpstreamId, sharers: u32) -> Self {
-        let score = rendezvous_score(node.as_str(), upstream.as_str());
+    pub fn of(vm: &VmId, upstream: &UpstreamId, sharers: u32) -> Self {
+        let score = rendezvous_score(vm.as_str(), upstream.as_str());
         let rounding_threshold = u32::try_from(score % 1000).unwrap_or_default();
         Self {
             sharers,
--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -21,7 +21,7 @@
 const AFFINITY_BOUND: f64 = 1.25;
 
 /// Number of upstreams with the highest affinity that are tried before load alone decides.
-const AFFINITY_TRIES: usize = 3;
+const MAX_AFFINITY_CANDIDATES: usize = 3;
 
 /// Latencies up to this multiple of the best one are treated as equal, since such differences may be
 /// random.
@@ -120,7 +120,7 @@
     let capacity = pool.iter().map(|w| w.weighted_capacity).sum::<f64>();
     let bound = AFFINITY_BOUND * (load + 1.0) / capacity;
     let mut last_affinity = u64::MAX;
-    for _ in 0..AFFINITY_TRIES {
+    for _ in 0..MAX_AFFINITY_CANDIDATES {
         let best = pool
             .iter()
             .filter(|w| w.affinity < last_affinity)
--- a/crates/decisions/src/loan_requests.rs
+++ b/crates/decisions/src/loan_requests.rs
@@ -80,10 +80,10 @@
         let Some(open) = open else {
             return 0;
         };
-        let asked = open.lenders.iter().position(|asked| *asked == lender);
-        match asked {
-            Some(position) => {
-                open.lenders.swap_remove(position);
+        let position = open.lenders.iter().position(|other| *other == lender);
+        match position {
+            Some(index) => {
+                open.lenders.swap_remove(index);
                 loan.given
             }
             None => 0,
--- a/crates/decisions/src/upstream_directory.rs
+++ b/crates/decisions/src/upstream_directory.rs
@@ -297,12 +297,12 @@
         for id in missing {
             changes.extend(self.remove_entry(&id, now));
         }
-        let taken = entries
+        let applied = entries
             .into_iter()
             .filter_map(|entry| self.apply_without_address(entry, &mut changes))
             .collect::<Vec<_>>();
         self.index_addresses();
-        for id in taken {
+        for id in applied {
             self.replace_at_address(&id, &listed, &mut changes);
         }
         changes
--- a/crates/decisions/src/upstream_table.rs
+++ b/crates/decisions/src/upstream_table.rs
@@ -64,16 +64,21 @@
         self.digest
     }
 
-    /// Applies all rows if `whole`, otherwise those written after a version up to which the table was
+    /// Applies all rows if `complete`, otherwise those written after a version up to which the table was
     /// known.
-    pub fn apply_read(&mut self, rows: &[UpstreamChange], whole: bool, version: u64) -> TableRead {
+    pub fn apply_read(
+        &mut self,
+        rows: &[UpstreamChange],
+        complete: bool,
+        version: u64,
+    ) -> TableRead {
         let mut read = TableRead::default();
         if version < self.version {
             // The store served this read before it served changes that other VMs have sent since.
             return read;
         }
         let mut rows = rows.to_vec();
-        if whole {
+        if complete {
             let removals = self.removals_absent_from(&rows, version);
             self.set_rows(removals, &mut read);
         } else {
--- a/crates/decisions/tests/agreement.rs
+++ b/crates/decisions/tests/agreement.rs
@@ -336,7 +336,7 @@
     /// must never apply an order with an old one. At the end every engine must have the models of the
     /// latest bundle, including engines that apply every order.
     #[test]
-    fn stale_orders_are_rejected_or_corrected(
+    fn stale_orders_are_refused_or_corrected(
         steps in prop::collection::vec((0_u8..18, 0_usize..12, 0_u64..8), 0..100),
     ) {
         let mut simulation = Simulation::new();
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -38,10 +38,10 @@
 /// An upstream that has been running long enough to have full weight, and has just reported `load`.
 fn record(load: u32) -> UpstreamRecord {
     let mut record = UpstreamRecord::default();
-    let asked = record.report_requested(ms(0));
-    record.record_report(asked, report(load));
-    let asked = record.report_requested(NOW);
-    record.record_report(asked, report(load));
+    let pending = record.report_requested(ms(0));
+    record.record_report(pending, report(load));
+    let pending = record.report_requested(NOW);
+    record.record_report(pending, report(load));
     record
 }
 
@@ -146,8 +146,8 @@
 fn own_requests_in_a_report_are_not_counted_twice() {
     let mut record = record(0);
     (0..6).for_each(|_| record.record_dispatch());
-    let asked = record.report_requested(NOW);
-    record.record_report(asked, report(8));
+    let pending = record.report_requested(NOW);
+    record.record_report(pending, report(8));
     record.record_end();
 
     let candidate = record.candidate(None, NOW).expect("eligible");
@@ -243,12 +243,12 @@
 #[gtest]
 fn a_restarted_upstream_starts_slowly() {
     let mut fresh = record(0);
-    let asked = fresh.report_requested(NOW);
+    let pending = fresh.report_requested(NOW);
     let restarted = UpstreamReport {
         incarnation: Incarnation(2),
         ..report(0)
     };
-    fresh.record_report(asked, restarted);
+    fresh.record_report(pending, restarted);
 
     let weight = |after| {
         let now = NOW.after(Duration::from_millis(after));
@@ -333,13 +333,13 @@
 #[gtest]
 fn only_an_engine_that_serves_is_eligible() {
     let mut record = record(0);
-    let asked = record.report_requested(NOW);
+    let pending = record.report_requested(NOW);
     let standby = UpstreamReport {
         serves: false,
         ..report(0)
     };
 
-    record.record_report(asked, standby);
+    record.record_report(pending, standby);
 
     expect_that!(
         record.candidate(None, NOW),
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -261,7 +261,7 @@
             12 => self.record_end(vm),
             13 => self.release(vm),
             14 => self.crash(vm),
-            _ => self.reject_call(vm),
+            _ => self.refuse_call(vm),
         }
     }
 
@@ -319,7 +319,7 @@
         }
     }
 
-    fn reject_call(&mut self, vm: usize) {
+    fn refuse_call(&mut self, vm: usize) {
         let Some(i) = self.vms[vm].awaited_call else {
             return;
         };
--- a/crates/decisions/tests/crash_tracker.rs
+++ b/crates/decisions/tests/crash_tracker.rs
@@ -43,13 +43,13 @@
 }
 
 #[gtest]
-fn third_crash_rejects_the_call() {
-    let rejected = [2, 3].map(|n| {
+fn third_crash_refuses_the_call() {
+    let refused = [2, 3].map(|n| {
         let tracker = tracker((0..n).map(|n| crash(CRASHING, n, 0)));
         tracker.is_refused(CRASHING, at(1))
     });
 
-    expect_that!(rejected, eq([false, true]));
+    expect_that!(refused, eq([false, true]));
 }
 
 /// A zone's engines crash together under forty calls, and a heartbeat holds twelve crashes. If always the
@@ -71,7 +71,7 @@
 /// Engines crash under a call by coincidence, and it receives a complete response in the end. Crashes that
 /// another VM received and sends back must not cause the call to be rejected when its caller repeats it.
 #[gtest]
-fn completed_call_is_not_rejected_for_crashes_sent_back() {
+fn completed_call_is_not_refused_for_crashes_sent_back() {
     let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
     let mut peer = CrashTracker::default();
     send_crashes(&mut local, &mut peer, 0);
@@ -114,7 +114,7 @@
 /// engines by coincidence since. If the first crash were attributed to it, its caller would be rejected for
 /// ten minutes.
 #[gtest]
-fn crashes_explained_by_a_rejected_call_are_not_attributed_to_others() {
+fn crashes_explained_by_a_refused_call_are_not_attributed_to_others() {
     let crashing = (0..3).map(|n| crash(CRASHING, n, n));
     let beside = [(2, 2), (3, 4), (4, 5)].map(|(n, seconds)| crash(HARMLESS, n, seconds));
 
@@ -126,11 +126,11 @@
 
 /// Two calls under which the same engines crashed cannot be distinguished.
 #[gtest]
-fn calls_with_the_same_crashes_are_both_rejected() {
+fn calls_with_the_same_crashes_are_both_refused() {
     let both = [CRASHING, HARMLESS].map(|digest| (0..3).map(move |n| crash(digest, n, n)));
 
     let tracker = tracker(both.into_iter().flatten());
 
-    let rejected = [CRASHING, HARMLESS].map(|digest| tracker.is_refused(digest, at(4)));
-    expect_that!(rejected, eq([true, true]));
+    let refused = [CRASHING, HARMLESS].map(|digest| tracker.is_refused(digest, at(4)));
+    expect_that!(refused, eq([true, true]));
 }
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -157,7 +157,7 @@
 }
 
 #[gtest]
-fn a_dead_process_gets_no_work() {
+fn an_ended_process_gets_no_work() {
     let mut evidence = reported_at(ms(0));
 
     evidence.record_ended(FIRST);
--- a/crates/decisions/tests/hot_call.rs
+++ b/crates/decisions/tests/hot_call.rs
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn identical_reads_get_the_leaders_answer() {
+fn identical_reads_get_the_leaders_response() {
     let mut coalescer = ReadCoalescer::default();
     let tile = key("cobalt", "/tiles/7");
 
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -42,7 +42,7 @@
     loading: Vec<(Model, u64)>,
     reports_loading: bool,
     reachable: bool,
-    rejects_orders: bool,
+    refuses_orders: bool,
     report: EngineReport,
 }
 
@@ -105,7 +105,7 @@
         let (now, id) = (self.now, &state.upstream);
         let i = (0..self.engines.len()).find(|i| engine_id(*i) == *id);
         let engine = &mut self.engines[i.expect("an engine with this id")];
-        if engine.rejects_orders {
+        if engine.refuses_orders {
             self.planner.record_refused(id);
         } else {
             engine.apply_order(now, &state.models);
@@ -160,7 +160,7 @@
             loading: Vec::new(),
             reports_loading: true,
             reachable: true,
-            rejects_orders: false,
+            refuses_orders: false,
         }
     }
 
@@ -345,10 +345,10 @@
 /// An engine that does not report loads in progress rejects its orders, since this VM is not
 /// allowed to order it. Other engines must not wait for the timeout of a load that never started.
 #[gtest]
-fn rejected_order_does_not_delay_other_engines() {
+fn refused_order_does_not_delay_other_engines() {
     let mut sim = Simulation::new(3, OrderSettings::default());
     sim.engines[0].reports_loading = false;
-    sim.engines[0].rejects_orders = true;
+    sim.engines[0].refuses_orders = true;
     sim.set_wanted_version("2");
 
     sim.run_seconds(60);
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -41,7 +41,7 @@
 
 /// A VM that was slow once may still serve callers, so a query to all VMs must not leave it out.
 #[gtest]
-fn vm_that_did_not_answer_is_queried_last_and_not_left_out() {
+fn vm_that_did_not_respond_is_queried_last_and_not_left_out() {
     let mut table = table(0, 4);
     table.record_failure(at(10), &vm(1));
 
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -132,7 +132,7 @@
 /// The caller sent the poison request twice, so a second copy already runs on another engine when
 /// the first one crashes its engine.
 #[gtest]
-fn running_second_copy_is_put_on_probation() {
+fn second_run_in_progress_is_put_on_probation() {
     let mut tracker = PoisonTracker::default();
     start(&mut tracker, poison_digest(), 0);
     start(&mut tracker, poison_digest(), 1);
--- a/crates/decisions/tests/slices.rs
+++ b/crates/decisions/tests/slices.rs
@@ -140,13 +140,13 @@
     /// For any demands and any lost replies, the slices in force never add up to more than the limit.
     #[test]
     fn slices_never_exceed_the_limit(
-        asks in prop::collection::vec((0..900_u64, 0..6_usize, 0.0..300.0_f64, any::<bool>()), 1..120)
+        requests in prop::collection::vec((0..900_u64, 0..6_usize, 0.0..300.0_f64, any::<bool>()), 1..120)
     ) {
         let mut allocator = allocator(6);
         let mut slices = (0..6).map(|_| TeamSlice::fixed(allocator.floor(), ms(0))).collect::<Vec<_>>();
         let mut now = 3000;
 
-        for (wait, n, demand, lost) in asks {
+        for (wait, n, demand, lost) in requests {
             now += wait;
             let grant = ask(&mut allocator, n, demand, ms(now));
             if !lost {
--- a/crates/decisions/tests/store_backoff.rs
+++ b/crates/decisions/tests/store_backoff.rs
@@ -31,27 +31,30 @@
 /// calling when the readers notify them of the return. Returns the number of all calls, the number of
 /// calls after the return, and the delay until a reader noticed the return.
 fn simulate_zone(zone_vms: &[Arc<str>], rng: &mut Xoshiro256PlusPlus) -> (usize, usize, Duration) {
-    let asked = |vm: &Arc<str>, rng: &mut Xoshiro256PlusPlus| {
+    let call_times = |vm: &Arc<str>, rng: &mut Xoshiro256PlusPlus| {
         let role = ZoneRole::of(vm, zone_vms);
         let mut at = Duration::ZERO;
-        let mut asked = vec![at];
+        let mut call_times = vec![at];
         for faults in 1.. {
             at += store_backoff(role, zone_vms.len(), faults, rng.random());
-            asked.push(at);
+            call_times.push(at);
             if at >= OUTAGE {
                 break;
             }
         }
-        (role, asked)
+        (role, call_times)
     };
-    let vms = zone_vms.iter().map(|vm| asked(vm, rng)).collect::<Vec<_>>();
+    let vms = zone_vms
+        .iter()
+        .map(|vm| call_times(vm, rng))
+        .collect::<Vec<_>>();
     let noticed = vms
         .iter()
         .filter(|(role, _)| role.polls_store())
-        .filter_map(|(_, asked)| asked.last().copied())
+        .filter_map(|(_, call_times)| call_times.last().copied())
         .min()
         .unwrap();
-    let all = vms.iter().flat_map(|(_, asked)| asked);
+    let all = vms.iter().flat_map(|(_, call_times)| call_times);
     let all = all
         .filter(|at| **at < noticed + NOTIFY_DELAY)
         .collect::<Vec<_>>();
