--- a/crates/decisions/src/capacity_share.rs
+++ b/crates/decisions/src/capacity_share.rs
@@ -7,7 +7,7 @@
 //! A share is seldom a whole number: 4 slots among 3 VMs are 1.33 each. If all VMs rounded down, a
 //! quarter of the upstream would stay idle; if all rounded up, it would receive half as much again as
 //! it can run. Each VM therefore rounds by a pseudo-random number that depends on the VM and the
-//! upstream, so that the sum over all VMs is right on average.
+//! upstream, so that the sum over all VMs is correct on average.
 //!
 //! For quick calls the shares add up to more than the capacity, because a slot is idle while its response
 //! and the next request are on the network: with 1 ms one way and calls of 20 ms, a tenth of the time.
--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -20,7 +20,7 @@
 /// Maximum load of the upstream chosen by prefix, as a multiple of the average load.
 const AFFINITY_BOUND: f64 = 1.25;
 
-/// Number of upstreams with the highest affinity that are tried before load alone decides.
+/// Number of upstreams with the highest affinity that are considered before load alone decides.
 const MAX_AFFINITY_CANDIDATES: usize = 3;
 
 /// Latencies up to this multiple of the best one are treated as equal, since such differences may be
--- a/crates/decisions/src/upstream_table.rs
+++ b/crates/decisions/src/upstream_table.rs
@@ -4,8 +4,8 @@
 //! Upstreams rewrite their entries every second or so, most of the time without a change. If each VM read
 //! all of these, 400 VMs in front of 900 upstreams would read 270 kB/s each, and most calls to the
 //! platform's store would be theirs. So in each zone one or two VMs read the table and send the others its
-//! changes and the digest of the whole. A VM that missed a change notices at the next update and reads the
-//! table itself.
+//! changes and the digest of the complete table. A VM that missed a change detects this at the next update
+//! and reads the table itself.
 //!
 //! Updates arrive late and out of order: datagrams overtake each other, and a VM that was partitioned or
 //! paused sends what it reads then, which may be older than what others know. So each row carries the
@@ -64,8 +64,8 @@
         self.digest
     }
 
-    /// Applies all rows if `complete`, otherwise those written after a version up to which the table was
-    /// known.
+    /// Applies a read of the table: all rows if `complete`, otherwise those written after a version up to
+    /// which the table was known.
     pub fn apply_read(
         &mut self,
         rows: &[UpstreamChange],
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -45,7 +45,7 @@
     queue
 }
 
-/// The same queue with both slots taken.
+/// The same queue with both slots in use.
 fn full_queue() -> AdmissionQueue<u32> {
     let mut queue = queue();
     queue.acquire_slot(at(0), Lane::Quick, &upstream());
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -88,8 +88,8 @@
     );
 }
 
-/// The result of a claim is lost and the platform store fails, so the caller receives the response that its order
-/// did not run. The claim may have been committed, however. Without a release, a retry would
+/// The result of a claim is lost and the platform store fails, so the caller receives the response that
+/// its order did not run. The claim may have been committed, however. Without a release, a retry would
 /// fail with an unknown outcome, although the order certainly did not run.
 #[gtest]
 fn abandoned_claim_that_may_have_committed_is_released() {
--- a/crates/decisions/tests/crash_tracker.rs
+++ b/crates/decisions/tests/crash_tracker.rs
@@ -69,7 +69,7 @@
 }
 
 /// Engines crash under a call by coincidence, and it receives a complete response in the end. Crashes that
-/// another VM received and sends back must not cause the call to be rejected when its caller repeats it.
+/// another VM received and sends back must not cause the call to be refused when its caller retries it.
 #[gtest]
 fn completed_call_is_not_refused_for_crashes_sent_back() {
     let mut local = tracker((0..3).map(|n| crash(HARMLESS, n, 0)));
@@ -111,7 +111,7 @@
 }
 
 /// A stream ran beside the call that crashes engines when the third of them crashed, and has lost two more
-/// engines by coincidence since. If the first crash were attributed to it, its caller would be rejected for
+/// engines by coincidence since. If the first crash were attributed to it, its caller would be refused for
 /// ten minutes.
 #[gtest]
 fn crashes_explained_by_a_refused_call_are_not_attributed_to_others() {
--- a/crates/decisions/tests/hedge.rs
+++ b/crates/decisions/tests/hedge.rs
@@ -32,7 +32,7 @@
     expect_that!(hedge.delay(), none());
 }
 
-/// A call that is not idempotent, such as a ticket submission, is late. A second copy could run it twice.
+/// A call that is not idempotent, such as a ticket submission, is late. A hedge could run it twice.
 #[gtest]
 fn never_hedges_a_call_that_is_not_idempotent() {
     let mut hedge = observed_hedge();
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -292,7 +292,7 @@
     expect_that!(sim.holders("1"), eq(&[0, 3, 5]));
 }
 
-/// One of the two engines that keep an old version in use restarts without it. A second copy must
+/// One of the two engines that keep an old version in use restarts without it. A second replica must
 /// be loaded elsewhere, or the next crash would end the generation.
 #[gtest]
 fn lost_copy_of_an_old_version_in_use_is_replaced() {
@@ -342,7 +342,7 @@
     expect_that!(sim.holders("1"), is_empty());
 }
 
-/// An engine that does not report loads in progress rejects its orders, since this VM is not
+/// An engine that does not report loads in progress refuses its orders, since this VM is not
 /// allowed to order it. Other engines must not wait for the timeout of a load that never started.
 #[gtest]
 fn refused_order_does_not_delay_other_engines() {
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -129,7 +129,7 @@
     expect_that!(poison, err(eq(PoisonBlock::Refused)));
 }
 
-/// The caller sent the poison request twice, so a second copy already runs on another engine when
+/// The caller sent the poison request twice, so a second run is in progress on another engine when
 /// the first one crashes its engine.
 #[gtest]
 fn second_run_in_progress_is_put_on_probation() {
--- a/crates/decisions/tests/upstream_health.rs
+++ b/crates/decisions/tests/upstream_health.rs
@@ -87,7 +87,7 @@
 }
 
 /// A call crashes each upstream that runs it, and its caller retries it on any VM. After three upstreams
-/// have crashed it is rejected, whichever VM observed the crashes.
+/// have crashed it is refused, whichever VM observed the crashes.
 #[gtest]
 fn call_is_refused_after_three_crashes() {
     let mut tracker = CrashTracker::default();
