--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -295,7 +295,7 @@
 /// One of the two engines that keep an old version in use restarts without it. A second replica must
 /// be loaded elsewhere, or the next crash would end the generation.
 #[gtest]
-fn lost_copy_of_an_old_version_in_use_is_replaced() {
+fn lost_replica_of_an_old_version_in_use_is_replaced() {
     let mut sim = Simulation::new(6, OrderSettings::default());
     sim.set_streams(4, "1", 1);
     sim.set_wanted_version("2");
