--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -41,11 +41,11 @@
     });
     print_cost("offer and dispatch", |i| {
         let offered = queue.offer(now, &arrivals[i * 11 % TEAMS], Queued::new(i));
-        let full = queue.full_upstreams(now, Lane::Quick).len();
+        let full_count = queue.full_upstreams(now, Lane::Quick).len();
         let upstream = &upstreams[i % UPSTREAMS];
         let dispatched = queue.dispatch(now, Lane::Quick, upstream).is_some();
         queue.release_slot(Lane::Quick, upstream, None);
-        (offered.is_ok(), full, dispatched)
+        (offered.is_ok(), full_count, dispatched)
     });
     print_cost("look for expired", |_| queue.expire(now).len());
 
