--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -35,7 +35,7 @@
     /// Availability zone of this VM.
     pub zone: AvailabilityZone,
     /// Settings of the retry budgets.
-    pub retry_budget: RouteRetryBudgetConfig,
+    pub retry_budget: SharedRetryBudgetConfig,
     /// Addresses of a few VMs that receive heartbeats from the start; they may be outdated.
     pub seeds: Vec<SocketAddr>,
     /// Which mechanisms of routing and failover are enabled.
@@ -343,7 +343,7 @@
             .budget(&service)
             .record_call(&self.settings.retry_budget, now);
         let digest = call.digest(team.as_ref());
-        if state.crashes.is_rejected(digest, now) {
+        if state.crashes.is_refused(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
         }
         if !self.accepts(route.timeout) {
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -151,10 +151,10 @@
     }
 
     /// The budget settings with the current number of VMs and slack.
-    fn budget_config(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
+    fn budget_config(&self, state: &GatewayState, now: Instant) -> SharedRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
         let peers_known = alone || now.since(self.started) >= PEER_DISCOVERY_TIME;
-        RouteRetryBudgetConfig {
+        SharedRetryBudgetConfig {
             slack: if peers_known {
                 self.settings.retry_budget.slack
             } else {
--- a/crates/catkinward/src/gateway/state.rs
+++ b/crates/catkinward/src/gateway/state.rs
@@ -7,11 +7,11 @@
     /// How much of the directory has been read.
     pub(crate) directory_read: DirectoryRead,
     /// Sorted by id.
-    upstreams: Vec<UpstreamState>,
+    upstreams: Vec<UpstreamIncarnationState>,
     pub(crate) zones: ZoneOutageDetector,
     pub(crate) recent_services: RecentServices,
     /// Sorted by service.
-    budgets: Vec<(ServiceId, RouteRetryBudget)>,
+    budgets: Vec<(ServiceId, SharedRetryBudget)>,
     pub(crate) crashes: CrashTracker,
     /// Calls whose connection broke recently, until it is known whether their upstream crashed.
     broken_calls: Vec<Crash>,
@@ -54,7 +54,7 @@
 }
 
 /// Health and load of one upstream.
-pub(crate) struct UpstreamState {
+pub(crate) struct UpstreamIncarnationState {
     id: UpstreamIncarnation,
     pub(crate) entry: Arc<UpstreamEntry>,
     pub(crate) health: UpstreamHealth,
@@ -149,7 +149,7 @@
     pub(crate) fn apply_crash(&mut self, crash: Crash) -> bool {
         let (digest, now) = (crash.digest, crash.at);
         let is_new = self.crashes.record_crash(crash);
-        if is_new && self.crashes.is_rejected(digest, now) {
+        if is_new && self.crashes.is_refused(digest, now) {
             let crashes = self.crashes.crash_count(digest, now);
             tracing::warn!(body = %format_args!("{digest:016x}"), crashes,
                 "calls with this body are rejected from now on");
@@ -162,11 +162,11 @@
         &mut self,
         entry: &Arc<UpstreamEntry>,
         now: Instant,
-    ) -> &mut UpstreamState {
+    ) -> &mut UpstreamIncarnationState {
         let index = match self.upstreams.binary_search_by(|u| u.id.cmp(&entry.id)) {
             Ok(index) => index,
             Err(index) => {
-                let upstream = UpstreamState {
+                let upstream = UpstreamIncarnationState {
                     id: entry.id.clone(),
                     entry: entry.clone(),
                     health: UpstreamHealth::new(now),
@@ -184,13 +184,13 @@
     pub(crate) fn existing_upstream(
         &mut self,
         id: &UpstreamIncarnation,
-    ) -> Option<&mut UpstreamState> {
+    ) -> Option<&mut UpstreamIncarnationState> {
         let index = self.upstreams.binary_search_by(|u| u.id.cmp(id)).ok()?;
         Some(&mut self.upstreams[index])
     }
 
     /// States of all upstreams, sorted by id.
-    pub(crate) fn upstreams_mut(&mut self) -> impl Iterator<Item = &mut UpstreamState> {
+    pub(crate) fn upstreams_mut(&mut self) -> impl Iterator<Item = &mut UpstreamIncarnationState> {
         self.upstreams.iter_mut()
     }
 
@@ -201,11 +201,11 @@
             .retain(|u| u.health.in_flight() > 0 || directory.get_usable(&u.id, now).is_some());
     }
 
-    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut RouteRetryBudget {
+    pub(crate) fn budget(&mut self, service: &ServiceId) -> &mut SharedRetryBudget {
         let index = match self.budgets.binary_search_by(|(s, _)| s.cmp(service)) {
             Ok(index) => index,
             Err(index) => {
-                let budget = (service.clone(), RouteRetryBudget::default());
+                let budget = (service.clone(), SharedRetryBudget::default());
                 self.budgets.insert(index, budget);
                 index
             }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -20,7 +20,7 @@
     sent: Instant,
     /// Whether the response is still outstanding.
     awaits_response: AtomicBool,
-    requested: AskedReport,
+    requested: PendingReport,
     run: Option<TrackedRunId>,
 }
 
@@ -108,7 +108,7 @@
 
     fn settle_response(&self, record: &mut UpstreamRecord) {
         if self.awaits_response.swap(false, Ordering::Relaxed) {
-            record.response_settled(self.sent);
+            record.response_ended(self.sent);
         }
     }
 
@@ -132,7 +132,7 @@
             .record
             .lock()
             .evidence
-            .record_reply(self.incarnation, now);
+            .record_response(self.incarnation, now);
         if let Some(run) = self.run {
             self.observer.poison.lock().finished(run);
         }
--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -2,7 +2,7 @@
 
 mod gateway_support;
 
-use catkin_decisions::{RefusalReason, RouteRetryBudgetConfig};
+use catkin_decisions::{RefusalReason, SharedRetryBudgetConfig};
 use catkinward::gateway::Reply;
 use gateway_support::*;
 use googletest::prelude::*;
@@ -135,10 +135,10 @@
 async fn retries_stay_within_the_budget() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"))
         .default_upstreams()
-        .retry_budget(RouteRetryBudgetConfig {
+        .retry_budget(SharedRetryBudgetConfig {
             ratio: 0.2,
             slack: 10.0,
-            ..RouteRetryBudgetConfig::default()
+            ..SharedRetryBudgetConfig::default()
         })
         .start();
     for _ in 0..100 {
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use catkin_decisions::{
     CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
-    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route,
-    RouteRetryBudgetConfig, RouteTable, RouteTarget, RoutingConfig, ServiceSpec, TableRow,
-    UpstreamEntry, ZoneGossip,
+    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route, RouteTable,
+    RouteTarget, RoutingConfig, ServiceSpec, SharedRetryBudgetConfig, TableRow, UpstreamEntry,
+    ZoneGossip,
 };
 use catkinward::{
     Timer,
@@ -51,7 +51,7 @@
     upstreams: Vec<UpstreamEntry>,
     routes: Vec<Route>,
     keys: Option<Vec<CallerKey>>,
-    retry_budget: RouteRetryBudgetConfig,
+    retry_budget: SharedRetryBudgetConfig,
     script: ScriptFn,
     answers_probes: Arc<dyn Fn(&str) -> bool + Send + Sync>,
     born: ProcessStarts,
@@ -82,9 +82,9 @@
                 route("/stream-once/", CallKind::Stream, ENGINES),
             ],
             keys: None,
-            retry_budget: RouteRetryBudgetConfig {
+            retry_budget: SharedRetryBudgetConfig {
                 slack: 100.0,
-                ..RouteRetryBudgetConfig::default()
+                ..SharedRetryBudgetConfig::default()
             },
             script: Box::new(script),
             answers_probes: Arc::new(|_| true),
@@ -147,7 +147,7 @@
         self
     }
 
-    pub fn retry_budget(mut self, retry_budget: RouteRetryBudgetConfig) -> Self {
+    pub fn retry_budget(mut self, retry_budget: SharedRetryBudgetConfig) -> Self {
         self.retry_budget = retry_budget;
         self
     }
--- a/crates/decisions/examples/decision_cost.rs
+++ b/crates/decisions/examples/decision_cost.rs
@@ -37,15 +37,15 @@
     fill(&mut queue);
     print_cost("offer and withdraw", |i| {
         let offered = queue.offer(now, &arrivals[i * 11 % TEAMS], Queued::new(i));
-        offered.map(|place| queue.withdraw(place).is_some())
+        offered.map(|position| queue.withdraw(position).is_some())
     });
     print_cost("offer and dispatch", |i| {
         let offered = queue.offer(now, &arrivals[i * 11 % TEAMS], Queued::new(i));
-        let taken = queue.full_upstreams(now, Lane::Quick).len();
+        let full_count = queue.full_upstreams(now, Lane::Quick).len();
         let upstream = &upstreams[i % UPSTREAMS];
         let dispatched = queue.dispatch(now, Lane::Quick, upstream).is_some();
         queue.release_slot(Lane::Quick, upstream, None);
-        (offered.is_ok(), taken, dispatched)
+        (offered.is_ok(), full_count, dispatched)
     });
     print_cost("look for expired", |_| queue.expire(now).len());
 
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -1,6 +1,6 @@
 //! Admission control: which requests are queued, dispatched or refused on arrival.
 //!
-//! Under sustained overload, a queue without refusals grows until every answer is late, and the
+//! Under sustained overload, a queue without refusals grows until every response is late, and the
 //! upstreams do only wasted work. A request is therefore refused on arrival if its estimated wait
 //! does not let it start by its latest start, which is its deadline less the mean service time. The
 //! wait is estimated from how fast the team's backlog drains, or else by Little's law over the slots
@@ -51,7 +51,7 @@
     pub lane: Lane,
     /// Work relative to other requests of the lane: 1 for a call, more for a longer generation.
     pub cost: u32,
-    /// Time at which the caller stops waiting for an answer.
+    /// Time at which the caller stops waiting for a response.
     pub deadline: Instant,
 }
 
@@ -100,8 +100,8 @@
             .collect();
     }
 
-    /// Applies a load report of an upstream; `share` is this VM's part of the reported capacity.
-    pub fn apply_report(
+    /// Applies a load report of an upstream; `share` is this VM's share of the reported capacity.
+    pub fn record_report(
         &mut self,
         upstream: &UpstreamId,
         report: CapacityReport,
@@ -182,7 +182,7 @@
 
     /// Returns whether an upstream has a free slot for this lane.
     #[must_use]
-    pub fn has_room(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
+    pub fn has_free_slot(&self, now: Instant, lane: Lane, upstream: &UpstreamId) -> bool {
         self.find(upstream)
             .is_ok_and(|i| self.upstreams[i].1.has_free_slot(now, lane))
     }
@@ -195,56 +195,56 @@
         upstream: &UpstreamId,
     ) -> Option<Dispatched<T>> {
         let request = self.lanes[lane.index()].queue.pop(now)?;
-        self.take_slot(now, lane, upstream);
+        self.acquire_slot(now, lane, upstream);
         Some(request.dispatch())
     }
 
     /// Dequeues the next request of a lane for which `choose` finds an upstream, and takes a slot
     /// there. `choose` receives the request and the list of full upstreams.
-    pub fn dispatch_where<P>(
+    pub fn dispatch_where<C>(
         &mut self,
         now: Instant,
         lane: Lane,
-        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
-    ) -> Option<(Dispatched<T>, P)> {
+        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, C)>,
+    ) -> Option<(Dispatched<T>, C)> {
         let full = self.full_upstreams(now, lane);
-        let tries = PopOptions {
+        let options = PopOptions {
             teams: MAX_TEAMS_TRIED,
             below_share_only: false,
         };
-        if let Some(placed) = self.dispatch_next(now, lane, &full, tries, &choose) {
-            return Some(placed);
+        if let Some(dispatched) = self.dispatch_next(now, lane, &full, options, &choose) {
+            return Some(dispatched);
         }
         if lane != Lane::Quick {
             return None;
         }
         let without_extra_slots = self.without_extra_slots();
-        let tries = PopOptions {
+        let options = PopOptions {
             below_share_only: true,
-            ..tries
+            ..options
         };
-        self.dispatch_next(now, lane, &without_extra_slots, tries, &choose)
+        self.dispatch_next(now, lane, &without_extra_slots, options, &choose)
     }
 
-    fn dispatch_next<P>(
+    fn dispatch_next<C>(
         &mut self,
         now: Instant,
         lane: Lane,
         full: &[UpstreamId],
-        tries: PopOptions,
-        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, P)>,
-    ) -> Option<(Dispatched<T>, P)> {
+        options: PopOptions,
+        choose: impl Fn(&T, &[UpstreamId]) -> Option<(UpstreamId, C)>,
+    ) -> Option<(Dispatched<T>, C)> {
         if full.len() == self.upstreams.len() {
             return None;
         }
         let queue = &mut self.lanes[lane.index()].queue;
-        let (request, (upstream, place)) =
-            queue.pop_where(now, tries, |request| choose(request.request(), full))?;
-        self.take_slot(now, lane, &upstream);
-        Some((request.dispatch(), place))
+        let (request, (upstream, choice)) =
+            queue.pop_where(now, options, |request| choose(request.request(), full))?;
+        self.acquire_slot(now, lane, &upstream);
+        Some((request.dispatch(), choice))
     }
 
-    /// Upstreams whose extra slots, reserved for teams below their fair share, are taken as well.
+    /// Upstreams whose extra slots, reserved for teams below their fair share, are in use as well.
     fn without_extra_slots(&self) -> Vec<UpstreamId> {
         self.upstreams
             .iter()
@@ -255,7 +255,7 @@
 
     /// Takes a slot of an upstream regardless of its limit. A generation that resumes after a lost
     /// upstream uses this, because it was accepted earlier and must not be refused now.
-    pub fn take_slot(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
+    pub fn acquire_slot(&mut self, now: Instant, lane: Lane, upstream: &UpstreamId) {
         let cfg = self.cfg.limit;
         let i = self.find(upstream).unwrap_or_else(|i| {
             let slots = UpstreamSlots::new(cfg);
@@ -265,24 +265,24 @@
         self.upstreams[i].1.acquire(now, lane);
     }
 
-    /// Releases a slot; `held` is how long an answered request occupied it, `None` if unanswered.
+    /// Releases a slot; `held` is how long the request occupied it, `None` if it got no response.
     pub fn release_slot(&mut self, lane: Lane, upstream: &UpstreamId, held: Option<Duration>) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.release(lane);
         }
         if let Some(held) = held {
-            self.lanes[lane.index()].service_time.observe(held);
+            self.lanes[lane.index()].service_time.record_sample(held);
         }
     }
 
-    /// Records the latency until the first part of an answer.
+    /// Records the latency until the first part of a response.
     pub fn record_latency(&mut self, upstream: &UpstreamId, latency: Duration) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.record_latency(latency);
         }
     }
 
-    /// Records that an upstream refused a request because it is full, or did not answer in time.
+    /// Records that an upstream refused a request because it is full, or did not respond in time.
     pub fn record_overload(&mut self, upstream: &UpstreamId) {
         if let Ok(i) = self.find(upstream) {
             self.upstreams[i].1.record_overload();
@@ -290,13 +290,13 @@
     }
 
     /// Removes a queued request whose caller has disconnected.
-    pub fn withdraw(&mut self, place: QueuePosition) -> Option<NotRun<T>> {
-        let queue = &mut self.lanes[place.lane.index()].queue;
-        let request = queue.remove(place.ticket)?;
+    pub fn withdraw(&mut self, position: QueuePosition) -> Option<NotRun<T>> {
+        let queue = &mut self.lanes[position.lane.index()].queue;
+        let request = queue.remove(position.ticket)?;
         Some(request.refuse(RefusalReason::CallerLeft, Duration::ZERO))
     }
 
-    /// Removes the requests that can no longer be answered in time.
+    /// Removes the requests that can no longer be served in time.
     pub fn expire(&mut self, now: Instant) -> Vec<NotRun<T>> {
         let reason = if self.upstreams.is_empty() {
             RefusalReason::NoUpstream
@@ -338,7 +338,7 @@
         let slots = shares
             .map(|(_, slots)| slots.lane_limit(now, arrival.lane))
             .sum();
-        if lane.queue.is_empty() && self.has_free_slot(now, arrival.lane) {
+        if lane.queue.is_empty() && self.any_free_slot(now, arrival.lane) {
             return Duration::ZERO;
         }
         let observed = lane.queue.observed_wait(&arrival.team.id);
@@ -358,7 +358,7 @@
         )
     }
 
-    fn has_free_slot(&self, now: Instant, lane: Lane) -> bool {
+    fn any_free_slot(&self, now: Instant, lane: Lane) -> bool {
         self.upstreams
             .iter()
             .any(|(_, slots)| slots.has_free_slot(now, lane))
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -38,10 +38,10 @@
 /// An upstream that has been running long enough to have full weight, and has just reported `load`.
 fn record(load: u32) -> UpstreamRecord {
     let mut record = UpstreamRecord::default();
-    let asked = record.report_requested(ms(0));
-    record.record_report(asked, report(load));
-    let asked = record.report_requested(NOW);
-    record.record_report(asked, report(load));
+    let pending = record.report_requested(ms(0));
+    record.record_report(pending, report(load));
+    let pending = record.report_requested(NOW);
+    record.record_report(pending, report(load));
     record
 }
 
@@ -146,8 +146,8 @@
 fn own_requests_in_a_report_are_not_counted_twice() {
     let mut record = record(0);
     (0..6).for_each(|_| record.record_dispatch());
-    let asked = record.report_requested(NOW);
-    record.record_report(asked, report(8));
+    let pending = record.report_requested(NOW);
+    record.record_report(pending, report(8));
     record.record_end();
 
     let candidate = record.candidate(None, NOW).expect("eligible");
@@ -243,12 +243,12 @@
 #[gtest]
 fn a_restarted_upstream_starts_slowly() {
     let mut fresh = record(0);
-    let asked = fresh.report_requested(NOW);
+    let pending = fresh.report_requested(NOW);
     let restarted = UpstreamReport {
         incarnation: Incarnation(2),
         ..report(0)
     };
-    fresh.record_report(asked, restarted);
+    fresh.record_report(pending, restarted);
 
     let weight = |after| {
         let now = NOW.after(Duration::from_millis(after));
@@ -264,7 +264,7 @@
     candidates.map(|c| c.expect("eligible")).collect()
 }
 
-/// One upstream answers ten times slower than the others although its load is the same.
+/// One upstream responds ten times slower than the others although its load is the same.
 #[gtest]
 fn a_slow_upstream_is_rarely_chosen() {
     let mut records = [record(2), record(2), record(2)];
@@ -279,7 +279,7 @@
     );
 }
 
-/// An upstream becomes ten times slower. Before its first slow answer only the age of the requests in flight
+/// An upstream becomes ten times slower. Before its first slow response only the age of the requests in flight
 /// shows it; if it got its full share until then, all of these requests would be late.
 #[gtest]
 fn an_upstream_whose_requests_wait_is_rarely_chosen() {
@@ -290,7 +290,7 @@
         (0..4).for_each(|_| record.response_awaited(later));
     }
     let before = choice_counts(&eligible_candidates(&records, later), false)[2];
-    (0..4).for_each(|_| records[2].response_settled(later));
+    (0..4).for_each(|_| records[2].response_ended(later));
     (0..4).for_each(|_| records[2].response_awaited(NOW));
 
     let after = choice_counts(&eligible_candidates(&records, later), false)[2];
@@ -333,13 +333,13 @@
 #[gtest]
 fn only_an_engine_that_serves_is_eligible() {
     let mut record = record(0);
-    let asked = record.report_requested(NOW);
+    let pending = record.report_requested(NOW);
     let standby = UpstreamReport {
         serves: false,
         ..report(0)
     };
 
-    record.record_report(asked, standby);
+    record.record_report(pending, standby);
 
     expect_that!(
         record.candidate(None, NOW),
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -45,7 +45,7 @@
     pub servers: usize,
     /// Index of a slow upstream and the factor by which its service times are longer.
     pub slow: Option<(usize, u32)>,
-    /// Whether the upstreams are engines, which send a first token before the answer is complete.
+    /// Whether the upstreams are engines, which send a first token before the response is complete.
     pub engines: bool,
     /// Whether the upstreams report their capacity.
     pub report: bool,
@@ -58,12 +58,12 @@
     Admission,
 }
 
-/// What a caller received, and the time of the answer or refusal.
+/// What a caller received, and the time of the response or refusal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Received {
     #[default]
     Nothing,
-    Answer(Duration),
+    Response(Duration),
     Refusal(Duration),
 }
 
@@ -73,7 +73,7 @@
     Reach { job: usize, upstream: usize },
     Finish { job: usize, upstream: usize },
     Return { job: usize, upstream: usize },
-    Wake(usize),
+    Expire(usize),
 }
 
 struct Node {
@@ -111,7 +111,7 @@
     rng: Xoshiro256PlusPlus,
 }
 
-/// One-way network delay of a request or an answer.
+/// One-way network delay of a request or a response.
 const ONE_WAY: Duration = Duration::from_millis(1);
 
 /// Latency of an engine's first token without queueing.
@@ -183,7 +183,7 @@
                 self.returned(job, upstream);
                 node_of(job)
             }
-            Event::Wake(node) => node,
+            Event::Expire(node) => node,
         };
         match self.policy {
             Policy::Baseline => self.dispatch_baseline(node),
@@ -229,7 +229,7 @@
         match offered {
             Ok(_) => {
                 if let Some(Instant(at)) = self.nodes[node].admission.next_expiry() {
-                    self.schedule(at.max(self.now), Event::Wake(node));
+                    self.schedule(at.max(self.now), Event::Expire(node));
                 }
             }
             Err(not_run) => self.not_run(&not_run),
@@ -281,13 +281,13 @@
     }
 
     fn dispatch_baseline(&mut self, node: usize) {
-        let places = u32::try_from(self.site.servers.div_ceil(NODES)).expect("a small number");
+        let slots = u32::try_from(self.site.servers.div_ceil(NODES)).expect("a small number");
         while !self.nodes[node].fifo.is_empty() {
             let state = &mut self.nodes[node];
             let n = self.site.upstreams;
             let Some(upstream) = (0..n)
                 .map(|i| (state.next_upstream + i) % n)
-                .find(|i| state.in_flight[*i] < places)
+                .find(|i| state.in_flight[*i] < slots)
             else {
                 return;
             };
@@ -322,7 +322,7 @@
     }
 
     fn returned(&mut self, job: usize, upstream: usize) {
-        self.answer(job);
+        self.deliver_response(job);
         let held = self.now.saturating_sub(self.sent[job]);
         let first_part = if self.site.engines {
             self.started[job].saturating_sub(self.sent[job]) + FIRST_TOKEN + ONE_WAY
@@ -347,17 +347,17 @@
             return node.hot_keys.release(&key);
         }
         for follower in node.coalescer.complete(&key) {
-            self.answer(follower);
+            self.deliver_response(follower);
         }
     }
 
-    /// Delivers the answer unless the caller has timed out.
-    fn answer(&mut self, job: usize) {
+    /// Delivers the response unless the caller has timed out.
+    fn deliver_response(&mut self, job: usize) {
         let Job {
             arrival, deadline, ..
         } = self.jobs[job];
         if self.now <= arrival + deadline {
-            self.received[job] = Received::Answer(self.now);
+            self.received[job] = Received::Response(self.now);
         }
     }
 
@@ -399,7 +399,7 @@
                 capacity,
                 waiting: 0,
             };
-            admission.apply_report(id, report, CapacityShare::of(&vm, id, sharers));
+            admission.record_report(id, report, CapacityShare::of(&vm, id, sharers));
         }
         Self {
             admission,
