--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -13,7 +13,7 @@
 pub(crate) struct AdmissionPool {
     pub(crate) service: ServiceId,
     pub(crate) timer: Arc<Timer>,
-    pub(crate) retry_budget: Mutex<ServiceRetryBudget>,
+    pub(crate) retry_budget: Mutex<LocalRetryBudget>,
     pub(crate) hedge: Mutex<Hedge>,
     pub(crate) hot_keys: Mutex<HotKeys>,
     pub(crate) reads: Mutex<ReadCoalescer<oneshot::Sender<CoalescedRead>>>,
@@ -102,7 +102,7 @@
         let mut queue = self.queue.lock();
         let upstream = choose(&queue.full_upstreams(now, lane))
             .or_else(|| if allow_full { choose(&[]) } else { None })?;
-        queue.take_slot(now, lane, upstream.id());
+        queue.acquire_slot(now, lane, upstream.id());
         drop(queue);
         Some(SlotGuard::new(self.clone(), lane, upstream))
     }
@@ -110,7 +110,7 @@
     /// Takes a slot for a request that already runs on an upstream.
     pub(crate) fn hold_slot(self: &Arc<Self>, lane: Lane, upstream: UpstreamHandle) -> SlotGuard {
         let now = self.timer.now();
-        self.queue.lock().take_slot(now, lane, upstream.id());
+        self.queue.lock().acquire_slot(now, lane, upstream.id());
         SlotGuard::new(self.clone(), lane, upstream)
     }
 
@@ -188,7 +188,7 @@
         queue.evict_idle_teams();
         queue.set_upstreams(reports.iter().map(|(id, _)| id.clone()));
         for (id, report) in reports {
-            queue.apply_report(id, *report, share(id));
+            queue.record_report(id, *report, share(id));
         }
         self.update_gauges(&queue);
         drop(queue);
--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -1,50 +1,50 @@
-//! The gateway itself.
+//! The gateway, its settings and the handling of one call.
 
 use super::{
     accepted_call::AcceptedCall,
+    buffered_call::call_buffered,
     gauges::update_gauges,
     health_check::{adopt, watch_upstreams},
-    reply_log::{CallerWatch, count_reply, log_own_reply, millis},
+    reply_log::{CallerLeftGuard, count_reply, log_local_reply, millis},
     shutdown::Shutdown,
     stream_call::call_stream,
-    whole_call::call_whole,
     *,
 };
 
-/// How soon a caller may come back to a VM that knows no configuration or no upstream yet: about the
-/// time in which it learns them.
+/// Retry delay for a caller of a VM that has no configuration or no upstreams yet: about the time
+/// it takes to read them.
 pub const NOT_READY_RETRY: Duration = Duration::from_millis(500);
 
-/// How long a call waits for a process that has just started. It takes 0.2 s to know what it needs if
-/// the platform answers, and if it does not, callers are better off elsewhere.
-const LONGEST_START: Duration = Duration::from_millis(600);
+/// How long a call waits for a process that has just started. The process reads what it needs
+/// within 0.2 s if the platform responds; if it does not, another VM serves the caller better.
+const MAX_START_WAIT: Duration = Duration::from_millis(600);
 
-/// When a caller may come back with a body under which upstreams died: the tally outlasts it, so it
-/// is only kept from asking at once.
+/// Retry delay for a caller whose body crashed upstreams. The crash record outlasts the delay, so
+/// the delay only prevents immediate retries.
 const CRASHING_RETRY: Duration = Duration::from_secs(10);
 
-/// When a caller may come back who came to a VM that is about to end: at once, since the retry goes
-/// to another one.
-const LEAVING_RETRY: Duration = Duration::from_millis(20);
+/// Retry delay for a caller of a VM that is shutting down: short, since the retry goes to another
+/// VM.
+const SHUTDOWN_RETRY: Duration = Duration::from_millis(20);
 
 /// Settings of a [`Gateway`].
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     /// Name of this VM.
     pub vm: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of this VM.
     pub zone: AvailabilityZone,
-    /// Budget of repeats.
-    pub repeats: RouteRetryBudgetConfig,
-    /// Addresses of a few VMs for notes, to begin with; perhaps old ones.
+    /// Settings of the retry budgets.
+    pub retry_budget: SharedRetryBudgetConfig,
+    /// Addresses of a few VMs that receive heartbeats from the start; they may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Which mechanisms decide.
+    /// Which mechanisms of routing and failover are enabled.
     pub policy: Policy,
-    /// Where this VM takes datagrams of other VMs.
+    /// Address at which this VM receives datagrams of other VMs.
     pub address: SocketAddr,
-    /// Bandwidth of its link, if that is known.
+    /// Bandwidth of this VM's link, if it is known.
     pub link: Option<LinkRate>,
-    /// Bounds of rollouts, if there are any.
+    /// Limits of rollouts; `None` turns rollouts off.
     pub rollouts: Option<RolloutSettings>,
 }
 
@@ -56,51 +56,51 @@
     pub(crate) state: Mutex<GatewayState>,
     pub(crate) log: CallLog,
     pub(crate) leaving: Mutex<Option<Shutdown>>,
-    /// Whether a configuration and upstreams are known, and not from before a time in which this process
-    /// did not run.
-    known: watch::Sender<bool>,
-    /// Counts how often this process woke.
-    pub(crate) wakes: watch::Sender<u64>,
-    /// Held while engines are asked which prompts they hold.
-    pub(crate) searching: tokio::sync::Mutex<()>,
-    /// Loans of repeats that are awaited.
-    pub(crate) loans: Mutex<LoanRequests>,
+    /// Whether a configuration and upstreams are known and were read since this process was last
+    /// suspended.
+    current: watch::Sender<bool>,
+    /// Counts the suspensions of this process.
+    pub(crate) suspensions: watch::Sender<u64>,
+    /// Held while engines are queried for cached prompts.
+    pub(crate) prompt_search_lock: tokio::sync::Mutex<()>,
+    /// Requests for retry budget that other VMs have not answered yet.
+    pub(crate) loan_requests: Mutex<LoanRequests>,
     /// When this process started.
     pub(crate) started: Instant,
-    /// Calls that wait for a repeat.
-    pub(crate) waiting_repeats: AtomicU32,
-    /// Tells that a loan has come.
-    pub(crate) loan_came: Notify,
-    /// Datagrams to other VMs that do not wait for the next round of notes.
+    /// Number of calls that wait for retry budget.
+    pub(crate) waiting_retries: AtomicU32,
+    /// Notifies waiting calls that a budget loan has arrived.
+    pub(crate) loan_arrived: Notify,
+    /// Datagrams to other VMs that do not wait for the next heartbeat.
     pub(crate) outbox: Outbox,
-    /// Upstreams to which prompts were sent, for the sender of notes.
+    /// Upstreams that were sent a prompt; each triggers a heartbeat.
     pub(crate) dispatches: Dispatches,
-    /// Tells the sender of notes that upstreams died under calls.
+    /// Triggers a heartbeat after an upstream crashed while running calls.
     pub(crate) crashes_seen: Notify,
-    /// Tells that news of the zone came.
-    pub(crate) gossip_came: Notify,
-    /// Newest configuration that another VM of the zone has in force.
+    /// Notifies that gossip of the zone was received.
+    pub(crate) gossip_received: Notify,
+    /// Newest configuration that another VM of the zone has advertised.
     pub(crate) zone_config: watch::Sender<Option<AdvertisedConfig>>,
-    /// Counts how often a feed noticed that the store answers again.
-    pub(crate) store_returns: watch::Sender<u64>,
-    /// This life of this VM's process.
-    pub(crate) life: VmIncarnation,
+    /// Counts how often a feed found that the store responds again.
+    pub(crate) store_recoveries: watch::Sender<u64>,
+    /// This VM's name and the incarnation of its process.
+    pub(crate) vm_incarnation: VmIncarnation,
     /// Rollouts that this VM owns, sorted by service.
     pub(crate) owned_rollouts: Mutex<Vec<(ServiceId, OwnedRollout)>>,
-    /// Rollouts whose order was withdrawn, until their end is in the store.
+    /// Rollouts whose order was withdrawn, until their end is recorded in the store.
     pub(crate) withdrawn_rollouts: Mutex<Vec<Rollout>>,
-    /// Tells that there is something to do for a rollout.
+    /// Notifies the rollout task that a rollout has changed.
     pub(crate) rollouts_changed: Notify,
     /// Counts the changes of rollouts.
     pub(crate) rollout_phases: watch::Sender<u64>,
-    /// How it stood to new callers when that was last asked.
+    /// Readiness for new callers at the last check.
     pub(crate) readiness: Mutex<Readiness>,
-    /// The state of a graceful shutdown.
+    /// State of a graceful shutdown.
     pub drain: Arc<Drain>,
 }
 
 impl Gateway {
-    /// Starts a gateway and its watch over upstreams.
+    /// Starts a gateway, its health checks and its gauges.
     #[must_use]
     pub fn start(
         settings: GatewaySettings,
@@ -110,7 +110,7 @@
         crate::metrics_endpoint::start_metrics();
         let gateway = Arc::new(Self {
             state: Mutex::new(GatewayState::new(settings.vm.clone(), settings.rollouts)),
-            life: VmIncarnation {
+            vm_incarnation: VmIncarnation {
                 vm: settings.vm.clone(),
                 incarnation: rand::random(),
             },
@@ -122,19 +122,19 @@
             transport,
             log: CallLog::default(),
             leaving: Mutex::default(),
-            known: watch::Sender::new(false),
-            wakes: watch::Sender::new(0),
-            searching: tokio::sync::Mutex::default(),
-            loans: Mutex::default(),
+            current: watch::Sender::new(false),
+            suspensions: watch::Sender::new(0),
+            prompt_search_lock: tokio::sync::Mutex::default(),
+            loan_requests: Mutex::default(),
             started: timer.now(),
-            waiting_repeats: AtomicU32::new(0),
-            loan_came: Notify::new(),
+            waiting_retries: AtomicU32::new(0),
+            loan_arrived: Notify::new(),
             outbox: Outbox::default(),
             dispatches: Dispatches::default(),
             crashes_seen: Notify::new(),
-            gossip_came: Notify::new(),
+            gossip_received: Notify::new(),
             zone_config: watch::Sender::new(None),
-            store_returns: watch::Sender::new(0),
+            store_recoveries: watch::Sender::new(0),
             readiness: Mutex::new(Readiness::NothingKnown),
             drain: Arc::default(),
             timer,
@@ -144,32 +144,32 @@
         gateway
     }
 
-    /// Waits until a configuration and upstreams are known. Callers come as soon as a process takes
-    /// connections, a fifth of a second before it knows them; told to come back, they are lost if
-    /// they have no try left.
-    pub async fn known(&self) {
-        let mut known = self.known.subscribe();
-        // The sender lives as long as this does, so only the bound can end the wait early.
-        let _ = tokio::time::timeout(LONGEST_START, known.wait_for(|known| *known)).await;
+    /// Waits for a limited time until a configuration and upstreams are known. Callers connect as
+    /// soon as a process listens, a fifth of a second before it has read them; a caller that was
+    /// told to retry and has no attempt left would be lost.
+    pub async fn wait_until_current(&self) {
+        let mut current = self.current.subscribe();
+        // The sender lives as long as `self`, so only the timeout can end the wait early.
+        let _ = tokio::time::timeout(MAX_START_WAIT, current.wait_for(|current| *current)).await;
     }
 
-    /// Notes that this process did not run for so long. Calls wait until what is known was read again, and
-    /// those who read it do so at once: a removed key would open the door meanwhile, and an upstream
-    /// that has left would get calls.
-    pub fn woke(&self, gap: Duration) {
-        tracing::warn!(gap_ms = millis(gap), "this process did not run for a while");
+    /// Records that this process did not run for `gap`. Calls wait until configuration and
+    /// upstreams have been read again, and the feeds read at once: until then a removed key would
+    /// be accepted, and an upstream that has left would get calls.
+    pub fn record_suspension(&self, gap: Duration) {
+        tracing::warn!(gap_ms = millis(gap), "process was suspended");
         metrics::counter!("catkin_wakes_total").increment(1);
-        self.state.lock().woke();
-        self.known.send_replace(false);
-        self.wakes.send_modify(|count| *count += 1);
-        self.gossip_came.notify_waiters();
+        self.state.lock().record_suspension();
+        self.current.send_replace(false);
+        self.suspensions.send_modify(|count| *count += 1);
+        self.gossip_received.notify_waiters();
     }
 
-    /// Notes that a feed was read, whether or not there was anything new.
-    pub(crate) fn feed_read(&self, note: fn(&mut GatewayState)) {
+    /// Records that a feed was read, whether or not it had changes.
+    pub(crate) fn record_feed_read(&self, update: fn(&mut GatewayState)) {
         let mut state = self.state.lock();
-        note(&mut state);
-        self.known.send_replace(state.is_current());
+        update(&mut state);
+        self.current.send_replace(state.is_current());
     }
 
     /// Serves a call.
@@ -178,21 +178,21 @@
         let accepted = match self.accept(&call) {
             Ok(accepted) => accepted,
             Err(reply) => {
-                log_own_reply(&call, &reply);
+                log_local_reply(&call, &reply);
                 return *reply;
             }
         };
         let (kind, service) = (accepted.route.kind, accepted.service.clone());
-        let mut caller = CallerWatch {
+        let mut caller = CallerLeftGuard {
             call: call.clone(),
-            stays: false,
+            replied: false,
         };
         let reply = if kind.is_stream() {
             call_stream(self, accepted).await
         } else {
-            call_whole(self, accepted).await
+            call_buffered(self, accepted).await
         };
-        caller.stays = true;
+        caller.replied = true;
         count_reply(&service, &reply);
         match &reply {
             Reply::Whole { status, .. } => {
@@ -205,17 +205,17 @@
                 }
             }
             Reply::Events { .. } => {}
-            reply => log_own_reply(&call, reply),
+            reply => log_local_reply(&call, reply),
         }
         reply
     }
 
-    /// Takes a configuration if it is newer than the present one.
+    /// Puts a configuration in force if it is newer than the current one; returns whether it is.
     pub fn put_config(&self, config: Arc<RoutingConfig>) -> bool {
         let version = config.version;
         let mut state = self.state.lock();
         let advanced = state.config.advance(config);
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
         drop(state);
         if advanced {
             tracing::info!(%version, "configuration in force");
@@ -225,13 +225,13 @@
         advanced
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if one has been read.
     #[must_use]
     pub fn config(&self) -> Option<Arc<RoutingConfig>> {
         self.state.lock().config.get().cloned()
     }
 
-    /// Takes in all entries of upstreams at once.
+    /// Replaces the directory of upstreams by a complete table.
     pub fn put_upstreams(&self, entries: Vec<UpstreamEntry>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -240,14 +240,15 @@
             state.rollouts.observe_version(entry, at_start, now);
         }
         state.directory_read = DirectoryRead::Whole;
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
         let changes = state.directory.apply_snapshot(entries, now);
-        state.forget_gone(now);
+        state.remove_gone(now);
         drop(state);
         self.presence_changed(&changes);
     }
 
-    /// Takes in the first rows of the table of upstreams while the others come, so that calls are served with these.
+    /// Adds the first rows of a table of upstreams while the remaining rows are read, so that calls
+    /// can be served with these upstreams.
     pub(crate) fn put_first_upstreams(&self, rows: Vec<TableRow<UpstreamEntry>>) {
         let mut state = self.state.lock();
         if state.directory_read == DirectoryRead::Whole {
@@ -260,13 +261,13 @@
             changes.extend(state.directory.apply_entry(entry));
         }
         state.directory_read = DirectoryRead::FirstRows;
-        self.known.send_replace(state.is_current());
+        self.current.send_replace(state.is_current());
         drop(state);
         self.presence_changed(&changes);
     }
 
-    /// Takes in one entry of an upstream.
-    pub fn upstream_heard(&self, entry: UpstreamEntry) {
+    /// Applies the current entry of one upstream.
+    pub fn upstream_updated(&self, entry: UpstreamEntry) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         state.rollouts.observe_version(&entry, false, now);
@@ -275,14 +276,14 @@
         self.presence_changed(&changes);
     }
 
-    /// Takes in when the process of an upstream started, as it or another VM says.
+    /// Records when the process of an upstream started, as reported by itself or by another VM.
     pub(crate) fn upstream_started(&self, id: &UpstreamId, born: ProcessStart) {
         let now = self.timer.now();
         let changes = self.state.lock().directory.record_start(id, born, now);
         self.presence_changed(&changes);
     }
 
-    /// Takes in that the entry of an upstream was removed.
+    /// Applies the removal of an upstream's entry.
     pub fn upstream_removed(&self, id: &UpstreamId) {
         let now = self.timer.now();
         let mut state = self.state.lock();
@@ -290,16 +291,17 @@
         let gone = change
             .as_ref()
             .filter(|(_, presence)| *presence == Presence::Gone);
-        let crashes = gone.map_or(0, |(id, _)| state.died(id, now));
+        let crashes = gone.map_or(0, |(id, _)| state.upstream_crashed(id, now));
         drop(state);
         if let Some((id, _)) = gone {
-            self.tell_crashes(id, crashes);
+            self.advertise_crashes(id, crashes);
         }
         self.presence_changed(change.as_slice());
     }
 
-    /// Logs what has changed for upstreams, and gives up the calls on those that have started again. Nothing
-    /// says so on a connection that was lost without a reset; its calls would wait until they count as stalled.
+    /// Logs the changes of presence, and fails over the calls on upstreams that have restarted. A
+    /// connection that was lost without a reset does not report it; its calls would wait until they
+    /// count as stalled.
     pub(crate) fn presence_changed(&self, changes: &[PresenceChange]) {
         for (id, presence) in changes {
             self.log_presence(id, *presence);
@@ -309,8 +311,8 @@
         }
     }
 
-    /// Takes in whether the platform answers.
-    pub fn platform_answers(&self, answers: bool) {
+    /// Records whether the platform responds.
+    pub fn set_platform_reachable(&self, answers: bool) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         if answers {
@@ -339,21 +341,19 @@
         let service = route.service_for(draw).ok_or(Reply::NoRoute)?.clone();
         state
             .budget(&service)
-            .record_call(&self.settings.repeats, now);
+            .record_call(&self.settings.retry_budget, now);
         let digest = call.digest(team.as_ref());
-        if state.crashes.is_rejected(digest, now) {
+        if state.crashes.is_refused(digest, now) {
             return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
         }
-        if !self.takes(route.timeout) {
-            return Err(refused(call, RefusalReason::ShuttingDown, LEAVING_RETRY).into());
+        if !self.accepts(route.timeout) {
+            return Err(refused(call, RefusalReason::ShuttingDown, SHUTDOWN_RETRY).into());
         }
-        let patience = call
-            .patience
-            .map_or(route.timeout, |p| p.min(route.timeout));
+        let timeout = call.timeout.map_or(route.timeout, |p| p.min(route.timeout));
         if self.log.admits(LineKind::Accepted, now) {
             tracing::info!(request = %call.id, route = &*route.name, %service,
                 kind = %route.kind, config = %config.version,
-                patience_ms = millis(patience), tokens = call.prompt.as_ref().map(|p| p.tokens),
+                patience_ms = millis(timeout), tokens = call.prompt.as_ref().map(|p| p.tokens),
                 "accepted");
         }
         Ok(AcceptedCall {
@@ -362,28 +362,29 @@
             service,
             team,
             priority: holder.and_then(|h| h.priority).unwrap_or(route.priority),
-            deadline: call.arrived.after(patience),
+            deadline: call.arrived.after(timeout),
             digest,
         })
     }
 
-    /// Chooses an upstream; `cached` says how many tokens of the prompt some hold, sorted by upstream.
-    pub(crate) fn place(
+    /// Selects an upstream; `cached` holds the cached tokens of the prompt by upstream, sorted by
+    /// upstream.
+    pub(crate) fn select(
         &self,
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
     ) -> Option<Arc<UpstreamEntry>> {
-        self.choose(
+        self.select_with(
             accepted,
             avoid,
             cached,
             Candidates::Open,
-            |candidates, who| select_upstream(candidates, who).cloned(),
+            |candidates, context| select_upstream(candidates, context).cloned(),
         )
     }
 
-    /// Number of availability zones with upstreams of a service.
+    /// Number of availability zones with usable upstreams of a service.
     pub(crate) fn zones_with(&self, service: &ServiceId) -> u32 {
         let now = self.timer.now();
         let state = self.state.lock();
@@ -394,8 +395,8 @@
         u32::try_from(zones.len()).unwrap_or(u32::MAX)
     }
 
-    /// Chooses where the copy of a run's memory goes, if the service has copies.
-    pub(crate) fn place_copy(
+    /// Selects the holder for a copy of a run's KV cache, if the service has copies.
+    pub(crate) fn select_holder(
         &self,
         accepted: &AcceptedCall,
         run: &UpstreamEntry,
@@ -404,34 +405,38 @@
             return None;
         }
         if !self.is_open(run) {
-            // Another version does not go on from its memory.
+            // Another version cannot resume from its KV cache.
             return None;
         }
-        self.choose(accepted, &[], &[], Candidates::Open, |candidates, who| {
-            select_copy_holder(candidates, run, who).cloned()
-        })
+        self.select_with(
+            accepted,
+            &[],
+            &[],
+            Candidates::Open,
+            |candidates, context| select_copy_holder(candidates, run, context).cloned(),
+        )
     }
 
-    /// Whether the upstreams of a service keep copies of each other's memory.
+    /// Whether the upstreams of a service hold copies of each other's KV caches.
     pub(crate) fn has_copies(&self, service: &ServiceId) -> bool {
         self.config()
             .is_some_and(|config| config.service(service).is_some_and(|spec| spec.copies))
     }
 
-    pub(crate) fn choose<T>(
+    pub(crate) fn select_with<T>(
         &self,
         accepted: &AcceptedCall,
         avoid: &[UpstreamIncarnation],
         cached: &[(UpstreamIncarnation, u32)],
-        among: Candidates,
-        choose: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
+        candidate_set: Candidates,
+        select: impl FnOnce(&[PlacementCandidate], &PlacementContext) -> T,
     ) -> T {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let zone = &self.settings.zone;
         let mut zone_vms = state.peers.live_in(zone, now).collect::<Vec<_>>();
         zone_vms.push(self.settings.vm.clone());
-        let who = PlacementContext {
+        let context = PlacementContext {
             zone: &self.settings.zone,
             vm: &self.settings.vm,
             zone_vms: &zone_vms,
@@ -440,29 +445,29 @@
             now,
             policy: &self.settings.policy,
         };
-        state.choose(
+        state.select_with(
             &accepted.service,
             avoid,
             cached,
-            among,
-            &who,
-            |candidates| choose(candidates, &who),
+            candidate_set,
+            &context,
+            |candidates| select(candidates, &context),
         )
     }
 
-    /// Whether an upstream may get any request of its service, whatever rollouts there are.
+    /// Whether the rollouts admit every request of its service to an upstream.
     pub(crate) fn is_open(&self, entry: &UpstreamEntry) -> bool {
         let now = self.timer.now();
         self.state.lock().rollouts.admission(entry, now) == VersionAdmission::Open
     }
 
-    /// Where this VM takes datagrams of others.
+    /// Address at which this VM receives datagrams of other VMs.
     pub(crate) fn own_address(&self) -> SocketAddr {
         self.settings.address
     }
 
-    /// Notes that something came from an upstream.
-    pub(crate) fn heard(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
+    /// Records that an upstream responded, with its load if it reported one.
+    pub(crate) fn upstream_responded(&self, entry: &Arc<UpstreamEntry>, load: Option<LoadSample>) {
         let now = self.timer.now();
         let mut state = self.state.lock();
         let upstream = state.upstream(entry, now);
@@ -475,8 +480,8 @@
         self.presence_changed(&changes);
     }
 
-    /// Notes whether a call succeeded on an upstream.
-    pub(crate) fn outcome(&self, entry: &Arc<UpstreamEntry>, failed: bool) {
+    /// Records whether a call on an upstream failed.
+    pub(crate) fn record_call_outcome(&self, entry: &Arc<UpstreamEntry>, failed: bool) {
         let now = self.timer.now();
         self.state
             .lock()
@@ -485,9 +490,14 @@
             .record_outcome(failed);
     }
 
-    /// Notes that another incarnation has the address of an upstream. If it says which, it is asked who
-    /// it is: a VM that is cut off from the platform learns of upstreams that start anew only so.
-    pub(crate) fn replaced(self: &Arc<Self>, entry: &Arc<UpstreamEntry>, by: Option<UpstreamId>) {
+    /// Records that another incarnation responds at the address of an upstream. If it names itself
+    /// and is unknown, it is probed: a VM that is partitioned from the platform learns of new
+    /// upstreams only this way.
+    pub(crate) fn upstream_replaced(
+        self: &Arc<Self>,
+        entry: &Arc<UpstreamEntry>,
+        by: Option<UpstreamId>,
+    ) {
         let mut state = self.state.lock();
         let changes = state.directory.record_denial(&entry.id, by.as_ref());
         let unknown = by.filter(|by| !state.directory.contains(by));
@@ -507,7 +517,7 @@
     }
 }
 
-/// The answer to a call that was not sent.
+/// Response to a call that was not sent to an upstream.
 pub(crate) fn refused(call: &Call, reason: RefusalReason, retry_after: Duration) -> Reply {
     let not_run = Queued::new(call.id.clone()).refuse(reason, retry_after);
     Reply::NotRun { not_run }
--- a/crates/catkinward/src/gateway/reply_log.rs
+++ b/crates/catkinward/src/gateway/reply_log.rs
@@ -1,34 +1,34 @@
-//! What the log and the metrics say of how calls end.
+//! Logs and counts the outcomes of calls.
 
 use super::*;
 
-/// Says that a caller has left, if it is dropped before there is an answer: the door drops a call with
-/// its connection, and its lines would just end.
-pub(crate) struct CallerWatch {
+/// Logs that a caller has left if it is dropped before there is a reply. The caller server drops a call
+/// together with its connection, so otherwise the log would show no end of the call.
+pub(crate) struct CallerLeftGuard {
     pub(crate) call: Arc<Call>,
-    pub(crate) stays: bool,
+    pub(crate) replied: bool,
 }
 
-impl Drop for CallerWatch {
+impl Drop for CallerLeftGuard {
     fn drop(&mut self) {
-        if !self.stays {
+        if !self.replied {
             log_caller_left(&self.call, None);
         }
     }
 }
 
-/// Logs that a caller left before its answer was whole.
+/// Logs that a caller left before its response was complete.
 pub(crate) fn log_caller_left(call: &Call, last_event: Option<u64>) {
     metrics::counter!("catkin_callers_left_total").increment(1);
     tracing::info!(request = %call.id, last_event, "caller left");
 }
 
-/// Milliseconds, for the log.
+/// Milliseconds of a duration for log lines; saturates.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-pub(crate) fn log_own_reply(call: &Call, reply: &Reply) {
+pub(crate) fn log_local_reply(call: &Call, reply: &Reply) {
     let outcome = outcome(reply);
     if let Reply::NotRun { not_run } = reply {
         tracing::warn!(request = %call.id, outcome, reason = %not_run.reason(),
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -1,54 +1,57 @@
-//! What the gateway pays for sending calls once more, and its loans of repeats.
+//! Retry budgets of services and budget loans between VMs.
 
 use super::*;
 
-/// How long a VM counts as one that shares the budget of repeats after it was last heard of. One that
-/// is cut off goes on serving and repeating, so it must not be forgotten soon.
-const VM_MEMORY: Duration = Duration::from_secs(60);
+/// How long a VM that was last seen counts as one that shares the retry budget. A partitioned VM
+/// continues to serve and to retry, so it must not be dropped early.
+const VM_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time after the start in which this VM takes no part of the slack. It knows a few others at first, and
-/// would take the part of all the others for its own; restarted together, the VMs would repeat several times
-/// what they may. Who lives is known after some six notes.
-const SETTLED_AFTER: Duration = Duration::from_secs(3);
+/// Time after the start in which this VM takes no share of the slack. It knows few other VMs at
+/// first and would take the shares of all the others; VMs that restart together would exceed the
+/// budget several times over. The live VMs are known after some six heartbeats.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Repeats left at which others are asked for some: an answer takes as long as a stream needs to be sent
-/// again, so the next one that is lost need not wait for it.
-const FEW_LEFT: u32 = 2;
+/// Number of remaining retries at which loans are requested. A reply takes as long as sending a
+/// stream again, so the next lost stream does not have to wait for it.
+const LOW_REMAINING: u32 = 2;
 
-/// Repeats asked of each VM beyond those that calls wait for: several streams are lost together.
-const WANTED_BEYOND: u32 = 1;
+/// Retries requested from each VM beyond those that calls wait for, since several streams are lost
+/// together.
+const EXTRA_RETRIES: u32 = 1;
 
-/// Wait for loans when nothing is left: an answer from another zone takes 2 to 5 ms, and the caller of a
-/// broken stream waits meanwhile.
+/// Wait for loans when no retries remain: a reply from another zone takes 2 to 5 ms, and the caller
+/// of a broken stream waits in the meantime.
 const LOAN_WAIT: Duration = Duration::from_millis(20);
 
-/// How often others are asked so, each time others, before the pace goes down to [`SLOW_WAIT`]. Where each
-/// VM's share is a handful, most of those asked first have nothing to lend.
+/// Number of request rounds, each to other VMs, before the interval grows to [`SLOW_WAIT`]. Where
+/// the share of a VM is a handful of retries, most of the first VMs have none to lend.
 const QUICK_ROUNDS: u32 = 5;
 
-/// The pace afterwards. What is missing then is missing everywhere; calls that are not late yet go first.
+/// Interval of the later rounds. By then retries are missing on all VMs; calls that are not late
+/// yet take precedence.
 const SLOW_WAIT: Duration = Duration::from_millis(150);
 
-/// How long a stream waits for a repeat before it is given up. Engines keep the copy of its memory for some
-/// four seconds, and a stream that is given up is read again as a whole for its caller's next try.
-pub(crate) const STREAM_PATIENCE: Duration = Duration::from_millis(2500);
+/// How long a stream waits for retry budget before it fails. Engines keep the copy of its KV cache
+/// for some four seconds, and after a failure the retry of its caller repeats the whole prefill.
+pub(crate) const STREAM_RETRY_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How long a plain call waits for one: about the time in which its answer is of full use.
-pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(100);
+/// How long a plain call waits for retry budget: about the time in which its response is of full
+/// use.
+pub(crate) const CALL_RETRY_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Gateway {
-    /// Pays for sending a call of a service once more. If nothing is left, waits for other VMs to lend
-    /// some, or for the window to go on, for as long as `patience`.
-    pub(crate) async fn pay_repeat(&self, service: &ServiceId, patience: Duration) -> bool {
-        if self.try_pay_repeat(service, 1) {
+    /// Takes a retry of a service from the budget. If none remain, waits up to `max_wait` for loans
+    /// from other VMs or for the budget's window to advance.
+    pub(crate) async fn take_retry(&self, service: &ServiceId, max_wait: Duration) -> bool {
+        if self.try_take_retry(service, 1) {
             return true;
         }
-        let waiting = Waiting::begin(&self.waiting_repeats);
-        let until = tokio::time::Instant::now() + patience;
+        let waiting = WaitingCall::begin(&self.waiting_retries);
+        let until = tokio::time::Instant::now() + max_wait;
         for round in 0.. {
-            let mut came = std::pin::pin!(self.loan_came.notified());
-            came.as_mut().enable();
-            if self.try_pay_repeat(service, waiting.count()) {
+            let mut arrived = std::pin::pin!(self.loan_arrived.notified());
+            arrived.as_mut().enable();
+            if self.try_take_retry(service, waiting.count()) {
                 return true;
             }
             let wait = if round < QUICK_ROUNDS {
@@ -60,32 +63,32 @@
             if now >= until {
                 break;
             }
-            // Only a bound: what matters is whether there is something to pay with afterwards.
-            let _ = tokio::time::timeout_at(until.min(now + wait), came).await;
+            // Either way the budget is checked again.
+            let _ = tokio::time::timeout_at(until.min(now + wait), arrived).await;
         }
         metrics::counter!("catkin_repeats_refused_total").increment(1);
-        tracing::warn!(%service, "no repeat left in the budget");
+        tracing::warn!(%service, "retry budget exhausted");
         false
     }
 
-    /// Pays if anything is left, and asks for loans if little is, for as many calls as wait.
-    fn try_pay_repeat(&self, service: &ServiceId, waiting: u32) -> bool {
+    /// Takes a retry if any remain, and requests loans for `waiting` calls if few remain.
+    fn try_take_retry(&self, service: &ServiceId, waiting: u32) -> bool {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let cfg = self.repeats(&state, now);
+        let cfg = self.budget_config(&state, now);
         let budget = state.budget(service);
-        let paid = budget.try_take(&cfg, now);
-        if budget.remaining(&cfg, now) <= FEW_LEFT {
+        let taken = budget.try_take(&cfg, now);
+        if budget.remaining(&cfg, now) <= LOW_REMAINING {
             let lenders = state
                 .peers
                 .sample_addresses(MAX_LENDERS, rand::random(), now);
             drop(state);
-            self.ask_for_loans(service, waiting + WANTED_BEYOND, lenders, now);
+            self.request_loans(service, waiting + EXTRA_RETRIES, lenders, now);
         }
-        paid
+        taken
     }
 
-    fn ask_for_loans(
+    fn request_loans(
         &self,
         service: &ServiceId,
         wanted: u32,
@@ -95,32 +98,34 @@
         if lenders.is_empty() || !self.settings.policy.loans {
             return;
         }
-        let mut loans = self.loans.lock();
-        let Some(ask) = loans.request(service, wanted, lenders.clone(), now) else {
+        let mut loan_requests = self.loan_requests.lock();
+        let Some(ask) = loan_requests.request(service, wanted, lenders.clone(), now) else {
             return;
         };
-        drop(loans);
-        tracing::info!(%service, number = ask.number, lenders = lenders.len(), "asked for repeats");
+        drop(loan_requests);
+        tracing::info!(%service, number = ask.number, lenders = lenders.len(),
+            "retries requested from other VMs");
         for lender in lenders {
             self.outbox.send(lender, PeerDatagram::LoanAsk(ask.clone()));
         }
     }
 
-    /// Lends repeats to another VM.
+    /// Lends retries to another VM.
     pub(crate) fn lend(&self, ask: LoanAsk, borrower: SocketAddr) {
-        if self.waiting_repeats.load(Ordering::Relaxed) > 0 {
-            // What is left or comes in is for the calls that wait here.
+        if self.waiting_retries.load(Ordering::Relaxed) > 0 {
+            // The remaining and the new retries are for the calls that wait here.
             return;
         }
         let now = self.timer.now();
         let mut state = self.state.lock();
-        let cfg = self.repeats(&state, now);
+        let cfg = self.budget_config(&state, now);
         let given = state.budget(&ask.service).lend(&cfg, ask.wanted, now);
         drop(state);
         if given == 0 {
             return;
         }
-        tracing::info!(service = %ask.service, number = ask.number, %borrower, given, "repeats lent");
+        tracing::info!(service = %ask.service, number = ask.number, %borrower, given,
+            "retries lent");
         let loan = Loan {
             service: ask.service,
             number: ask.number,
@@ -129,44 +134,44 @@
         self.outbox.send(borrower, PeerDatagram::Loan(loan));
     }
 
-    /// Takes in repeats that another VM gives.
+    /// Adds retries that another VM has lent.
     pub(crate) fn borrow(&self, loan: &Loan, lender: SocketAddr) {
         let now = self.timer.now();
-        let given = self.loans.lock().receive(loan, lender, now);
+        let given = self.loan_requests.lock().receive(loan, lender, now);
         if given == 0 {
             return;
         }
         let mut state = self.state.lock();
-        let cfg = self.repeats(&state, now);
+        let cfg = self.budget_config(&state, now);
         state.budget(&loan.service).borrow(&cfg, given, now);
         drop(state);
         tracing::info!(service = %loan.service, number = loan.number, %lender, given,
-            "repeats borrowed");
-        self.loan_came.notify_waiters();
+            "retries borrowed");
+        self.loan_arrived.notify_waiters();
     }
 
-    /// The budget of repeats as it is divided now.
-    fn repeats(&self, state: &GatewayState, now: Instant) -> RouteRetryBudgetConfig {
+    /// The budget settings with the current number of VMs and slack.
+    fn budget_config(&self, state: &GatewayState, now: Instant) -> SharedRetryBudgetConfig {
         let alone = self.settings.seeds.is_empty();
-        let settled = alone || now.since(self.started) >= SETTLED_AFTER;
-        RouteRetryBudgetConfig {
-            slack: if settled {
-                self.settings.repeats.slack
+        let peers_known = alone || now.since(self.started) >= PEER_DISCOVERY_TIME;
+        SharedRetryBudgetConfig {
+            slack: if peers_known {
+                self.settings.retry_budget.slack
             } else {
                 0.0
             },
-            vms: u32::try_from(state.peers.count_within(VM_MEMORY, now) + 1).unwrap_or(u32::MAX),
-            ..self.settings.repeats
+            vms: u32::try_from(state.peers.count_within(VM_RETENTION, now) + 1).unwrap_or(u32::MAX),
+            ..self.settings.retry_budget
         }
     }
 }
 
-/// A call that waits for a repeat, counted until it is dropped.
-struct Waiting<'a> {
+/// Counts a call that waits for retry budget until it is dropped.
+struct WaitingCall<'a> {
     count: &'a AtomicU32,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingCall<'a> {
     fn begin(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self { count }
@@ -177,7 +182,7 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/catkinward/src/gateway/shutdown.rs
+++ b/crates/catkinward/src/gateway/shutdown.rs
@@ -1,60 +1,61 @@
 use super::*;
 
-/// Time after the signal in which callers still come: the platform takes a VM out after two questions
-/// for readiness, one a second, and a caller's connection may take some more to arrive.
-const LEAVES_ROTATION: Duration = Duration::from_millis(2600);
+/// Time after the signal during which callers still arrive: the platform takes a VM out of rotation after
+/// two failed readiness checks, one a second, and a caller's connection may take a little longer.
+const OUT_OF_ROTATION_DELAY: Duration = Duration::from_millis(2600);
 
-/// Quiet time that ends the shutdown early: requests on their way when the last one ended have come
-/// by then (a millisecond away, and one second of a connection's patience at most is rare).
-const QUIET: Duration = Duration::from_millis(150);
+/// Idle time that ends the shutdown early. Requests that were on the network when the last one ended have
+/// normally arrived by then: they take about a millisecond, and a connection attempt that takes up to its
+/// timeout of one second is rare.
+const IDLE_BEFORE_EXIT: Duration = Duration::from_millis(150);
 
-/// Part of the grace time after which the process ends whatever is in flight, so that it ends by
-/// itself and can say what it cut.
-const LAST_MOMENT: Duration = Duration::from_millis(150);
+/// Margin before the end of the grace time at which the process ends what is still in flight, so that it
+/// exits by itself and can log what it interrupted.
+const EXIT_MARGIN: Duration = Duration::from_millis(150);
 
-/// A shutdown that has begun.
+/// Times of a shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    /// Until when callers still come that could not know of it.
-    served_until: Instant,
-    /// When the process ends at the latest.
-    ends: Instant,
+    /// Until this time all calls are accepted, because callers may not know of the shutdown yet.
+    accept_all_until: Instant,
+    /// Latest time at which the process ends.
+    ends_at: Instant,
 }
 
 impl Shutdown {
-    /// Whether a call may still be taken that takes up to `needs`.
+    /// Whether a call that takes up to `max_duration` may still be accepted.
     ///
-    /// Where most VMs of an availability zone shut down together, the platform sends callers to them
-    /// for as long as they answer. A stream taken near the end would be cut in the middle; its caller
-    /// is better off elsewhere at once, and so it is told that it has not run.
-    fn takes(&self, needs: Duration, now: Instant) -> bool {
-        now < self.served_until || now.after(needs) < self.ends
+    /// If most VMs of an availability zone shut down together, the platform sends callers to them for as
+    /// long as they respond. A stream accepted near the end would be cut in the middle, so it is refused
+    /// as not run and its caller can retry on another VM at once.
+    fn accepts(&self, max_duration: Duration, now: Instant) -> bool {
+        now < self.accept_all_until || now.after(max_duration) < self.ends_at
     }
 }
 
 impl Gateway {
-    /// Whether a call that takes up to `needs` may be taken now.
-    pub(crate) fn takes(&self, needs: Duration) -> bool {
+    /// Whether a call that takes up to `max_duration` may be accepted now.
+    pub(crate) fn accepts(&self, max_duration: Duration) -> bool {
         let now = self.timer.now();
         self.leaving
             .lock()
-            .is_none_or(|leaving| leaving.takes(needs, now))
+            .is_none_or(|leaving| leaving.accepts(max_duration, now))
     }
 
-    /// Shuts down gracefully: not ready at once, callers are served until they are sent elsewhere,
-    /// then `close_idle` is called, and what is in flight runs to its end within `grace`.
+    /// Shuts down gracefully. Readiness ends at once; callers are served until the VM is out of rotation;
+    /// then `close_idle` is called, and calls in flight may finish within `grace`.
     pub async fn shut_down(&self, grace: Duration, close_idle: impl FnOnce()) {
         tracing::info!(in_flight = self.drain.in_flight(), "shutdown begun");
         self.drain.begin();
-        let ends = self.timer.now().after(grace.saturating_sub(LAST_MOMENT));
+        let ends_at = self.timer.now().after(grace.saturating_sub(EXIT_MARGIN));
         *self.leaving.lock() = Some(Shutdown {
-            served_until: self.timer.now().after(LEAVES_ROTATION),
-            ends,
+            accept_all_until: self.timer.now().after(OUT_OF_ROTATION_DELAY),
+            ends_at,
         });
-        let end = tokio::time::Instant::now() + grace.saturating_sub(LAST_MOMENT);
-        tokio::time::sleep(LEAVES_ROTATION.min(grace)).await;
+        let end = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
+        tokio::time::sleep(OUT_OF_ROTATION_DELAY.min(grace)).await;
         close_idle();
-        if tokio::time::timeout_at(end, self.drain.close_when_idle(QUIET))
+        if tokio::time::timeout_at(end, self.drain.close_when_idle(IDLE_BEFORE_EXIT))
             .await
             .is_err()
         {
--- a/crates/catkinward/src/gateway/stream_call.rs
+++ b/crates/catkinward/src/gateway/stream_call.rs
@@ -2,12 +2,12 @@
     accepted_call::AcceptedCall, core::refused, reply::StreamCut, stream_run::StreamRun, *,
 };
 
-/// When a caller may come back with a stream that no upstream took: about the time in which crashed
-/// engines are back, spread so that those refused together do not return together.
-const REFUSED_RETRY: Duration = Duration::from_millis(400);
+/// Minimum retry delay for the caller of a stream that no upstream accepted. Crashed engines are back after
+/// about this time; it is randomized so that callers refused together do not retry together.
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Serves a stream of events. The head of the answer waits for the first event: until then another
-/// upstream may begin anew, and nothing has been promised.
+/// Serves an event stream. The response head is sent only with the first event, so that until then the
+/// call can restart on another upstream without the caller having received anything.
 pub(crate) async fn call_stream(gateway: &Arc<Gateway>, accepted: AcceptedCall) -> Reply {
     let call = accepted.call.clone();
     let mut run = StreamRun::new(gateway.clone(), accepted);
@@ -15,7 +15,7 @@
         Ok(first) => first,
         Err(StreamStop::NotRun(reason)) => {
             let spread = 1.0 + rand::random::<f64>();
-            let retry_after = REFUSED_RETRY.mul_f64(spread);
+            let retry_after = REFUSED_RETRY_AFTER.mul_f64(spread);
             return refused(&call, reason, retry_after);
         }
         Err(StreamStop::TimedOut) => return Reply::TimedOut,
@@ -30,7 +30,7 @@
             Ok(Some(events)) => Some((Ok(events), Some(run))),
             Ok(None) => None,
             Err(stop) => {
-                let cut = stop.cut();
+                let cut = stop.into_cut();
                 run.log_cut(cut);
                 Some((Err(cut), None))
             }
@@ -44,18 +44,18 @@
     }
 }
 
-/// Why a stream does not go on.
+/// Why a stream ends without being complete.
 pub(crate) enum StreamStop {
     /// No upstream ran it.
     NotRun(RefusalReason),
-    /// Its time is over.
+    /// The deadline passed.
     TimedOut,
-    /// It was cut.
+    /// Its run was lost and it cannot be resumed.
     Cut(StreamCut),
 }
 
 impl StreamStop {
-    fn cut(self) -> StreamCut {
+    fn into_cut(self) -> StreamCut {
         match self {
             Self::NotRun(_) => StreamCut::NoUpstream,
             Self::TimedOut => StreamCut::TimedOut,
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -11,92 +11,93 @@
     *,
 };
 
-/// Silence of a stream that has begun, after which it goes on elsewhere although its upstream answers
-/// questions: its connection has gone silent for good, or it was put aside for a more urgent one.
-/// Events come every 30 to 200 ms; with the resume a caller waits less than 0.7 s.
-const STALL: Duration = Duration::from_millis(450);
+/// Time without data from a started run after which the stream resumes on another upstream although this
+/// one answers health checks: the connection is dead, or the engine preempted the run for a more urgent
+/// one. Events come every 30 to 200 ms; with the resume a caller waits less than 0.7 s.
+const STALL_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Silence before the first event after which the prompt is read elsewhere. Reading and waiting for
-/// other prompts takes one to four seconds, and to begin anew costs as much, so this is only for
-/// connections that have gone silent for good.
-pub(super) const STALL_BEFORE_FIRST: Duration = Duration::from_secs(6);
+/// Time without a first event after which the prompt is prefilled on another upstream. Prefill, with the
+/// wait for other prompts, takes one to four seconds, and a restart costs as much again, so this timeout
+/// only covers dead connections.
+pub(super) const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A stream on its way to a caller.
+/// A stream that is being served to a caller.
 pub(crate) struct StreamRun {
     pub(super) gateway: Arc<Gateway>,
     pub(super) accepted: AcceptedCall,
     pub(super) relay: EventRelay,
     pub(super) active: Option<ActiveRun>,
-    /// A copy of the memory of the run before.
+    /// KV copy of the previous run.
     pub(super) copy: Option<KvCopy>,
-    /// Tokens of its prompt that engines hold, sorted by engine.
+    /// Number of prompt tokens that each engine has cached, sorted by engine.
     pub(super) cached: Vec<(UpstreamIncarnation, u32)>,
-    /// Upstreams that lost or refused it.
+    /// Upstreams that lost or refused the stream.
     pub(super) avoid: Vec<UpstreamIncarnation>,
     pub(super) sends: u32,
-    /// Whether the next send is paid for: the one before did not arrive.
-    pub(super) send_paid: bool,
-    /// Upstreams that may have run it, the present one included.
+    /// Whether the next send takes nothing from the retry budget, because the previous one did not arrive.
+    pub(super) retry_prepaid: bool,
+    /// Upstreams that may have run the stream, including the current one.
     pub(super) ran_on: Vec<UpstreamIncarnation>,
-    /// Upstreams whose connections broke before they made an event, since one last did.
-    pub(super) broke_beginning: Vec<Arc<UpstreamEntry>>,
-    /// Whether the caller has got an event.
+    /// Upstreams whose connections broke before they produced an event, since the last run that produced one.
+    pub(super) broken_before_event: Vec<Arc<UpstreamEntry>>,
+    /// Whether the caller has received an event.
     pub(super) delivered: bool,
-    /// When the caller got its first event.
+    /// Time when the caller received its first event.
     pub(super) first_event_at: Option<Instant>,
     pub(super) head: Option<(StatusCode, HeaderMap)>,
-    /// When the run before was lost.
+    /// Time when the previous run was lost.
     pub(super) lost_at: Option<Instant>,
-    /// When the run was sent, until its first event; none if its first event does not tell how fast its upstream is.
-    pub(super) judged_since: Option<Instant>,
-    /// Whether the stream is whole or cut.
+    /// Time when the run was sent, until its first event. `None` if the time to its first event does not measure
+    /// the speed of its upstream.
+    pub(super) sample_sent_at: Option<Instant>,
+    /// Whether the stream is complete or cut.
     pub(super) ended: bool,
 }
 
 impl Drop for StreamRun {
     fn drop(&mut self) {
-        // Before the first event whoever waits for it says so.
+        // Before the first event, the guard of the waiting call logs it.
         if self.delivered && !self.ended {
             log_caller_left(&self.accepted.call, self.relay.last());
         }
     }
 }
 
-/// The run that the caller gets events from.
+/// The run that currently produces the events.
 pub(super) struct ActiveRun {
     pub(super) number: EventRun,
     pub(super) guard: RunGuard,
     pub(super) copies: KvCopyManager,
     pub(super) body: ResponseBody,
     pub(super) splitter: EventSplitter,
-    pub(super) gave_events: bool,
-    /// When something came last.
-    pub(super) progress: tokio::time::Instant,
+    pub(super) produced_events: bool,
+    /// Time of the last received data.
+    pub(super) last_data_at: tokio::time::Instant,
 }
 
-/// What came from the active run.
+/// What was received from the active run.
 enum Received {
     Bytes(Bytes),
     End,
     Broken(Loss),
     TimedOut,
-    /// Nothing, but the copies of the run may need a look.
-    Look,
+    /// No data, but the KV copies of the run must be checked.
+    CheckCopies,
 }
 
-/// How a run was lost.
+/// Why a run was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(super) enum Loss {
-    /// Its connection broke.
+    /// The connection broke.
     Broken,
-    /// Its upstream did not answer a question.
+    /// The upstream did not answer a health check.
     Silent,
-    /// It ended in the middle of an event.
+    /// The stream ended within an event, or its data could not be split into events.
     Torn,
-    /// It left events out.
+    /// The run skipped events.
     Gap,
-    /// Its upstream lives, but nothing comes.
+    /// The upstream answers health checks, but the run sends no data.
     Stalled,
 }
 
@@ -111,24 +112,24 @@
             cached: Vec::new(),
             avoid: Vec::new(),
             sends: 0,
-            send_paid: false,
+            retry_prepaid: false,
             ran_on: Vec::new(),
-            broke_beginning: Vec::new(),
+            broken_before_event: Vec::new(),
             delivered: false,
             first_event_at: None,
             head: None,
             lost_at: None,
-            judged_since: None,
+            sample_sent_at: None,
             ended: false,
         }
     }
 
-    /// Head of the first upstream's answer, once there is an event or the end.
+    /// Response head of the first upstream; set once there is an event or the end of the stream.
     pub(crate) fn take_head(&mut self) -> Option<(StatusCode, HeaderMap)> {
         self.head.take()
     }
 
-    /// The next whole events; `None` at the end of the whole stream.
+    /// Returns the next complete events, or `None` at the end of the complete stream.
     pub(crate) async fn next_events(&mut self) -> Result<Option<Bytes>, StreamStop> {
         loop {
             if self.active.is_none() {
@@ -138,27 +139,27 @@
             match events {
                 Ok(events) if !events.is_empty() => {
                     if let Some(active) = &mut self.active {
-                        active.gave_events = true;
+                        active.produced_events = true;
                     }
-                    self.note_delivery();
+                    self.record_delivery();
                     return Ok(Some(events.into()));
                 }
                 Ok(_) => {}
                 Err(loss) => {
-                    self.lost(loss)?;
+                    self.lose_active_run(loss)?;
                     continue;
                 }
             }
             match self.receive().await {
                 Received::Bytes(bytes) => self.push(&bytes)?,
-                Received::End if self.has_incomplete_event() => self.lost(Loss::Torn)?,
+                Received::End if self.has_incomplete_event() => self.lose_active_run(Loss::Torn)?,
                 Received::End => {
-                    self.finished();
+                    self.complete_stream();
                     return Ok(None);
                 }
-                Received::Broken(loss) => self.lost(loss)?,
+                Received::Broken(loss) => self.lose_active_run(loss)?,
                 Received::TimedOut => return Err(StreamStop::TimedOut),
-                Received::Look => self.look_at_copies(),
+                Received::CheckCopies => self.check_copies(),
             }
         }
     }
@@ -176,13 +177,13 @@
             return Ok(buf);
         };
         while let Some(CompleteEvent { id, bytes }) = active.splitter.next_event() {
-            let fate = match id {
+            let decision = match id {
                 Some(id) => self.relay.decide(active.number, id),
-                // An event without a number cannot be told from one that was handed on before.
+                // An event without an ID cannot be distinguished from one that was already delivered.
                 None if self.ran_on.len() > 1 => EventDecision::Drop,
                 None => EventDecision::Deliver,
             };
-            match fate {
+            match decision {
                 EventDecision::Deliver => buf.extend_from_slice(&bytes),
                 EventDecision::Drop => {}
                 EventDecision::Gap if buf.is_empty() => return Err(Loss::Gap),
@@ -195,28 +196,28 @@
     async fn receive(&mut self) -> Received {
         let now = self.gateway.timer.now();
         let time_left = self.accepted.time_left(now);
-        let repeat = self.accepted.route.kind.may_retry();
+        let retryable = self.accepted.route.kind.may_retry();
         let Some(active) = &mut self.active else {
             return Received::Broken(Loss::Broken);
         };
-        let stall = if active.gave_events {
-            STALL
+        let stall = if active.produced_events {
+            STALL_TIMEOUT
         } else {
-            STALL_BEFORE_FIRST
+            FIRST_EVENT_TIMEOUT
         };
-        let stalls_at = active.progress + stall;
+        let stalls_at = active.last_data_at + stall;
         tokio::select! {
             chunk = active.body.next() => match chunk {
                 Some(Ok(bytes)) => {
-                    active.progress = tokio::time::Instant::now();
+                    active.last_data_at = tokio::time::Instant::now();
                     Received::Bytes(bytes)
                 }
                 Some(Err(BodyError)) => Received::Broken(Loss::Broken),
                 None => Received::End,
             },
-            () = active.guard.lost() => Received::Broken(Loss::Silent),
-            () = active.copies.wait() => Received::Look,
-            () = tokio::time::sleep_until(stalls_at), if repeat => {
+            () = active.guard.upstream_abandoned() => Received::Broken(Loss::Silent),
+            () = active.copies.wait() => Received::CheckCopies,
+            () = tokio::time::sleep_until(stalls_at), if retryable => {
                 Received::Broken(Loss::Stalled)
             }
             () = tokio::time::sleep(time_left) => Received::TimedOut,
@@ -227,18 +228,18 @@
         let Some(active) = &mut self.active else {
             return Ok(());
         };
-        self.gateway.heard(&active.guard.entry, None);
+        self.gateway.upstream_responded(&active.guard.entry, None);
         if active.splitter.push(bytes).is_err() {
-            return self.lost(Loss::Torn);
+            return self.lose_active_run(Loss::Torn);
         }
         Ok(())
     }
 
-    /// Has a new copy made if there is none. Before the first event an engine may not run the call.
-    fn look_at_copies(&mut self) {
+    /// Requests a new KV copy if there is none. Not before the first event: the engine may not run the call yet.
+    fn check_copies(&mut self) {
         let has_copies = self.gateway.has_copies(&self.accepted.service);
         if let (Some(active), true) = (&mut self.active, self.delivered && has_copies) {
-            active.copies.look(&self.accepted, &active.guard.entry);
+            active.copies.check(&self.accepted, &active.guard.entry);
         }
     }
 
@@ -248,12 +249,13 @@
             .is_some_and(|active| active.splitter.has_incomplete_event())
     }
 
-    fn note_delivery(&mut self) {
+    fn record_delivery(&mut self) {
         let now = self.gateway.timer.now();
-        if let (Some(sent), Some(active)) = (self.judged_since.take(), &self.active) {
+        if let (Some(sent), Some(active)) = (self.sample_sent_at.take(), &self.active) {
             let outcome = ResponseOutcome::Success(now.since(sent));
             let entry = &active.guard.entry;
-            self.gateway.rollout_answer(&self.accepted, entry, outcome);
+            self.gateway
+                .record_rollout_response(&self.accepted, entry, outcome);
         }
         if let Some(lost_at) = self.lost_at.take() {
             let pause = now.since(lost_at);
@@ -271,11 +273,11 @@
         }
     }
 
-    fn finished(&mut self) {
+    fn complete_stream(&mut self) {
         self.ended = true;
         self.active = None;
-        self.note_pace();
-        self.gateway.delivered(self.accepted.digest);
+        self.record_duration();
+        self.gateway.record_delivery(self.accepted.digest);
         let now = self.gateway.timer.now();
         if self.gateway.log.admits(LineKind::Answered, now) {
             let ms = millis(now.since(self.accepted.call.arrived));
@@ -284,8 +286,8 @@
         }
     }
 
-    /// Notes how long a stream took that was made here as a whole.
-    fn note_pace(&self) {
+    /// Records the duration of a stream that was generated from its first event on.
+    fn record_duration(&self) {
         let (Some(first), Some(last), None) = (
             self.first_event_at,
             self.relay.last(),
@@ -295,12 +297,14 @@
         };
         let now = self.gateway.timer.now();
         let mut state = self.gateway.state.lock();
-        state.pace.record_complete(last, now.since(first));
+        state
+            .stream_durations
+            .record_complete(last, now.since(first));
     }
 
-    /// Notes the loss of the active run. Its connection is closed before another run can begin, so
-    /// that its upstream does not go on with it.
-    fn lost(&mut self, loss: Loss) -> Result<(), StreamStop> {
+    /// Handles the loss of the active run. Its connection is closed before another run can begin, so
+    /// that its upstream stops running it.
+    fn lose_active_run(&mut self, loss: Loss) -> Result<(), StreamStop> {
         let Some(active) = self.active.take() else {
             return Ok(());
         };
@@ -308,20 +312,20 @@
             guard,
             copies,
             body,
-            gave_events,
+            produced_events,
             ..
         } = active;
         drop(body);
         let entry = guard.entry.clone();
         drop(guard);
-        // Until it makes its first event a run's memory is not copied; to ask for it costs a repeat.
+        // The KV cache of a run is not copied before its first event, and a resume from a missing copy costs a retry.
         self.copy = copies
             .into_best(loss == Loss::Silent)
-            .filter(|_| gave_events);
-        if gave_events {
-            self.broke_beginning.clear();
+            .filter(|_| produced_events);
+        if produced_events {
+            self.broken_before_event.clear();
         } else if loss == Loss::Broken {
-            self.broke_beginning.push(entry.clone());
+            self.broken_before_event.push(entry.clone());
         }
         self.run_lost(&entry, loss);
         if self.accepted.route.kind.may_retry() {
@@ -339,8 +343,8 @@
             copy = self.copy.as_ref().map(|c| tracing::field::display(c.holder.id.clone())),
             "run of a stream lost");
         if loss == Loss::Broken {
-            self.gateway.broke(entry);
-            self.gateway.crashed_under(entry, self.accepted.digest);
+            self.gateway.stream_broke(entry);
+            self.gateway.call_broke(entry, self.accepted.digest);
         }
     }
 }
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -348,7 +348,7 @@
         loop {
             let waiting = self.node.timer.now();
             let mut event = attempt.stream.next(stalls.timeout()).await?;
-            stalls.observe(self.node.timer.now().since(waiting));
+            stalls.record_gap(self.node.timer.now().since(waiting));
             let mut finish = None;
             // All events that have already arrived are relayed together, with one replication
             // round.
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -64,7 +64,7 @@
             let at = now.before(Duration::from_millis((*age).into()));
             table.record_seen(at, entry.clone());
         }
-        table.record_answer(now, sender);
+        table.record_response(now, sender);
         drop(table);
         self.update_holders();
         self.gossip.dispatch(gossip, sender);
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -70,7 +70,7 @@
     pub(crate) fn record_report(
         &self,
         state: &UpstreamState,
-        requested: AskedReport,
+        requested: PendingReport,
         report: UpstreamReport,
     ) {
         let (incarnation, leaving) = (report.incarnation, report.leaving);
@@ -106,7 +106,7 @@
 
     /// Records that a process of an upstream has crashed, with the requests that were running on it.
     pub(crate) fn record_crash(&self, state: &UpstreamState, incarnation: Incarnation) {
-        state.record.lock().evidence.record_gone(incarnation);
+        state.record.lock().evidence.record_ended(incarnation);
         let now = self.timer.now();
         let crash_records = self
             .poison
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -54,7 +54,7 @@
         let mut poison = self.observer.poison.lock();
         if query
             .digest
-            .is_some_and(|digest| poison.refuses(digest, now))
+            .is_some_and(|digest| poison.is_refused(digest, now))
         {
             return Err(NoUpstream::Poisoned);
         }
@@ -87,7 +87,7 @@
         self.observer
             .poison
             .lock()
-            .refuses(digest, self.observer.timer.now())
+            .is_refused(digest, self.observer.timer.now())
     }
 
     /// Returns a handle of an upstream that is already running a request, whether or not it may
--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -1,8 +1,8 @@
-//! Plain calls through a gateway: what is repeated, and what callers are told.
+//! Plain calls through a gateway: retries, and the replies to callers.
 
 mod gateway_support;
 
-use catkin_decisions::{RefusalReason, RouteRetryBudgetConfig};
+use catkin_decisions::{RefusalReason, SharedRetryBudgetConfig};
 use catkinward::gateway::Reply;
 use gateway_support::*;
 use googletest::prelude::*;
@@ -15,8 +15,8 @@
     time::Duration,
 };
 
-/// Answers in whole from the second send on.
-fn first_then(
+/// Runs `first` for the first send and responds successfully from the second send on.
+fn fails_first(
     first: Script,
 ) -> impl Fn(&catkinward::gateway::UpstreamCall) -> Script + Send + Sync {
     let sends = AtomicUsize::new(0);
@@ -28,17 +28,17 @@
     }
 }
 
-fn after(first: Script) -> Running {
-    GatewayFixture::new(first_then(first))
-        .usual_upstreams()
+fn gateway_failing_first(first: Script) -> Running {
+    GatewayFixture::new(fails_first(first))
+        .default_upstreams()
         .start()
 }
 
-/// An upstream fails an idempotent call, breaks its connection, takes none, or refuses. Another one
-/// serves it, and the caller notices nothing.
+/// An upstream fails an idempotent call, breaks its connection, accepts no connection, or refuses. Another
+/// upstream must serve the call.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn idempotent_call_goes_to_another_upstream() {
+async fn idempotent_call_fails_over_to_another_upstream() {
     let firsts = [
         Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"),
         Script::Lost,
@@ -47,7 +47,7 @@
         Script::Unsigned(StatusCode::OK),
     ];
     for first in firsts {
-        let running = after(first.clone());
+        let running = gateway_failing_first(first.clone());
 
         let reply = running.handle("/quick/1").await;
 
@@ -65,11 +65,11 @@
     }
 }
 
-/// A call that may run only once is sent again only if it surely has not run. A survey record must not
-/// be written twice.
+/// A non-idempotent call is sent again only if there is evidence that it has not run; otherwise, for example,
+/// a record could be written twice.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_runs_once_is_sent_again_only_with_proof() {
+async fn non_idempotent_call_is_retried_only_with_evidence_that_it_has_not_run() {
     let cases = [
         (Script::Lost, 1),
         (Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"), 1),
@@ -80,7 +80,7 @@
         (Script::OtherIncarnation(None), 2),
     ];
     for (first, sends) in cases {
-        let running = after(first.clone());
+        let running = gateway_failing_first(first.clone());
 
         running.handle("/once/1").await;
 
@@ -88,17 +88,18 @@
     }
 }
 
-/// The connection to the upstream broke, or its answer promises what it did not say. "Not run" would
-/// make the caller send the call again, and it could run twice.
+/// The connection to the upstream broke, or the upstream's status would tell the caller that the call has not
+/// run although the upstream did not state it. A "not run" reply would make the caller send the call again,
+/// and it could run twice.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_may_have_run_is_never_called_not_run() {
+async fn call_that_may_have_run_is_never_reported_as_not_run() {
     let firsts = [
         Script::Lost,
         Script::Whole(StatusCode::SERVICE_UNAVAILABLE, "busy"),
     ];
     for first in firsts {
-        let running = after(first.clone());
+        let running = gateway_failing_first(first.clone());
 
         let reply = running.handle("/once/1").await;
 
@@ -106,13 +107,13 @@
     }
 }
 
-/// Every upstream refuses. The caller is told at once that the call has not run, and when to come
-/// back; it is not held until its deadline.
+/// Every upstream refuses. The caller is told at once that the call has not run, and when to retry, instead
+/// of waiting until its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_everybody_refuses_is_answered_at_once() {
+async fn call_refused_by_all_upstreams_is_refused_at_once() {
     let running = GatewayFixture::new(|_| Script::NotExecuted)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let start = running.timer.now();
 
@@ -127,17 +128,17 @@
     expect_that!(waited, le(Duration::from_millis(100)));
 }
 
-/// All upstreams fail for a while. Calls are not multiplied beyond the budget just when there is the
-/// least room for them.
+/// All upstreams fail for a while. Retries must not exceed the budget, because that would multiply the load
+/// just when there is the least capacity.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn repeats_stay_within_the_budget() {
+async fn retries_stay_within_the_budget() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::INTERNAL_SERVER_ERROR, "no"))
-        .usual_upstreams()
-        .repeats(RouteRetryBudgetConfig {
+        .default_upstreams()
+        .retry_budget(SharedRetryBudgetConfig {
             ratio: 0.2,
             slack: 10.0,
-            ..RouteRetryBudgetConfig::default()
+            ..SharedRetryBudgetConfig::default()
         })
         .start();
     for _ in 0..100 {
@@ -149,13 +150,13 @@
     expect_that!(repeats, all![ge(20), le(30)]);
 }
 
-/// An upstream never answers. The caller has its answer when the route's time is over, and the time
-/// that the upstream was given is not longer.
+/// An upstream never responds. The caller gets a reply at the route's timeout, and the upstream is given no
+/// more time than that.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_ends_when_its_time_is_over() {
+async fn call_ends_at_its_deadline() {
     let running = GatewayFixture::new(|_| Script::Hang)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     let start = running.timer.now();
 
@@ -167,15 +168,18 @@
         waited,
         all![ge(Duration::from_secs(1)), le(Duration::from_millis(1100))]
     );
-    expect_that!(running.seen.lock()[0].time_left, le(Duration::from_secs(1)));
+    expect_that!(
+        running.received.lock()[0].time_left,
+        le(Duration::from_secs(1))
+    );
 }
 
-/// A kept connection has gone silent for good while its upstream lives. An idempotent call does not wait
-/// there until its time is over, but is served elsewhere.
+/// A reused connection is dead although its upstream lives. An idempotent call must fail over to another
+/// upstream instead of waiting until its deadline.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn idempotent_call_on_a_silent_connection_is_served_elsewhere() {
-    let running = after(Script::Hang);
+async fn idempotent_call_on_a_dead_connection_fails_over() {
+    let running = gateway_failing_first(Script::Hang);
 
     let reply = running.handle("/quick/1").await;
 
@@ -183,11 +187,10 @@
     expect_that!(running.sent_to().len(), eq(2));
 }
 
-/// The only upstream is slow, and there is none to go to. The call is not given up for that: its answer
-/// comes late, but it comes.
+/// The only upstream is slow, so there is no other to fail over to. The call must wait for the late response.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn slow_answer_is_waited_for_where_there_is_no_other_upstream() {
+async fn call_waits_for_a_slow_response_of_the_only_upstream() {
     let running = GatewayFixture::new(|_| {
         let late = Part::Pause(Duration::from_millis(800));
         Script::Stream(vec![late, Part::Bytes("late".to_owned())], End::Whole)
@@ -204,28 +207,28 @@
     expect_that!(running.sent_to().len(), eq(1));
 }
 
-/// A call that may run only once goes over a connection that is surely open: an error on one that its
-/// upstream was just closing would leave it open whether the call has run.
+/// A non-idempotent call must not use a connection that has been idle for long: if the upstream is just
+/// closing it, an error would not tell whether the call has run.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn call_that_runs_once_takes_a_connection_that_is_surely_open() {
+async fn non_idempotent_call_uses_no_long_idle_connection() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::OK, "yes"))
-        .usual_upstreams()
+        .default_upstreams()
         .start();
 
     running.handle("/once/1").await;
     running.handle("/quick/1").await;
 
-    let seen = running.seen.lock();
-    expect_that!(seen[0].longest_idle, lt(Duration::from_secs(1)));
-    expect_that!(seen[1].longest_idle, gt(seen[0].longest_idle));
+    let received = running.received.lock();
+    expect_that!(received[0].max_idle, lt(Duration::from_secs(1)));
+    expect_that!(received[1].max_idle, gt(received[0].max_idle));
 }
 
-/// One call breaks its connection on every upstream, since it is broken itself. That is no reason to
-/// avoid them: the next call is served where it would have been.
+/// One malformed call breaks its connection on every upstream. That must not make the upstreams suspect: the
+/// next call is served as usual.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn one_bad_call_does_not_make_its_upstreams_suspect() {
+async fn malformed_call_does_not_make_its_upstreams_suspect() {
     let bad = Arc::new(AtomicBool::new(true));
     let is_bad = bad.clone();
     let running = GatewayFixture::new(move |_| {
@@ -234,7 +237,7 @@
         }
         Script::Whole(StatusCode::OK, "yes")
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
     running.handle("/quick/1").await;
     bad.store(false, Ordering::Relaxed);
@@ -245,12 +248,12 @@
     expect_that!(running.probes.lock().is_empty(), eq(true));
 }
 
-/// No route takes a path, and no team holds a key. Neither is sent anywhere.
+/// Calls whose path matches no route or whose key belongs to no team are sent to no upstream.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn unknown_routes_and_keys_are_refused() {
     let running = GatewayFixture::new(|_| Script::Whole(StatusCode::OK, "yes"))
-        .usual_upstreams()
+        .default_upstreams()
         .key("key-1", "team-1")
         .start();
     let mut wrong = running.call("/quick/1");
@@ -266,12 +269,12 @@
     expect_that!(running.sent_to().is_empty(), eq(true));
 }
 
-/// The service has an upstream in each of six availability zones, and those of five are full. The sixth serves the
-/// call. With a bound made for three zones its caller was refused while a place was free.
+/// The service has an upstream in each of six availability zones, and those of five are full. The sixth must serve
+/// the call: a fixed send limit sized for three zones would refuse the caller while a slot is free.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn call_finds_the_free_upstream_of_the_last_zone() {
-    // The order of equal zones is drawn; a VM that has met the full ones begins with the free one.
+    // The order of equal zones is random; a VM that has been refused by the full ones starts with the free one.
     for _ in 0..40 {
         let mut fixture = GatewayFixture::new(|call| {
             if call.entry.id.as_str() == "plain-f" {
--- a/crates/catkinward/tests/gateway_feeds.rs
+++ b/crates/catkinward/tests/gateway_feeds.rs
@@ -1,4 +1,4 @@
-//! How a gateway follows what the platform keeps.
+//! How a gateway follows the tables of the platform store.
 
 mod gateway_support;
 
@@ -11,17 +11,17 @@
 use parking_lot::Mutex;
 use std::{sync::Arc, time::Duration};
 
-/// A store that can be away: questions sent meanwhile are never answered, also not after its return.
+/// A store with outages: requests that are sent during one are never answered, not even after it.
 #[derive(Clone)]
 struct FakeStore {
-    away: Arc<Mutex<bool>>,
+    down: Arc<Mutex<bool>>,
     config: Arc<Mutex<RoutingConfig>>,
 }
 
 impl FakeStore {
     fn new(config: RoutingConfig) -> Self {
         Self {
-            away: Arc::default(),
+            down: Arc::default(),
             config: Arc::new(Mutex::new(config)),
         }
     }
@@ -39,13 +39,13 @@
     }
 
     async fn read(self) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
-        if *self.away.lock() {
+        if *self.down.lock() {
             std::future::pending::<()>().await;
         }
         Ok(self.page())
     }
 
-    /// Waits for a change; hangs for good if the store goes away meanwhile.
+    /// Waits for a change; hangs forever if an outage begins in the meantime.
     async fn changes(
         self,
         after: u64,
@@ -53,7 +53,7 @@
     ) -> std::result::Result<FeedPage<RoutingConfig>, FeedError> {
         let end = tokio::time::Instant::now() + wait;
         loop {
-            if *self.away.lock() {
+            if *self.down.lock() {
                 std::future::pending::<()>().await;
             }
             let page = self.page();
@@ -94,7 +94,7 @@
     running.gateway.config().unwrap().version.0
 }
 
-/// A change is made while nothing is wrong. It is in force here within a few milliseconds.
+/// A change without any failure is in force within a few milliseconds.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn change_is_in_force_at_once() {
@@ -107,55 +107,55 @@
     expect_that!(version(&running), eq(3));
 }
 
-/// The store is away for some seconds. A question that was sent meanwhile hangs on a connection that
-/// never comes back, and a route that was added right after the store's return stayed unknown here
-/// for 2.7 s: its callers were told that it does not exist.
+/// The store is down for some seconds. A request that was sent in the meantime hangs on a dead
+/// connection. Guards against waiting for it: a route that was added right after the outage stayed
+/// unknown here for 2.7 s, and its callers were told that it does not exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn change_after_an_outage_is_in_force_soon() {
-    for away in (4_000..7_000).step_by(170).map(Duration::from_millis) {
+    for down in (4_000..7_000).step_by(170).map(Duration::from_millis) {
         let (running, store) = following();
         tokio::time::sleep(Duration::from_secs(5)).await;
-        *store.away.lock() = true;
-        tokio::time::sleep(away).await;
+        *store.down.lock() = true;
+        tokio::time::sleep(down).await;
 
-        *store.away.lock() = false;
+        *store.down.lock() = false;
         store.set_version(3);
-        // The bound is two seconds from the store's word.
+        // A change must be in force two seconds after the store's acknowledgement.
         tokio::time::sleep(Duration::from_millis(2600)).await;
 
-        expect_that!(version(&running), eq(3), "after {away:?}");
+        expect_that!(version(&running), eq(3), "after {down:?}");
     }
 }
 
-/// The store turns this VM away and serves the others. A change is in force here all the same, by the
-/// word of one of them.
+/// The store rejects this VM and serves the others. A change is in force here anyway, read from one
+/// of them.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_the_store_turns_away_hears_from_a_peer() {
+async fn vm_rejected_by_the_store_reads_from_a_peer() {
     let running = GatewayFixture::new(|_| Script::Hang).start();
     let config = running.gateway.config().unwrap();
     let store = FakeStore::new(RoutingConfig::clone(&config));
-    *store.away.lock() = true;
+    *store.down.lock() = true;
     let peer = FakeStore::new(RoutingConfig::clone(&config));
-    running.hear_of_peer();
+    running.receive_peer_heartbeat();
     tokio::spawn(follow_config(
         running.gateway.clone(),
         store.feed(Some(peer.clone())),
     ));
     tokio::time::sleep(Duration::from_secs(5)).await;
-    running.hear_of_peer();
+    running.receive_peer_heartbeat();
 
     peer.set_version(7);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    running.hear_of_peer();
+    running.receive_peer_heartbeat();
     tokio::time::sleep(Duration::from_millis(1400)).await;
 
     expect_that!(version(&running), eq(7));
 }
 
-/// A store that answers stale, or a peer, tells of an older configuration. A removed key would open
-/// the door again.
+/// A stale store, or a peer, returns an older configuration. Guards against putting it in force,
+/// which would accept a removed key again.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn older_configuration_is_dropped() {
@@ -173,25 +173,25 @@
     expect_that!(version(&running), eq(2));
 }
 
-/// A VM was suspended for seconds. Its connections are lost, a route was added meanwhile, and its clock says
-/// that hardly any time has passed. Its callers wait for the few milliseconds in which it reads anew, and are
-/// not told that the route does not exist.
+/// A VM was suspended for seconds. Its connections are lost, a route was added in the meantime, and
+/// by its clock hardly any time has passed. Its callers wait the few milliseconds of a new read,
+/// and are not told that the route does not exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_was_suspended_reads_before_it_serves() {
+async fn suspended_vm_reads_before_it_serves() {
     let (running, store) = following();
     running.gateway.put_upstreams(Vec::new());
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    *store.away.lock() = true;
+    *store.down.lock() = true;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    *store.away.lock() = false;
+    *store.down.lock() = false;
     store.set_version(3);
-    // Nothing tells of the lost connection.
+    // The loss of the connection is not reported.
     let before = version(&running);
 
-    running.gateway.woke(Duration::from_secs(4));
+    running.gateway.record_suspension(Duration::from_secs(4));
     let start = running.timer.now();
-    running.gateway.known().await;
+    running.gateway.wait_until_current().await;
 
     let waited = running.timer.now().since(start);
     expect_that!(before, eq(2));
@@ -199,8 +199,8 @@
     expect_that!(version(&running), eq(3));
 }
 
-/// A store whose answer to a whole read comes in pieces: all of the upstreams, a page each 700 ms, and bytes of it
-/// more often.
+/// A store that sends the complete table of upstreams slowly: a page every 700 ms, and some bytes
+/// of it more often. With `stalls`, it stops after the first page.
 fn slow_table(pages: u8, stalls: bool) -> Feed<UpstreamEntry> {
     let read = move |progress: ReadProgress<UpstreamEntry>| async move {
         let mut rows = Vec::new();
@@ -227,11 +227,12 @@
     }
 }
 
-/// A gateway with a configuration that follows a table; the times at which it is ready and knows all.
+/// Starts a gateway with a configuration and a feed of upstreams; returns the times until it is
+/// ready and until it has `all` rows.
 async fn start_with(feed: Feed<UpstreamEntry>, all: usize) -> (Duration, Duration) {
     let fixture = GatewayFixture::new(|_| Script::Hang);
     let config = fixture.config();
-    let running = fixture.unstarted();
+    let running = fixture.start_empty();
     running.gateway.put_config(Arc::new(config));
     let start = running.timer.now();
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed));
@@ -250,16 +251,17 @@
     (ready.unwrap_or(Duration::MAX), Duration::MAX)
 }
 
-/// The whole table takes longer than an answer may, as over a small link after the loss of all VMs.
+/// A full read takes longer than the timeout of a response, as over a slow link after the loss of
+/// all VMs.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn whole_read_that_progresses_is_not_given_up() {
+async fn full_read_with_progress_is_not_cancelled() {
     let (_, whole) = start_with(slow_table(5, false), 5).await;
 
     expect_that!(whole, le(Duration::from_millis(3600)));
 }
 
-/// Calls are served with the first upstreams while the others are being read.
+/// Calls are served with the first upstreams while the remaining ones are read.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_is_ready_with_the_first_page_of_upstreams() {
@@ -269,10 +271,10 @@
     expect_that!(whole, ge(Duration::from_millis(3500)));
 }
 
-/// The connection of a whole read goes silent.
+/// The connection of a full read goes silent.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn whole_read_that_stands_still_is_given_up() {
+async fn stalled_full_read_is_cancelled() {
     let reads = Arc::new(Mutex::new(0));
     let count = reads.clone();
     let stalled = slow_table(2, true);
@@ -285,17 +287,17 @@
     };
 
     let fixture = GatewayFixture::new(|_| Script::Hang);
-    let running = fixture.unstarted();
+    let running = fixture.start_empty();
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed));
     tokio::time::sleep(Duration::from_secs(4)).await;
 
     expect_that!(*reads.lock(), ge(2));
 }
 
-/// A store that sends a byte now and then, and never an end.
+/// The store sends some bytes now and then but never completes the response.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn whole_read_without_an_end_is_given_up() {
+async fn endless_full_read_is_cancelled() {
     let reads = Arc::new(Mutex::new(0));
     let count = reads.clone();
     let trickle = |progress: ReadProgress<UpstreamEntry>| async move {
@@ -312,7 +314,7 @@
         ..slow_table(2, true)
     };
 
-    let running = GatewayFixture::new(|_| Script::Hang).unstarted();
+    let running = GatewayFixture::new(|_| Script::Hang).start_empty();
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed));
     tokio::time::sleep(Duration::from_secs(9)).await;
     let early = *reads.lock();
--- a/crates/catkinward/tests/gateway_poison.rs
+++ b/crates/catkinward/tests/gateway_poison.rs
@@ -13,13 +13,13 @@
     atomic::{AtomicUsize, Ordering},
 };
 
-/// A body crashes every upstream that runs it, and its caller sends it again and again. Nothing runs it
-/// after the third death.
+/// A body crashes every upstream that runs it, and its caller keeps retrying. No upstream runs it after the
+/// third crash.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn body_that_crashes_upstreams_is_refused_by_the_third_death() {
+async fn body_that_crashes_upstreams_is_refused_after_the_third_crash() {
     let running = GatewayFixture::new(|_| Script::Lost)
-        .usual_upstreams()
+        .default_upstreams()
         .start();
     for upstream in ["plain-a", "plain-b", "plain-c"] {
         running.handle("/once/1").await;
@@ -38,14 +38,14 @@
     expect_that!(running.sent_to().len(), eq(before));
 }
 
-/// A request's body has crashed upstreams under other VMs, and its caller comes here next. After three it is
-/// refused before it takes a fourth one with all that runs there; two may be chance.
+/// A request's body has crashed upstreams of other VMs, and its caller retries here. After three crashes it is
+/// refused before it crashes a fourth upstream with all its runs; two crashes may be a coincidence.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn body_that_crashed_upstreams_of_other_vms_is_refused_here() {
     for (crashes, refused) in [(2, false), (3, true)] {
         let running = GatewayFixture::new(|_| Script::Whole(StatusCode::OK, "yes"))
-            .usual_upstreams()
+            .default_upstreams()
             .start();
         let call = running.call("/quick/1");
         for n in 1..=crashes {
@@ -55,7 +55,7 @@
                 at: running.timer.now(),
                 cleared: false,
             };
-            running.hear_of_crash(n, crash);
+            running.receive_crash(n, crash);
         }
 
         let reply = running.gateway.handle(call).await;
@@ -65,20 +65,20 @@
     }
 }
 
-/// A stream whose request kills each engine that begins to run it. Engines that died did not count against the
-/// stream, so one caller's try went on from engine to engine, and all that ran on them lost their work. Each
-/// VM's log showed `run of a stream lost` with `loss=broken` up to twelve times under one request.
+/// A stream crashes each engine that starts to run it. If crashed engines do not count against the stream, one
+/// attempt of a caller crashes engine after engine with all their runs, and the log shows `run of a stream lost`
+/// with `loss=broken` up to twelve times for one request.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_under_which_engines_die_ends_after_the_third() {
-    let killed = Arc::new(Mutex::new(Vec::new()));
-    let dead = killed.clone();
+async fn stream_that_crashes_engines_ends_after_the_third_crash() {
+    let crashed = Arc::new(Mutex::new(Vec::new()));
+    let down = crashed.clone();
     let running = GatewayFixture::new(move |call| {
-        killed.lock().push(call.entry.id.to_string());
+        crashed.lock().push(call.entry.id.to_string());
         Script::Lost
     })
-    .alive(move |id| !dead.lock().iter().any(|dead| dead == id))
-    .usual_upstreams()
+    .answers_probes(move |id| !down.lock().iter().any(|down| down == id))
+    .default_upstreams()
     .start();
 
     let reply = running.handle("/stream/1").await;
@@ -87,17 +87,18 @@
     expect_that!(running.sent_to().len(), eq(3));
 }
 
-/// Connections to three engines are reset one after the other, as when a VM on the way loses track of them. The
-/// engines live and answer so; were their request taken for one that kills, its caller would get nothing.
+/// Connections to engines are reset one after the other, as when a VM on the path loses its connection state. The
+/// engines answer health checks, so the request must not be taken for one that crashes them; its caller would
+/// get nothing.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_whose_connections_are_reset_goes_on() {
+async fn stream_whose_connections_are_reset_resumes() {
     let sends = AtomicUsize::new(0);
     let running = GatewayFixture::new(move |_| match sends.fetch_add(1, Ordering::Relaxed) {
         0..4 => Script::Lost,
         _ => Script::Stream(events(1, 40), End::Whole),
     })
-    .usual_upstreams()
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
@@ -105,24 +106,24 @@
     expect_that!(stream, eq(&(text(1, 40), true)));
 }
 
-/// Engines die under a stream, but each had made events by then: the request does not kill what begins to run
-/// it, and its caller gets the whole answer.
+/// Engines crash while they run a stream, but each has produced events before. The request therefore does not
+/// count as the cause, and its caller gets the complete response.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn stream_that_made_events_before_each_death_goes_on() {
-    let killed = Arc::new(Mutex::new(Vec::new()));
-    let dead = killed.clone();
+async fn stream_that_produced_events_before_each_crash_resumes() {
+    let crashed = Arc::new(Mutex::new(Vec::new()));
+    let down = crashed.clone();
     let running = GatewayFixture::new(move |call| {
         let first = call.last_event.map_or(1, |last| last + 1);
-        let mut killed = killed.lock();
-        if killed.len() == 4 {
+        let mut crashed = crashed.lock();
+        if crashed.len() == 4 {
             return Script::Stream(events(first, 40), End::Whole);
         }
-        killed.push(call.entry.id.to_string());
+        crashed.push(call.entry.id.to_string());
         Script::Stream(events(first, first + 2), End::Break)
     })
-    .alive(move |id| !dead.lock().iter().any(|dead| dead == id))
-    .usual_upstreams()
+    .answers_probes(move |id| !down.lock().iter().any(|down| down == id))
+    .default_upstreams()
     .start();
 
     let stream = read_stream(running.handle("/stream/1").await).await;
--- a/crates/catkinward/tests/gateway_support/mod.rs
+++ b/crates/catkinward/tests/gateway_support/mod.rs
@@ -1,16 +1,16 @@
-//! A gateway before scripted upstreams, on a clock that the test moves.
+//! Test fixture: a gateway with scripted upstreams on the paused clock of the test.
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test file uses its part of the fixture"
+    reason = "each test file uses only a part of the fixture"
 )]
 
 use bytes::Bytes;
 use catkin_decisions::{
     CallKind, CallerKey, CallerLimits, ConfigVersion, Crash, Instant, LinkRate, LoadSample,
-    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route,
-    RouteRetryBudgetConfig, RouteTable, RouteTarget, RoutingConfig, ServiceSpec, TableRow,
-    UpstreamEntry, ZoneGossip,
+    PeerHeartbeat, Policy, ProcessStart, PromptPart, RolloutSettings, Route, RouteTable,
+    RouteTarget, RoutingConfig, ServiceSpec, SharedRetryBudgetConfig, TableRow, UpstreamEntry,
+    ZoneGossip,
 };
 use catkinward::{
     Timer,
@@ -26,15 +26,15 @@
 
 mod upstreams;
 
-pub use self::upstreams::{End, Observed, Part, Script, Seen};
-use self::upstreams::{Scripted, Starts, transport};
+pub use self::upstreams::{End, Observed, Part, ReceivedCall, Script};
+use self::upstreams::{ProcessStarts, ScriptFn, transport};
 
 pub const HOST: &str = "shop.example";
 pub const ENGINES: &str = "engines";
 pub const PLAIN: &str = "plain";
 
-/// Where the notes of the VM come from that tells its zone.
-pub const TELLER: &str = "10.0.0.9:7201";
+/// Address of the peer VM that sends gossip.
+pub const PEER: &str = "10.0.0.9:7201";
 
 /// A row of a table, written at version 10.
 pub fn row<T>(key: &str, entry: T) -> TableRow<T> {
@@ -45,25 +45,25 @@
     }
 }
 
-/// Builds a gateway.
+/// Builder of a gateway with its configuration and upstreams.
 pub struct GatewayFixture {
     zone: &'static str,
     upstreams: Vec<UpstreamEntry>,
     routes: Vec<Route>,
     keys: Option<Vec<CallerKey>>,
-    repeats: RouteRetryBudgetConfig,
-    script: Scripted,
-    alive: Arc<dyn Fn(&str) -> bool + Send + Sync>,
-    born: Starts,
-    /// Engine that holds the whole prompt.
-    holder: Option<&'static str>,
+    retry_budget: SharedRetryBudgetConfig,
+    script: ScriptFn,
+    answers_probes: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    born: ProcessStarts,
+    /// Engine that has the complete prompt cached.
+    cached_on: Option<&'static str>,
     rollouts: Option<RolloutSettings>,
     version: u64,
     config_bytes: usize,
     link: Option<LinkRate>,
 }
 
-/// A running gateway with what its upstreams saw.
+/// A running gateway, with a record of what its upstreams received.
 pub struct Running {
     pub gateway: Arc<Gateway>,
     pub timer: Arc<Timer>,
@@ -82,14 +82,14 @@
                 route("/stream-once/", CallKind::Stream, ENGINES),
             ],
             keys: None,
-            repeats: RouteRetryBudgetConfig {
+            retry_budget: SharedRetryBudgetConfig {
                 slack: 100.0,
-                ..RouteRetryBudgetConfig::default()
+                ..SharedRetryBudgetConfig::default()
             },
             script: Box::new(script),
-            alive: Arc::new(|_| true),
+            answers_probes: Arc::new(|_| true),
             born: Arc::new(|_| None),
-            holder: None,
+            cached_on: None,
             rollouts: None,
             version: 1,
             config_bytes: 0,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The bandwidth of the VM's link, and the size of the configuration.
+    /// Sets the bandwidth of the VM's link, and the size of the configuration.
     pub fn link(mut self, link: LinkRate, config_bytes: usize) -> Self {
         self.link = Some(link);
         self.config_bytes = config_bytes;
@@ -109,19 +109,20 @@
         self
     }
 
-    pub fn born_upstream(
+    pub fn upstream_started_at(
         mut self,
         id: &str,
         service: &str,
         zone: &str,
         born: ProcessStart,
     ) -> Self {
-        self.upstreams.push(born_upstream(id, service, zone, born));
+        self.upstreams
+            .push(upstream_started_at(id, service, zone, born));
         self
     }
 
-    /// Three plain upstreams and six engines in three zones.
-    pub fn usual_upstreams(mut self) -> Self {
+    /// Adds three plain upstreams and six engines in three zones.
+    pub fn default_upstreams(mut self) -> Self {
         for zone in ["a", "b", "c"] {
             self = self
                 .upstream(&format!("plain-{zone}"), PLAIN, zone)
@@ -146,18 +147,21 @@
         self
     }
 
-    pub fn repeats(mut self, repeats: RouteRetryBudgetConfig) -> Self {
-        self.repeats = repeats;
+    pub fn retry_budget(mut self, retry_budget: SharedRetryBudgetConfig) -> Self {
+        self.retry_budget = retry_budget;
         self
     }
 
-    /// Which upstreams answer the question whether they live.
-    pub fn alive(mut self, alive: impl Fn(&str) -> bool + Send + Sync + 'static) -> Self {
-        self.alive = Arc::new(alive);
+    /// Sets which upstreams answer health checks.
+    pub fn answers_probes(
+        mut self,
+        answers_probes: impl Fn(&str) -> bool + Send + Sync + 'static,
+    ) -> Self {
+        self.answers_probes = Arc::new(answers_probes);
         self
     }
 
-    /// When the processes of upstreams started, as they answer.
+    /// Sets the process start times that upstreams report in health checks.
     pub fn born(
         mut self,
         born: impl Fn(&str) -> Option<ProcessStart> + Send + Sync + 'static,
@@ -166,13 +170,13 @@
         self
     }
 
-    /// The engine that still holds the prompt of the caller.
-    pub fn holder(mut self, id: &'static str) -> Self {
-        self.holder = Some(id);
+    /// Sets the engine that still has the caller's prompt cached.
+    pub fn cached_on(mut self, id: &'static str) -> Self {
+        self.cached_on = Some(id);
         self
     }
 
-    /// The configuration that the gateway begins with.
+    /// The configuration that the gateway starts with.
     pub fn config(&self) -> RoutingConfig {
         RoutingConfig {
             bytes: self.config_bytes,
@@ -186,21 +190,21 @@
 
     pub fn start(self) -> Running {
         let (config, upstreams) = (self.config(), self.upstreams.clone());
-        let running = self.unstarted();
+        let running = self.start_empty();
         running.gateway.put_config(Arc::new(config));
         running.gateway.put_upstreams(upstreams);
         running
     }
 
-    /// A gateway that knows nothing yet.
-    pub fn unstarted(self) -> Running {
+    /// Starts a gateway without configuration and upstreams.
+    pub fn start_empty(self) -> Running {
         let timer = Timer::start();
         let observed = Observed::default();
         let transport = transport(
             self.script,
-            self.alive,
+            self.answers_probes,
             self.born,
-            self.holder,
+            self.cached_on,
             &timer,
             &observed,
         );
@@ -211,7 +215,7 @@
             rollouts: self.rollouts,
             vm: "vm-1".into(),
             zone: self.zone.parse().unwrap(),
-            repeats: self.repeats,
+            retry_budget: self.retry_budget,
             seeds: Vec::new(),
         };
         let gateway = Gateway::start(settings, timer.clone(), transport);
@@ -232,9 +236,9 @@
 }
 
 impl Running {
-    /// Takes in another VM's word on the table, from [`TELLER`].
-    pub fn hear_gossip(&self, gossip: &ZoneGossip) {
-        self.gateway.take_gossip(gossip, TELLER.parse().unwrap());
+    /// Delivers another VM's gossip about the upstream table, sent from [`PEER`].
+    pub fn receive_gossip(&self, gossip: &ZoneGossip) {
+        self.gateway.receive_gossip(gossip, PEER.parse().unwrap());
     }
 
     pub fn call(&self, path: &str) -> Call {
@@ -247,11 +251,11 @@
             headers: HeaderMap::new(),
             body: Bytes::from_static(b"body"),
             key: None,
-            patience: Some(Duration::from_secs(10)),
+            timeout: Some(Duration::from_secs(10)),
             last_event: None,
             prompt: Some(Prompt {
                 tokens: 8000,
-                most_made: 800,
+                max_generated: 800,
                 parts: prompt_parts(),
             }),
             arrived: self.timer.now(),
@@ -262,26 +266,27 @@
         self.gateway.handle(self.call(path)).await
     }
 
-    /// Has the gateway hear a note of another VM.
-    pub fn hear_of_peer(&self) {
-        self.hear(self.peer_note("vm-2", "b"));
+    /// Delivers a heartbeat of another VM to the gateway.
+    pub fn receive_peer_heartbeat(&self) {
+        self.receive_heartbeat(self.empty_heartbeat("vm-2", "b"));
     }
 
-    /// Has the gateway hear of a crash from the VM of that number.
-    pub fn hear_of_crash(&self, vm: usize, crash: Crash) {
-        let note = self.peer_note(&format!("vm-{}", vm + 1), "b");
-        self.hear(PeerHeartbeat {
+    /// Delivers a heartbeat with a crash, sent by the VM with the given number.
+    pub fn receive_crash(&self, vm: usize, crash: Crash) {
+        let heartbeat = self.empty_heartbeat(&format!("vm-{}", vm + 1), "b");
+        self.receive_heartbeat(PeerHeartbeat {
             crashes: vec![crash],
-            ..note
+            ..heartbeat
         });
     }
 
-    pub fn hear(&self, note: PeerHeartbeat) {
-        self.gateway.take_note(note, ([127, 0, 0, 2], 9).into());
+    pub fn receive_heartbeat(&self, heartbeat: PeerHeartbeat) {
+        self.gateway
+            .receive_heartbeat(heartbeat, ([127, 0, 0, 2], 9).into());
     }
 
-    /// A note without anything in it, newer than those before.
-    pub fn peer_note(&self, vm: &str, zone: &str) -> PeerHeartbeat {
+    /// An empty heartbeat, newer than the previous ones.
+    pub fn empty_heartbeat(&self, vm: &str, zone: &str) -> PeerHeartbeat {
         PeerHeartbeat {
             vm: vm.into(),
             zone: zone.parse().unwrap(),
@@ -296,17 +301,17 @@
         }
     }
 
-    /// Upstreams that were sent a call, in order.
+    /// Upstreams that calls were sent to, in order.
     pub fn sent_to(&self) -> Vec<String> {
-        self.seen
+        self.received
             .lock()
             .iter()
-            .map(|seen| seen.upstream.clone())
+            .map(|received| received.upstream.clone())
             .collect()
     }
 }
 
-/// Parts of the prompt of a caller.
+/// Parts of the caller's prompt.
 pub fn prompt_parts() -> Arc<[PromptPart]> {
     [("shared", 200), ("own", 7800)]
         .map(|(id, tokens)| PromptPart {
@@ -316,7 +321,7 @@
         .into()
 }
 
-/// A stream's text, and whether it ended in whole.
+/// Reads a stream; returns its text and whether it is complete.
 pub async fn read_stream(reply: Reply) -> (String, bool) {
     let Reply::Events { mut body, .. } = reply else {
         panic!("no stream but {reply:?}");
@@ -352,8 +357,13 @@
     (first..=last).map(event).collect()
 }
 
-/// Entry of an upstream that says when it started.
-pub fn born_upstream(id: &str, service: &str, zone: &str, born: ProcessStart) -> UpstreamEntry {
+/// Entry of an upstream with a known process start time.
+pub fn upstream_started_at(
+    id: &str,
+    service: &str,
+    zone: &str,
+    born: ProcessStart,
+) -> UpstreamEntry {
     let mut entry = upstream(id, service, zone);
     entry.id.born = Some(born);
     entry
@@ -388,7 +398,7 @@
             service: service.parse().unwrap(),
             weight: 1,
         }],
-        // More than one everywhere: what may be repeated follows from the kind alone.
+        // More than one for every route, so that the kind alone determines what may be retried.
         max_upstreams: 5,
         public: false,
     }
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -1,4 +1,4 @@
-//! A VM that relies on another one of its zone for what the platform says.
+//! A VM that relies on another VM of its zone for the table of upstreams.
 
 mod gateway_support;
 
@@ -7,7 +7,7 @@
     RoutingConfig, UpstreamChange, UpstreamEntry, UpstreamTable, ZoneGossip, ZoneRole,
 };
 use catkinward::gateway::{
-    Feed, FeedError, FeedPage, exchange_notes, follow_config, follow_upstreams,
+    Feed, FeedError, FeedPage, exchange_heartbeats, follow_config, follow_upstreams,
 };
 use gateway_support::*;
 use googletest::prelude::*;
@@ -15,10 +15,10 @@
 use std::{sync::Arc, time::Duration};
 use tokio::net::UdpSocket;
 
-/// A VM's period of telling.
-const PERIOD: Duration = Duration::from_millis(400);
+/// Interval between the heartbeats and the gossip of a VM.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A table of the store, with the number of calls.
+/// A table of the store that counts its reads.
 #[derive(Clone)]
 struct FakeTable {
     rows: Arc<Mutex<Vec<UpstreamChange>>>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// All rows each time, as upstreams write their entries all the time.
+    /// Returns all rows on every read, as upstreams rewrite their entries continuously.
     fn page(&self) -> FeedPage<UpstreamEntry> {
         *self.calls.lock() += 1;
         FeedPage {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// A feed from another VM, since the store does not answer.
-    fn feed_of_a_peer(&self) -> Feed<UpstreamEntry> {
+    /// A feed that can be read from another VM only, since the store rejects all requests.
+    fn peer_feed(&self) -> Feed<UpstreamEntry> {
         let peer = self.clone();
         Feed {
             name: "upstreams",
@@ -87,12 +87,12 @@
         }
     }
 
-    /// What a VM tells that has just read the table.
-    fn news(&self, changes: &[UpstreamChange]) -> ZoneGossip {
+    /// Gossip of a VM that has just read the table.
+    fn gossip_with(&self, changes: &[UpstreamChange]) -> ZoneGossip {
         let mut table = UpstreamTable::default();
         table.apply_read(&self.rows.lock(), true, *self.version.lock());
         ZoneGossip {
-            vm: reader(),
+            vm: reader_name(),
             config: Some(ConfigVersion(1)),
             config_from_store: false,
             config_age_ms: Some(0),
@@ -108,8 +108,8 @@
     }
 }
 
-/// Name of a VM that reads for its zone when `vm-1` is there as well.
-fn reader() -> Arc<str> {
+/// Name of a VM that reads for a zone which also contains `vm-1`.
+fn reader_name() -> Arc<str> {
     let names = (2..100).map(|n| Arc::<str>::from(format!("vm-{n}")));
     names
         .into_iter()
@@ -123,48 +123,50 @@
         .to_vec()
 }
 
-fn hear_of_reader(running: &Running) {
-    running.hear(running.peer_note(&reader(), "a"));
+fn receive_reader_heartbeat(running: &Running) {
+    running.receive_heartbeat(running.empty_heartbeat(&reader_name(), "a"));
 }
 
-/// A VM beside one that reads the table and has told of it for some seconds.
-async fn relying() -> (Running, FakeTable) {
+/// A VM next to one that has read and advertised the table for some seconds.
+async fn relying_member() -> (Running, FakeTable) {
     let running = GatewayFixture::new(|_| Script::Stream(events(1, 3), End::Whole)).start();
     let table = FakeTable::new(&entries());
     tokio::spawn(follow_upstreams(running.gateway.clone(), table.feed()));
     for _ in 0..10 {
-        hear_of_reader(&running);
-        running.hear_gossip(&table.news(&[]));
-        tokio::time::sleep(PERIOD).await;
+        receive_reader_heartbeat(&running);
+        running.receive_gossip(&table.gossip_with(&[]));
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
     }
     table.take_calls();
     (running, table)
 }
 
-/// Each VM would read the whole table every second; at 400 VMs that are most calls of the store.
+/// Guards against members that read the whole table every second: at 400 VMs these would be most of
+/// the store's requests.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_does_not_read_what_another_one_tells() {
-    let (running, table) = relying().await;
+async fn member_does_not_read_what_its_reader_advertises() {
+    let (running, table) = relying_member().await;
 
     for _ in 0..20 {
-        hear_of_reader(&running);
-        running.hear_gossip(&table.news(&[]));
-        tokio::time::sleep(PERIOD).await;
+        receive_reader_heartbeat(&running);
+        running.receive_gossip(&table.gossip_with(&[]));
+        tokio::time::sleep(GOSSIP_INTERVAL).await;
     }
 
     expect_that!(table.take_calls(), eq(0));
 }
 
-/// An upstream is leaving, and the VM that reads says so. No call goes there from then on, here either.
+/// An upstream is leaving, and the reader of the zone advertises it. Its members send no calls
+/// there either.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn upstream_that_leaves_gets_nothing_after_another_vms_word() {
-    let (running, table) = relying().await;
+async fn leaving_upstream_gets_no_calls_after_gossip() {
+    let (running, table) = relying_member().await;
     table.set_leaving(0);
     let change = table.rows.lock()[0].clone();
 
-    running.hear_gossip(&table.news(&[change]));
+    running.receive_gossip(&table.gossip_with(&[change]));
     for _ in 0..8 {
         read_stream(running.handle("/stream/1").await).await;
     }
@@ -173,13 +175,13 @@
     expect_that!(table.take_calls(), eq(0));
 }
 
-/// The VM that reads for the zone loses its power just as an upstream begins to leave. The other one reads
-/// by itself before the two seconds are over in which a leaving upstream may get calls.
+/// The reader of the zone loses power just as an upstream begins to leave. The member reads the
+/// table itself before the two seconds have passed in which a leaving upstream may get calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_reads_by_itself_when_nobody_tells_any_more() {
-    let (running, table) = relying().await;
-    running.hear_gossip(&table.news(&[]));
+async fn member_reads_the_table_when_gossip_stops() {
+    let (running, table) = relying_member().await;
+    running.receive_gossip(&table.gossip_with(&[]));
 
     table.set_leaving(0);
     tokio::time::sleep(GOSSIP_MAX_AGE + Duration::from_millis(20)).await;
@@ -190,42 +192,43 @@
     expect_that!(running.sent_to(), each(eq("engine-a2")));
 }
 
-/// The datagram with a change is lost. The next one shows that something is missing, and the VM reads the
-/// table at once.
+/// The datagram with an update is lost. The next one shows that an update is missing, and the VM
+/// reads the table at once.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn vm_that_missed_a_change_reads_the_table() {
-    let (running, table) = relying().await;
+    let (running, table) = relying_member().await;
     table.set_leaving(0);
 
-    running.hear_gossip(&table.news(&[]));
+    running.receive_gossip(&table.gossip_with(&[]));
     tokio::time::sleep(Duration::from_millis(100)).await;
 
     expect_that!(table.take_calls(), ge(1));
 }
 
-/// A VM was suspended, and the words that waited in its socket seem new. An upstream has left meanwhile, and got calls
-/// for as long as they were relied on.
+/// A VM was suspended, and the datagrams that waited in its socket look recent. Guards against
+/// relying on them: an upstream that had left in the meantime got calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn vm_that_was_suspended_reads_the_table_whatever_it_hears() {
-    let (running, table) = relying().await;
-    let old = table.news(&[]);
+async fn suspended_vm_reads_the_table_despite_gossip() {
+    let (running, table) = relying_member().await;
+    let old = table.gossip_with(&[]);
     table.set_leaving(0);
 
-    running.gateway.woke(Duration::from_secs(4));
-    running.hear_gossip(&old);
+    running.gateway.record_suspension(Duration::from_secs(4));
+    running.receive_gossip(&old);
     tokio::time::sleep(Duration::from_millis(100)).await;
 
     expect_that!(table.take_calls(), ge(1));
 }
 
-/// The connection on which this VM waits for a new configuration has gone silent. Another VM of the zone
-/// has it in force, so it is asked for over another connection; before, up to 2.8 s passed.
+/// The connection on which this VM waits for a new configuration has gone silent. Another VM of the
+/// zone has the configuration in force, so it is requested over another connection; without that,
+/// up to 2.8 s passed.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn configuration_that_the_zone_has_is_asked_for_anew() {
-    let (running, table) = relying().await;
+async fn newer_configuration_of_the_zone_is_requested_again() {
+    let (running, table) = relying_member().await;
     let old = running.gateway.config().unwrap();
     let page = |version| FeedPage {
         version,
@@ -250,7 +253,7 @@
             let newer = newer.clone();
             Box::pin(async move {
                 if wait.is_zero() {
-                    // A slow store.
+                    // Simulates a slow store.
                     tokio::time::sleep(Duration::from_millis(400)).await;
                     return Ok(newer);
                 }
@@ -263,10 +266,10 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     for _ in 0..3 {
-        hear_of_reader(&running);
-        running.hear_gossip(&ZoneGossip {
+        receive_reader_heartbeat(&running);
+        running.receive_gossip(&ZoneGossip {
             config: Some(ConfigVersion(11)),
-            ..table.news(&[])
+            ..table.gossip_with(&[])
         });
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -277,14 +280,14 @@
     );
 }
 
-/// Versions of the table that a VM tells its zone within a second.
-async fn told_to_the_zone(feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>) -> Vec<u64> {
-    let gossip = gossip_to_the_zone(GatewayFixture::new(|_| Script::Hang), feed).await;
+/// Versions of the table that the reader of a zone advertises within a second.
+async fn advertised_versions(feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>) -> Vec<u64> {
+    let gossip = advertised_gossip(GatewayFixture::new(|_| Script::Hang), feed).await;
     gossip.iter().map(|gossip| gossip.version).collect()
 }
 
-/// What a VM that reads for its zone advertises to it within a second.
-async fn gossip_to_the_zone(
+/// Gossip that the reader of a zone sends within a second.
+async fn advertised_gossip(
     fixture: GatewayFixture,
     feed: impl FnOnce(&FakeTable) -> Feed<UpstreamEntry>,
 ) -> Vec<ZoneGossip> {
@@ -296,10 +299,11 @@
     let table = FakeTable::new(&entries());
     let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    running
-        .gateway
-        .take_note(running.peer_note(&other, "a"), peer.local_addr().unwrap());
-    tokio::spawn(exchange_notes(running.gateway.clone(), own));
+    running.gateway.receive_heartbeat(
+        running.empty_heartbeat(&other, "a"),
+        peer.local_addr().unwrap(),
+    );
+    tokio::spawn(exchange_heartbeats(running.gateway.clone(), own));
     tokio::spawn(follow_upstreams(running.gateway.clone(), feed(&table)));
     let mut received = Vec::new();
     let mut buf = [0; 2000];
@@ -312,15 +316,16 @@
     received
 }
 
-/// Guards against a reader whose link is filled by the others of its zone that read the configuration from it.
+/// Guards against members that saturate the link of their reader by reading a large configuration
+/// from it.
 #[gtest]
 #[tokio::test]
 async fn configuration_that_the_link_cannot_carry_is_left_to_the_store() {
     let small = GatewayFixture::new(|_| Script::Hang).link(LinkRate(10_000_000), 200_000);
     let large = GatewayFixture::new(|_| Script::Hang).link(LinkRate(200_000_000), 200_000);
 
-    let by_small = gossip_to_the_zone(small, FakeTable::feed).await;
-    let by_large = gossip_to_the_zone(large, FakeTable::feed).await;
+    let by_small = advertised_gossip(small, FakeTable::feed).await;
+    let by_large = advertised_gossip(large, FakeTable::feed).await;
 
     expect_that!(by_small, not(is_empty()));
     expect_that!(
@@ -334,63 +339,65 @@
     );
 }
 
-/// The store turns away the VM that reads for its zone, which then has the table from a peer elsewhere, up to two
-/// seconds old. Told on as new, it would be relied on for as long again, and upstreams that have left
-/// would get calls.
+/// The store rejects the reader of a zone, which then reads the table from a peer elsewhere, up to
+/// two seconds old. Advertised as new, it would be relied on for as long again, and upstreams that
+/// have left would get calls.
 #[gtest]
 #[tokio::test]
-async fn what_a_peer_had_is_not_told_on() {
-    let from_store = told_to_the_zone(FakeTable::feed).await;
-    let from_peer = told_to_the_zone(FakeTable::feed_of_a_peer).await;
+async fn table_read_from_a_peer_is_not_advertised() {
+    let from_store = advertised_versions(FakeTable::feed).await;
+    let from_peer = advertised_versions(FakeTable::peer_feed).await;
 
     expect_that!(from_store, not(is_empty()));
     expect_that!(from_peer, is_empty());
 }
 
-/// What a VM shows to others that the store turns away: all it knows of the table, also what it knows by its
-/// zone's word, while that is new; and nothing that is itself from a peer.
+/// The table that a VM serves to VMs which the store rejects: complete, including gossiped updates
+/// while these are recent, and never a table that was itself read from a peer.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn table_is_shown_in_whole_or_not_at_all() {
+async fn table_is_served_completely_or_not_at_all() {
     let age = Duration::from_millis(2200);
-    let (relying, table) = relying().await;
+    let (member, table) = relying_member().await;
     table.set_leaving(0);
     let change = table.rows.lock()[0].clone();
-    relying.hear_gossip(&table.news(std::slice::from_ref(&change)));
-    let shown = relying.gateway.table_page(age);
-    let turned_away = GatewayFixture::new(|_| Script::Hang).start();
-    hear_of_reader(&turned_away);
+    member.receive_gossip(&table.gossip_with(std::slice::from_ref(&change)));
+    let served = member.gateway.table_page(age);
+    let rejected = GatewayFixture::new(|_| Script::Hang).start();
+    receive_reader_heartbeat(&rejected);
     tokio::spawn(follow_upstreams(
-        turned_away.gateway.clone(),
-        table.feed_of_a_peer(),
+        rejected.gateway.clone(),
+        table.peer_feed(),
     ));
     tokio::time::sleep(Duration::from_millis(500)).await;
 
-    let from_a_peer = turned_away.gateway.table_page(age);
+    let from_a_peer = rejected.gateway.table_page(age);
     tokio::time::sleep(age).await;
-    let old = relying.gateway.table_page(Duration::ZERO);
+    let old = member.gateway.table_page(Duration::ZERO);
 
-    let entries = shown.map(|page| page.rows).unwrap_or_default();
+    let entries = served.map(|page| page.rows).unwrap_or_default();
     expect_that!(entries.len(), eq(2));
     expect_that!(entries.contains(&change), eq(true));
     expect_that!(from_a_peer.is_none(), eq(true));
     expect_that!(old.is_none(), eq(true));
 }
 
-/// A call has crashed an upstream, and its caller comes back within milliseconds, to any VM. Another VM that
-/// hears of it with the next round of notes only, 400 ms later, would run it once more.
+/// A call has crashed an upstream, and its caller retries within milliseconds at any VM. A VM that
+/// learned of the crash only with the next periodic heartbeat, 400 ms later, would run the call
+/// again.
 #[gtest]
 #[tokio::test]
-async fn a_crash_is_told_at_once() {
+async fn crash_is_advertised_at_once() {
     let running = GatewayFixture::new(|_| Script::Lost)
         .upstream("plain-a", PLAIN, "a")
         .start();
     let own = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    running
-        .gateway
-        .take_note(running.peer_note("vm-2", "a"), peer.local_addr().unwrap());
-    tokio::spawn(exchange_notes(running.gateway.clone(), own));
+    running.gateway.receive_heartbeat(
+        running.empty_heartbeat("vm-2", "a"),
+        peer.local_addr().unwrap(),
+    );
+    tokio::spawn(exchange_heartbeats(running.gateway.clone(), own));
     let mut buf = [0; 2000];
     let first = peer.recv(&mut buf).await;
     running.handle("/once/1").await;
@@ -399,32 +406,32 @@
         .gateway
         .upstream_removed(&"plain-a".parse().unwrap());
 
-    let told = async {
+    let received_crashes = async {
         loop {
             let len = peer.recv(&mut buf).await.expect("a datagram");
-            if let Ok(PeerDatagram::Note(note)) = ciborium::from_reader(&buf[..len])
-                && !note.crashes.is_empty()
+            if let Ok(PeerDatagram::Note(heartbeat)) = ciborium::from_reader(&buf[..len])
+                && !heartbeat.crashes.is_empty()
             {
-                return note.crashes.len();
+                return heartbeat.crashes.len();
             }
         }
     };
-    let told = tokio::time::timeout(PERIOD / 2, told).await;
+    let received_crashes = tokio::time::timeout(GOSSIP_INTERVAL / 2, received_crashes).await;
     expect_that!(first, ok(anything()));
-    expect_that!(told, ok(eq(&1)));
+    expect_that!(received_crashes, ok(eq(&1)));
 }
 
-/// A third of a zone's engines crash, and what changed goes to the others in full datagrams. One that is larger than
-/// a link takes in one piece would be left out, and each VM would read the table itself.
+/// A third of a zone's engines crash, and the updates are sent in full datagrams. One that exceeds
+/// the MTU would be dropped, and each VM would read the table itself.
 #[gtest]
-fn a_full_word_on_changes_fits_into_a_datagram() {
+fn full_gossip_fits_into_a_datagram() {
     let change = |n: u64| UpstreamChange {
         key: format!("i-{:010x}", 0xff_ffff_ff00 + n).as_str().into(),
         written: u64::from(u32::MAX),
         entry: Some(UpstreamEntry {
             address: "10.255.255.255:65535".parse().unwrap(),
             slots: 1000,
-            ..born_upstream(
+            ..upstream_started_at(
                 &format!("i-{:010x}", 0xff_ffff_ff00 + n),
                 "ticket-model-long",
                 "stirling-depot-long",
--- a/crates/decisions/tests/admission_queue.rs
+++ b/crates/decisions/tests/admission_queue.rs
@@ -39,17 +39,17 @@
         sharers: 1,
         rounding_threshold: 999,
     };
-    queue.apply_report(&upstream(), report, share);
-    queue.take_slot(at(0), Lane::Quick, &upstream());
+    queue.record_report(&upstream(), report, share);
+    queue.acquire_slot(at(0), Lane::Quick, &upstream());
     queue.release_slot(Lane::Quick, &upstream(), Some(Duration::from_millis(100)));
     queue
 }
 
-/// The same queue with both slots taken.
+/// The same queue with both slots in use.
 fn full_queue() -> AdmissionQueue<u32> {
     let mut queue = queue();
-    queue.take_slot(at(0), Lane::Quick, &upstream());
-    queue.take_slot(at(0), Lane::Quick, &upstream());
+    queue.acquire_slot(at(0), Lane::Quick, &upstream());
+    queue.acquire_slot(at(0), Lane::Quick, &upstream());
     queue
 }
 
@@ -63,9 +63,9 @@
 fn request_with_a_free_slot_starts_however_near_its_deadline() {
     let mut queue = queue();
 
-    let place = queue.offer(at(0), &arrival(110), Queued::new(1));
+    let position = queue.offer(at(0), &arrival(110), Queued::new(1));
 
-    expect_that!(place.is_ok(), eq(true));
+    expect_that!(position.is_ok(), eq(true));
     let dispatched = queue.dispatch(at(0), Lane::Quick, &upstream());
     expect_that!(dispatched.map(|it| *it.request()), some(eq(1)));
 }
@@ -102,7 +102,7 @@
     expect_that!(refused.reason(), eq(RefusalReason::QueueFull));
 }
 
-/// Guards against sending a request that upstreams can no longer answer in time, because they became
+/// Guards against sending a request that upstreams can no longer serve in time, because they became
 /// slower after it was admitted. It is refused at its latest start, before its caller times out.
 #[gtest]
 fn queued_request_expires_at_its_latest_start() {
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -88,9 +88,9 @@
     );
 }
 
-/// The result of a claim is lost and the platform store fails, so the caller is told that its order
-/// did not run. The claim may have been committed, however. Without a release, a retry would be
-/// told that the outcome is unknown, although the order certainly did not run.
+/// The result of a claim is lost and the platform store fails, so the caller receives the response that
+/// its order did not run. The claim may have been committed, however. Without a release, a retry would
+/// fail with an unknown outcome, although the order certainly did not run.
 #[gtest]
 fn abandoned_claim_that_may_have_committed_is_released() {
     let mut queue = ClaimQueue::default();
@@ -261,7 +261,7 @@
             12 => self.record_end(vm),
             13 => self.release(vm),
             14 => self.crash(vm),
-            _ => self.reject_call(vm),
+            _ => self.refuse_call(vm),
         }
     }
 
@@ -296,7 +296,7 @@
         let i = open[pick % open.len()];
         self.calls[i].done = true;
         let group = self.calls[i].group.clone();
-        let answer = self.transact(&group);
+        let result = self.transact(&group);
         let call = &self.calls[i];
         let vm = call.vm;
         let is_awaited = self.vms[vm].epoch == call.epoch && self.vms[vm].awaited_call == Some(i);
@@ -304,7 +304,7 @@
             self.return_result(
                 vm,
                 if result_returned {
-                    &answer
+                    &result
                 } else {
                     &GroupResult::Unknown
                 },
@@ -319,7 +319,7 @@
         }
     }
 
-    fn reject_call(&mut self, vm: usize) {
+    fn refuse_call(&mut self, vm: usize) {
         let Some(i) = self.vms[vm].awaited_call else {
             return;
         };
@@ -402,7 +402,7 @@
         };
     }
 
-    /// Delivers and answers all calls until nothing is pending.
+    /// Delivers all calls and their results until nothing is pending.
     fn run_to_completion(&mut self) {
         while self.calls.iter().any(|call| !call.done) {
             self.deliver(0, true);
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -41,7 +41,7 @@
 /// Records a report and a reply that lag and do not yet say that the upstream is leaving.
 fn record_lagging_reports(evidence: &mut UpstreamEvidence, at: Instant) {
     evidence.record_report(FIRST, false, at);
-    evidence.record_reply(FIRST, at);
+    evidence.record_response(FIRST, at);
 }
 
 /// An upstream starts leaving and only one source reports it; all others lag and still show it as live.
@@ -89,7 +89,7 @@
     expect_that!(evidence.eligible(ms(9000)), err(eq(&Ineligible::Stale)));
 }
 
-/// An upstream is paused for 10 s and then answers a report request sent before the pause. The answer is
+/// An upstream is paused for 10 s and then responds to a report request sent before the pause. The response is
 /// evidence only for the time of that request.
 #[gtest]
 fn a_late_report_dates_from_its_request() {
@@ -157,10 +157,10 @@
 }
 
 #[gtest]
-fn a_dead_process_gets_no_work() {
+fn an_ended_process_gets_no_work() {
     let mut evidence = reported_at(ms(0));
 
-    evidence.record_gone(FIRST);
+    evidence.record_ended(FIRST);
     evidence.record_report(FIRST, false, ms(10));
 
     expect_that!(evidence.eligible(ms(20)), err(eq(&Ineligible::NoReport)));
@@ -202,7 +202,7 @@
                     last_heard = now;
                 }
                 Observation::Reply => {
-                    evidence.record_reply(FIRST, ms(now));
+                    evidence.record_response(FIRST, ms(now));
                     last_heard = now;
                 }
                 Observation::Listed(leaving) => {
--- a/crates/decisions/tests/hedge.rs
+++ b/crates/decisions/tests/hedge.rs
@@ -32,13 +32,13 @@
     expect_that!(hedge.delay(), none());
 }
 
-/// A call that is not idempotent, such as a ticket submission, is late. A second copy could run it twice.
+/// A call that is not idempotent, such as a ticket submission, is late. A hedge could run it twice.
 #[gtest]
 fn never_hedges_a_call_that_is_not_idempotent() {
     let mut hedge = observed_hedge();
 
-    expect_that!(hedge.try_spend(false), eq(false));
-    expect_that!(hedge.try_spend(true), eq(true));
+    expect_that!(hedge.try_take(false), eq(false));
+    expect_that!(hedge.try_take(true), eq(true));
 }
 
 /// All upstreams become slow at once and every call is late. Without the budget, hedges would double the
@@ -50,7 +50,7 @@
     let hedges = (0..1000)
         .filter(|_| {
             hedge.record_latency(ms(1000));
-            hedge.try_spend(true)
+            hedge.try_take(true)
         })
         .count();
 
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -33,10 +33,10 @@
     expect_that!(result, err(eq(PoisonBlock::Refused)));
 }
 
-/// A rack loses power: the engine of a request fails, and the next engine is down before it has
-/// answered. If the request were taken for a poison request, it would be refused for ten minutes.
+/// A rack loses power: the engine of a request fails, and the next engine fails before it has
+/// responded. If the request were taken for a poison request, it would be refused for ten minutes.
 #[gtest]
-fn request_with_one_crash_and_one_dead_engine_is_not_refused() {
+fn request_with_one_crash_and_one_failed_engine_is_not_refused() {
     let mut tracker = tracker_after_one_crash();
     tracker.started(unrelated_digest(), engine(1), FIRST, at(0));
 
@@ -46,9 +46,9 @@
     expect_that!(result, ok(eq(())));
 }
 
-/// A request crashes each engine before its answer is read, as happens if the process exits within
+/// A request crashes each engine before its response is read, as happens if the process exits within
 /// the few milliseconds before the response head is sent. It must cost no more engines than a
-/// request that is answered first.
+/// request that receives a response first.
 #[gtest]
 fn request_that_crashes_engines_before_the_response_costs_two() {
     let mut tracker = PoisonTracker::default();
@@ -70,9 +70,9 @@
 }
 
 /// A rack loses power: a request is sent to several of its engines in turn, and none of them begins
-/// to answer. The caller must still be served by the next live engine.
+/// to respond. The caller must still be served by the next live engine.
 #[gtest]
-fn request_sent_only_to_dead_engines_is_not_refused() {
+fn request_sent_only_to_crashed_engines_is_not_refused() {
     let mut tracker = PoisonTracker::default();
     for n in 0..5 {
         tracker.started(unrelated_digest(), engine(n), FIRST, at(0));
@@ -129,10 +129,10 @@
     expect_that!(poison, err(eq(PoisonBlock::Refused)));
 }
 
-/// The caller sent the poison request twice, so a second copy already runs on another engine when
+/// The caller sent the poison request twice, so a second run is in progress on another engine when
 /// the first one crashes its engine.
 #[gtest]
-fn running_second_copy_is_put_on_probation() {
+fn second_run_in_progress_is_put_on_probation() {
     let mut tracker = PoisonTracker::default();
     start(&mut tracker, poison_digest(), 0);
     start(&mut tracker, poison_digest(), 1);
@@ -161,7 +161,7 @@
     start(&mut tracker, poison_digest(), 1);
     crash(&mut tracker, 1);
 
-    let refused = [600, 601].map(|seconds| tracker.refuses(poison_digest(), at(seconds)));
+    let refused = [600, 601].map(|seconds| tracker.is_refused(poison_digest(), at(seconds)));
 
     expect_that!(refused, eq([true, false]));
 }
@@ -180,8 +180,8 @@
 
     first.merge(&second.deltas(at(0)), at(0));
 
-    expect_that!(first.refuses(poison_digest(), at(0)), eq(true));
-    expect_that!(second.refuses(poison_digest(), at(0)), eq(true));
+    expect_that!(first.is_refused(poison_digest(), at(0)), eq(true));
+    expect_that!(second.is_refused(poison_digest(), at(0)), eq(true));
 }
 
 #[gtest]
@@ -264,7 +264,7 @@
                         let run =
                             self.tracker
                                 .started(request.digest, engine(n), incarnation, at(0));
-                        // Engines begin to answer a request before they compute.
+                        // Engines begin to respond to a request before they compute.
                         self.tracker.response_started(run);
                         request.run = Some((run, n));
                         request.steps_of_run = 0;
@@ -337,7 +337,7 @@
 
         let unfinished = simulation.requests.iter().filter(|r| !r.done).count();
         let refused_unrelated = (1..=unrelated_count)
-            .filter(|n| simulation.tracker.refuses(digest(*n), at(0)))
+            .filter(|n| simulation.tracker.is_refused(digest(*n), at(0)))
             .count();
         prop_assert!(simulation.engines_lost <= 2, "{} engines lost", simulation.engines_lost);
         prop_assert_eq!((unfinished, refused_unrelated), (0, 0));
