--- a/crates/border/examples/generate.rs
+++ b/crates/border/examples/generate.rs
@@ -1,4 +1,5 @@
-//! Writes the border types anew from the schemas: `cargo run -p catkin-border --example generate`.
+//! Regenerates the Rust types of the external interfaces from their JSON schemas:
+//! `cargo run -p catkin-border --example generate`.
 
 use std::{
     error::Error,
@@ -13,11 +14,11 @@
     Ok(())
 }
 
-/// Each file of generated types, with its text.
+/// Returns the path and the contents of each generated file, for this crate and for `platform`.
 ///
 /// # Errors
 ///
-/// If a schema cannot be read or is not one.
+/// If a schema cannot be read or is not a valid JSON schema.
 pub fn files() -> Result<Vec<(PathBuf, String)>, Box<dyn Error>> {
     let border = Path::new(env!("CARGO_MANIFEST_DIR"));
     let platform = border.join("../../platform");
@@ -26,7 +27,7 @@
     Ok(files)
 }
 
-/// The files of one crate, from its folder `schema`.
+/// Generates the files of the crate at `root` from the schemas in its `schema` directory.
 fn files_of(root: &Path) -> Result<Vec<(PathBuf, String)>, Box<dyn Error>> {
     let mut schemas = fs::read_dir(root.join("schema"))?
         .map(|entry| entry.map(|entry| entry.path()))
@@ -39,7 +40,7 @@
     let mut types = typify::TypeSpace::default();
     types.add_root_schema(serde_json::from_str(&fs::read_to_string(schema)?)?)?;
     let file = syn::parse2::<syn::File>(types.to_stream())?;
-    let name = schema.file_stem().ok_or("a schema without a name")?;
+    let name = schema.file_stem().ok_or("schema path has no file name")?;
     let target = root.join("src/generated").join(name).with_extension("rs");
     Ok((target, prettyplease::unparse(&file)))
 }
--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,7 +1,8 @@
-//! Types of every interface at the border: callers, engines, the platform, operators.
+//! Types of the external interfaces: callers, engines, the platform, operators.
 //!
 //! They are generated from the JSON schemas in `schema/` by
-//! `cargo run -p catkin-border --example generate` and committed, so a build needs no generator.
+//! `cargo run -p catkin-border --example generate` and committed, so that builds do not run the
+//! generator.
 
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 #[rustfmt::skip]
--- a/crates/border/tests/generated.rs
+++ b/crates/border/tests/generated.rs
@@ -1,4 +1,4 @@
-//! The committed types are those that the schemas give.
+//! Checks that the committed types match the schemas.
 
 #[allow(dead_code)]
 #[path = "../examples/generate.rs"]
@@ -6,12 +6,12 @@
 
 use googletest::prelude::*;
 
-/// A schema is changed and the types are not made anew. Callers would then be promised a form that
-/// the code does not have.
+/// A schema is changed without regenerating the types, so that the documented form of a message
+/// differs from the one that the code implements.
 #[gtest]
 fn generated_types_are_current() {
     for (target, text) in generate::files().expect("the schemas are valid") {
         let committed = std::fs::read_to_string(&target).expect("a committed file");
-        expect_that!(committed, eq(&text), "{} is old", target.display());
+        expect_that!(committed, eq(&text), "{} is out of date", target.display());
     }
 }
--- a/crates/standins/examples/claim_rate.rs
+++ b/crates/standins/examples/claim_rate.rs
@@ -1,5 +1,5 @@
-//! Measures claims a second with and without group commit: 400 callers at 8, 40 or 400 VMs before one
-//! platform that does 300 transactions a second, each transaction 2 ms under way.
+//! Measures claims per second with and without group commit: 400 callers on 8, 40 or 400 VMs, with a
+//! platform that is limited to 300 transactions per second and takes 2 ms for each.
 //!
 //! `cargo run --release -p catkin-standins --example claim_rate`
 
@@ -21,11 +21,11 @@
 const CALLERS: usize = 400;
 const RUN: Duration = Duration::from_secs(5);
 
-/// What is compared.
+/// One configuration to measure.
 #[derive(Clone, Copy)]
 struct Case {
     vms: usize,
-    /// Number of VMs for which each one's part of the platform is reckoned.
+    /// Number of VMs that the platform call budget is divided by, which may differ from `vms`.
     shared_by: u32,
     group_max: usize,
 }
@@ -58,7 +58,7 @@
     },
 ];
 
-/// What one run gave.
+/// Results of one run.
 struct Rate {
     claimed_per_second: f64,
     refused: usize,
@@ -143,7 +143,7 @@
     ))
 }
 
-/// One caller's claims one after another; the wait of each, `None` if it was refused.
+/// Makes one caller's claims in sequence. Returns the latency of each, or `None` if it was refused.
 async fn call(vm: Arc<Claims>, caller: usize, start: Instant) -> Vec<Option<Duration>> {
     let team: TeamId = "counter".parse().expect("a valid name");
     let mut waits = Vec::new();
--- a/crates/standins/examples/lease_rate.rs
+++ b/crates/standins/examples/lease_rate.rs
@@ -1,5 +1,5 @@
-//! Measures what leases alone cost the table service: VMs that compete for three scopes, first
-//! without a list of routers and then with one.
+//! Measures the load of leases on the table service: VMs that compete for three scopes, first
+//! without a VM list and then with one.
 //!
 //! `cargo run --release -p catkin-standins --example lease_rate`
 
@@ -53,7 +53,7 @@
             incarnation: Incarnation(1),
         };
         let leases = Leases::start(Arc::new(platform), timer, me, LeaseSettings::default());
-        // The list has to be there before the first look at a scope.
+        // The VM list must have been read before the first poll of a scope.
         tokio::time::sleep(Duration::from_millis(20)).await;
         for scope in SCOPES {
             leases.compete(scope);
--- a/crates/standins/src/answer.rs
+++ b/crates/standins/src/answer.rs
@@ -1,32 +1,32 @@
 use super::*;
 
-/// What a caller received of a generation.
+/// The part of a generation that a caller has received.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// Request id that the router gave.
+    /// Request id assigned by the router.
     pub request_id: Option<String>,
-    /// Whether a router took the request on.
+    /// Whether a router accepted the request.
     pub accepted: bool,
-    /// Id of the last event, with which the caller comes back.
+    /// Id of the last event, sent as `last-event-id` on reconnecting.
     pub last_event_id: Option<String>,
-    /// Token ids in the order received.
+    /// Token ids in the order in which they were received.
     pub ids: Vec<u32>,
-    /// Text in the order received.
+    /// Text in the order in which it was received.
     pub text: String,
-    /// When the first call for it began.
+    /// Start time of the first call for this generation.
     pub started: Option<tokio::time::Instant>,
-    /// When each token came, from the start of the first call.
+    /// Arrival time of each token since the start of the first call.
     pub arrivals: Vec<Duration>,
-    /// Why the answer ended; only then is it whole.
+    /// Finish reason; the answer is complete only if it is present.
     pub finish: Option<String>,
-    /// Counts that the router gave with the end.
+    /// Usage counts that the router sent with the final event.
     pub usage: Option<caller::Usage>,
-    /// An error event or error answer.
+    /// Error from an error event or an error response.
     pub problem: Option<caller::Problem>,
 }
 
 impl Answer {
-    /// Longest wait between two tokens.
+    /// Returns the longest time between the arrivals of two consecutive tokens.
     #[must_use]
     pub fn longest_gap(&self) -> Duration {
         self.arrivals
@@ -36,18 +36,18 @@
             .unwrap_or_default()
     }
 
-    /// Judges its tokens; it need not be whole.
+    /// Counts the wrong tokens of an answer, which may be incomplete.
     #[must_use]
     pub fn verdict(&self, chain: TokenChain, max_tokens: usize) -> AnswerVerdict {
         let whole = self.finish.is_some();
         AnswerVerdict::of(chain, max_tokens, &self.ids, &self.text, whole)
     }
 
-    /// Checks it against the request.
+    /// Checks a complete answer against its request.
     ///
     /// # Errors
     ///
-    /// Says what is wrong.
+    /// Returns the first difference from the expected answer.
     pub fn check(&self, chain: TokenChain, max_tokens: usize) -> Result<(), AnswerError> {
         check_answer(chain, max_tokens, &self.ids, &self.text)
     }
--- a/crates/standins/src/answer_check.rs
+++ b/crates/standins/src/answer_check.rs
@@ -1,35 +1,37 @@
 use super::*;
 use crate::answer_verdict::chain_text;
 
-/// What is wrong with an answer.
+/// Error in a received answer.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum AnswerError {
-    /// The text is not that of the token ids in this order: a token is missing, repeated, or of
-    /// another generation.
-    #[display("the text differs from the chain at byte {at}: expected `{expected}`, got `{found}`")]
+    /// The text does not match the sequence of token ids: a token is missing, repeated, or belongs
+    /// to another generation.
+    #[display(
+        "text differs from the token chain at byte {at}: expected `{expected}`, got `{found}`"
+    )]
     Chain {
-        /// First byte that differs.
+        /// Offset of the first byte that differs.
         at: usize,
-        /// What belongs there.
+        /// Excerpt of the expected text from that offset on.
         expected: String,
-        /// What is there.
+        /// Excerpt of the received text from that offset on.
         found: String,
     },
-    /// The answer has another length.
-    #[display("{found} tokens where {expected} were asked for")]
+    /// The number of tokens differs from the requested one.
+    #[display("received {found} tokens, requested {expected}")]
     Length {
-        /// Tokens asked for.
+        /// Number of tokens requested.
         expected: usize,
-        /// Tokens received.
+        /// Number of tokens received.
         found: usize,
     },
 }
 
-/// Checks an answer as a caller received it against the request that it sent.
+/// Checks the answer that a caller received against the request that it sent.
 ///
 /// # Errors
 ///
-/// Says what is wrong.
+/// Returns the first difference from the expected answer.
 pub fn check_answer(
     chain: TokenChain,
     max_tokens: usize,
--- a/crates/standins/src/answer_verdict.rs
+++ b/crates/standins/src/answer_verdict.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// What is wrong with the tokens that a caller received, in numbers of tokens.
+/// Numbers of wrong tokens in a received answer, by kind of error.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerVerdict {
-    /// Tokens that did not come, though later ones did or the answer was called whole.
+    /// Tokens that are absent although later ones were received or the answer ended as complete.
     pub missing: usize,
-    /// Tokens that came again.
+    /// Tokens that were received more than once.
     pub repeated: usize,
-    /// Tokens whose text does not follow from the ids before them: two generations in one answer.
+    /// Tokens whose text does not follow from the preceding ids: the answer mixes two generations.
     pub mixed: usize,
-    /// Tokens of another request, from the first one on.
+    /// Tokens of an answer that belongs to another request from its first token on.
     pub crossed: usize,
 }
 
 impl AnswerVerdict {
-    /// Judges what a caller received against the request that it sent, and nothing else.
+    /// Compares a received answer with its request, without any other source of information.
     ///
-    /// The text of each token names its index, so that holes and repeats show by themselves. Where
-    /// there are none, the text must be that of the received ids: a token of another generation of
-    /// the same request, or of another request, does not fit the hash of the chain.
+    /// The text of each token contains its index, which exposes gaps and repeats. Without these, the
+    /// text must match the received ids: a token of another generation of the same request, or of
+    /// another request, does not match the hash of the chain.
     #[must_use]
     pub fn of(chain: TokenChain, max_tokens: usize, ids: &[u32], text: &str, whole: bool) -> Self {
         let indices = indices(text);
@@ -36,7 +36,7 @@
             };
         }
         let expected = chain_text(chain, ids);
-        // A character may span two tokens: an answer that was cut has only the whole ones.
+        // A character may span two tokens: a truncated answer contains complete characters only.
         let expected = if whole {
             expected.as_str()
         } else {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Whether nothing is wrong.
+    /// Returns whether the answer has no wrong tokens.
     #[must_use]
     pub fn is_right(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Text of a chain of token ids.
+/// Returns the text of the tokens with these ids, appended to `chain`.
 pub(crate) fn chain_text(mut chain: TokenChain, ids: &[u32]) -> String {
     let bytes = ids.iter().flat_map(|id| chain.push(*id));
     String::from_utf8_lossy(&bytes.collect::<Vec<_>>()).into_owned()
--- a/crates/standins/src/bin/catkin-standins.rs
+++ b/crates/standins/src/bin/catkin-standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a process of their own.
+//! Runs one mock as a separate process; see [`catkin_standins::run_standin`].
 
 use std::process::ExitCode;
 
--- a/crates/standins/src/bin/catkinward-demo.rs
+++ b/crates/standins/src/bin/catkinward-demo.rs
@@ -1,4 +1,5 @@
-//! One generation that outlives its engine: two stand-in engines and a router in one process.
+//! Demonstrates that a generation survives the death of its engine, with two mock engines and a
+//! router in one process. With `--serve` it only serves until it is interrupted.
 
 use catkin_border::{bundle::RecoveryPolicy, caller::CompletionRequest};
 use catkin_standins::{
@@ -26,7 +27,7 @@
     let router = start_router(&engines).await?;
     println!("router on {router}, engines on {}", addresses(&engines));
     if std::env::args().any(|arg| arg == "--serve") {
-        println!("bearer key `{DEMO_KEY}`, model `ticket-model`; end with control-C");
+        println!("bearer key `{DEMO_KEY}`, model `ticket-model`; press Ctrl-C to stop");
         return Ok(tokio::signal::ctrl_c().await?);
     }
     let answer = generate(router, &engines).await?;
@@ -56,7 +57,7 @@
 async fn generate(router: SocketAddr, engines: &[EngineServer]) -> Result<Answer, Box<dyn Error>> {
     let caller = CallerClient::new(router, DEMO_KEY)?;
     let request = CompletionRequest {
-        max_tokens: NonZeroU32::new(TOKENS).ok_or("no tokens")?,
+        max_tokens: NonZeroU32::new(TOKENS).ok_or("TOKENS must not be zero")?,
         model: "ticket-model".to_owned(),
         prompt: PROMPT.to_owned(),
         seed: Some(SEED),
@@ -91,8 +92,8 @@
     answer.check(chain, usize::try_from(TOKENS)?)?;
     let attempts = answer.usage.as_ref().map_or(0, |usage| usage.attempts);
     println!(
-        "whole answer: {} tokens in {attempts} attempts, none missing, none repeated; \
-         the caller waited {} ms at the death",
+        "complete answer: {} tokens in {attempts} attempts, none missing, none repeated; \
+         longest gap between two tokens {} ms",
         answer.ids.len(),
         answer
             .longest_gap()
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -2,43 +2,43 @@
 use tokio::time::Instant;
 use volo_http::client::sse::SseReader;
 
-/// A caller of the router.
+/// HTTP client of the router's caller API.
 #[derive(Clone)]
 pub struct CallerClient {
     connections: Arc<Connections>,
-    /// Router that is called.
+    /// Address of the router.
     pub address: SocketAddr,
-    /// Bearer key.
+    /// Bearer key of the team.
     pub key: Arc<str>,
 }
 
-/// Why a call brought no answer, or no whole one.
+/// Error of a call that returned no answer or an incomplete one.
 #[derive(Debug, Display, Error, From)]
 pub enum CallError {
-    /// The call failed.
+    /// The HTTP call failed.
     #[display("{_0}")]
     Http(HttpError),
-    /// The connection broke off.
-    #[display("the answer broke off")]
+    /// The connection was closed before the end of the response.
+    #[display("connection closed before the end of the response")]
     #[from(skip)]
     Broken,
-    /// An event is not of the documented form.
-    #[display("an event cannot be read: {_0}")]
+    /// An event or an error body does not have the documented form.
+    #[display("invalid event or error body: {_0}")]
     Form(serde_json::Error),
-    /// The client could not be made.
+    /// The HTTP client could not be created.
     #[display("{_0}")]
     Client(catkinward::Error),
 }
 
-/// How long a caller waits for the headers of an answer.
+/// Timeout for the response headers.
 const HEADERS_BOUND: Duration = Duration::from_secs(30);
 
 impl CallerClient {
-    /// A caller of the router at `address`.
+    /// Creates a client of the router at `address`.
     ///
     /// # Errors
     ///
-    /// If no client can be made.
+    /// If the HTTP client cannot be created.
     pub fn new(address: SocketAddr, key: &str) -> Result<Self, CallError> {
         Ok(Self {
             connections: Arc::new(Connections::new()?),
@@ -47,12 +47,12 @@
         })
     }
 
-    /// Asks for a streamed generation and reads it into `answer`, calling `on_token` after each
-    /// event. An answer that holds tokens already is gone on with.
+    /// Requests a streamed generation and reads it into `answer`, calling `on_token` after each
+    /// event. An answer that already contains tokens is resumed after its last event.
     ///
     /// # Errors
     ///
-    /// If the stream breaks off before its end; `answer` then holds what came.
+    /// If the stream is interrupted before its end; `answer` then contains the received part.
     pub async fn stream(
         &self,
         request: &caller::CompletionRequest,
@@ -101,11 +101,11 @@
         }
     }
 
-    /// Peers that the router knows, by its readiness answer.
+    /// Returns the number of peers that the router reports at `/readyz`; 0 if it reports none.
     ///
     /// # Errors
     ///
-    /// If it does not answer.
+    /// If the router does not respond.
     pub async fn peers(&self) -> Result<usize, CallError> {
         let call = HttpCall {
             address: self.address,
--- a/crates/standins/src/daemon.rs
+++ b/crates/standins/src/daemon.rs
@@ -2,35 +2,35 @@
 use catkin_border::platform::PlatformFaults;
 use std::{ffi::OsString, process::ExitCode, str::FromStr};
 
-/// Why a stand-in cannot run.
+/// Error that ends a mock process.
 #[derive(Debug, Display, Error, From)]
 pub enum StandinError {
-    /// A flag is not known or has no value.
+    /// A flag is unknown or has no value.
     #[display("{_0}")]
     Flag(lexopt::Error),
-    /// A value is wrong.
-    #[display("`--{flag}` cannot be `{value}`")]
+    /// A flag has an invalid value.
+    #[display("invalid value `{value}` for `--{flag}`")]
     #[from(skip)]
     Value {
-        /// Its flag.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// What it is.
+        /// Value as given on the command line.
         value: String,
     },
-    /// It was killed by a fault or a poison request.
-    #[display("the engine died")]
+    /// The mock engine was killed by a fault or crashed by a poison request.
+    #[display("engine killed by a fault or a poison request")]
     #[from(skip)]
     Crashed,
-    /// No kind of stand-in is named.
-    #[display("name a stand-in: `engine`, `plain`, `platform` or `proxy`")]
+    /// The command line names no kind of mock.
+    #[display("missing kind of mock: expected `engine`, `plain`, `platform` or `proxy`")]
     #[from(skip)]
     Kind,
-    /// The address cannot be had.
+    /// Binding the listening address failed.
     #[display("cannot listen: {_0}")]
     Listen(std::io::Error),
 }
 
-/// A stand-in as its command line asks for it.
+/// Kind and settings of the mock to run, parsed from the command line.
 enum Standin {
     Engine(EngineSettings),
     Plain(PlainSettings),
@@ -38,9 +38,10 @@
     Proxy(Vec<SocketAddr>),
 }
 
-/// Runs the stand-ins' daemon: `engine`, `plain`, `platform` or `proxy` with its flags. It prints
-/// `listening ADDRESS`; before that, the proxy prints the address of a route for each `--to`, and
-/// what it listens on is its control.
+/// Runs the mock that `args` select: `engine`, `plain`, `platform` or `proxy`, followed by its flags.
+///
+/// Prints `listening ADDRESS` once it accepts connections. The proxy first prints `route ADDRESS` for
+/// each `--to`; its listening address is that of its control API.
 pub fn run_standin(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     match read_standin(args).map(serve) {
         Ok(Ok(())) => ExitCode::SUCCESS,
--- a/crates/standins/src/demo_bundle.rs
+++ b/crates/standins/src/demo_bundle.rs
@@ -2,10 +2,10 @@
 use catkin_border::bundle;
 use catkin_decisions::KeyHash;
 
-/// Bearer key of the one team of the demonstration.
+/// Bearer key of the only team in [`demo_bundle`].
 pub const DEMO_KEY: &str = "demo-key";
 
-/// A bundle of one team and one generation service on the given engines.
+/// Returns a bundle with one team, and one generation service on the given engines.
 #[must_use]
 pub fn demo_bundle(engines: &[SocketAddr], recovery: bundle::RecoveryPolicy) -> bundle::Bundle {
     bundle::Bundle {
--- a/crates/standins/src/engine_batch.rs
+++ b/crates/standins/src/engine_batch.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::{prefix_cache::PrefixCache, sequence::Sequence};
 
-/// A prompt that begins so crashes the engine that runs it.
+/// Prompt prefix that crashes the engine when it decodes the request.
 pub const POISON: &str = "poison:";
 
-/// A prompt that begins so crashes the engine that it is sent to, before that answers.
+/// Prompt prefix that crashes the engine on receipt of the request, before it responds.
 pub const UNANSWERED_POISON: &str = "poison-unanswered:";
 
-/// The continuous batch of a stand-in engine.
+/// Continuous batching of a mock engine: all running sequences decode one token per step.
 pub(crate) struct EngineBatch {
     settings: EngineSettings,
     sequences: Mutex<Vec<Arc<Sequence>>>,
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Adds an attempt, unless one as new of the same request is there.
+    /// Adds an attempt and cancels older ones of the same request. Returns `None` if an attempt with
+    /// the same or a larger number exists.
     pub(crate) fn add(&self, sequence: Sequence) -> Option<Arc<Sequence>> {
         let mut sequences = self.sequences.lock();
         let same = |s: &&Arc<Sequence>| s.order.request_id == sequence.order.request_id;
@@ -61,7 +62,7 @@
             .cloned()
     }
 
-    /// Cancels all attempts of a request up to `attempt`.
+    /// Cancels all attempts of a request with numbers up to `attempt`.
     pub(crate) fn cancel(&self, request_id: &str, attempt: u64) {
         self.sequences
             .lock()
@@ -70,7 +71,7 @@
             .for_each(|s| s.cancel());
     }
 
-    /// Cancels all attempts on a model version that is no longer loaded.
+    /// Cancels all attempts on a model version that has been unloaded.
     pub(crate) fn cancel_model(&self, model: &str, version: &str) {
         self.sequences
             .lock()
@@ -79,7 +80,7 @@
             .for_each(|s| s.cancel());
     }
 
-    /// Unfinished sequences on a model version.
+    /// Returns the number of unfinished sequences on a model version.
     pub(crate) fn streams(&self, model: &str, version: &str) -> usize {
         self.sequences
             .lock()
@@ -89,12 +90,12 @@
             .count()
     }
 
-    /// Attempts started, by request id and digest of the prompt.
+    /// Returns the numbers of attempts started, by request id and digest of the prompt.
     pub(crate) fn runs(&self) -> RunCounts {
         self.runs.lock().clone()
     }
 
-    /// Sequences being decoded, and sequences that wait for a place.
+    /// Returns the numbers of sequences that are being decoded and that wait for a batch slot.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let unfinished = self
             .sequences
@@ -106,7 +107,7 @@
         (running, unfinished - running)
     }
 
-    /// Decodes until the engine is killed.
+    /// Runs decode steps until the engine is killed. A poison prompt in the batch kills it.
     pub(crate) async fn run(self: Arc<Self>, killed: CancellationToken) {
         let mut paused = self.paused.subscribe();
         while !killed.is_cancelled() {
@@ -148,7 +149,7 @@
             .filter(|sequence| sequence.state.lock().finish.is_none())
             .cloned()
             .collect();
-        // The sort is stable: among equals, the first come goes first.
+        // The sort is stable: sequences of equal priority stay in order of arrival.
         batch.sort_by_key(|sequence| std::cmp::Reverse(sequence.order.priority));
         batch.truncate(self.settings.capacity);
         batch
--- a/crates/standins/src/engine_fault.rs
+++ b/crates/standins/src/engine_fault.rs
@@ -1,17 +1,17 @@
-/// How a stand-in engine fails, or ends failing.
+/// Fault of a mock engine, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum EngineFault {
-    /// It ends as a process that is killed.
+    /// Kills the engine: its streams are interrupted and new connections are refused.
     Die,
-    /// It says that it is leaving, and refuses new work.
+    /// Reports that the engine is leaving and refuses new requests.
     Leave,
-    /// It stops all work.
+    /// Suspends all work, as a stopped process does.
     Pause,
-    /// It goes on after a pause.
+    /// Ends [`Self::Pause`].
     Resume,
-    /// Its open connections go silent for good; new ones work.
+    /// Sends nothing more on streams that are open now; later ones are served.
     Silence,
-    /// It takes back that it is leaving.
+    /// Ends [`Self::Leave`].
     Stay,
 }
--- a/crates/standins/src/engine_models.rs
+++ b/crates/standins/src/engine_models.rs
@@ -1,7 +1,7 @@
 use super::*;
 use tokio::time::Instant;
 
-/// Models of a stand-in engine and the orders that change them.
+/// Loaded models of a mock engine, changed by orders.
 #[derive(Debug)]
 pub(crate) struct EngineModels {
     settings: EngineSettings,
@@ -16,12 +16,12 @@
     counts: engine::OrderCounts,
 }
 
-/// A model that is loaded, or being loaded until `ready`.
+/// Model that is loaded, or still loading before `ready`.
 #[derive(Debug)]
 struct Entry {
     model: engine::LoadedModel,
     ready: Instant,
-    /// Its place at the weight store, given up once it is ready.
+    /// Counts the load in the weight store; dropped once the model is found to be ready.
     place: Option<WeightStoreLocation>,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes an order and returns the models that are no longer held.
+    /// Applies an order and returns the models that it unloads.
     pub(crate) fn order(
         &self,
         order: engine::EngineOrder,
@@ -108,7 +108,7 @@
             .any(|entry| entry.model == model && entry.version == version)
     }
 
-    /// Models that are loaded, and those being loaded.
+    /// Returns the loaded models and the loading ones.
     pub(crate) fn lists(&self) -> (Vec<engine::LoadedModel>, Vec<engine::LoadedModel>) {
         let now = Instant::now();
         let mut state = self.state.lock();
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -9,10 +9,10 @@
 use tokio::net::TcpListener;
 use volo_http::server::Server;
 
-/// How often an engine that has no token for a reader says that it is there.
+/// Interval of heartbeat events on a stream that has no new token.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 
-/// A running stand-in engine.
+/// Running mock engine.
 #[derive(Clone)]
 pub struct EngineServer {
     inner: Arc<Inner>,
@@ -27,11 +27,11 @@
     leaving: AtomicBool,
     reported: Mutex<Option<(tokio::time::Instant, engine::UpstreamLoad)>>,
     killed: CancellationToken,
-    /// Connections of an epoch before the present one are silent for good.
+    /// Streams opened in an earlier epoch receive nothing more.
     epoch: watch::Sender<u64>,
 }
 
-/// What one reader of a sequence has had.
+/// Position of one reader in the event stream of a sequence.
 struct Reader {
     server: EngineServer,
     sequence: Arc<Sequence>,
@@ -43,11 +43,11 @@
 }
 
 impl EngineServer {
-    /// Starts an engine on a loopback address; port 0 takes a free one.
+    /// Starts an engine that listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, settings: EngineSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let server = Self {
@@ -70,23 +70,24 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Ends as a process that is killed: streams break off, connections are refused.
+    /// Kills the engine, as if its process died: streams are interrupted and new connections
+    /// are refused.
     pub fn kill(&self) {
         self.inner.killed.cancel();
     }
 
-    /// Ends once the engine is killed, or a poison request has crashed it.
+    /// Waits until the engine is killed or a poison request crashes it.
     pub async fn died(&self) {
         self.inner.killed.cancelled().await;
     }
 
-    /// Injects a fault, or takes one back.
+    /// Injects or ends a fault.
     pub fn inject(&self, fault: EngineFault) {
         match fault {
             EngineFault::Die => self.kill(),
@@ -98,22 +99,23 @@
         }
     }
 
-    /// Stops or resumes all work, as a process that is paused.
+    /// Suspends or resumes all work, as a stopped process does.
     pub fn pause(&self, paused: bool) {
         self.inner.batch.paused.send_replace(paused);
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Sends nothing more on streams that are open now; later ones are served.
     pub fn silence(&self) {
         self.inner.epoch.send_modify(|epoch| *epoch += 1);
     }
 
-    /// Says in its load reports whether it is leaving.
+    /// Sets whether the engine is leaving: it then says so in its load reports and refuses new
+    /// requests.
     pub fn leave(&self, leaving: bool) {
         self.inner.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Tokens decoded, and prompt and prefix tokens computed.
+    /// Returns the numbers of tokens decoded and of prompt and prefix tokens prefilled.
     #[must_use]
     pub fn work(&self) -> (u64, u64) {
         let batch = &self.inner.batch;
@@ -203,23 +205,24 @@
         }
     }
 
-    /// Models that are loaded.
+    /// Returns the loaded models.
     #[must_use]
     pub fn loaded_models(&self) -> Vec<engine::LoadedModel> {
         self.inner.models.lists().0
     }
 
-    /// Orders that this engine has had.
+    /// Returns the counts of orders that this engine has received.
     #[must_use]
     pub fn order_counts(&self) -> engine::OrderCounts {
         self.inner.models.counts()
     }
 
-    /// Takes an order past all faults, as one that was long under way.
+    /// Applies an order regardless of injected faults, for example one that was delayed in the
+    /// network.
     ///
     /// # Errors
     ///
-    /// If the engine refuses it.
+    /// If the engine refuses the order.
     pub fn take_order(&self, order: engine::EngineOrder) -> Result<(), engine::EngineRefusalKind> {
         for model in self.inner.models.order(order)? {
             self.inner.batch.cancel_model(&model.model, &model.version);
@@ -298,7 +301,7 @@
     }
 }
 
-/// Path below which running streams are found by request id.
+/// Path prefix of running streams, followed by the request id.
 const STREAMS: &str = "/v1/streams/";
 
 impl Reader {
--- a/crates/standins/src/engine_settings.rs
+++ b/crates/standins/src/engine_settings.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// Settings of a stand-in engine.
+/// Settings of a mock engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Time of a decode step with one sequence.
+    /// Duration of a decode step with one sequence in the batch.
     pub step: Duration,
-    /// Time that each further sequence adds to a step.
+    /// Duration that each further sequence in the batch adds to a step.
     pub step_per_sequence: Duration,
-    /// Time to compute one prompt or prefix token that is not cached.
+    /// Prefill time of one prompt or prefix token that is not cached.
     pub prefill_per_token: Duration,
-    /// Sequences decoded at once.
+    /// Maximum number of sequences in a batch; more wait.
     pub capacity: usize,
-    /// Models loaded, as name and version.
+    /// Names and versions of the models that are loaded at the start.
     pub models: Vec<(Arc<str>, Arc<str>)>,
     /// Time to load a model.
     pub load_time: Duration,
-    /// Where models are loaded from, if loads are counted.
+    /// Weight store that counts concurrent loads; `None` to count none.
     pub weight_store: Option<WeightStore>,
-    /// Whether orders under an old fencing number are refused.
+    /// Whether orders with a term below the highest seen one are refused (fencing).
     pub enforces_fencing: bool,
-    /// VMs that may give orders; empty means that nobody is checked.
+    /// VMs that may send orders; empty to accept orders from any VM.
     pub orderers: Vec<Arc<str>>,
-    /// How long a sequence runs on, and stays readable, without a reader.
+    /// How long a sequence continues and stays readable without a reader.
     pub detach_grace: Duration,
-    /// Prompt and prefix tokens that its prefix cache holds.
+    /// Capacity of the prefix cache in prompt tokens.
     pub prefix_cache: usize,
-    /// By how much its load reports lag behind the truth.
+    /// Maximum age of the load reports, which are cached for this long.
     pub load_lag: Duration,
-    /// Seed of all sampling.
+    /// Seed of the token sampling.
     pub seed: u64,
 }
 
--- a/crates/standins/src/fault_proxy.rs
+++ b/crates/standins/src/fault_proxy.rs
@@ -7,9 +7,9 @@
 use tokio::net::TcpListener;
 use volo_http::server::Server;
 
-/// A TCP proxy that injects faults. It is controlled over HTTP: `POST /route?to=ADDRESS` answers
-/// with the address of a new route, `POST /fault?route=N&kind=K&ms=N` changes a route, and
-/// `GET /stats` tells the bytes that each route passed on.
+/// TCP proxy that injects faults, with an HTTP control API: `POST /route?to=ADDRESS` opens a route
+/// and returns its address, `POST /fault?route=N&kind=K&ms=N` sets the fault of a route, and
+/// `GET /stats` returns the number of bytes that each route has forwarded.
 #[derive(Clone)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -17,11 +17,11 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy without routes, controlled on a loopback address.
+    /// Starts a proxy without routes whose control API listens on `address`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let proxy = Self {
@@ -33,17 +33,17 @@
         Ok(proxy)
     }
 
-    /// Where it is controlled.
+    /// Returns the address of the control API.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens a route to an upstream and returns its address.
+    /// Opens a route to an upstream and returns the route's listening address.
     ///
     /// # Errors
     ///
-    /// If no address can be had.
+    /// If no address can be bound.
     pub async fn route(&self, to: SocketAddr) -> std::io::Result<SocketAddr> {
         let route = ProxyRoute::open(to).await?;
         let address = route.address();
@@ -51,7 +51,8 @@
         Ok(address)
     }
 
-    /// Injects a fault on the route opened as number `route`, from 0; false if there is none.
+    /// Injects a fault on the route with this index in order of opening, from 0. Returns false if
+    /// there is no such route.
     #[must_use]
     pub fn inject(&self, route: usize, fault: ProxyFault, delay: Duration) -> bool {
         match self.routes.lock().get(route) {
@@ -61,7 +62,7 @@
         true
     }
 
-    /// Bytes that each route passed on, in both directions.
+    /// Returns the number of bytes that each route has forwarded, both directions together.
     #[must_use]
     pub fn passed(&self) -> Vec<u64> {
         self.routes.lock().iter().map(ProxyRoute::passed).collect()
--- a/crates/standins/src/killable_listener.rs
+++ b/crates/standins/src/killable_listener.rs
@@ -3,7 +3,7 @@
 use tokio::net::TcpListener;
 use volo::net::{MakeIncoming, conn::Conn, incoming::Incoming};
 
-/// A listening socket that closes when its stand-in is killed, as that of a dead process does.
+/// Listening socket that closes when its mock is killed, as if the process had died.
 #[derive(Debug)]
 pub(crate) struct KillableListener {
     listener: Option<TcpListener>,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the systems that catkinward serves: model engines, plain services and the platform.
+//! Mocks of the systems around catkinward: model engines, plain services and the platform, with a
+//! caller client and a fault-injecting TCP proxy.
 //!
-//! They are scaffolding, kept small: they speak the border's protocols, fail on demand, and make
-//! answers that a checker at the caller can verify.
+//! They are used by tests and load runs only. They implement the protocols of `catkin-border`, inject
+//! faults on request, and generate responses whose correctness the caller can verify.
 
 pub(crate) use {
     crate::weight_store::WeightStoreLocation,
--- a/crates/standins/src/mock_platform.rs
+++ b/crates/standins/src/mock_platform.rs
@@ -2,24 +2,24 @@
 use catkinward::{Platform, PlatformError};
 use std::collections::VecDeque;
 
-/// Fate of one transaction of a [`MockPlatform`].
+/// Scripted outcome of one transaction of a [`MockPlatform`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TransactOutcome {
-    /// It runs and is answered.
+    /// The transaction runs and its reply arrives.
     Answered,
-    /// It runs, but its answer is lost.
+    /// The transaction runs, but its reply is lost; the client sees an unknown outcome.
     LostAfterEffect,
-    /// It is lost on its way, and its sender cannot tell.
+    /// The transaction is lost before it runs; the client sees an unknown outcome.
     LostBeforeEffect,
-    /// Its sender hears nothing; it runs right before the next transaction.
+    /// The client sees an unknown outcome, and the transaction runs right before the next one.
     Late,
-    /// It is refused.
+    /// The transaction is refused as not run.
     NotRun,
-    /// It is refused for the rate limit.
+    /// The transaction is refused because of the rate limit.
     Throttled,
 }
 
-/// A platform in memory whose transactions meet scripted fates.
+/// In-memory platform whose transactions have scripted outcomes.
 #[derive(Clone, Default)]
 pub struct MockPlatform {
     inner: Arc<Mutex<Inner>>,
@@ -34,27 +34,27 @@
 }
 
 impl MockPlatform {
-    /// Gives the next transactions these fates; those after them are answered.
+    /// Appends outcomes for the next transactions. Transactions beyond the script are answered.
     pub fn script(&self, fates: impl IntoIterator<Item = TransactOutcome>) {
         self.inner.lock().fates.extend(fates);
     }
 
-    /// Forgets the fates that are left: what comes now is answered.
+    /// Discards the remaining scripted outcomes, so that all further transactions are answered.
     pub fn forget_script(&self) {
         self.inner.lock().fates.clear();
     }
 
-    /// Begins or ends an outage in which every call is refused.
+    /// Starts or ends an outage, in which every call is refused as not run.
     pub fn outage(&self, out: bool) {
         self.inner.lock().out = out;
     }
 
-    /// Looks at the state or changes it, past all faults.
+    /// Gives access to the stored state regardless of scripted outcomes and outages.
     pub fn with_store<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> T {
         f(&mut self.inner.lock().store)
     }
 
-    /// The closures by which a part of the router uses it.
+    /// Returns the platform client that is passed to parts of the router.
     #[must_use]
     pub fn platform(&self) -> Platform {
         let call = || self.clone();
--- a/crates/standins/src/plain_fault.rs
+++ b/crates/standins/src/plain_fault.rs
@@ -1,18 +1,18 @@
-/// How a stand-in plain service fails, from the next request on.
+/// Fault of a mock plain service, effective from the next request on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PlainFault {
-    /// It serves.
+    /// No fault: requests are served.
     #[default]
     None,
-    /// It runs a request, and its answer breaks off.
+    /// Runs the request and truncates the response.
     BreakOff,
-    /// It runs a request and never answers.
+    /// Runs the request and never responds.
     LoseAnswer,
-    /// It refuses a request and runs nothing.
+    /// Refuses the request without running it.
     Refuse,
-    /// Its service time is ten times as long.
+    /// Multiplies the service time by ten.
     Slow,
-    /// It says that it is leaving, and refuses.
+    /// Reports that the service is leaving and refuses requests.
     Leave,
 }
--- a/crates/standins/src/plain_server.rs
+++ b/crates/standins/src/plain_server.rs
@@ -9,10 +9,10 @@
 use tokio::{net::TcpListener, sync::Semaphore};
 use volo_http::server::Server;
 
-/// By how much a slow plain service is slower.
+/// Factor of the service time under [`PlainFault::Slow`].
 const SLOW_FACTOR: u32 = 10;
 
-/// A running stand-in plain service. It counts the runs of each request.
+/// Running mock plain service, which counts the runs of each request.
 #[derive(Clone)]
 pub struct PlainServer {
     inner: Arc<Inner>,
@@ -31,16 +31,16 @@
     killed: CancellationToken,
 }
 
-/// What a plain service answers: which request it ran.
+/// Response body of a mock plain service; identifies the request that was run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlainResponse {
     /// [`request_digest`] of the request.
     pub digest: u64,
-    /// Runs of it on this upstream so far.
+    /// Number of runs of the request on this upstream so far, including this one.
     pub run: u64,
 }
 
-/// Counts a request for as long as it is in one state.
+/// Guard that counts a request in a gauge until it is dropped.
 struct Counted<'a>(&'a AtomicU64);
 
 impl<'a> Counted<'a> {
@@ -57,11 +57,11 @@
 }
 
 impl PlainServer {
-    /// Starts a plain service on a loopback address; port 0 takes a free one.
+    /// Starts a plain service that listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, settings: PlainSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let killed = CancellationToken::new();
@@ -83,24 +83,24 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Makes it fail in this way from now on.
+    /// Sets the fault of all further requests; [`PlainFault::None`] ends it.
     pub fn fail(&self, fault: PlainFault) {
         *self.inner.fault.lock() = fault;
     }
 
-    /// How often it ran each request.
+    /// Returns the number of runs of each request.
     #[must_use]
     pub fn counts(&self) -> RunCounts {
         self.inner.counts.lock().clone()
     }
 
-    /// Stops accepting connections.
+    /// Closes the listening socket, so that new connections are refused.
     pub fn kill(&self) {
         self.inner.killed.cancel();
     }
--- a/crates/standins/src/plain_settings.rs
+++ b/crates/standins/src/plain_settings.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Settings of a stand-in plain service.
+/// Settings of a mock plain service.
 #[derive(Clone, Debug)]
 pub struct PlainSettings {
-    /// Mean time to serve a request.
+    /// Mean service time of a request.
     pub service_time: Duration,
     /// Share of the service time that is drawn from an exponential distribution, 0 to 1.
     pub spread: f64,
-    /// Requests served at once; more wait in order.
+    /// Maximum number of concurrent requests; more wait in order of arrival.
     pub capacity: usize,
-    /// Seed of the drawn service times.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -7,10 +7,10 @@
 use tokio::net::TcpListener;
 use volo_http::server::Server;
 
-/// Path below which objects are found by name.
+/// Path prefix of stored objects, followed by the object name.
 const OBJECTS: &str = "/v1/objects/";
 
-/// A running stand-in platform: table service, object store and VM list over HTTP.
+/// Running mock platform: table service, object store and VM list over HTTP.
 #[derive(Clone)]
 pub struct PlatformServer {
     inner: Arc<Inner>,
@@ -38,19 +38,19 @@
     writes: RateLimit,
 }
 
-/// What became of a call.
+/// Outcome of a platform call.
 enum Outcome {
     Answer(Response),
-    /// It took effect, but its answer breaks off.
+    /// The call took effect, but its response is truncated.
     Lost,
 }
 
 impl PlatformServer {
-    /// Starts a platform on a loopback address; port 0 takes a free one.
+    /// Starts a platform that listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, faults: PlatformFaults) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let server = Self {
@@ -71,18 +71,19 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Changes faults; what is absent stays as it is.
+    /// Changes the injected faults; absent fields keep their values.
     pub fn fault(&self, change: &PlatformFaults) {
         self.inner.faults.lock().change(change);
     }
 
-    /// Calls that took effect since the start.
+    /// Returns the counts of calls since the start: those that took effect, lost responses and
+    /// throttled calls.
     #[must_use]
     pub fn stats(&self) -> PlatformStats {
         PlatformStats {
@@ -96,9 +97,8 @@
         Instant(self.inner.start.elapsed())
     }
 
-    /// Does a call of the platform with the faults of the moment. It runs in a task of its own, so
-    /// that it takes effect also if its caller hangs up, as a call that is under way in a network
-    /// does.
+    /// Handles a platform call with the current faults. The call runs in a separate task, so that it
+    /// takes effect even if the client disconnects, as does a call that is already in the network.
     async fn platform_call(&self, method: Method, path: String, body: Bytes) -> Response {
         let server = self.clone();
         let call = tokio::spawn(async move { server.effect(&method, &path, body).await });
@@ -211,7 +211,7 @@
                 status(200)
             }),
             (&Method::GET, "/stats") => json(&self.stats()),
-            // The platform itself sets the list; no fault keeps it from that.
+            // The platform itself sets the VM list, so injected faults do not apply.
             (&Method::PUT, "/v1/vms") => self.apply(&method, &path, body),
             _ => self.platform_call(method, path, body).await,
         })
@@ -278,7 +278,7 @@
     response
 }
 
-/// An answer whose body breaks off before its first byte.
+/// Returns a response whose body fails before its first byte.
 fn broken() -> Response {
     let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
     let frames =
--- a/crates/standins/src/platform_store.rs
+++ b/crates/standins/src/platform_store.rs
@@ -4,14 +4,14 @@
 };
 use catkin_decisions::Instant;
 
-/// State of the stand-in platform: table rows, objects and the VM list, without network or clock.
+/// State of the mock platform: table rows, objects and the VM list, without network or clock.
 #[derive(Debug, Default)]
 pub struct PlatformStore {
-    /// Rows of each table by key, tables by name; both sorted.
+    /// Tables sorted by name, each with its rows sorted by key.
     tables: Vec<(String, Vec<Row>)>,
-    /// Objects by name, sorted.
+    /// Objects sorted by name.
     objects: Vec<(Arc<str>, Bytes)>,
-    /// VM lists with the time at which each became true, oldest first.
+    /// VM lists with the time from which each is valid, oldest first.
     vm_lists: Vec<(Instant, Vec<VmEntry>)>,
     stats: Counters,
 }
@@ -27,7 +27,8 @@
 }
 
 impl PlatformStore {
-    /// Does all writes if all conditions hold.
+    /// Applies all writes if all conditions hold; otherwise applies none and returns the conflicting
+    /// rows.
     pub fn transact(&mut self, req: TransactRequest) -> TransactReply {
         self.stats.writes += 1;
         let conflicts = req
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The rows of those keys that are there.
+    /// Returns the rows of those keys that exist.
     pub fn read(&mut self, keys: &[RowKey]) -> Vec<Row> {
         let rows = keys
             .iter()
@@ -57,7 +58,7 @@
         rows
     }
 
-    /// Rows of a table by key prefix, in key order.
+    /// Returns a page of the rows whose keys have a prefix, in key order.
     pub fn scan(&mut self, req: &ScanRequest) -> Vec<Row> {
         let table = self.table(&req.table);
         let first = match &req.after {
@@ -74,7 +75,7 @@
         rows
     }
 
-    /// Keys of a table, for tests; not counted as a read.
+    /// Returns the keys of a table, for tests; not counted as a read.
     #[must_use]
     pub fn keys(&self, table: &str) -> Vec<String> {
         let rows = self.table(table).iter();
@@ -90,19 +91,19 @@
         }
     }
 
-    /// Fetches an object.
+    /// Returns an object, or `None` if it does not exist.
     pub fn get_object(&mut self, name: &str) -> Option<Bytes> {
         self.stats.object_reads += 1;
         let i = self.object_place(name).ok()?;
         Some(self.objects[i].1.clone())
     }
 
-    /// Sets the true VM list from `now` on.
+    /// Sets the VM list that is valid from `now` on.
     pub fn set_vms(&mut self, now: Instant, vms: Vec<VmEntry>) {
         self.vm_lists.push((now, vms));
     }
 
-    /// The VM list as it was true at `then`.
+    /// Returns the VM list that was valid at `then`.
     #[must_use]
     pub fn vms(&self, then: Instant) -> Vec<VmEntry> {
         self.vm_lists
@@ -113,7 +114,8 @@
             .unwrap_or_default()
     }
 
-    /// Calls counted since the start; what only a server counts is 0.
+    /// Returns the call counts since the start; `answers_lost` and `throttled`, which only the server
+    /// counts, are 0.
     #[must_use]
     pub fn stats(&self) -> PlatformStats {
         PlatformStats {
--- a/crates/standins/src/prefix_cache.rs
+++ b/crates/standins/src/prefix_cache.rs
@@ -1,8 +1,8 @@
 use std::collections::VecDeque;
 
-/// The bounded prefix cache of a stand-in engine: whole prompts, the one used last at the back.
+/// LRU prefix cache of a mock engine. It caches complete prompts; the most recently used is last.
 pub(crate) struct PrefixCache {
-    /// Digest and tokens of each prompt held.
+    /// Digest and number of tokens of each cached prompt.
     prompts: VecDeque<(u64, usize)>,
     held: usize,
     bound: usize,
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Tokens of a prompt that need not be computed again; the prompt is held from now on.
+    /// Inserts a prompt and returns how many of its tokens were cached: all or none.
     pub(crate) fn take(&mut self, prompt: &str) -> usize {
         let digest = xxhash_rust::xxh3::xxh3_64(prompt.as_bytes());
         let tokens = prompt_tokens(prompt);
@@ -38,7 +38,7 @@
     }
 }
 
-/// Tokens that a prompt counts for.
+/// Returns the number of tokens of a prompt, at four bytes a token.
 #[must_use]
 pub fn prompt_tokens(prompt: &str) -> usize {
     prompt.len() / 4
--- a/crates/standins/src/proxy_fault.rs
+++ b/crates/standins/src/proxy_fault.rs
@@ -1,26 +1,27 @@
-/// What the fault-injecting proxy does on a route.
+/// Fault of a route of the fault-injecting proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ProxyFault {
-    /// Passes everything on.
+    /// No fault: forwards everything.
     #[default]
     Pass,
-    /// Accepts new connections and reads nothing from them; open ones go silent for as long.
+    /// While it lasts, accepts new connections without reading from them and forwards nothing on
+    /// open ones.
     BlackHole,
-    /// Passes nothing from the caller to the upstream, as a partition in one direction.
+    /// Forwards nothing from the caller to the upstream, as in a one-way partition.
     CutUp,
-    /// Passes nothing from the upstream to the caller.
+    /// Forwards nothing from the upstream to the caller.
     CutDown,
-    /// Passes everything on later.
+    /// Forwards everything after a delay.
     Delay,
-    /// Closes the upstream's side of open connections, and leaves the caller's side open.
+    /// Resets the upstream side of open connections and leaves the caller side open.
     HalfOpen,
-    /// Passes requests on, and resets the connection at the first byte of an answer.
+    /// Forwards requests and resets the connection at the first byte of a response.
     LoseAnswers,
     /// Resets new connections.
     Refuse,
-    /// Resets open connections once; new ones work.
+    /// Resets the connections that are open now; later ones are served.
     Reset,
-    /// Makes open connections silent for good; new ones work.
+    /// Forwards nothing more on connections that are open now; later ones are served.
     Silence,
 }
--- a/crates/standins/src/proxy_route.rs
+++ b/crates/standins/src/proxy_route.rs
@@ -10,10 +10,10 @@
     time::Instant,
 };
 
-/// Chunks that a direction of a connection holds while they are delayed.
+/// Maximum number of delayed chunks buffered for one direction of a connection.
 const CHUNKS: usize = 256;
 
-/// One way through the fault-injecting proxy: an address of its own before one upstream.
+/// Route of the fault-injecting proxy: a listening address in front of one upstream.
 pub(crate) struct ProxyRoute {
     address: SocketAddr,
     passed: Arc<AtomicU64>,
@@ -24,11 +24,11 @@
 struct RouteState {
     fault: ProxyFault,
     delay: Duration,
-    /// Connections opened at an earlier count are silent for good.
+    /// Count of `Silence` faults; connections opened at a lower count forward nothing more.
     silences: u64,
-    /// Connections opened at an earlier count are reset.
+    /// Count of `Reset` faults; connections opened at a lower count are reset.
     resets: u64,
-    /// Connections opened at an earlier count have lost their upstream's side.
+    /// Count of `HalfOpen` faults; connections opened at a lower count lose their upstream side.
     half_opens: u64,
 }
 
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Bytes passed on in both directions.
+    /// Returns the number of bytes forwarded, both directions together.
     pub(crate) fn passed(&self) -> u64 {
         self.passed.load(Ordering::Relaxed)
     }
@@ -155,7 +155,7 @@
     }
 }
 
-/// One direction of a connection.
+/// Forwards one direction of a connection.
 struct Link {
     direction: Direction,
     opened: RouteState,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Waits while this direction is cut; for good if the connection has gone silent.
+    /// Waits while this direction is blocked; forever if the connection has been silenced.
     async fn wait_until_open(&mut self) {
         let (direction, silences) = (self.direction, self.opened.silences);
         let open = self.state.wait_for(|state| {
--- a/crates/standins/src/query.rs
+++ b/crates/standins/src/query.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A value of a request's query.
+/// Returns the value of a query parameter.
 pub(crate) fn query_value<'a>(req: &'a Request, name: &str) -> Option<&'a str> {
     req.uri()
         .query()?
@@ -10,14 +10,14 @@
         .map(|(_, value)| value)
 }
 
-/// A number of a request's query; 0 if it is absent.
+/// Returns the numeric value of a query parameter; 0 if it is absent or not a number.
 pub(crate) fn query_number(req: &Request, name: &str) -> u64 {
     query_value(req, name)
         .and_then(|value| value.parse().ok())
         .unwrap_or_default()
 }
 
-/// The answer to a request that cannot be read.
+/// Returns an empty response with status 400.
 pub(crate) fn malformed() -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::BAD_REQUEST;
--- a/crates/standins/src/rate_limit.rs
+++ b/crates/standins/src/rate_limit.rs
@@ -1,12 +1,12 @@
 use super::*;
 use catkin_decisions::Instant;
 
-/// Rate limit of the stand-in platform: a second's worth of calls may come at once.
+/// Token bucket of the mock platform, with a burst of one second's worth of calls.
 #[derive(Debug, Default)]
 pub(crate) struct RateLimit {
-    /// Calls a second; 0 means no limit.
+    /// Maximum calls per second; 0 for no limit.
     per_second: u32,
-    /// When the bucket would be full again.
+    /// Time at which the bucket is full if no further call is admitted.
     full_at: Duration,
 }
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Whether one more call is within the limit.
+    /// Takes a token if there is one; returns whether the call is within the limit.
     pub(crate) fn admit(&mut self, now: Instant) -> bool {
         if self.per_second == 0 {
             return true;
--- a/crates/standins/src/run_counts.rs
+++ b/crates/standins/src/run_counts.rs
@@ -1,26 +1,26 @@
 use super::*;
 use serde::{Deserialize, Serialize};
 
-/// How often a plain service ran each request, sorted by idempotency key and digest.
+/// Number of runs of each request on a mock, sorted by key and digest.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RunCounts {
-    /// One entry for each key and digest.
+    /// Entries, one for each key and digest.
     pub runs: Vec<RunCount>,
 }
 
-/// How often one request was run.
+/// Number of runs of one request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RunCount {
-    /// Idempotency key; empty if there was none.
+    /// Idempotency key, empty if the request had none; on an engine, the request id.
     pub key: Arc<str>,
     /// [`request_digest`] of the request.
     pub digest: u64,
-    /// Runs.
+    /// Number of runs.
     pub count: u64,
 }
 
 impl RunCounts {
-    /// Counts a run and returns the runs of that request so far.
+    /// Counts a run and returns the number of runs of that request so far.
     pub fn add(&mut self, key: &str, digest: u64) -> u64 {
         let place = self
             .runs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Runs of all requests of that digest.
+    /// Returns the number of runs of all requests with that digest.
     #[must_use]
     pub fn of_digest(&self, digest: u64) -> u64 {
         self.runs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Digest of a request's query and body, by which a caller finds its runs.
+/// Returns the digest of a request's query and body, by which a caller looks up its runs.
 #[must_use]
 pub fn request_digest(query: &str, body: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(body, xxhash_rust::xxh3::xxh3_64(query.as_bytes()))
--- a/crates/standins/src/sequence.rs
+++ b/crates/standins/src/sequence.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// One attempt as a stand-in engine runs it.
+/// Attempt of a generation on a mock engine.
 pub(crate) struct Sequence {
     pub(crate) order: engine::EngineGenerate,
-    /// Attempt that it counts as; a router that takes it over gives it a larger one.
+    /// Attempt number; a router that takes the sequence over raises it.
     attempt: AtomicU64,
     pub(crate) state: Mutex<SequenceState>,
     pub(crate) changes: watch::Sender<()>,
@@ -11,10 +11,10 @@
 
 pub(crate) struct SequenceState {
     pub(crate) chain: TokenChain,
-    /// Tokens of this attempt; the first one follows the forced prefix.
+    /// Ids and bytes of the tokens decoded after the forced prefix.
     pub(crate) tokens: Vec<(u32, Vec<u8>)>,
     pub(crate) finish: Option<engine::FinishReason>,
-    /// Prompt and prefix tokens still to be computed.
+    /// Number of prompt and prefix tokens that still need prefill.
     pub(crate) prefill_left: usize,
     pub(crate) unread_since: Option<tokio::time::Instant>,
 }
@@ -41,18 +41,17 @@
         }
     }
 
-    /// Attempt that it counts as.
     pub(crate) fn attempt(&self) -> u64 {
         self.attempt.load(Ordering::Relaxed)
     }
 
-    /// Makes it count as a larger attempt; those who read it under a smaller one are cut off.
+    /// Raises the attempt number, which ends the streams of readers under a smaller one.
     pub(crate) fn become_attempt(&self, attempt: u64) {
         self.attempt.fetch_max(attempt, Ordering::Relaxed);
         self.changes.send_replace(());
     }
 
-    /// Whether it can be read from token `from` on.
+    /// Returns whether the sequence can be read from token `from` of the full answer on.
     pub(crate) fn can_be_read_from(&self, from: u32) -> bool {
         let cancelled = self.state.lock().finish == Some(engine::FinishReason::Cancelled);
         !cancelled && length(from) >= self.order.prefix.len()
@@ -82,7 +81,8 @@
         self.changes.send_replace(());
     }
 
-    /// Events from token `from` of the whole answer on, and whether the last of them is the end.
+    /// Returns the events from token `from` of the full answer on, the index of the next token, and
+    /// whether the last event is the end of the sequence.
     pub(crate) fn events_from(&self, from: u32) -> (String, u32, bool) {
         let state = self.state.lock();
         let prefix = self.order.prefix.len();
@@ -113,9 +113,10 @@
     }
 }
 
-/// Adds one server-sent event to a text.
+/// Appends a server-sent event to `text`.
 pub(crate) fn write_event<T: serde::Serialize>(text: &mut String, name: &str, data: &T) {
-    let data = serde_json::to_string(data).expect("border types have text keys only");
+    let data =
+        serde_json::to_string(data).expect("generated interface types only have string keys");
     text.extend(["event: ", name, "\ndata: ", &data, "\n\n"]);
 }
 
--- a/crates/standins/src/upstream_probe.rs
+++ b/crates/standins/src/upstream_probe.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// The load report of a stand-in, as routers see it.
+/// Fetches the load report of a mock engine or plain service, as routers do.
 ///
 /// # Errors
 ///
-/// If it does not answer.
+/// If the upstream does not respond.
 pub async fn upstream_load(address: SocketAddr) -> Result<engine::UpstreamLoad, CallError> {
     let call = HttpCall {
         address,
@@ -15,11 +15,11 @@
     Ok(Connections::new()?.call_json(call).await?)
 }
 
-/// Place in `addresses` of the first upstream that runs something now.
+/// Returns the index in `addresses` of the first upstream that is running a request.
 ///
 /// # Errors
 ///
-/// If one of them does not answer.
+/// If one of the polled upstreams does not respond.
 pub async fn first_busy(addresses: &[SocketAddr]) -> Result<Option<usize>, CallError> {
     for (i, address) in addresses.iter().enumerate() {
         if upstream_load(*address).await?.running > 0 {
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -1,8 +1,7 @@
 use super::*;
 use std::sync::atomic::AtomicUsize;
 
-/// The weight store from which stand-in engines of one process load models; it counts how many do so
-/// at once.
+/// Weight store that counts concurrent model loads by the mock engines of one process.
 #[derive(Clone, Debug, Default)]
 pub struct WeightStore {
     counts: Arc<Counts>,
@@ -14,14 +13,14 @@
     most: AtomicUsize,
 }
 
-/// One load, until it is dropped.
+/// Guard that counts one load until it is dropped.
 #[derive(Debug)]
 pub(crate) struct WeightStoreLocation {
     counts: Arc<Counts>,
 }
 
 impl WeightStore {
-    /// The most loads there ever were at once.
+    /// Returns the largest number of concurrent loads so far.
     #[must_use]
     pub fn most_at_once(&self) -> usize {
         self.counts.most.load(Ordering::Relaxed)
--- a/crates/standins/tests/answer_verdict.rs
+++ b/crates/standins/tests/answer_verdict.rs
@@ -1,4 +1,4 @@
-//! Faults of an answer, told apart from what its caller received alone.
+//! Classification of errors in an answer from the received tokens and text alone.
 
 use catkin_standins::{AnswerVerdict, TokenChain};
 use googletest::prelude::*;
@@ -9,7 +9,7 @@
     TokenChain::new("catkin", "1", prompt, 7)
 }
 
-/// Ids and token bytes of a generation that goes on from `prefix`, sampled with `salt`.
+/// Returns token ids and bytes of a generation that continues `prefix`, sampled with `salt`.
 fn generate(prompt: &str, prefix: &[u32], salt: u64) -> (Vec<u32>, Vec<Vec<u8>>) {
     let mut chain = chain(prompt);
     let mut ids = prefix.to_vec();
@@ -60,7 +60,7 @@
     expect_that!(verdict(&ids[..16], &bytes[..16]), eq(expected));
 }
 
-/// A failed answer may end within a character; its text then lacks that character and no more.
+/// A failed answer may end within a character. Its text then lacks only that character.
 #[gtest]
 fn an_answer_cut_within_a_character_is_right_as_far_as_it_goes() {
     let (ids, bytes) = generate("menu", &[], 1);
@@ -87,8 +87,8 @@
     expect_that!(verdict(&ids, &bytes), eq(expected));
 }
 
-/// The answer went on with a second generation of the same request that was not forced to the
-/// tokens delivered before.
+/// After a fail-over, the answer continues with a second generation of the same request whose prefix
+/// was not forced to the tokens already delivered.
 #[gtest]
 fn mixed_generations_are_counted() {
     let (mut ids, mut bytes) = generate("menu", &[], 1);
@@ -114,9 +114,9 @@
     expect_that!(verdict(&ids, &bytes), eq(expected));
 }
 
-/// An answer fails after a token that ends within a character. Its caller has the whole characters
-/// only, and what it has is right. An experiment with poison requests (seeds 2 and 5) took such
-/// answers for mixed ones.
+/// An answer fails after a token that ends within a character. The caller then has received complete
+/// characters only, and these are correct. Guards against counting such an answer as mixed, which
+/// poison scenarios with seeds 2 and 5 ran into.
 #[gtest]
 fn an_answer_cut_within_a_character_is_right() {
     let (ids, bytes) = generate("menu", &[], 1);
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The claims service on a platform in memory, with its faults.
+//! Tests of the claims service on an in-memory platform with injected faults.
 
 use bytes::Bytes;
 use catkin_decisions::{
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use std::{sync::Arc, time::Duration};
 
-/// Long enough for every test, whatever else the machine does.
+/// Time limit that no test reaches, even on a busy machine.
 const LONG: Duration = Duration::from_secs(30);
 
 fn vm(platform: &MockPlatform, name: &str) -> Arc<Claims> {
@@ -65,20 +65,20 @@
 
 fn dispatched(verdict: ClaimVerdict) -> HeldClaim {
     let ClaimVerdict::Claimed(claimed) = verdict else {
-        panic!("not claimed: {verdict:?}");
+        panic!("request was not claimed: {verdict:?}");
     };
     claimed.dispatch().1
 }
 
 fn recorded(verdict: ClaimVerdict) -> RecordedResponse {
     let ClaimVerdict::Done(ClaimOutcome::Answered(answer)) = verdict else {
-        panic!("no answer recorded: {verdict:?}");
+        panic!("no response was recorded: {verdict:?}");
     };
     answer
 }
 
-/// The connection to the caller breaks right before the answer. The caller sends its order again, to
-/// another VM, and must get the first one's answer instead of a second print run.
+/// The caller's connection breaks right before the response, and the caller retries at another VM. It
+/// must get the recorded response; the request must not run twice.
 #[gtest]
 #[tokio::test]
 async fn a_resend_to_another_vm_gets_the_recorded_answer() {
@@ -96,8 +96,8 @@
     expect_that!(body, ok(some(eq(&"ticket 7"))));
 }
 
-/// A transaction meets each fate that the table service has for it, in the claim and in the record of
-/// its answer. Each time the order runs once, and its resend gets the answer.
+/// The transactions of the claim and of the recorded response have each possible outcome. In every
+/// case the request runs once and its retry gets the recorded response.
 #[gtest]
 #[tokio::test]
 async fn every_fate_of_a_transaction_is_settled() {
@@ -124,7 +124,7 @@
     }
 }
 
-/// A caller in a hurry sends its order several times at once, to two VMs.
+/// A caller sends the same request 20 times concurrently, to two VMs.
 #[gtest]
 #[tokio::test]
 async fn of_many_at_once_one_is_dispatched() {
@@ -140,8 +140,8 @@
     expect_that!(verdicts.iter().filter(in_progress).count(), eq(19));
 }
 
-/// A caller uses one key for two orders. Answering the second with the ticket of the first would
-/// lose it; running it would break the promise of the key.
+/// A caller uses one idempotency key for two different requests. Returning the first one's response
+/// would lose the second request; running it would break at-most-once execution per key.
 #[gtest]
 #[tokio::test]
 async fn another_request_under_the_key_is_a_conflict() {
@@ -160,8 +160,8 @@
     expect_that!(verdict, eq(&ClaimVerdict::Conflict));
 }
 
-/// The table service is out. The caller hears in time that its order did not run, and after the
-/// outage the same key works, also if one of the calls had taken effect unseen.
+/// The table service has an outage. The caller learns before its deadline that the request did not
+/// run. After the outage the key is usable, even if one of the writes took effect unnoticed.
 #[gtest]
 #[tokio::test]
 async fn an_outage_is_not_run_and_leaves_the_key_free() {
@@ -196,7 +196,7 @@
     }
 }
 
-/// An upstream refused the order before it ran. The caller is told so, and its next try must run.
+/// An upstream refuses the request before running it. The caller is told so, and its retry must run.
 #[gtest]
 #[tokio::test]
 async fn a_released_claim_frees_the_key() {
@@ -211,8 +211,8 @@
     expect_that!(verdict, matches_pattern!(ClaimVerdict::Claimed(_)));
 }
 
-/// An upstream dies with an order in its hands. Nobody knows whether it ran, and each resend must
-/// hear just that.
+/// An upstream crashes while running a request. It is unknown whether the request took effect, and
+/// each retry must report that.
 #[gtest]
 #[tokio::test]
 async fn an_unknown_end_stays_unknown() {
@@ -227,7 +227,7 @@
     expect_that!(verdict, eq(&ClaimVerdict::Done(ClaimOutcome::Unknown)));
 }
 
-/// The order's VM is gone before it recorded an end, and the order's deadline is long past.
+/// The VM that runs a request dies before recording an outcome, and the request's deadline passes.
 #[gtest]
 #[tokio::test]
 async fn a_claim_of_a_dead_holder_becomes_unknown() {
@@ -244,7 +244,7 @@
     };
     drop(dispatched(first.claim(short).await));
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
-        panic!("the holder is within its deadline");
+        panic!("the claim is in progress until its deadline");
     };
 
     let verdict = second
@@ -254,7 +254,8 @@
     expect_that!(verdict, eq(&ClaimVerdict::Done(ClaimOutcome::Unknown)));
 }
 
-/// A caller comes back to another VM while its order still runs. It waits there for the one answer.
+/// A caller retries at another VM while its request is still running. It waits there for the response
+/// of the first attempt.
 #[gtest]
 #[tokio::test]
 async fn a_resend_waits_for_the_answer_of_the_first() {
@@ -262,7 +263,7 @@
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     let held = dispatched(first.claim(order("k")).await);
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
-        panic!("the first runs");
+        panic!("the first VM still runs the request");
     };
     let digest = order("k").digest;
     let waiting = second.wait_for_outcome(&digest, found, LONG);
@@ -273,8 +274,8 @@
     expect_that!(recorded(verdict).status, eq(201));
 }
 
-/// The VM of a generation is gone. Of the VMs that its caller may come back to, one takes it over;
-/// two would send the caller two generations.
+/// The VM that runs a generation dies. Only one of the VMs to which its caller may reconnect takes it
+/// over; otherwise the caller would receive two generations.
 #[gtest]
 #[tokio::test]
 async fn a_generation_is_taken_over_by_one_vm() {
@@ -286,7 +287,7 @@
     };
     drop(dispatched(vms[0].claim(generation.clone()).await));
     let ClaimVerdict::InProgress(found) = vms[1].claim(generation.clone()).await else {
-        panic!("the first VM has it");
+        panic!("the first VM holds the claim");
     };
 
     let second = vms[1].take_over(generation.clone(), &found).await;
@@ -298,7 +299,7 @@
     expect_that!(third, matches_pattern!(ClaimVerdict::InProgress(_)));
 }
 
-/// A call that must run at most once is never taken over, whoever asks for it.
+/// A non-idempotent call must run at most once, so no VM takes it over.
 #[gtest]
 #[tokio::test]
 async fn a_call_is_not_taken_over() {
@@ -306,7 +307,7 @@
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
     drop(dispatched(first.claim(order("k")).await));
     let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
-        panic!("the first VM has it");
+        panic!("the first VM holds the claim");
     };
     let as_generation = ClaimRequest {
         kind: ClaimKind::Generation,
@@ -320,8 +321,8 @@
     expect_that!(as_generation, matches_pattern!(ClaimVerdict::InProgress(_)));
 }
 
-/// Answers longer than a row should hold go to the object store, and those longer than what is kept
-/// are recorded without their body: the resend must not run the order to get it.
+/// Response bodies above the inline limit go to the object store. Those above the object limit are
+/// recorded without a body, and a retry must not run the request again to get it.
 #[gtest]
 #[tokio::test]
 async fn long_answers_are_kept_up_to_a_size() {
@@ -349,8 +350,8 @@
     }
 }
 
-/// Claims are kept for a day, and those without a known outcome for a week. A sweep that took one too
-/// early would let a resend run again.
+/// Claims are retained for a day, and those with an unknown outcome for a week. A sweep that removes
+/// one too early would let a retry run again.
 #[gtest]
 #[tokio::test]
 async fn a_sweep_takes_what_is_expired_and_no_more() {
--- a/crates/standins/tests/fault_proxy.rs
+++ b/crates/standins/tests/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy on one route to an echo server.
+//! Tests of the fault-injecting proxy, with one route to an echo server.
 
 use catkin_standins::{FaultProxy, ProxyFault};
 use googletest::prelude::*;
@@ -8,7 +8,7 @@
     net::{TcpListener, TcpStream},
 };
 
-/// How long a test waits for bytes that must not come.
+/// How long a test waits to conclude that no bytes arrive.
 const NOTHING: Duration = Duration::from_millis(60);
 
 async fn echo_server() -> SocketAddr {
@@ -45,8 +45,8 @@
     tokio::time::timeout(NOTHING, echo(stream)).await.is_err()
 }
 
-/// A connection is forgotten by something between its two ends: nothing comes any more, while a
-/// new connection works.
+/// A device between the two ends, such as a firewall, drops the state of a connection: nothing
+/// arrives on it any more, while a new connection works.
 #[gtest]
 #[tokio::test]
 async fn silence_is_for_good_and_for_open_connections_only() {
@@ -67,7 +67,7 @@
     );
 }
 
-/// A partition in one or both directions, or a half-open connection: nothing comes back.
+/// A partition in one or both directions, or a half-open connection: no response arrives.
 #[gtest]
 #[tokio::test]
 async fn cut_routes_are_silent() {
@@ -102,7 +102,7 @@
     expect_that!(stream.read_u8().await.expect("the waiting byte"), eq(b'x'));
 }
 
-/// A process dies, or a call takes effect and its answer is lost: the caller sees a reset.
+/// A process dies, or a call takes effect and its response is lost: the caller sees a reset.
 #[gtest]
 #[tokio::test]
 async fn resets_reach_the_caller() {
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Leases and orders: VMs on a platform in memory, and engines over HTTP.
+//! Tests of leases and orders, with VMs on an in-memory platform and mock engines over HTTP.
 
 use catkin_border::{bundle::RecoveryPolicy, engine};
 use catkin_decisions::{
@@ -23,7 +23,7 @@
     time::Duration,
 };
 
-/// A VM with its leases and orders, which can be cut off from the platform.
+/// VM with its leases and orders, which can be partitioned from the platform.
 struct Vm {
     leases: Arc<Leases>,
     bundle: Arc<BundleInForce>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The platform as a VM sees it that may be cut off from it.
+/// Returns a platform client that refuses all calls as not run while `cut` is set.
 fn cut_off(platform: &MockPlatform, cut: &Arc<AtomicBool>) -> Platform {
     let inner = Arc::new(platform.platform());
     macro_rules! unless_cut {
@@ -158,7 +158,7 @@
     loaded.len() == 1 && loaded[0].version == version
 }
 
-/// Waits until something is so, and fails if that takes beyond all reason.
+/// Waits until the condition holds; panics after 30 s.
 async fn until(what: &str, mut is_so: impl FnMut() -> bool) {
     let waiting = async {
         while !is_so() {
@@ -166,7 +166,7 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(30), waiting).await;
-    assert!(waited.is_ok(), "never so: {what}");
+    assert!(waited.is_ok(), "timed out waiting until {what}");
 }
 
 fn stale_order(term: u64, version: &str) -> engine::EngineOrder {
@@ -209,7 +209,7 @@
     expect_that!(vm.events(EventKind::LeaseWon), eq(1));
 }
 
-/// Two VMs start at once and want the same lease. Engines must have orders of one of them only.
+/// Two VMs start at the same time and compete for one lease. Only one of them may order the engines.
 #[gtest]
 #[tokio::test]
 async fn two_vms_race_and_one_orders() {
@@ -229,8 +229,8 @@
     expect_that!(orderers.count(), eq(1));
 }
 
-/// The holder is cut off from the platform. Its lease lapses, another VM takes over under a larger
-/// term, and the former holder comes back and orders nothing more.
+/// The lease holder is partitioned from the platform. Its lease expires, another VM takes over with a
+/// larger term, and the former holder sends no orders after it reconnects.
 #[gtest]
 #[tokio::test]
 async fn a_holder_that_is_cut_off_is_replaced() {
@@ -260,8 +260,8 @@
     }
 }
 
-/// An order of a former holder was long under way and arrives after those of the next one. An engine
-/// that checks terms refuses it; the state of one that doesn't is read back and corrected.
+/// A delayed order of a former lease holder arrives after those of its successor. An engine with
+/// fencing refuses it; the state of one without fencing is read back and corrected.
 #[gtest]
 #[tokio::test]
 async fn a_stale_order_is_refused_or_corrected() {
@@ -292,7 +292,7 @@
     }
 }
 
-/// The lease's row was lost with its table, and engines know terms of former times.
+/// The lease row was lost with its table, while engines still remember larger terms.
 #[gtest]
 #[tokio::test]
 async fn terms_rise_above_what_the_engine_knows() {
@@ -312,8 +312,8 @@
     expect_that!(vm.leases.compete(SCOPE).held(), some(gt(Term(41))));
 }
 
-/// An engine that checks who orders has not been told of this VM. Its refusals end no order to the
-/// others.
+/// An engine that checks the sender of orders does not list this VM. Its refusals must not stop
+/// orders to the other engines.
 #[gtest]
 #[tokio::test]
 async fn an_engine_that_refuses_its_orderer_holds_up_no_other() {
@@ -342,7 +342,7 @@
     expect_that!(holds_only(&engines[0], "1"), eq(true));
 }
 
-/// Each fate that a write of the lease's row can have, on the first write and on renewals.
+/// The first write of the lease row has each possible outcome; the lease is acquired in every case.
 #[gtest]
 #[tokio::test]
 async fn a_lease_is_held_through_every_fate_of_its_writes() {
@@ -367,8 +367,8 @@
     }
 }
 
-/// The platform goes out between two orders. The holder cannot know whether it still is one, and
-/// gives none.
+/// The platform becomes unavailable between two orders. The holder cannot confirm its lease and gets
+/// no permit to send orders.
 #[gtest]
 #[tokio::test]
 async fn no_order_is_given_while_the_lease_cannot_be_confirmed() {
@@ -389,7 +389,7 @@
     );
 }
 
-/// The platform goes out in the middle of a rollout and comes back later.
+/// The platform is unavailable during a rollout for longer than the lease; the rollout then continues.
 #[gtest]
 #[tokio::test]
 async fn a_rollout_goes_on_after_an_outage() {
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service: it counts runs, and fails on demand.
+//! Tests of the mock plain service: run counts and injected faults.
 
 use bytes::Bytes;
 use catkin_standins::{PlainFault, PlainResponse, PlainServer, PlainSettings, request_digest};
@@ -53,8 +53,8 @@
     expect_that!(plain.counts().of_digest(digest), eq(2));
 }
 
-/// A request is run, but its answer is lost or breaks off: the caller cannot tell that it ran, and
-/// the count shows it.
+/// A request runs, but its response is lost or truncated, so that only the run count shows that it
+/// ran. A refused request must not run.
 #[gtest]
 #[tokio::test]
 async fn faults_run_or_do_not_run_as_they_say() {
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Contract of the platform: the router's client against the stand-in, with its faults.
+//! Contract of the platform: the router's client against the mock platform, with injected faults.
 
 use catkin_border::platform::{
     Condition, PlatformFaults, PlatformOutage, Row, RowKey, ScanRequest, TransactRequest, VmEntry,
@@ -163,8 +163,8 @@
     ]
 }
 
-/// A call of the platform fails in each way it can. A router that took one for another would tell a
-/// caller that its order did not run while it did, or would never run it.
+/// A platform call fails in each possible way. A router that confuses "not run" with "unknown" would
+/// report a request as not run although it ran, or would never run it.
 #[gtest]
 #[tokio::test]
 async fn each_fault_tells_whether_the_call_can_have_taken_effect() {
@@ -180,7 +180,7 @@
     }
 }
 
-/// The platform's process is gone, so no connection opens. The call certainly did not run.
+/// The platform's process is down and connections are refused, so the call cannot have run.
 #[gtest]
 #[tokio::test]
 async fn refused_connection_is_not_run() {
@@ -194,8 +194,8 @@
     expect_that!(seen, err(eq(&PlatformError::NotRun)));
 }
 
-/// More writes come than the platform does in a second. Those beyond are refused, and their senders
-/// know that they did not run.
+/// Writes exceed the platform's rate limit. The excess is refused, and its senders learn that it did
+/// not run.
 #[gtest]
 #[tokio::test]
 async fn writes_beyond_the_rate_are_throttled() {
@@ -207,7 +207,7 @@
     let platform = client(server.address());
     (platform.transact)(put("a", 0, "one"))
         .await
-        .expect("within the rate");
+        .expect("the write is within the rate limit");
 
     let seen = (platform.transact)(put("b", 0, "one")).await;
 
@@ -226,8 +226,8 @@
     }
 }
 
-/// A VM is leaving, but the platform's list still says that it is live. Whoever goes by the list
-/// alone sends it new work.
+/// The platform's VM list still shows a leaving VM as live. A reader that relies on the list alone
+/// would send the VM new work.
 #[gtest]
 fn vm_list_lags() {
     let mut store = PlatformStore::default();
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where a router sends work: a node in this process before stand-in engines.
+//! Selection of engines by a router: a node in this process in front of mock engines.
 
 use catkin_border::{
     bundle::RecoveryPolicy,
@@ -21,7 +21,7 @@
 
 const TOKENS: u32 = 100;
 
-/// Bound of an answer; it ends a test whose callers would wait for ever.
+/// Timeout of an answer, which ends a test whose callers would otherwise wait forever.
 const HANG_BOUND: Duration = Duration::from_secs(10);
 
 struct Site {
@@ -95,14 +95,14 @@
         let mut answer = Answer::default();
         let request = request(prompt);
         let streamed = caller.stream(&request, None, &mut answer, |_| {});
-        // What has come by then is judged; an answer that is not whole fails the test.
+        // On a timeout the received part is checked; an incomplete answer fails the test.
         if let Ok(outcome) = tokio::time::timeout(HANG_BOUND, streamed).await {
             outcome.expect("an answer or a problem");
         }
         answer
     }
 
-    /// Answers to `menu 0`, `menu 1` and so on, asked for at once.
+    /// Requests answers to the prompts `menu 0`, `menu 1` and so on concurrently.
     async fn menus(&self, count: usize) -> Vec<Answer> {
         let prompts = (0..count).map(|n| format!("menu {n}")).collect::<Vec<_>>();
         futures::future::join_all(prompts.iter().map(|prompt| self.answer(prompt))).await
@@ -147,24 +147,24 @@
     );
 }
 
-/// A request crashes each engine that runs it, beside a dozen other generations. Its caller is
-/// told after the second engine, and told at once when it sends the request again; everybody else
-/// reads a whole answer.
+/// A request crashes each engine that runs it, next to twelve other generations. Its caller gets an
+/// error after the second crash, and immediately when it retries. All other callers receive
+/// complete answers.
 #[gtest]
 #[tokio::test]
 async fn poison_costs_two_engines_with_least_wait() {
     poison_costs_two_engines(RecoveryPolicy::LeastWait).await;
 }
 
-/// The same with the policy that probes the old engine first.
+/// The same with the recovery policy that probes the previous engine first.
 #[gtest]
 #[tokio::test]
 async fn poison_costs_two_engines_with_least_work() {
     poison_costs_two_engines(RecoveryPolicy::LeastWork).await;
 }
 
-/// An engine is leaving, and its load reports lag behind and do not say so. It refuses what it
-/// gets; callers notice nothing, and the router sends it no more.
+/// An engine is leaving, but its load reports are out of date and do not say so. It refuses new
+/// requests; callers are not affected, and the router sends it no further ones.
 #[gtest]
 #[tokio::test]
 async fn refusal_of_a_leaving_engine_is_enough() {
@@ -185,7 +185,7 @@
     );
 }
 
-/// Another VM has heard that an engine is leaving, and nothing else says so here.
+/// An update from a peer is the only source that reports an engine as leaving.
 #[gtest]
 #[tokio::test]
 async fn word_of_a_peer_ends_new_work() {
@@ -193,7 +193,11 @@
     site.menus(1).await;
     let work = site.engines[1].work();
     let id = "engine-1".parse().expect("a name");
-    let incarnation = site.node.upstreams.incarnation(&id).expect("it was heard");
+    let incarnation = site
+        .node
+        .upstreams
+        .incarnation(&id)
+        .expect("the engine has reported");
 
     let source = catkin_decisions::LeavingSource::Peer;
     site.node.upstreams.note_leaving(&id, incarnation, source);
@@ -203,8 +207,8 @@
     expect_that!(site.engines[1].work(), eq(work));
 }
 
-/// Only the platform's list knows that an engine is leaving. Without the list the engine would get
-/// work until its VM is taken away.
+/// Only the platform's VM list shows that an engine is leaving. A router that ignores the list would
+/// send it work until its VM is removed.
 #[gtest]
 #[tokio::test]
 async fn word_of_the_platform_ends_new_work() {
@@ -257,8 +261,8 @@
     assert_that!(status.is_success(), eq(true));
 }
 
-/// The caller of a poison request comes to another VM when the first one has refused it. VMs that
-/// did not tell each other would lose two engines each.
+/// The caller of a poison request retries at another VM after the first one has refused it. Without
+/// shared poison records, each VM would lose two engines.
 #[gtest]
 #[tokio::test]
 async fn another_vm_knows_a_poison_request() {
@@ -271,7 +275,7 @@
     first.answer(&poison).await;
     tokio::time::timeout(HANG_BOUND, second.hears_marks(&first))
         .await
-        .expect("the marks spread");
+        .expect("the poison records spread");
     let again = second.answer(&poison).await;
 
     expect_that!(first.dead(), eq(2));
@@ -296,7 +300,7 @@
         self.node.peers.as_ref().expect("it has peers")
     }
 
-    /// Waits until this VM has all marks of the other.
+    /// Waits until this VM has all poison records of the other.
     async fn hears_marks(&self, other: &Self) {
         let digests = |site: &Self| {
             let marks = site.node.upstreams.poison_marks();
--- a/crates/standins/tests/team_limits.rs
+++ b/crates/standins/tests/team_limits.rs
@@ -1,4 +1,4 @@
-//! A team's limit, as a node in this process enforces its slice of it.
+//! Enforcement of a team's rate limit by the slices of nodes in this process.
 
 use catkin_border::{
     bundle::RecoveryPolicy,
@@ -84,8 +84,8 @@
     ]
 }
 
-/// A team sends far more than its limit. What is beyond it is refused as not run, with the time to
-/// come back, and costs the engines nothing.
+/// A team sends far more requests than its limit. The excess is refused as not run with a retry delay
+/// and does not reach the engines.
 #[gtest]
 #[tokio::test]
 async fn a_team_gets_its_share_and_typed_refusals() {
@@ -97,7 +97,7 @@
     let (refused, whole): (Vec<_>, Vec<_>) = answers.iter().partition(|a| a.problem.is_some());
     let refused = refused.iter().filter_map(|a| a.problem.as_ref());
     let refused = refused.collect::<Vec<_>>();
-    // The burst of a second's share, and what the share has brought since.
+    // A burst of one second's share, plus the share of the elapsed time.
     let share = u64::from(LIMIT / 2);
     let bound = share * (2 + start.elapsed().as_secs());
     let whole = u64::try_from(whole.len()).expect("few");
@@ -116,7 +116,7 @@
     );
 }
 
-/// Only the home of a limit hands out slices of it, and only to VMs that it knows.
+/// Only the allocator of a limit grants slices of it, and only to VMs in its list of live VMs.
 #[gtest]
 #[tokio::test]
 async fn only_the_home_grants_slices() {
@@ -153,8 +153,8 @@
     expect_that!([stranger, unknown, elsewhere], each(none()));
 }
 
-/// A team calls through one of two VMs only. With an even share for each VM half of its limit would
-/// lie idle and its callers would be refused all the same.
+/// A team calls through only one of two VMs. With equal slices, half of its limit would be unused
+/// while its callers are refused.
 #[gtest]
 #[tokio::test]
 async fn a_slice_follows_the_demand() {
