--- a/crates/border/examples/generate.rs
+++ b/crates/border/examples/generate.rs
@@ -8,7 +8,7 @@
 };
 
 fn main() -> Result<(), Box<dyn Error>> {
-    for (target, text) in files()? {
+    for (target, text) in generated_files()? {
         fs::write(target, text)?;
     }
     Ok(())
@@ -19,16 +19,16 @@
 /// # Errors
 ///
 /// If a schema cannot be read or is not a valid JSON schema.
-pub fn files() -> Result<Vec<(PathBuf, String)>, Box<dyn Error>> {
+pub fn generated_files() -> Result<Vec<(PathBuf, String)>, Box<dyn Error>> {
     let border = Path::new(env!("CARGO_MANIFEST_DIR"));
     let platform = border.join("../../platform");
-    let mut files = files_of(border)?;
-    files.extend(files_of(&platform)?);
+    let mut files = generate_crate(border)?;
+    files.extend(generate_crate(&platform)?);
     Ok(files)
 }
 
 /// Generates the files of the crate at `root` from the schemas in its `schema` directory.
-fn files_of(root: &Path) -> Result<Vec<(PathBuf, String)>, Box<dyn Error>> {
+fn generate_crate(root: &Path) -> Result<Vec<(PathBuf, String)>, Box<dyn Error>> {
     let mut schemas = fs::read_dir(root.join("schema"))?
         .map(|entry| entry.map(|entry| entry.path()))
         .collect::<Result<Vec<_>, _>>()?;
--- a/crates/border/tests/generated.rs
+++ b/crates/border/tests/generated.rs
@@ -10,7 +10,7 @@
 /// differs from the one that the code implements.
 #[gtest]
 fn generated_types_are_current() {
-    for (target, text) in generate::files().expect("the schemas are valid") {
+    for (target, text) in generate::generated_files().expect("the schemas are valid") {
         let committed = std::fs::read_to_string(&target).expect("a committed file");
         expect_that!(committed, eq(&text), "{} is out of date", target.display());
     }
--- a/crates/catkinward/tests/bundle_nodes.rs
+++ b/crates/catkinward/tests/bundle_nodes.rs
@@ -81,7 +81,7 @@
         outage: Some(outage),
         ..PlatformFaults::default()
     };
-    platform.fault(&outage(PlatformOutage::Refused));
+    platform.change_faults(&outage(PlatformOutage::Refused));
 
     let three = node("vm-3", &platform, &[&two]);
     wait_in_force(&three, 1).await;
@@ -89,7 +89,7 @@
     let (found, expected) = (three.bundle.current(), one.bundle.current());
     expect_that!(found.version, eq(expected.version));
     expect_that!(found.digest, eq(expected.digest));
-    platform.fault(&outage(PlatformOutage::None));
+    platform.change_faults(&outage(PlatformOutage::None));
     roll_out(&platform, "third").await;
     for node in [one, two, three] {
         wait_in_force(&node, 3).await;
--- a/crates/catkinward/tests/bundle_store.rs
+++ b/crates/catkinward/tests/bundle_store.rs
@@ -305,10 +305,10 @@
 async fn outage_changes_nothing() {
     let fixture = fixture();
     let id = fixture.draft("one").await;
-    fixture.platform.outage(true);
+    fixture.platform.set_outage(true);
 
     let during = fixture.store.roll_out(&id, author("ada")).await;
-    fixture.platform.outage(false);
+    fixture.platform.set_outage(false);
     let after = fixture.store.roll_out(&id, author("ada")).await;
 
     expect_that!(
--- a/crates/catkinward/tests/bundle_watch.rs
+++ b/crates/catkinward/tests/bundle_watch.rs
@@ -97,10 +97,10 @@
     let vm = vm(Some(&platform));
     vm.wait_in_force(1).await;
 
-    platform.outage(true);
+    platform.set_outage(true);
     wait_for_updates().await;
     let during = vm.version();
-    platform.outage(false);
+    platform.set_outage(false);
     roll_out(&platform, "two").await;
     vm.wait_in_force(2).await;
 
@@ -114,7 +114,7 @@
 #[tokio::test(start_paused = true)]
 async fn vm_that_starts_partitioned_gets_the_bundle_from_its_peers() {
     let platform = MockPlatform::default();
-    platform.outage(true);
+    platform.set_outage(true);
     let vm = vm(Some(&platform));
     let (old, new) = (body("old"), body("new"));
     for (version, body) in [(4, &old), (5, &new), (4, &old)] {
@@ -139,7 +139,7 @@
     .expect_err("no more changes");
 
     expect_that!(versions, elements_are![eq(&5)]);
-    platform.outage(false);
+    platform.set_outage(false);
     roll_out(&platform, "one").await;
     wait_for_updates().await;
     expect_that!(vm.version(), eq(5));
@@ -192,7 +192,7 @@
     roll_out(&platform, "one").await;
     let vm = vm(Some(&platform));
     vm.wait_in_force(1).await;
-    platform.outage(true);
+    platform.set_outage(true);
     let next = body("two");
     let digest = BundleDigest::of(&next);
     vm.watch.add_source(Box::new(move |_| {
--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -222,7 +222,7 @@
     site.release(&site.file("a.json", 1)).await;
     let draft = site.propose("ada", &site.file("b.json", 2)).await;
     site.run("bea", &["bundle", "sign-off", &draft]).await;
-    site.platform.fault(&PlatformFaults {
+    site.platform.change_faults(&PlatformFaults {
         lose_answers: Some(1),
         ..PlatformFaults::default()
     });
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -140,7 +140,7 @@
 ) -> Result<Duration, LoadError> {
     let one = signed_off(store, version * 2, "ada", "bea").await?;
     let two = signed_off(store, version * 2 + 1, "bea", "ada").await?;
-    platform.fault(&PlatformFaults {
+    platform.change_faults(&PlatformFaults {
         lose_answers: Some(lost),
         ..PlatformFaults::default()
     });
--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -105,7 +105,7 @@
         }
     });
     started.notified().await;
-    let (decoded, prefilled) = engine.work();
+    let (decoded, prefilled) = engine.token_counts();
 
     let reply = router.complete_within(&request(100), 300).await;
 
@@ -114,8 +114,8 @@
     expect_that!(reply.outcome(), eq("not_run"));
     expect_that!(problem.retry_after_ms, some(gt(0)));
     expect_that!(reply.headers.contains_key("retry-after"), eq(true));
-    expect_that!(engine.work().0, ge(decoded));
-    expect_that!(engine.work().1, eq(prefilled));
+    expect_that!(engine.token_counts().0, ge(decoded));
+    expect_that!(engine.token_counts().1, eq(prefilled));
     long.abort();
 }
 
--- a/crates/load/tests/plain_calls.rs
+++ b/crates/load/tests/plain_calls.rs
@@ -17,7 +17,7 @@
 async fn failing(count: usize, fault: PlainFault) -> Vec<PlainServer> {
     let servers = servers(count).await;
     for server in &servers {
-        server.fail(fault);
+        server.set_fault(fault);
     }
     servers
 }
@@ -30,7 +30,7 @@
 fn runs(servers: &[PlainServer], call: &Call) -> u64 {
     let runs = servers
         .iter()
-        .map(|server| server.counts().of_digest(call.digest()));
+        .map(|server| server.run_counts().of_digest(call.digest()));
     runs.sum()
 }
 
@@ -159,7 +159,7 @@
 #[tokio::test]
 async fn lookup_is_sent_again_to_another_upstream() {
     let servers = servers(2).await;
-    servers[0].fail(PlainFault::BreakOff);
+    servers[0].set_fault(PlainFault::BreakOff);
     let router = router(&servers).await;
 
     let replies = futures::future::join_all((0..8).map(|i| {
@@ -269,7 +269,7 @@
     };
 
     let first = call(first);
-    while server.counts().runs.len() < 2 {
+    while server.run_counts().runs.len() < 2 {
         tokio::task::yield_now().await;
     }
     let leaving = call(left.clone());
@@ -346,7 +346,7 @@
     };
 
     let leader = call(tile.clone());
-    while server.counts().of_digest(tile.digest()) == 0 {
+    while server.run_counts().of_digest(tile.digest()) == 0 {
         tokio::task::yield_now().await;
     }
     let follower = call(tile.clone());
--- a/crates/load/tests/plain_claims.rs
+++ b/crates/load/tests/plain_claims.rs
@@ -48,7 +48,7 @@
 }
 
 fn runs(system: &System, call: &Call) -> u64 {
-    system.server.counts().of_digest(call.digest())
+    system.server.run_counts().of_digest(call.digest())
 }
 
 /// The answer to an order is lost between router and caller, who sends it again to another VM.
@@ -103,11 +103,11 @@
 #[tokio::test]
 async fn order_whose_answer_was_lost_stays_unknown() {
     let system = system(Duration::from_millis(5)).await;
-    system.server.fail(PlainFault::BreakOff);
+    system.server.set_fault(PlainFault::BreakOff);
     let order = keyed("menu");
 
     let first = system.routers[0].call(&order).await;
-    system.server.fail(PlainFault::None);
+    system.server.set_fault(PlainFault::None);
     let again = system.routers[1].call(&order).await;
 
     expect_that!(first.outcome(), eq("unknown"));
@@ -121,11 +121,11 @@
 #[tokio::test]
 async fn order_that_was_refused_may_be_sent_again() {
     let system = system(Duration::from_millis(5)).await;
-    system.server.fail(PlainFault::Refuse);
+    system.server.set_fault(PlainFault::Refuse);
     let order = keyed("menu");
 
     let first = system.routers[0].call(&order).await;
-    system.server.fail(PlainFault::None);
+    system.server.set_fault(PlainFault::None);
     let again = system.routers[1].call(&order).await;
 
     expect_that!(first.outcome(), eq("not_run"));
@@ -138,7 +138,7 @@
 #[tokio::test]
 async fn order_is_not_run_while_it_cannot_be_claimed() {
     let system = system(Duration::from_millis(5)).await;
-    system.platform.fault(&PlatformFaults {
+    system.platform.change_faults(&PlatformFaults {
         outage: Some(PlatformOutage::Refused),
         ..PlatformFaults::default()
     });
@@ -157,7 +157,7 @@
 #[tokio::test]
 async fn order_runs_once_though_the_answer_to_its_claim_is_lost() {
     let system = system(Duration::from_millis(5)).await;
-    system.platform.fault(&PlatformFaults {
+    system.platform.change_faults(&PlatformFaults {
         lose_answers: Some(1),
         ..PlatformFaults::default()
     });
--- a/crates/load/tests/rollout.rs
+++ b/crates/load/tests/rollout.rs
@@ -113,5 +113,5 @@
     expect_that!(versions, each(some(anything())));
     expect_that!(versions, contains(some(eq(&"1"))));
     expect_that!(moved_over, ok(anything()));
-    expect_that!(weight_store.most_at_once(), eq(1));
+    expect_that!(weight_store.max_concurrent_loads(), eq(1));
 }
--- a/crates/standins/src/answer.rs
+++ b/crates/standins/src/answer.rs
@@ -39,8 +39,8 @@
     /// Counts the wrong tokens of an answer, which may be incomplete.
     #[must_use]
     pub fn verdict(&self, chain: TokenChain, max_tokens: usize) -> AnswerVerdict {
-        let whole = self.finish.is_some();
-        AnswerVerdict::of(chain, max_tokens, &self.ids, &self.text, whole)
+        let complete = self.finish.is_some();
+        AnswerVerdict::of(chain, max_tokens, &self.ids, &self.text, complete)
     }
 
     /// Checks a complete answer against its request.
--- a/crates/standins/src/answer_verdict.rs
+++ b/crates/standins/src/answer_verdict.rs
@@ -20,9 +20,15 @@
     /// text must match the received ids: a token of another generation of the same request, or of
     /// another request, does not match the hash of the chain.
     #[must_use]
-    pub fn of(chain: TokenChain, max_tokens: usize, ids: &[u32], text: &str, whole: bool) -> Self {
+    pub fn of(
+        chain: TokenChain,
+        max_tokens: usize,
+        ids: &[u32],
+        text: &str,
+        complete: bool,
+    ) -> Self {
         let indices = indices(text);
-        let expected = if whole { max_tokens } else { ids.len() };
+        let expected = if complete { max_tokens } else { ids.len() };
         let mut distinct = indices.clone();
         distinct.sort_unstable();
         distinct.dedup();
@@ -37,19 +43,19 @@
         }
         let expected = chain_text(chain, ids);
         // A character may span two tokens: a truncated answer contains complete characters only.
-        let expected = if whole {
+        let expected = if complete {
             expected.as_str()
         } else {
             expected.trim_end_matches(char::REPLACEMENT_CHARACTER)
         };
-        let (right, received) = (pieces(expected), pieces(text));
-        let mixed = right
+        let (expected_pieces, received_pieces) = (pieces(expected), pieces(text));
+        let mixed = expected_pieces
             .iter()
-            .zip(&received)
-            .filter(|(right, received)| right != received)
+            .zip(&received_pieces)
+            .filter(|(a, b)| a != b)
             .count()
-            .max(received.len().abs_diff(right.len()));
-        if right.first() == received.first() {
+            .max(received_pieces.len().abs_diff(expected_pieces.len()));
+        if expected_pieces.first() == received_pieces.first() {
             Self {
                 mixed,
                 ..Self::default()
@@ -64,7 +70,7 @@
 
     /// Returns whether the answer has no wrong tokens.
     #[must_use]
-    pub fn is_right(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         *self == Self::default()
     }
 }
--- a/crates/standins/src/bin/catkinward-demo.rs
+++ b/crates/standins/src/bin/catkinward-demo.rs
@@ -31,7 +31,7 @@
         return Ok(tokio::signal::ctrl_c().await?);
     }
     let answer = generate(router, &engines).await?;
-    report(&answer)
+    print_summary(&answer)
 }
 
 fn free_address() -> SocketAddr {
@@ -72,7 +72,7 @@
             return;
         }
         killed = true;
-        if let Some(busiest) = engines.iter().max_by_key(|engine| engine.work().0) {
+        if let Some(busiest) = engines.iter().max_by_key(|engine| engine.token_counts().0) {
             println!(
                 "{} tokens received; killing {}",
                 answer.ids.len(),
@@ -87,7 +87,7 @@
     Ok(answer)
 }
 
-fn report(answer: &Answer) -> Result<(), Box<dyn Error>> {
+fn print_summary(answer: &Answer) -> Result<(), Box<dyn Error>> {
     let chain = TokenChain::new("catkin", "1", PROMPT, SEED);
     answer.check(chain, usize::try_from(TOKENS)?)?;
     let attempts = answer.usage.as_ref().map_or(0, |usage| usage.attempts);
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -31,7 +31,7 @@
 }
 
 /// Timeout for the response headers.
-const HEADERS_BOUND: Duration = Duration::from_secs(30);
+const HEADERS_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl CallerClient {
     /// Creates a client of the router at `address`.
@@ -72,7 +72,7 @@
             path: "/v1/completions".to_owned(),
             headers,
             body: json_bytes(request),
-            bound: HEADERS_BOUND,
+            bound: HEADERS_TIMEOUT,
             fresh: true,
         };
         let response = self.connections.call(call).await?;
@@ -96,7 +96,7 @@
                 return Ok(());
             }
             let id = event.id().map(str::to_owned);
-            answer.take(serde_json::from_str(data)?, id, start.elapsed());
+            answer.record_event(serde_json::from_str(data)?, id, start.elapsed());
             on_token(answer);
         }
     }
@@ -133,7 +133,7 @@
 }
 
 impl Answer {
-    fn take(&mut self, event: caller::CompletionEvent, id: Option<String>, at: Duration) {
+    fn record_event(&mut self, event: caller::CompletionEvent, id: Option<String>, at: Duration) {
         self.request_id = Some(event.id);
         self.last_event_id = id.or(self.last_event_id.take());
         for choice in event.choices {
--- a/crates/standins/src/daemon.rs
+++ b/crates/standins/src/daemon.rs
@@ -43,7 +43,7 @@
 /// Prints `listening ADDRESS` once it accepts connections. The proxy first prints `route ADDRESS` for
 /// each `--to`; its listening address is that of its control API.
 pub fn run_standin(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    match read_standin(args).map(serve) {
+    match parse_args(args).map(serve) {
         Ok(Ok(())) => ExitCode::SUCCESS,
         Ok(Err(error)) | Err(error) => {
             eprintln!("error: {error}");
@@ -52,66 +52,68 @@
     }
 }
 
-fn read_standin(args: impl IntoIterator<Item = OsString>) -> Result<Standin, StandinError> {
+fn parse_args(args: impl IntoIterator<Item = OsString>) -> Result<Standin, StandinError> {
     let mut parser = lexopt::Parser::from_args(args);
     match parser.next()? {
-        Some(lexopt::Arg::Value(kind)) if kind == "plain" => plain(&mut parser),
-        Some(lexopt::Arg::Value(kind)) if kind == "platform" => platform(&mut parser),
-        Some(lexopt::Arg::Value(kind)) if kind == "proxy" => proxy(&mut parser),
-        Some(lexopt::Arg::Value(kind)) if kind == "engine" => engine(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "plain" => parse_plain(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "platform" => parse_platform(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "proxy" => parse_proxy(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "engine" => parse_engine(&mut parser),
         Some(arg) => Err(arg.unexpected().into()),
         None => Err(StandinError::Kind),
     }
 }
 
-fn engine(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_engine(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut settings = EngineSettings::default();
     while let Some(arg) = parser.next()? {
         match arg {
-            lexopt::Arg::Long("step-us") => settings.step = micros("step-us", parser)?,
+            lexopt::Arg::Long("step-us") => settings.step = parse_micros("step-us", parser)?,
             lexopt::Arg::Long("step-per-sequence-us") => {
-                settings.step_per_sequence = micros("step-per-sequence-us", parser)?;
+                settings.step_per_sequence = parse_micros("step-per-sequence-us", parser)?;
             }
             lexopt::Arg::Long("prefill-us") => {
-                settings.prefill_per_token = micros("prefill-us", parser)?;
+                settings.prefill_per_token = parse_micros("prefill-us", parser)?;
             }
-            lexopt::Arg::Long("capacity") => settings.capacity = number("capacity", parser)?,
+            lexopt::Arg::Long("capacity") => settings.capacity = parse_value("capacity", parser)?,
             lexopt::Arg::Long("prefix-cache") => {
-                settings.prefix_cache = number("prefix-cache", parser)?;
+                settings.prefix_cache = parse_value("prefix-cache", parser)?;
             }
             lexopt::Arg::Long("load-model-us") => {
-                settings.load_time = micros("load-model-us", parser)?;
+                settings.load_time = parse_micros("load-model-us", parser)?;
             }
             lexopt::Arg::Long("ignore-fencing") => settings.enforces_fencing = false,
             lexopt::Arg::Long("orderer") => {
                 let vm = parser.value()?.to_string_lossy().into_owned();
                 settings.orderers.push(vm.into());
             }
-            lexopt::Arg::Long("load-lag-us") => settings.load_lag = micros("load-lag-us", parser)?,
-            lexopt::Arg::Long("seed") => settings.seed = number("seed", parser)?,
+            lexopt::Arg::Long("load-lag-us") => {
+                settings.load_lag = parse_micros("load-lag-us", parser)?
+            }
+            lexopt::Arg::Long("seed") => settings.seed = parse_value("seed", parser)?,
             _ => return Err(arg.unexpected().into()),
         }
     }
     Ok(Standin::Engine(settings))
 }
 
-fn plain(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_plain(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut settings = PlainSettings::default();
     while let Some(arg) = parser.next()? {
         match arg {
             lexopt::Arg::Long("service-us") => {
-                settings.service_time = micros("service-us", parser)?;
+                settings.service_time = parse_micros("service-us", parser)?;
             }
-            lexopt::Arg::Long("spread") => settings.spread = number("spread", parser)?,
-            lexopt::Arg::Long("capacity") => settings.capacity = number("capacity", parser)?,
-            lexopt::Arg::Long("seed") => settings.seed = number("seed", parser)?,
+            lexopt::Arg::Long("spread") => settings.spread = parse_value("spread", parser)?,
+            lexopt::Arg::Long("capacity") => settings.capacity = parse_value("capacity", parser)?,
+            lexopt::Arg::Long("seed") => settings.seed = parse_value("seed", parser)?,
             _ => return Err(arg.unexpected().into()),
         }
     }
     Ok(Standin::Plain(settings))
 }
 
-fn platform(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_platform(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut faults = PlatformFaults {
         answer_delay_ms: None,
         delay_ms: None,
@@ -125,13 +127,13 @@
     while let Some(arg) = parser.next()? {
         match arg {
             lexopt::Arg::Long("reads-per-second") => {
-                faults.reads_per_second = Some(number("reads-per-second", parser)?);
+                faults.reads_per_second = Some(parse_value("reads-per-second", parser)?);
             }
             lexopt::Arg::Long("writes-per-second") => {
-                faults.writes_per_second = Some(number("writes-per-second", parser)?);
+                faults.writes_per_second = Some(parse_value("writes-per-second", parser)?);
             }
             lexopt::Arg::Long("vm-lag-ms") => {
-                faults.vm_lag_ms = Some(number("vm-lag-ms", parser)?);
+                faults.vm_lag_ms = Some(parse_value("vm-lag-ms", parser)?);
             }
             _ => return Err(arg.unexpected().into()),
         }
@@ -139,22 +141,25 @@
     Ok(Standin::Platform(faults))
 }
 
-fn proxy(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_proxy(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut upstreams = Vec::new();
     while let Some(arg) = parser.next()? {
         match arg {
-            lexopt::Arg::Long("to") => upstreams.push(number("to", parser)?),
+            lexopt::Arg::Long("to") => upstreams.push(parse_value("to", parser)?),
             _ => return Err(arg.unexpected().into()),
         }
     }
     Ok(Standin::Proxy(upstreams))
 }
 
-fn micros(flag: &'static str, parser: &mut lexopt::Parser) -> Result<Duration, StandinError> {
-    number(flag, parser).map(Duration::from_micros)
+fn parse_micros(flag: &'static str, parser: &mut lexopt::Parser) -> Result<Duration, StandinError> {
+    parse_value(flag, parser).map(Duration::from_micros)
 }
 
-fn number<T: FromStr>(flag: &'static str, parser: &mut lexopt::Parser) -> Result<T, StandinError> {
+fn parse_value<T: FromStr>(
+    flag: &'static str,
+    parser: &mut lexopt::Parser,
+) -> Result<T, StandinError> {
     let value = parser.value()?.to_string_lossy().into_owned();
     value
         .parse()
@@ -163,24 +168,24 @@
 
 #[tokio::main]
 async fn serve(standin: Standin) -> Result<(), StandinError> {
-    let free = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     match standin {
         Standin::Engine(settings) => {
-            let engine = EngineServer::start(free, settings).await?;
+            let engine = EngineServer::start(any_port, settings).await?;
             println!("listening {}", engine.address());
-            engine.died().await;
+            engine.wait_killed().await;
             return Err(StandinError::Crashed);
         }
         Standin::Plain(settings) => {
-            let plain = PlainServer::start(free, settings).await?;
+            let plain = PlainServer::start(any_port, settings).await?;
             println!("listening {}", plain.address());
         }
         Standin::Platform(faults) => {
-            let platform = PlatformServer::start(free, faults).await?;
+            let platform = PlatformServer::start(any_port, faults).await?;
             println!("listening {}", platform.address());
         }
         Standin::Proxy(upstreams) => {
-            let proxy = FaultProxy::start(free).await?;
+            let proxy = FaultProxy::start(any_port).await?;
             for upstream in upstreams {
                 println!("route {}", proxy.route(upstream).await?);
             }
--- a/crates/standins/src/engine_batch.rs
+++ b/crates/standins/src/engine_batch.rs
@@ -35,19 +35,23 @@
     /// the same or a larger number exists.
     pub(crate) fn add(&self, sequence: Sequence) -> Option<Arc<Sequence>> {
         let mut sequences = self.sequences.lock();
-        let same = |s: &&Arc<Sequence>| s.order.request_id == sequence.order.request_id;
+        let is_same_request =
+            |s: &&Arc<Sequence>| s.request.request_id == sequence.request.request_id;
         if sequences
             .iter()
-            .filter(same)
+            .filter(is_same_request)
             .any(|s| s.attempt() >= sequence.attempt())
         {
             return None;
         }
-        sequences.iter().filter(same).for_each(|s| s.cancel());
-        let digest = request_digest("", sequence.order.prompt.as_bytes());
-        let id = &sequence.order.request_id;
+        sequences
+            .iter()
+            .filter(is_same_request)
+            .for_each(|s| s.cancel());
+        let digest = request_digest("", sequence.request.prompt.as_bytes());
+        let id = &sequence.request.request_id;
         self.runs.lock().add(id, digest);
-        let cached = self.cache.lock().take(&sequence.order.prompt);
+        let cached = self.cache.lock().insert(&sequence.request.prompt);
         sequence.state.lock().prefill_left -= cached;
         let sequence = Arc::new(sequence);
         sequences.push(sequence.clone());
@@ -58,7 +62,7 @@
         self.sequences
             .lock()
             .iter()
-            .find(|s| s.order.request_id == request_id && s.attempt() == attempt)
+            .find(|s| s.request.request_id == request_id && s.attempt() == attempt)
             .cloned()
     }
 
@@ -67,7 +71,7 @@
         self.sequences
             .lock()
             .iter()
-            .filter(|s| s.order.request_id == request_id && s.attempt() <= attempt)
+            .filter(|s| s.request.request_id == request_id && s.attempt() <= attempt)
             .for_each(|s| s.cancel());
     }
 
@@ -76,16 +80,16 @@
         self.sequences
             .lock()
             .iter()
-            .filter(|s| s.order.model == model && s.order.version == version)
+            .filter(|s| s.request.model == model && s.request.version == version)
             .for_each(|s| s.cancel());
     }
 
     /// Returns the number of unfinished sequences on a model version.
-    pub(crate) fn streams(&self, model: &str, version: &str) -> usize {
+    pub(crate) fn active_streams(&self, model: &str, version: &str) -> usize {
         self.sequences
             .lock()
             .iter()
-            .filter(|s| s.order.model == model && s.order.version == version)
+            .filter(|s| s.request.model == model && s.request.version == version)
             .filter(|s| s.state.lock().finish.is_none())
             .count()
     }
@@ -96,7 +100,7 @@
     }
 
     /// Returns the numbers of sequences that are being decoded and that wait for a batch slot.
-    pub(crate) fn counts(&self) -> (usize, usize) {
+    pub(crate) fn running_and_waiting(&self) -> (usize, usize) {
         let unfinished = self
             .sequences
             .lock()
@@ -121,7 +125,7 @@
             if *self.paused.borrow() {
                 continue;
             }
-            if batch.iter().any(|s| s.order.prompt.starts_with(POISON)) {
+            if batch.iter().any(|s| s.request.prompt.starts_with(POISON)) {
                 return killed.cancel();
             }
             for sequence in &batch {
@@ -137,12 +141,12 @@
         let grace = self.settings.detach_grace;
         let mut sequences = self.sequences.lock();
         sequences.retain(|sequence| {
-            let unread = sequence.state.lock().unread_since;
-            let forgotten = unread.is_some_and(|since| now - since > grace);
-            if forgotten {
+            let detached_since = sequence.state.lock().detached_since;
+            let abandoned = detached_since.is_some_and(|since| now - since > grace);
+            if abandoned {
                 sequence.cancel();
             }
-            !forgotten
+            !abandoned
         });
         let mut batch: Vec<_> = sequences
             .iter()
@@ -150,7 +154,7 @@
             .cloned()
             .collect();
         // The sort is stable: sequences of equal priority stay in order of arrival.
-        batch.sort_by_key(|sequence| std::cmp::Reverse(sequence.order.priority));
+        batch.sort_by_key(|sequence| std::cmp::Reverse(sequence.request.priority));
         batch.truncate(self.settings.capacity);
         batch
     }
--- a/crates/standins/src/engine_models.rs
+++ b/crates/standins/src/engine_models.rs
@@ -22,7 +22,7 @@
     model: engine::LoadedModel,
     ready: Instant,
     /// Counts the load in the weight store; dropped once the model is found to be ready.
-    place: Option<WeightStoreLocation>,
+    load_guard: Option<WeightStoreLocation>,
 }
 
 impl EngineModels {
@@ -39,7 +39,7 @@
                     version: version.to_string(),
                 },
                 ready: now,
-                place: None,
+                load_guard: None,
             })
             .collect();
         Self {
@@ -59,7 +59,7 @@
     }
 
     /// Applies an order and returns the models that it unloads.
-    pub(crate) fn order(
+    pub(crate) fn apply(
         &self,
         order: engine::EngineOrder,
     ) -> Result<Vec<engine::LoadedModel>, engine::EngineRefusalKind> {
@@ -69,22 +69,31 @@
             state.counts.refused += 1;
             return Err(engine::EngineRefusalKind::OrdererNotAllowed);
         }
-        let old = state.highest_term.is_some_and(|term| order.term < term);
-        if old && self.settings.enforces_fencing {
+        let stale = state.highest_term.is_some_and(|term| order.term < term);
+        if stale && self.settings.enforces_fencing {
             state.counts.refused += 1;
             return Err(engine::EngineRefusalKind::StaleTerm);
         }
         state.counts.taken += 1;
-        state.counts.stale_applied += u64::from(old);
+        state.counts.stale_applied += u64::from(stale);
         state.highest_term = state.highest_term.max(Some(order.term));
         state.role = order.role;
-        let kept = |entry: &Entry| order.models.iter().any(|model| same(model, &entry.model));
-        let (keep, dropped) = std::mem::take(&mut state.models)
+        let is_retained = |entry: &Entry| {
+            order
+                .models
+                .iter()
+                .any(|model| is_same_model(model, &entry.model))
+        };
+        let (retained, dropped) = std::mem::take(&mut state.models)
             .into_iter()
-            .partition::<Vec<_>, _>(kept);
-        state.models = keep;
+            .partition::<Vec<_>, _>(is_retained);
+        state.models = retained;
         for model in order.models {
-            if !state.models.iter().any(|entry| same(&entry.model, &model)) {
+            if !state
+                .models
+                .iter()
+                .any(|entry| is_same_model(&entry.model, &model))
+            {
                 state.counts.loads += 1;
                 let entry = self.load(model);
                 state.models.push(entry);
@@ -97,24 +106,30 @@
         Entry {
             model,
             ready: Instant::now() + self.settings.load_time,
-            place: self.settings.weight_store.as_ref().map(WeightStore::enter),
+            load_guard: self
+                .settings
+                .weight_store
+                .as_ref()
+                .map(WeightStore::begin_load),
         }
     }
 
     pub(crate) fn is_loaded(&self, model: &str, version: &str) -> bool {
-        let loaded = self.lists().0;
+        let loaded = self.loaded_and_loading().0;
         loaded
             .iter()
             .any(|entry| entry.model == model && entry.version == version)
     }
 
     /// Returns the loaded models and the loading ones.
-    pub(crate) fn lists(&self) -> (Vec<engine::LoadedModel>, Vec<engine::LoadedModel>) {
+    pub(crate) fn loaded_and_loading(
+        &self,
+    ) -> (Vec<engine::LoadedModel>, Vec<engine::LoadedModel>) {
         let now = Instant::now();
         let mut state = self.state.lock();
         for entry in &mut state.models {
             if entry.ready <= now {
-                entry.place = None;
+                entry.load_guard = None;
             }
         }
         let (loaded, loading): (Vec<&Entry>, Vec<&Entry>) =
@@ -136,6 +151,6 @@
     }
 }
 
-fn same(a: &engine::LoadedModel, b: &engine::LoadedModel) -> bool {
+fn is_same_model(a: &engine::LoadedModel, b: &engine::LoadedModel) -> bool {
     a.model == b.model && a.version == b.version && a.adapter == b.adapter
 }
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -3,7 +3,7 @@
     engine_batch::EngineBatch,
     engine_models::EngineModels,
     killable_listener::KillableListener,
-    query::{malformed, query_number, query_value},
+    query::{bad_request, query_number, query_value},
     sequence::{Sequence, write_event},
 };
 use tokio::net::TcpListener;
@@ -25,7 +25,7 @@
     batch: Arc<EngineBatch>,
     models: EngineModels,
     leaving: AtomicBool,
-    reported: Mutex<Option<(tokio::time::Instant, engine::UpstreamLoad)>>,
+    last_load_report: Mutex<Option<(tokio::time::Instant, engine::UpstreamLoad)>>,
     killed: CancellationToken,
     /// Streams opened in an earlier epoch receive nothing more.
     epoch: watch::Sender<u64>,
@@ -58,7 +58,7 @@
                 settings,
                 incarnation: rand::random::<u64>() >> 1,
                 leaving: AtomicBool::new(false),
-                reported: Mutex::default(),
+                last_load_report: Mutex::default(),
                 killed: CancellationToken::new(),
                 epoch: watch::Sender::new(0),
             }),
@@ -83,7 +83,7 @@
     }
 
     /// Waits until the engine is killed or a poison request crashes it.
-    pub async fn died(&self) {
+    pub async fn wait_killed(&self) {
         self.inner.killed.cancelled().await;
     }
 
@@ -117,7 +117,7 @@
 
     /// Returns the numbers of tokens decoded and of prompt and prefix tokens prefilled.
     #[must_use]
-    pub fn work(&self) -> (u64, u64) {
+    pub fn token_counts(&self) -> (u64, u64) {
         let batch = &self.inner.batch;
         (
             batch.decoded.load(Ordering::Relaxed),
@@ -129,21 +129,25 @@
         let Ok(body) = req.into_body().into_bytes().await else {
             return refusal(engine::EngineRefusalKind::Malformed);
         };
-        let Ok(order) = serde_json::from_slice::<engine::EngineGenerate>(&body) else {
+        let Ok(request) = serde_json::from_slice::<engine::EngineGenerate>(&body) else {
             return refusal(engine::EngineRefusalKind::Malformed);
         };
         if self.inner.leaving.load(Ordering::Relaxed) {
             return refusal(engine::EngineRefusalKind::Leaving);
         }
-        if !self.inner.models.is_loaded(&order.model, &order.version) {
+        if !self
+            .inner
+            .models
+            .is_loaded(&request.model, &request.version)
+        {
             return refusal(engine::EngineRefusalKind::ModelNotLoaded);
         }
-        if order.prompt.starts_with(UNANSWERED_POISON) {
+        if request.prompt.starts_with(UNANSWERED_POISON) {
             self.kill();
             return std::future::pending().await;
         }
-        let from = u32::try_from(order.prefix.len()).unwrap_or(u32::MAX);
-        match self.inner.batch.add(Sequence::new(order)) {
+        let from = u32::try_from(request.prefix.len()).unwrap_or(u32::MAX);
+        match self.inner.batch.add(Sequence::new(request)) {
             Some(sequence) => self.stream(sequence, from),
             None => refusal(engine::EngineRefusalKind::StaleAttempt),
         }
@@ -153,9 +157,9 @@
         let id = stream_id(req);
         let from = u32::try_from(query_number(req, "from")).unwrap_or(u32::MAX);
         let found = self.inner.batch.find(id, query_number(req, "attempt"));
-        match found.filter(|sequence| sequence.can_be_read_from(from)) {
+        match found.filter(|sequence| sequence.is_readable_from(from)) {
             Some(sequence) => {
-                sequence.become_attempt(query_number(req, "as"));
+                sequence.raise_attempt(query_number(req, "as"));
                 self.stream(sequence, from)
             }
             None => refusal(engine::EngineRefusalKind::NoSuchStream),
@@ -170,37 +174,44 @@
 
     fn load(&self) -> Response {
         let now = tokio::time::Instant::now();
-        let mut reported = self.inner.reported.lock();
-        let lagging = reported
+        let mut last_load_report = self.inner.last_load_report.lock();
+        let cached = last_load_report
             .take()
             .filter(|(at, _)| now - *at < self.inner.settings.load_lag);
-        let (_, load) = reported.insert(lagging.unwrap_or_else(|| (now, self.load_now())));
+        let (_, load) =
+            last_load_report.insert(cached.unwrap_or_else(|| (now, self.current_load())));
         Response::new(json_bytes(load).into())
     }
 
-    fn load_now(&self) -> engine::UpstreamLoad {
-        let (running, waiting) = self.inner.batch.counts();
-        let (decoded, prefilled) = self.work();
-        let (loaded, loading) = self.inner.models.lists();
+    fn current_load(&self) -> engine::UpstreamLoad {
+        let (running, waiting) = self.inner.batch.running_and_waiting();
+        let (decoded, prefilled) = self.token_counts();
+        let (loaded, loading) = self.inner.models.loaded_and_loading();
         engine::UpstreamLoad {
-            capacity: count(self.inner.settings.capacity),
+            capacity: to_u32(self.inner.settings.capacity),
             decoded_tokens: Some(decoded),
             highest_term: self.inner.models.highest_term(),
             incarnation: self.inner.incarnation,
             leaving: self.inner.leaving.load(Ordering::Relaxed),
             loading: Some(engine::ModelList { models: loading }),
-            models: loaded.into_iter().map(|m| self.with_streams(m)).collect(),
+            models: loaded
+                .into_iter()
+                .map(|m| self.with_stream_count(m))
+                .collect(),
             prefilled_tokens: Some(prefilled),
             role: Some(self.inner.models.role()),
-            running: count(running),
-            waiting: count(waiting),
+            running: to_u32(running),
+            waiting: to_u32(waiting),
         }
     }
 
-    fn with_streams(&self, model: engine::LoadedModel) -> engine::LoadedModel {
-        let streams = self.inner.batch.streams(&model.model, &model.version);
+    fn with_stream_count(&self, model: engine::LoadedModel) -> engine::LoadedModel {
+        let streams = self
+            .inner
+            .batch
+            .active_streams(&model.model, &model.version);
         engine::LoadedModel {
-            streams: Some(count(streams)),
+            streams: Some(to_u32(streams)),
             ..model
         }
     }
@@ -208,7 +219,7 @@
     /// Returns the loaded models.
     #[must_use]
     pub fn loaded_models(&self) -> Vec<engine::LoadedModel> {
-        self.inner.models.lists().0
+        self.inner.models.loaded_and_loading().0
     }
 
     /// Returns the counts of orders that this engine has received.
@@ -223,36 +234,36 @@
     /// # Errors
     ///
     /// If the engine refuses the order.
-    pub fn take_order(&self, order: engine::EngineOrder) -> Result<(), engine::EngineRefusalKind> {
-        for model in self.inner.models.order(order)? {
+    pub fn apply_order(&self, order: engine::EngineOrder) -> Result<(), engine::EngineRefusalKind> {
+        for model in self.inner.models.apply(order)? {
             self.inner.batch.cancel_model(&model.model, &model.version);
         }
         Ok(())
     }
 
-    async fn order(&self, req: Request) -> Response {
+    async fn handle_order(&self, req: Request) -> Response {
         let Ok(body) = req.into_body().into_bytes().await else {
             return refusal(engine::EngineRefusalKind::Malformed);
         };
         let Ok(order) = serde_json::from_slice(&body) else {
             return refusal(engine::EngineRefusalKind::Malformed);
         };
-        match self.take_order(order) {
+        match self.apply_order(order) {
             Ok(()) => Response::new(Body::empty()),
             Err(kind) => refusal_of_order(kind, self.inner.models.highest_term()),
         }
     }
 
-    fn take_fault(&self, req: &Request) -> Response {
+    fn handle_fault(&self, req: &Request) -> Response {
         let Some(fault) = query_value(req, "kind").and_then(|kind| kind.parse().ok()) else {
-            return malformed();
+            return bad_request();
         };
         self.inject(fault);
         Response::new(Body::empty())
     }
 
     fn stream(&self, sequence: Arc<Sequence>, from: u32) -> Response {
-        sequence.state.lock().unread_since = None;
+        sequence.state.lock().detached_since = None;
         let reader = Reader {
             server: self.clone(),
             changes: sequence.changes.subscribe(),
@@ -284,14 +295,14 @@
 
     async fn call(&self, _: &mut ServerContext, req: Request) -> Result<Response, Infallible> {
         if req.uri().path() == "/fault" {
-            return Ok(self.take_fault(&req));
+            return Ok(self.handle_fault(&req));
         }
         let mut paused = self.inner.batch.paused.subscribe();
         let _ = paused.wait_for(|paused| !*paused).await;
         Ok(match (req.method(), req.uri().path()) {
             (&Method::POST, "/v1/generate") => self.generate(req).await,
             (&Method::GET, "/v1/load") => self.load(),
-            (&Method::POST, "/v1/orders") => self.order(req).await,
+            (&Method::POST, "/v1/orders") => self.handle_order(req).await,
             (&Method::GET, "/orders") => Response::new(json_bytes(&self.order_counts()).into()),
             (&Method::GET, "/stats") => Response::new(json_bytes(&self.inner.batch.runs()).into()),
             (&Method::GET, path) if path.starts_with(STREAMS) => self.reattach(&req),
@@ -343,7 +354,7 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         if self.sequence.changes.receiver_count() <= 1 {
-            self.sequence.state.lock().unread_since = Some(tokio::time::Instant::now());
+            self.sequence.state.lock().detached_since = Some(tokio::time::Instant::now());
         }
     }
 }
@@ -368,6 +379,6 @@
     req.uri().path().strip_prefix(STREAMS).unwrap_or_default()
 }
 
-fn count(n: usize) -> u32 {
+fn to_u32(n: usize) -> u32 {
     u32::try_from(n).unwrap_or(u32::MAX)
 }
--- a/crates/standins/src/fault_proxy.rs
+++ b/crates/standins/src/fault_proxy.rs
@@ -2,7 +2,7 @@
 use crate::killable_listener::KillableListener;
 use crate::{
     proxy_route::ProxyRoute,
-    query::{malformed, query_number, query_value},
+    query::{bad_request, query_number, query_value},
 };
 use tokio::net::TcpListener;
 use volo_http::server::Server;
@@ -64,26 +64,30 @@
 
     /// Returns the number of bytes that each route has forwarded, both directions together.
     #[must_use]
-    pub fn passed(&self) -> Vec<u64> {
-        self.routes.lock().iter().map(ProxyRoute::passed).collect()
+    pub fn forwarded_bytes(&self) -> Vec<u64> {
+        self.routes
+            .lock()
+            .iter()
+            .map(ProxyRoute::forwarded_bytes)
+            .collect()
     }
 
-    async fn take_route(&self, req: &Request) -> Response {
+    async fn handle_route(&self, req: &Request) -> Response {
         let Some(to) = query_value(req, "to").and_then(|to| to.parse().ok()) else {
-            return malformed();
+            return bad_request();
         };
         match self.route(to).await {
             Ok(address) => Response::new(json_bytes(&address).into()),
-            Err(_) => malformed(),
+            Err(_) => bad_request(),
         }
     }
 
-    fn take_fault(&self, req: &Request) -> Response {
+    fn handle_fault(&self, req: &Request) -> Response {
         let route = usize::try_from(query_number(req, "route")).unwrap_or(usize::MAX);
         let delay = Duration::from_millis(query_number(req, "ms"));
         match query_value(req, "kind").and_then(|kind| kind.parse().ok()) {
             Some(fault) if self.inject(route, fault, delay) => Response::new(Body::empty()),
-            _ => malformed(),
+            _ => bad_request(),
         }
     }
 }
@@ -94,10 +98,10 @@
 
     async fn call(&self, _: &mut ServerContext, req: Request) -> Result<Response, Infallible> {
         Ok(match (req.method(), req.uri().path()) {
-            (&Method::GET, "/stats") => Response::new(json_bytes(&self.passed()).into()),
-            (&Method::POST, "/route") => self.take_route(&req).await,
-            (&Method::POST, "/fault") => self.take_fault(&req),
-            _ => malformed(),
+            (&Method::GET, "/stats") => Response::new(json_bytes(&self.forwarded_bytes()).into()),
+            (&Method::POST, "/route") => self.handle_route(&req).await,
+            (&Method::POST, "/fault") => self.handle_fault(&req),
+            _ => bad_request(),
         })
     }
 }
--- a/crates/standins/src/mock_platform.rs
+++ b/crates/standins/src/mock_platform.rs
@@ -28,25 +28,25 @@
 #[derive(Default)]
 struct Inner {
     store: PlatformStore,
-    fates: VecDeque<TransactOutcome>,
+    outcomes: VecDeque<TransactOutcome>,
     late: Vec<catkin_border::platform::TransactRequest>,
-    out: bool,
+    outage: bool,
 }
 
 impl MockPlatform {
     /// Appends outcomes for the next transactions. Transactions beyond the script are answered.
-    pub fn script(&self, fates: impl IntoIterator<Item = TransactOutcome>) {
-        self.inner.lock().fates.extend(fates);
+    pub fn script(&self, outcomes: impl IntoIterator<Item = TransactOutcome>) {
+        self.inner.lock().outcomes.extend(outcomes);
     }
 
     /// Discards the remaining scripted outcomes, so that all further transactions are answered.
-    pub fn forget_script(&self) {
-        self.inner.lock().fates.clear();
+    pub fn clear_script(&self) {
+        self.inner.lock().outcomes.clear();
     }
 
     /// Starts or ends an outage, in which every call is refused as not run.
-    pub fn outage(&self, out: bool) {
-        self.inner.lock().out = out;
+    pub fn set_outage(&self, outage: bool) {
+        self.inner.lock().outage = outage;
     }
 
     /// Gives access to the stored state regardless of scripted outcomes and outages.
@@ -57,20 +57,22 @@
     /// Returns the platform client that is passed to parts of the router.
     #[must_use]
     pub fn platform(&self) -> Platform {
-        let call = || self.clone();
-        let (transact, read, scan) = (call(), call(), call());
-        let (put_object, get_object, vms) = (call(), call(), call());
+        let client = || self.clone();
+        let (transact, read, scan) = (client(), client(), client());
+        let (put_object, get_object, vms) = (client(), client(), client());
         Platform {
             transact: Box::new(move |req| ready(transact.transact(req))),
-            read: Box::new(move |keys| ready(read.up(|store| store.read(&keys)))),
-            scan: Box::new(move |req| ready(scan.up(|store| store.scan(&req)))),
+            read: Box::new(move |keys| ready(read.unless_outage(|store| store.read(&keys)))),
+            scan: Box::new(move |req| ready(scan.unless_outage(|store| store.scan(&req)))),
             put_object: Box::new(move |(name, body)| {
-                ready(put_object.up(|store| store.put_object(&name, body)))
+                ready(put_object.unless_outage(|store| store.put_object(&name, body)))
+            }),
+            get_object: Box::new(move |name| {
+                ready(get_object.unless_outage(|store| store.get_object(&name)))
             }),
-            get_object: Box::new(move |name| ready(get_object.up(|store| store.get_object(&name)))),
             vms: Box::new(move |()| {
                 let latest = catkin_decisions::Instant(Duration::MAX);
-                ready(vms.up(|store| store.vms(latest)))
+                ready(vms.unless_outage(|store| store.vms(latest)))
             }),
         }
     }
@@ -84,10 +86,14 @@
         for late in std::mem::take(&mut inner.late) {
             inner.store.transact(late);
         }
-        if inner.out {
+        if inner.outage {
             return Err(PlatformError::NotRun);
         }
-        match inner.fates.pop_front().unwrap_or(TransactOutcome::Answered) {
+        match inner
+            .outcomes
+            .pop_front()
+            .unwrap_or(TransactOutcome::Answered)
+        {
             TransactOutcome::Answered => Ok(inner.store.transact(req)),
             TransactOutcome::LostAfterEffect => {
                 inner.store.transact(req);
@@ -103,9 +109,12 @@
         }
     }
 
-    fn up<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> Result<T, PlatformError> {
+    fn unless_outage<T>(
+        &self,
+        f: impl FnOnce(&mut PlatformStore) -> T,
+    ) -> Result<T, PlatformError> {
         let mut inner = self.inner.lock();
-        if inner.out {
+        if inner.outage {
             return Err(PlatformError::NotRun);
         }
         Ok(f(&mut inner.store))
--- a/crates/standins/src/plain_server.rs
+++ b/crates/standins/src/plain_server.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     killable_listener::KillableListener,
-    query::{malformed, query_value},
+    query::{bad_request, query_value},
 };
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -22,10 +22,10 @@
     address: SocketAddr,
     settings: PlainSettings,
     incarnation: u64,
-    places: Semaphore,
+    slots: Semaphore,
     running: AtomicU64,
     waiting: AtomicU64,
-    counts: Mutex<RunCounts>,
+    run_counts: Mutex<RunCounts>,
     fault: Mutex<PlainFault>,
     random: Mutex<Xoshiro256PlusPlus>,
     killed: CancellationToken,
@@ -41,16 +41,16 @@
 }
 
 /// Guard that counts a request in a gauge until it is dropped.
-struct Counted<'a>(&'a AtomicU64);
+struct GaugeGuard<'a>(&'a AtomicU64);
 
-impl<'a> Counted<'a> {
+impl<'a> GaugeGuard<'a> {
     fn new(count: &'a AtomicU64) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for GaugeGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -69,10 +69,10 @@
             inner: Arc::new(Inner {
                 address: listener.local_addr()?,
                 incarnation: rand::random::<u64>() >> 1,
-                places: Semaphore::new(settings.capacity),
+                slots: Semaphore::new(settings.capacity),
                 running: AtomicU64::new(0),
                 waiting: AtomicU64::new(0),
-                counts: Mutex::default(),
+                run_counts: Mutex::default(),
                 fault: Mutex::default(),
                 random: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(settings.seed)),
                 killed: killed.clone(),
@@ -90,14 +90,14 @@
     }
 
     /// Sets the fault of all further requests; [`PlainFault::None`] ends it.
-    pub fn fail(&self, fault: PlainFault) {
+    pub fn set_fault(&self, fault: PlainFault) {
         *self.inner.fault.lock() = fault;
     }
 
     /// Returns the number of runs of each request.
     #[must_use]
-    pub fn counts(&self) -> RunCounts {
-        self.inner.counts.lock().clone()
+    pub fn run_counts(&self) -> RunCounts {
+        self.inner.run_counts.lock().clone()
     }
 
     /// Closes the listening socket, so that new connections are refused.
@@ -115,22 +115,22 @@
         let Ok(body) = req.into_body().into_bytes().await else {
             return refusal(fault);
         };
-        let waiting = Counted::new(&self.inner.waiting);
-        let place = self.inner.places.acquire().await;
+        let waiting = GaugeGuard::new(&self.inner.waiting);
+        let slot = self.inner.slots.acquire().await;
         drop(waiting);
-        let _running = Counted::new(&self.inner.running);
+        let _running = GaugeGuard::new(&self.inner.running);
         let digest = request_digest(&query, &body);
         let key = key.as_ref().and_then(|key| key.to_str().ok());
         let run = self
             .inner
-            .counts
+            .run_counts
             .lock()
             .add(key.unwrap_or_default(), digest);
         tokio::time::sleep(self.service_time(fault)).await;
-        drop(place);
+        drop(slot);
         match fault {
             PlainFault::LoseAnswer => std::future::pending().await,
-            PlainFault::BreakOff => broken_answer(),
+            PlainFault::BreakOff => truncated_response(),
             _ => Response::new(json_bytes(&PlainResponse { digest, run }).into()),
         }
     }
@@ -163,11 +163,11 @@
         Response::new(json_bytes(&load).into())
     }
 
-    fn take_fault(&self, req: &Request) -> Response {
+    fn handle_fault(&self, req: &Request) -> Response {
         let Some(fault) = query_value(req, "kind").and_then(|kind| kind.parse().ok()) else {
-            return malformed();
+            return bad_request();
         };
-        self.fail(fault);
+        self.set_fault(fault);
         Response::new(Body::empty())
     }
 }
@@ -179,8 +179,8 @@
     async fn call(&self, _: &mut ServerContext, req: Request) -> Result<Response, Infallible> {
         Ok(match (req.method(), req.uri().path()) {
             (&Method::GET, "/v1/load") => self.load(),
-            (&Method::GET, "/stats") => Response::new(json_bytes(&self.counts()).into()),
-            (&Method::POST, "/fault") => self.take_fault(&req),
+            (&Method::GET, "/stats") => Response::new(json_bytes(&self.run_counts()).into()),
+            (&Method::POST, "/fault") => self.handle_fault(&req),
             _ => self.serve(req).await,
         })
     }
@@ -203,7 +203,7 @@
     response
 }
 
-fn broken_answer() -> Response {
+fn truncated_response() -> Response {
     let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
     let frames = [
         Ok(http_body::Frame::data(Bytes::from_static(b"{"))),
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -39,7 +39,7 @@
 }
 
 /// Outcome of a platform call.
-enum Outcome {
+enum CallOutcome {
     Answer(Response),
     /// The call took effect, but its response is truncated.
     Lost,
@@ -64,7 +64,7 @@
                 killed: CancellationToken::new(),
             }),
         };
-        server.fault(&faults);
+        server.change_faults(&faults);
         let app = Server::new(server.clone());
         let listener = KillableListener::new(listener, server.inner.killed.clone());
         tokio::spawn(app.run(listener));
@@ -78,7 +78,7 @@
     }
 
     /// Changes the injected faults; absent fields keep their values.
-    pub fn fault(&self, change: &PlatformFaults) {
+    pub fn change_faults(&self, change: &PlatformFaults) {
         self.inner.faults.lock().change(change);
     }
 
@@ -101,21 +101,21 @@
     /// takes effect even if the client disconnects, as does a call that is already in the network.
     async fn platform_call(&self, method: Method, path: String, body: Bytes) -> Response {
         let server = self.clone();
-        let call = tokio::spawn(async move { server.effect(&method, &path, body).await });
+        let call = tokio::spawn(async move { server.execute(&method, &path, body).await });
         match call.await {
-            Ok(Outcome::Answer(response)) => response,
-            Ok(Outcome::Lost) | Err(_) => broken(),
+            Ok(CallOutcome::Answer(response)) => response,
+            Ok(CallOutcome::Lost) | Err(_) => truncated_response(),
         }
     }
 
-    async fn effect(&self, method: &Method, path: &str, body: Bytes) -> Outcome {
+    async fn execute(&self, method: &Method, path: &str, body: Bytes) -> CallOutcome {
         let (outage, delay) = {
             let faults = self.inner.faults.lock();
             (faults.outage, faults.delay)
         };
         match outage {
             PlatformOutage::None => {}
-            PlatformOutage::Refused => return Outcome::Answer(status(503)),
+            PlatformOutage::Refused => return CallOutcome::Answer(status(503)),
             PlatformOutage::Silent => std::future::pending().await,
         }
         if !delay.is_zero() {
@@ -124,12 +124,12 @@
         let transaction = path == "/v1/table/transact";
         if !self.admit(path) {
             self.inner.throttled.fetch_add(1, Ordering::Relaxed);
-            return Outcome::Answer(status(429));
+            return CallOutcome::Answer(status(429));
         }
         let response = self.apply(method, path, body);
         let (lost, answer_delay) = {
             let mut faults = self.inner.faults.lock();
-            let lost = transaction && response.status().is_success() && faults.loses_answer();
+            let lost = transaction && response.status().is_success() && faults.should_lose_answer();
             (lost, faults.answer_delay)
         };
         if !answer_delay.is_zero() {
@@ -137,9 +137,9 @@
         }
         if lost {
             self.inner.answers_lost.fetch_add(1, Ordering::Relaxed);
-            return Outcome::Lost;
+            return CallOutcome::Lost;
         }
-        Outcome::Answer(response)
+        CallOutcome::Answer(response)
     }
 
     fn admit(&self, path: &str) -> bool {
@@ -154,14 +154,14 @@
 
     fn apply(&self, method: &Method, path: &str, body: Bytes) -> Response {
         match (method, path) {
-            (&Method::POST, "/v1/table/transact") => parsed(&body, |req: TransactRequest| {
+            (&Method::POST, "/v1/table/transact") => handle_json(&body, |req: TransactRequest| {
                 json(&self.inner.store.lock().transact(req))
             }),
-            (&Method::POST, "/v1/table/read") => parsed(&body, |req: ReadRequest| {
+            (&Method::POST, "/v1/table/read") => handle_json(&body, |req: ReadRequest| {
                 let rows = self.inner.store.lock().read(&req.keys);
                 json(&RowsReply { rows })
             }),
-            (&Method::POST, "/v1/table/scan") => parsed(&body, |req| {
+            (&Method::POST, "/v1/table/scan") => handle_json(&body, |req| {
                 let rows = self.inner.store.lock().scan(&req);
                 json(&RowsReply { rows })
             }),
@@ -171,7 +171,7 @@
                 let vms = self.inner.store.lock().vms(then);
                 json(&VmList { vms })
             }
-            (&Method::PUT, "/v1/vms") => parsed(&body, |list: VmList| {
+            (&Method::PUT, "/v1/vms") => handle_json(&body, |list: VmList| {
                 self.inner.store.lock().set_vms(self.now(), list.vms);
                 status(200)
             }),
@@ -206,8 +206,8 @@
             return Ok(status(400));
         };
         Ok(match (&method, path.as_str()) {
-            (&Method::POST, "/fault") => parsed(&body, |change| {
-                self.fault(&change);
+            (&Method::POST, "/fault") => handle_json(&body, |change| {
+                self.change_faults(&change);
                 status(200)
             }),
             (&Method::GET, "/stats") => json(&self.stats()),
@@ -251,7 +251,7 @@
         }
     }
 
-    fn loses_answer(&mut self) -> bool {
+    fn should_lose_answer(&mut self) -> bool {
         self.transactions += 1;
         if self.lose_answers > 0 {
             self.lose_answers -= 1;
@@ -261,11 +261,11 @@
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(
+fn handle_json<T: serde::de::DeserializeOwned>(
     body: &[u8],
-    answer: impl FnOnce(T) -> Response,
+    respond: impl FnOnce(T) -> Response,
 ) -> Response {
-    serde_json::from_slice(body).map_or_else(|_| status(400), answer)
+    serde_json::from_slice(body).map_or_else(|_| status(400), respond)
 }
 
 fn json<T: serde::Serialize>(value: &T) -> Response {
@@ -279,7 +279,7 @@
 }
 
 /// Returns a response whose body fails before its first byte.
-fn broken() -> Response {
+fn truncated_response() -> Response {
     let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
     let frames =
         futures::stream::iter([Err::<http_body::Frame<Bytes>, volo_http::error::BoxError>(
--- a/crates/standins/src/platform_store.rs
+++ b/crates/standins/src/platform_store.rs
@@ -39,7 +39,7 @@
             .collect::<Vec<_>>();
         let committed = conflicts.is_empty();
         if committed {
-            self.stats.rows_written += count(req.writes.len());
+            self.stats.rows_written += to_u64(req.writes.len());
             req.writes.into_iter().for_each(|write| self.write(write));
         }
         TransactReply {
@@ -85,7 +85,7 @@
     /// Stores an object.
     pub fn put_object(&mut self, name: &str, body: Bytes) {
         self.stats.object_writes += 1;
-        match self.object_place(name) {
+        match self.object_position(name) {
             Ok(i) => self.objects[i].1 = body,
             Err(i) => self.objects.insert(i, (name.into(), body)),
         }
@@ -94,7 +94,7 @@
     /// Returns an object, or `None` if it does not exist.
     pub fn get_object(&mut self, name: &str) -> Option<Bytes> {
         self.stats.object_reads += 1;
-        let i = self.object_place(name).ok()?;
+        let i = self.object_position(name).ok()?;
         Some(self.objects[i].1.clone())
     }
 
@@ -131,10 +131,10 @@
     }
 
     fn table(&self, name: &str) -> &[Row] {
-        let place = self
+        let position = self
             .tables
             .binary_search_by(|(table, _)| table.as_str().cmp(name));
-        place.map_or(&[], |i| &self.tables[i].1)
+        position.map_or(&[], |i| &self.tables[i].1)
     }
 
     fn row(&self, table: &str, key: &str) -> Option<&Row> {
@@ -155,16 +155,16 @@
     }
 
     fn write(&mut self, write: Write) {
-        let place = self
+        let position = self
             .tables
             .binary_search_by(|(table, _)| table.as_str().cmp(&write.table));
-        let i = place.unwrap_or_else(|i| {
+        let i = position.unwrap_or_else(|i| {
             self.tables.insert(i, (write.table.clone(), Vec::new()));
             i
         });
         let rows = &mut self.tables[i].1;
-        let place = rows.binary_search_by(|row| row.key.as_str().cmp(&write.key));
-        match (place, write.value) {
+        let position = rows.binary_search_by(|row| row.key.as_str().cmp(&write.key));
+        match (position, write.value) {
             (Ok(i), Some(value)) => {
                 rows[i].value = value;
                 rows[i].version += 1;
@@ -185,17 +185,17 @@
         }
     }
 
-    fn object_place(&self, name: &str) -> Result<usize, usize> {
+    fn object_position(&self, name: &str) -> Result<usize, usize> {
         self.objects
             .binary_search_by(|(object, _)| object.as_ref().cmp(name))
     }
 
     fn count_read(&mut self, rows: &[Row]) {
         self.stats.reads += 1;
-        self.stats.rows_read += count(rows.len());
+        self.stats.rows_read += to_u64(rows.len());
     }
 }
 
-fn count(n: usize) -> u64 {
+fn to_u64(n: usize) -> u64 {
     u64::try_from(n).unwrap_or(u64::MAX)
 }
--- a/crates/standins/src/prefix_cache.rs
+++ b/crates/standins/src/prefix_cache.rs
@@ -4,35 +4,38 @@
 pub(crate) struct PrefixCache {
     /// Digest and number of tokens of each cached prompt.
     prompts: VecDeque<(u64, usize)>,
-    held: usize,
-    bound: usize,
+    cached_tokens: usize,
+    capacity: usize,
 }
 
 impl PrefixCache {
-    pub(crate) fn new(bound: usize) -> Self {
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
             prompts: VecDeque::new(),
-            held: 0,
-            bound,
+            cached_tokens: 0,
+            capacity,
         }
     }
 
     /// Inserts a prompt and returns how many of its tokens were cached: all or none.
-    pub(crate) fn take(&mut self, prompt: &str) -> usize {
+    pub(crate) fn insert(&mut self, prompt: &str) -> usize {
         let digest = xxhash_rust::xxh3::xxh3_64(prompt.as_bytes());
         let tokens = prompt_tokens(prompt);
-        let place = self.prompts.iter().position(|(held, _)| *held == digest);
-        let cached = place.and_then(|i| self.prompts.remove(i)).is_some();
+        let index = self
+            .prompts
+            .iter()
+            .position(|(cached_digest, _)| *cached_digest == digest);
+        let cached = index.and_then(|i| self.prompts.remove(i)).is_some();
         self.prompts.push_back((digest, tokens));
         if cached {
             return tokens;
         }
-        self.held += tokens;
-        while self.held > self.bound {
-            let Some((_, dropped)) = self.prompts.pop_front() else {
+        self.cached_tokens += tokens;
+        while self.cached_tokens > self.capacity {
+            let Some((_, evicted)) = self.prompts.pop_front() else {
                 break;
             };
-            self.held -= dropped;
+            self.cached_tokens -= evicted;
         }
         0
     }
--- a/crates/standins/src/proxy_route.rs
+++ b/crates/standins/src/proxy_route.rs
@@ -11,12 +11,12 @@
 };
 
 /// Maximum number of delayed chunks buffered for one direction of a connection.
-const CHUNKS: usize = 256;
+const MAX_BUFFERED_CHUNKS: usize = 256;
 
 /// Route of the fault-injecting proxy: a listening address in front of one upstream.
 pub(crate) struct ProxyRoute {
     address: SocketAddr,
-    passed: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
     state: watch::Sender<RouteState>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 /// How a connection through the proxy ended.
-enum End {
+enum ConnectionEnd {
     Closed,
     HalfOpen,
     Reset,
@@ -50,18 +50,23 @@
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let state = watch::Sender::new(RouteState::default());
-        let passed = Arc::new(AtomicU64::new(0));
-        tokio::spawn(accept(listener, to, state.subscribe(), passed.clone()));
+        let forwarded_bytes = Arc::new(AtomicU64::new(0));
+        tokio::spawn(accept(
+            listener,
+            to,
+            state.subscribe(),
+            forwarded_bytes.clone(),
+        ));
         Ok(Self {
             address,
-            passed,
+            forwarded_bytes,
             state,
         })
     }
 
     /// Returns the number of bytes forwarded, both directions together.
-    pub(crate) fn passed(&self) -> u64 {
-        self.passed.load(Ordering::Relaxed)
+    pub(crate) fn forwarded_bytes(&self) -> u64 {
+        self.forwarded_bytes.load(Ordering::Relaxed)
     }
 
     pub(crate) fn address(&self) -> SocketAddr {
@@ -82,22 +87,27 @@
     listener: TcpListener,
     to: SocketAddr,
     state: watch::Receiver<RouteState>,
-    passed: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
 ) {
     while let Ok((caller, _)) = listener.accept().await {
         if state.borrow().fault == ProxyFault::Refuse {
             let _ = caller.set_zero_linger();
             continue;
         }
-        tokio::spawn(connect(caller, to, state.clone(), passed.clone()));
+        tokio::spawn(serve_connection(
+            caller,
+            to,
+            state.clone(),
+            forwarded_bytes.clone(),
+        ));
     }
 }
 
-async fn connect(
+async fn serve_connection(
     mut caller: TcpStream,
     to: SocketAddr,
     mut state: watch::Receiver<RouteState>,
-    passed: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
 ) {
     let opened = *state.borrow();
     let reachable = state.wait_for(|state| state.fault != ProxyFault::BlackHole);
@@ -109,12 +119,12 @@
         return;
     };
     let _ = (caller.set_nodelay(true), upstream.set_nodelay(true));
-    match pass(&mut caller, &mut upstream, opened, &state, &passed).await {
-        End::Closed => {}
-        End::Reset => {
+    match forward(&mut caller, &mut upstream, opened, &state, &forwarded_bytes).await {
+        ConnectionEnd::Closed => {}
+        ConnectionEnd::Reset => {
             let _ = (caller.set_zero_linger(), upstream.set_zero_linger());
         }
-        End::HalfOpen => {
+        ConnectionEnd::HalfOpen => {
             let _ = upstream.set_zero_linger();
             drop(upstream);
             let _ = tokio::io::copy(&mut caller, &mut tokio::io::sink()).await;
@@ -122,23 +132,23 @@
     }
 }
 
-async fn pass(
+async fn forward(
     caller: &mut TcpStream,
     upstream: &mut TcpStream,
     opened: RouteState,
     state: &watch::Receiver<RouteState>,
-    passed: &Arc<AtomicU64>,
-) -> End {
+    forwarded_bytes: &Arc<AtomicU64>,
+) -> ConnectionEnd {
     let (caller_rx, caller_tx) = caller.split();
     let (upstream_rx, upstream_tx) = upstream.split();
-    let link = |direction| Link {
+    let forwarder = |direction| Forwarder {
         direction,
         opened,
         state: state.clone(),
-        passed: passed.clone(),
+        forwarded_bytes: forwarded_bytes.clone(),
     };
-    let up = link(Direction::Up).copy(caller_rx, upstream_tx);
-    let down = link(Direction::Down).copy(upstream_rx, caller_tx);
+    let up = forwarder(Direction::Up).copy(caller_rx, upstream_tx);
+    let down = forwarder(Direction::Down).copy(upstream_rx, caller_tx);
     let changed = |count: fn(&RouteState) -> u64| {
         let mut state = state.clone();
         async move {
@@ -146,26 +156,26 @@
         }
     };
     tokio::select! {
-        passed = async { tokio::try_join!(up, down) } => match passed {
-            Ok(_) => End::Closed,
-            Err(_) => End::Reset,
+        result = async { tokio::try_join!(up, down) } => match result {
+            Ok(_) => ConnectionEnd::Closed,
+            Err(_) => ConnectionEnd::Reset,
         },
-        () = changed(|state| state.resets) => End::Reset,
-        () = changed(|state| state.half_opens) => End::HalfOpen,
+        () = changed(|state| state.resets) => ConnectionEnd::Reset,
+        () = changed(|state| state.half_opens) => ConnectionEnd::HalfOpen,
     }
 }
 
 /// Forwards one direction of a connection.
-struct Link {
+struct Forwarder {
     direction: Direction,
     opened: RouteState,
     state: watch::Receiver<RouteState>,
-    passed: Arc<AtomicU64>,
+    forwarded_bytes: Arc<AtomicU64>,
 }
 
-impl Link {
+impl Forwarder {
     async fn copy(self, rx: ReadHalf<'_>, tx: WriteHalf<'_>) -> io::Result<()> {
-        let (chunk_tx, chunk_rx) = mpsc::channel(CHUNKS);
+        let (chunk_tx, chunk_rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         tokio::try_join!(self.read(rx, chunk_tx), write(tx, chunk_rx)).map(|_| ())
     }
 
@@ -186,7 +196,7 @@
             if fault == ProxyFault::LoseAnswers && self.direction == Direction::Down {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
-            self.passed
+            self.forwarded_bytes
                 .fetch_add(u64::try_from(n).unwrap_or(0), Ordering::Relaxed);
             let due = match fault {
                 ProxyFault::Delay => Instant::now() + delay,
@@ -203,13 +213,13 @@
     async fn wait_until_open(&mut self) {
         let (direction, silences) = (self.direction, self.opened.silences);
         let open = self.state.wait_for(|state| {
-            let cut = match state.fault {
+            let blocked = match state.fault {
                 ProxyFault::BlackHole => true,
                 ProxyFault::CutUp => direction == Direction::Up,
                 ProxyFault::CutDown => direction == Direction::Down,
                 _ => false,
             };
-            !cut && state.silences == silences
+            !blocked && state.silences == silences
         });
         let _ = open.await;
     }
--- a/crates/standins/src/query.rs
+++ b/crates/standins/src/query.rs
@@ -18,7 +18,7 @@
 }
 
 /// Returns an empty response with status 400.
-pub(crate) fn malformed() -> Response {
+pub(crate) fn bad_request() -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
--- a/crates/standins/src/run_counts.rs
+++ b/crates/standins/src/run_counts.rs
@@ -22,10 +22,10 @@
 impl RunCounts {
     /// Counts a run and returns the number of runs of that request so far.
     pub fn add(&mut self, key: &str, digest: u64) -> u64 {
-        let place = self
+        let position = self
             .runs
             .binary_search_by(|run| (&*run.key, run.digest).cmp(&(key, digest)));
-        match place {
+        match position {
             Ok(i) => {
                 self.runs[i].count += 1;
                 self.runs[i].count
--- a/crates/standins/src/sequence.rs
+++ b/crates/standins/src/sequence.rs
@@ -2,7 +2,7 @@
 
 /// Attempt of a generation on a mock engine.
 pub(crate) struct Sequence {
-    pub(crate) order: engine::EngineGenerate,
+    pub(crate) request: engine::EngineGenerate,
     /// Attempt number; a router that takes the sequence over raises it.
     attempt: AtomicU64,
     pub(crate) state: Mutex<SequenceState>,
@@ -16,26 +16,31 @@
     pub(crate) finish: Option<engine::FinishReason>,
     /// Number of prompt and prefix tokens that still need prefill.
     pub(crate) prefill_left: usize,
-    pub(crate) unread_since: Option<tokio::time::Instant>,
+    pub(crate) detached_since: Option<tokio::time::Instant>,
 }
 
 impl Sequence {
-    pub(crate) fn new(order: engine::EngineGenerate) -> Self {
-        let mut chain = TokenChain::new(&order.model, &order.version, &order.prompt, order.seed);
-        for id in &order.prefix {
+    pub(crate) fn new(request: engine::EngineGenerate) -> Self {
+        let mut chain = TokenChain::new(
+            &request.model,
+            &request.version,
+            &request.prompt,
+            request.seed,
+        );
+        for id in &request.prefix {
             chain.push(*id);
         }
-        let prefill_left = prompt_tokens(&order.prompt) + order.prefix.len();
-        let whole = order.prefix.len() >= length(order.max_tokens);
+        let prefill_left = prompt_tokens(&request.prompt) + request.prefix.len();
+        let is_complete = request.prefix.len() >= to_usize(request.max_tokens);
         Self {
-            attempt: AtomicU64::new(order.attempt),
-            order,
+            attempt: AtomicU64::new(request.attempt),
+            request,
             state: Mutex::new(SequenceState {
                 chain,
                 tokens: Vec::new(),
-                finish: whole.then_some(engine::FinishReason::Length),
+                finish: is_complete.then_some(engine::FinishReason::Length),
                 prefill_left,
-                unread_since: None,
+                detached_since: None,
             }),
             changes: watch::Sender::new(()),
         }
@@ -46,15 +51,15 @@
     }
 
     /// Raises the attempt number, which ends the streams of readers under a smaller one.
-    pub(crate) fn become_attempt(&self, attempt: u64) {
+    pub(crate) fn raise_attempt(&self, attempt: u64) {
         self.attempt.fetch_max(attempt, Ordering::Relaxed);
         self.changes.send_replace(());
     }
 
     /// Returns whether the sequence can be read from token `from` of the full answer on.
-    pub(crate) fn can_be_read_from(&self, from: u32) -> bool {
+    pub(crate) fn is_readable_from(&self, from: u32) -> bool {
         let cancelled = self.state.lock().finish == Some(engine::FinishReason::Cancelled);
-        !cancelled && length(from) >= self.order.prefix.len()
+        !cancelled && to_usize(from) >= self.request.prefix.len()
     }
 
     /// Decodes one token.
@@ -63,10 +68,10 @@
         if state.finish.is_some() {
             return;
         }
-        let id = state.chain.sample(salt ^ self.order.attempt);
+        let id = state.chain.sample(salt ^ self.request.attempt);
         let bytes = state.chain.push(id);
         state.tokens.push((id, bytes));
-        if self.order.prefix.len() + state.tokens.len() >= length(self.order.max_tokens) {
+        if self.request.prefix.len() + state.tokens.len() >= to_usize(self.request.max_tokens) {
             state.finish = Some(engine::FinishReason::Length);
         }
         drop(state);
@@ -85,8 +90,8 @@
     /// whether the last event is the end of the sequence.
     pub(crate) fn events_from(&self, from: u32) -> (String, u32, bool) {
         let state = self.state.lock();
-        let prefix = self.order.prefix.len();
-        let skip = length(from).saturating_sub(prefix);
+        let prefix = self.request.prefix.len();
+        let skip = to_usize(from).saturating_sub(prefix);
         let mut text = String::new();
         let mut next = from;
         for (id, bytes) in state.tokens.iter().skip(skip) {
@@ -94,7 +99,7 @@
                 attempt: self.attempt(),
                 bytes: to_hex(bytes),
                 index: next,
-                request_id: self.order.request_id.clone(),
+                request_id: self.request.request_id.clone(),
                 token: *id,
             };
             write_event(&mut text, "token", &event);
@@ -104,7 +109,7 @@
             let event = engine::EngineEnd {
                 attempt: self.attempt(),
                 finish_reason,
-                request_id: self.order.request_id.clone(),
+                request_id: self.request.request_id.clone(),
                 tokens: next,
             };
             write_event(&mut text, "end", &event);
@@ -120,6 +125,6 @@
     text.extend(["event: ", name, "\ndata: ", &data, "\n\n"]);
 }
 
-fn length(tokens: u32) -> usize {
+fn to_usize(tokens: u32) -> usize {
     usize::try_from(tokens).unwrap_or(usize::MAX)
 }
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 struct Counts {
     loading: AtomicUsize,
-    most: AtomicUsize,
+    max_loading: AtomicUsize,
 }
 
 /// Guard that counts one load until it is dropped.
@@ -22,13 +22,15 @@
 impl WeightStore {
     /// Returns the largest number of concurrent loads so far.
     #[must_use]
-    pub fn most_at_once(&self) -> usize {
-        self.counts.most.load(Ordering::Relaxed)
+    pub fn max_concurrent_loads(&self) -> usize {
+        self.counts.max_loading.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn enter(&self) -> WeightStoreLocation {
+    pub(crate) fn begin_load(&self) -> WeightStoreLocation {
         let loading = self.counts.loading.fetch_add(1, Ordering::Relaxed) + 1;
-        self.counts.most.fetch_max(loading, Ordering::Relaxed);
+        self.counts
+            .max_loading
+            .fetch_max(loading, Ordering::Relaxed);
         WeightStoreLocation {
             counts: self.counts.clone(),
         }
--- a/crates/standins/tests/answer_verdict.rs
+++ b/crates/standins/tests/answer_verdict.rs
@@ -32,8 +32,8 @@
     let (ids, bytes) = generate("menu", &[], 1);
     let resumed = generate("menu", &ids[..8], 2);
 
-    expect_that!(verdict(&ids, &bytes).is_right(), eq(true));
-    expect_that!(verdict(&resumed.0, &resumed.1).is_right(), eq(true));
+    expect_that!(verdict(&ids, &bytes).is_correct(), eq(true));
+    expect_that!(verdict(&resumed.0, &resumed.1).is_correct(), eq(true));
 }
 
 #[gtest]
@@ -70,8 +70,8 @@
     let cut = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..4], text, false);
     let called_whole = AnswerVerdict::of(chain("menu"), 4, &ids[..4], text, true);
 
-    expect_that!(cut.is_right(), eq(true));
-    expect_that!(called_whole.is_right(), eq(false));
+    expect_that!(cut.is_correct(), eq(true));
+    expect_that!(called_whole.is_correct(), eq(false));
 }
 
 #[gtest]
@@ -126,6 +126,6 @@
 
         let verdict = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..count], &text, false);
 
-        expect_that!(verdict.is_right(), eq(true), "cut after {count}");
+        expect_that!(verdict.is_correct(), eq(true), "cut after {count}");
     }
 }
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -182,7 +182,7 @@
             ..order("k")
         };
         let refused = vm.claim(hurried).await;
-        platform.forget_script();
+        platform.clear_script();
         vm.flush().await;
 
         let verdict = vm.claim(order("k")).await;
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -205,7 +205,7 @@
         engines.iter().all(|engine| holds_only(engine, "2"))
     })
     .await;
-    expect_that!(weight_store.most_at_once(), eq(1));
+    expect_that!(weight_store.max_concurrent_loads(), eq(1));
     expect_that!(vm.events(EventKind::LeaseWon), eq(1));
 }
 
@@ -280,7 +280,7 @@
         vm.bundle.advance(bundle(1, &engines, "2"));
         until("the engine holds version 2", || holds_only(engine, "2")).await;
 
-        let taken = engine.take_order(stale_order(0, "1"));
+        let taken = engine.apply_order(stale_order(0, "1"));
 
         expect_that!(taken.is_ok(), eq(!enforces_fencing));
         until("the engine holds version 2 again", || {
@@ -298,7 +298,7 @@
 async fn terms_rise_above_what_the_engine_knows() {
     let engines = engines(1, engine_settings()).await;
     engines[0]
-        .take_order(stale_order(41, "1"))
+        .apply_order(stale_order(41, "1"))
         .expect("the first order is taken");
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
@@ -376,7 +376,7 @@
     let vm = vm(&platform, "vm-1");
     let lease = vm.leases.compete(SCOPE);
     until("the lease is held", || lease.held().is_some()).await;
-    platform.outage(true);
+    platform.set_outage(true);
 
     let refused = lease.permit().await;
 
@@ -401,9 +401,9 @@
         engines.iter().any(|engine| engine.order_counts().taken > 0)
     })
     .await;
-    platform.outage(true);
+    platform.set_outage(true);
     until("the lease has lapsed", || !vm.holds()).await;
-    platform.outage(false);
+    platform.set_outage(false);
 
     until("all engines hold version 2", || {
         engines.iter().all(|engine| holds_only(engine, "2"))
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -50,7 +50,7 @@
         second.expect("an answer"),
         eq(&PlainResponse { digest, run: 2 })
     );
-    expect_that!(plain.counts().of_digest(digest), eq(2));
+    expect_that!(plain.run_counts().of_digest(digest), eq(2));
 }
 
 /// A request runs, but its response is lost or truncated, so that only the run count shows that it
@@ -65,12 +65,12 @@
         (PlainFault::Leave, 0),
     ] {
         let plain = plain().await;
-        plain.fail(fault);
+        plain.set_fault(fault);
 
         let outcome = post(&plain, "survey").await;
 
         expect_that!(outcome, err(anything()));
         let digest = request_digest("", b"survey");
-        expect_that!(plain.counts().of_digest(digest), eq(runs));
+        expect_that!(plain.run_counts().of_digest(digest), eq(runs));
     }
 }
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -109,7 +109,7 @@
     }
 
     fn dead(&self) -> usize {
-        let dead = |engine: &&EngineServer| engine.died().now_or_never().is_some();
+        let dead = |engine: &&EngineServer| engine.wait_killed().now_or_never().is_some();
         self.engines.iter().filter(dead).count()
     }
 }
@@ -170,14 +170,14 @@
 async fn refusal_of_a_leaving_engine_is_enough() {
     let site = site(2, RecoveryPolicy::LeastWait, Duration::from_secs(60)).await;
     let before = site.menus(1).await;
-    let work = site.engines[0].work();
+    let work = site.engines[0].token_counts();
 
     site.engines[0].leave(true);
     let answers = site.menus(16).await;
 
     expect_that!(whole_menus(&before), eq(1));
     expect_that!(whole_menus(&answers), eq(16));
-    expect_that!(site.engines[0].work(), eq(work));
+    expect_that!(site.engines[0].token_counts(), eq(work));
     let deltas = site.node.upstreams.leaving_deltas();
     expect_that!(
         deltas.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(),
@@ -191,7 +191,7 @@
 async fn word_of_a_peer_ends_new_work() {
     let site = site(2, RecoveryPolicy::LeastWait, Duration::ZERO).await;
     site.menus(1).await;
-    let work = site.engines[1].work();
+    let work = site.engines[1].token_counts();
     let id = "engine-1".parse().expect("a name");
     let incarnation = site
         .node
@@ -204,7 +204,7 @@
     let answers = site.menus(12).await;
 
     expect_that!(whole_menus(&answers), eq(12));
-    expect_that!(site.engines[1].work(), eq(work));
+    expect_that!(site.engines[1].token_counts(), eq(work));
 }
 
 /// Only the platform's VM list shows that an engine is leaving. A router that ignores the list would
@@ -231,11 +231,11 @@
     tokio::time::timeout(HANG_BOUND, noted)
         .await
         .expect("the list is read");
-    let work = site.engines[1].work();
+    let work = site.engines[1].token_counts();
     let answers = site.menus(12).await;
 
     expect_that!(whole_menus(&answers), eq(12));
-    expect_that!(site.engines[1].work(), eq(work));
+    expect_that!(site.engines[1].token_counts(), eq(work));
 }
 
 async fn list_as_leaving(platform: &PlatformServer, id: &str, address: SocketAddr) {
--- a/crates/standins/tests/team_limits.rs
+++ b/crates/standins/tests/team_limits.rs
@@ -102,7 +102,7 @@
     let bound = share * (2 + start.elapsed().as_secs());
     let whole = u64::try_from(whole.len()).expect("few");
     expect_that!(whole, all![ge(share), le(bound)]);
-    expect_that!(site.engine.work().0, eq(whole * u64::from(TOKENS)));
+    expect_that!(site.engine.token_counts().0, eq(whole * u64::from(TOKENS)));
     expect_that!(
         refused
             .iter()
