--- a/crates/standins/examples/claim_rate.rs
+++ b/crates/standins/examples/claim_rate.rs
@@ -19,7 +19,7 @@
 };
 
 const CALLERS: usize = 400;
-const RUN: Duration = Duration::from_secs(5);
+const RUN_DURATION: Duration = Duration::from_secs(5);
 
 /// One configuration to measure.
 #[derive(Clone, Copy)]
@@ -100,21 +100,33 @@
         .collect::<Result<Vec<_>, Box<dyn Error>>>()?;
     let start = Instant::now();
     let callers = vms.iter().enumerate().flat_map(|(i, vm)| {
-        (0..CALLERS / case.vms).map(move |j| tokio::spawn(call(vm.clone(), i * 1000 + j, start)))
+        (0..CALLERS / case.vms)
+            .map(move |j| tokio::spawn(run_caller(vm.clone(), i * 1000 + j, start)))
     });
-    let waits = futures::future::try_join_all(callers.collect::<Vec<_>>()).await?;
+    let latencies = futures::future::try_join_all(callers.collect::<Vec<_>>()).await?;
     let seconds = start.elapsed().as_secs_f64();
-    let refused = waits.iter().flatten().filter(|wait| wait.is_none()).count();
-    let mut waits = waits.into_iter().flatten().flatten().collect::<Vec<_>>();
-    waits.sort_unstable();
+    let refused = latencies
+        .iter()
+        .flatten()
+        .filter(|latency| latency.is_none())
+        .count();
+    let mut latencies = latencies
+        .into_iter()
+        .flatten()
+        .flatten()
+        .collect::<Vec<_>>();
+    latencies.sort_unstable();
     let stats = server.stats();
-    let claimed = f64::from(u32::try_from(waits.len())?);
+    let claimed = f64::from(u32::try_from(latencies.len())?);
     Ok(Rate {
         claimed_per_second: claimed / seconds,
         refused,
-        p50: waits.get(waits.len() / 2).copied().unwrap_or_default(),
-        p99: waits
-            .get(waits.len() * 99 / 100)
+        p50: latencies
+            .get(latencies.len() / 2)
+            .copied()
+            .unwrap_or_default(),
+        p99: latencies
+            .get(latencies.len() * 99 / 100)
             .copied()
             .unwrap_or_default(),
         writes_per_second: f64::from(u32::try_from(stats.writes)?) / seconds,
@@ -144,12 +156,12 @@
 }
 
 /// Makes one caller's claims in sequence. Returns the latency of each, or `None` if it was refused.
-async fn call(vm: Arc<Claims>, caller: usize, start: Instant) -> Vec<Option<Duration>> {
+async fn run_caller(vm: Arc<Claims>, caller: usize, start: Instant) -> Vec<Option<Duration>> {
     let team: TeamId = "counter".parse().expect("a valid name");
-    let mut waits = Vec::new();
-    while start.elapsed() < RUN {
-        let key = format!("{caller}-{}", waits.len());
-        let asked = Instant::now();
+    let mut latencies = Vec::new();
+    while start.elapsed() < RUN_DURATION {
+        let key = format!("{caller}-{}", latencies.len());
+        let claim_start = Instant::now();
         let verdict = vm
             .claim(ClaimRequest {
                 team: team.clone(),
@@ -161,16 +173,16 @@
             })
             .await;
         let ClaimVerdict::Claimed(claimed) = verdict else {
-            waits.push(None);
+            latencies.push(None);
             continue;
         };
-        waits.push(Some(asked.elapsed()));
-        let answer = ResponseToRecord {
+        latencies.push(Some(claim_start.elapsed()));
+        let response = ResponseToRecord {
             status: 201,
             headers: Vec::new(),
             body: Bytes::from_static(b"ticket"),
         };
-        vm.record_response(claimed.dispatch().1, answer);
+        vm.record_response(claimed.dispatch().1, response);
     }
-    waits
+    latencies
 }
--- a/crates/standins/examples/lease_rate.rs
+++ b/crates/standins/examples/lease_rate.rs
@@ -13,8 +13,8 @@
 use std::{error::Error, net::SocketAddr, sync::Arc, time::Duration};
 
 const SCOPES: [&str; 3] = ["claims-sweep", "orders/one", "orders/two"];
-const SETTLE: Duration = Duration::from_secs(5);
-const RUN: Duration = Duration::from_secs(20);
+const WARM_UP: Duration = Duration::from_secs(5);
+const RUN_DURATION: Duration = Duration::from_secs(20);
 
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
@@ -37,35 +37,35 @@
             address: server.address(),
             method: http::Method::PUT,
             path: "/v1/vms".to_owned(),
-            body: json_bytes(&list(vms)),
+            body: json_bytes(&vm_list(vms)),
             ..HttpCall::default()
         };
         connections.call_whole(call).await?;
     }
-    let mut kept = Vec::new();
+    let mut running_leases = Vec::new();
     for i in 0..vms {
         let timer = Timer::start();
         let cfg = PlatformSettings::default();
         let platform =
             Platform::over_http(connections.clone(), timer.clone(), server.address(), cfg);
-        let me = LeaseHolder {
+        let holder = LeaseHolder {
             vm: format!("vm-{i}").parse()?,
             incarnation: Incarnation(1),
         };
-        let leases = Leases::start(Arc::new(platform), timer, me, LeaseSettings::default());
+        let leases = Leases::start(Arc::new(platform), timer, holder, LeaseSettings::default());
         // The VM list must have been read before the first poll of a scope.
         tokio::time::sleep(Duration::from_millis(20)).await;
         for scope in SCOPES {
             leases.compete(scope);
         }
-        kept.push(leases);
+        running_leases.push(leases);
     }
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
     let before = server.stats();
-    tokio::time::sleep(RUN).await;
+    tokio::time::sleep(RUN_DURATION).await;
     let after = server.stats();
     let rate = |after: u64, before: u64| {
-        u32::try_from(after - before).map(|calls| f64::from(calls) / RUN.as_secs_f64())
+        u32::try_from(after - before).map(|calls| f64::from(calls) / RUN_DURATION.as_secs_f64())
     };
     Ok((
         rate(after.reads, before.reads)?,
@@ -73,7 +73,7 @@
     ))
 }
 
-fn list(vms: usize) -> VmList {
+fn vm_list(vms: usize) -> VmList {
     let entry = |i| VmEntry {
         id: format!("vm-{i}"),
         kind: VmKind::Router,
--- a/crates/standins/src/daemon.rs
+++ b/crates/standins/src/daemon.rs
@@ -68,28 +68,26 @@
     let mut settings = EngineSettings::default();
     while let Some(arg) = parser.next()? {
         match arg {
-            lexopt::Arg::Long("step-us") => settings.step = parse_micros("step-us", parser)?,
+            lexopt::Arg::Long("step-us") => settings.step = micros("step-us", parser)?,
             lexopt::Arg::Long("step-per-sequence-us") => {
-                settings.step_per_sequence = parse_micros("step-per-sequence-us", parser)?;
+                settings.step_per_sequence = micros("step-per-sequence-us", parser)?;
             }
             lexopt::Arg::Long("prefill-us") => {
-                settings.prefill_per_token = parse_micros("prefill-us", parser)?;
+                settings.prefill_per_token = micros("prefill-us", parser)?;
             }
             lexopt::Arg::Long("capacity") => settings.capacity = parse_value("capacity", parser)?,
             lexopt::Arg::Long("prefix-cache") => {
                 settings.prefix_cache = parse_value("prefix-cache", parser)?;
             }
             lexopt::Arg::Long("load-model-us") => {
-                settings.load_time = parse_micros("load-model-us", parser)?;
+                settings.load_time = micros("load-model-us", parser)?;
             }
             lexopt::Arg::Long("ignore-fencing") => settings.enforces_fencing = false,
             lexopt::Arg::Long("orderer") => {
                 let vm = parser.value()?.to_string_lossy().into_owned();
                 settings.orderers.push(vm.into());
             }
-            lexopt::Arg::Long("load-lag-us") => {
-                settings.load_lag = parse_micros("load-lag-us", parser)?
-            }
+            lexopt::Arg::Long("load-lag-us") => settings.load_lag = micros("load-lag-us", parser)?,
             lexopt::Arg::Long("seed") => settings.seed = parse_value("seed", parser)?,
             _ => return Err(arg.unexpected().into()),
         }
@@ -102,7 +100,7 @@
     while let Some(arg) = parser.next()? {
         match arg {
             lexopt::Arg::Long("service-us") => {
-                settings.service_time = parse_micros("service-us", parser)?;
+                settings.service_time = micros("service-us", parser)?;
             }
             lexopt::Arg::Long("spread") => settings.spread = parse_value("spread", parser)?,
             lexopt::Arg::Long("capacity") => settings.capacity = parse_value("capacity", parser)?,
@@ -152,7 +150,7 @@
     Ok(Standin::Proxy(upstreams))
 }
 
-fn parse_micros(flag: &'static str, parser: &mut lexopt::Parser) -> Result<Duration, StandinError> {
+fn micros(flag: &'static str, parser: &mut lexopt::Parser) -> Result<Duration, StandinError> {
     parse_value(flag, parser).map(Duration::from_micros)
 }
 
--- a/crates/standins/src/engine_models.rs
+++ b/crates/standins/src/engine_models.rs
@@ -69,13 +69,13 @@
             state.counts.refused += 1;
             return Err(engine::EngineRefusalKind::OrdererNotAllowed);
         }
-        let stale = state.highest_term.is_some_and(|term| order.term < term);
-        if stale && self.settings.enforces_fencing {
+        let is_old_term = state.highest_term.is_some_and(|term| order.term < term);
+        if is_old_term && self.settings.enforces_fencing {
             state.counts.refused += 1;
             return Err(engine::EngineRefusalKind::StaleTerm);
         }
         state.counts.taken += 1;
-        state.counts.stale_applied += u64::from(stale);
+        state.counts.stale_applied += u64::from(is_old_term);
         state.highest_term = state.highest_term.max(Some(order.term));
         state.role = order.role;
         let is_retained = |entry: &Entry| {
--- a/crates/standins/tests/answer_verdict.rs
+++ b/crates/standins/tests/answer_verdict.rs
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn whole_and_resumed_answers_are_right() {
+fn complete_and_resumed_answers_are_correct() {
     let (ids, bytes) = generate("menu", &[], 1);
     let resumed = generate("menu", &ids[..8], 2);
 
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn an_answer_cut_at_its_end_misses_the_rest() {
+fn truncated_answer_counts_the_missing_tokens() {
     let (ids, bytes) = generate("menu", &[], 1);
 
     let expected = AnswerVerdict {
@@ -62,16 +62,16 @@
 
 /// A failed answer may end within a character. Its text then lacks only that character.
 #[gtest]
-fn an_answer_cut_within_a_character_is_right_as_far_as_it_goes() {
+fn failed_answer_truncated_within_a_character_is_correct() {
     let (ids, bytes) = generate("menu", &[], 1);
     let text = String::from_utf8_lossy(&bytes[..4].concat()).into_owned();
     let text = text.trim_end_matches(char::REPLACEMENT_CHARACTER);
 
-    let cut = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..4], text, false);
-    let called_whole = AnswerVerdict::of(chain("menu"), 4, &ids[..4], text, true);
+    let truncated = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..4], text, false);
+    let ended_as_complete = AnswerVerdict::of(chain("menu"), 4, &ids[..4], text, true);
 
-    expect_that!(cut.is_correct(), eq(true));
-    expect_that!(called_whole.is_correct(), eq(false));
+    expect_that!(truncated.is_correct(), eq(true));
+    expect_that!(ended_as_complete.is_correct(), eq(false));
 }
 
 #[gtest]
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn an_answer_to_another_request_is_crossed() {
+fn answer_to_another_request_is_crossed() {
     let (ids, bytes) = generate("reprint", &[], 1);
 
     let expected = AnswerVerdict {
@@ -118,7 +118,7 @@
 /// characters only, and these are correct. Guards against counting such an answer as mixed, which
 /// poison scenarios with seeds 2 and 5 ran into.
 #[gtest]
-fn an_answer_cut_within_a_character_is_right() {
+fn failed_answer_truncated_after_any_token_is_correct() {
     let (ids, bytes) = generate("menu", &[], 1);
     for count in 1..TOKENS {
         let mut joiner = catkin_decisions::Utf8Joiner::default();
@@ -126,6 +126,10 @@
 
         let verdict = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..count], &text, false);
 
-        expect_that!(verdict.is_correct(), eq(true), "cut after {count}");
+        expect_that!(
+            verdict.is_correct(),
+            eq(true),
+            "truncated after {count} tokens"
+        );
     }
 }
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -11,13 +11,13 @@
 use std::{sync::Arc, time::Duration};
 
 /// Time limit that no test reaches, even on a busy machine.
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn vm(platform: &MockPlatform, name: &str) -> Arc<Claims> {
-    start(platform, name, quick())
+    start_vm(platform, name, fast_settings())
 }
 
-fn start(platform: &MockPlatform, name: &str, cfg: ClaimSettings) -> Arc<Claims> {
+fn start_vm(platform: &MockPlatform, name: &str, cfg: ClaimSettings) -> Arc<Claims> {
     let vm = name.parse().expect("a valid id");
     let zone = "zone-1".parse().expect("a valid name");
     let timeline = Timeline::new(vm, zone, Arc::default(), 1000);
@@ -30,7 +30,7 @@
     )
 }
 
-fn quick() -> ClaimSettings {
+fn fast_settings() -> ClaimSettings {
     ClaimSettings {
         retry_delay: Duration::from_millis(1),
         poll_interval: Duration::from_millis(1),
@@ -44,18 +44,18 @@
     "counter".parse().expect("a valid name")
 }
 
-fn order(key: &str) -> ClaimRequest {
+fn claim_request(key: &str) -> ClaimRequest {
     ClaimRequest {
         team: team(),
         key: key.parse().expect("a valid key"),
         digest: RequestDigest::of(&team(), b"2000 leaflets"),
         kind: ClaimKind::Call,
         request: "request".parse().expect("a valid id"),
-        time_left: LONG,
+        time_left: TEST_TIMEOUT,
     }
 }
 
-fn answer(body: &str) -> ResponseToRecord {
+fn response(body: &str) -> ResponseToRecord {
     ResponseToRecord {
         status: 201,
         headers: vec![("content-type".into(), "text/plain".into())],
@@ -63,36 +63,36 @@
     }
 }
 
-fn dispatched(verdict: ClaimVerdict) -> HeldClaim {
+fn expect_claimed(verdict: ClaimVerdict) -> HeldClaim {
     let ClaimVerdict::Claimed(claimed) = verdict else {
         panic!("request was not claimed: {verdict:?}");
     };
     claimed.dispatch().1
 }
 
-fn recorded(verdict: ClaimVerdict) -> RecordedResponse {
-    let ClaimVerdict::Done(ClaimOutcome::Answered(answer)) = verdict else {
+fn expect_recorded(verdict: ClaimVerdict) -> RecordedResponse {
+    let ClaimVerdict::Done(ClaimOutcome::Answered(response)) = verdict else {
         panic!("no response was recorded: {verdict:?}");
     };
-    answer
+    response
 }
 
 /// The caller's connection breaks right before the response, and the caller retries at another VM. It
 /// must get the recorded response; the request must not run twice.
 #[gtest]
 #[tokio::test]
-async fn a_resend_to_another_vm_gets_the_recorded_answer() {
+async fn retry_at_another_vm_returns_the_recorded_response() {
     let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
-    let held = dispatched(first.claim(order("k")).await);
-    first.record_response(held, answer("ticket 7"));
+    let held_claim = expect_claimed(first.claim(claim_request("k")).await);
+    first.record_response(held_claim, response("ticket 7"));
     first.flush().await;
 
-    let again = recorded(second.claim(order("k")).await);
+    let retried = expect_recorded(second.claim(claim_request("k")).await);
 
-    let body = second.response_body(&again.body).await;
-    expect_that!(again.status, eq(201));
-    expect_that!(again.headers, eq(&answer("").headers));
+    let body = second.response_body(&retried.body).await;
+    expect_that!(retried.status, eq(201));
+    expect_that!(retried.headers, eq(&response("").headers));
     expect_that!(body, ok(some(eq(&"ticket 7"))));
 }
 
@@ -100,8 +100,8 @@
 /// case the request runs once and its retry gets the recorded response.
 #[gtest]
 #[tokio::test]
-async fn every_fate_of_a_transaction_is_settled() {
-    let fates = [
+async fn every_transaction_outcome_is_resolved() {
+    let outcomes = [
         TransactOutcome::Answered,
         TransactOutcome::LostAfterEffect,
         TransactOutcome::LostBeforeEffect,
@@ -109,30 +109,30 @@
         TransactOutcome::NotRun,
         TransactOutcome::Throttled,
     ];
-    for fate in fates {
+    for outcome in outcomes {
         let platform = MockPlatform::default();
         let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
-        platform.script([fate, fate]);
-        let held = dispatched(first.claim(order("k")).await);
-        platform.script([fate, fate]);
-        first.record_response(held, answer("ticket 7"));
+        platform.script([outcome, outcome]);
+        let held_claim = expect_claimed(first.claim(claim_request("k")).await);
+        platform.script([outcome, outcome]);
+        first.record_response(held_claim, response("ticket 7"));
         first.flush().await;
 
-        let again = recorded(second.claim(order("k")).await);
+        let retried = expect_recorded(second.claim(claim_request("k")).await);
 
-        expect_that!(again.status, eq(201), "{fate:?}");
+        expect_that!(retried.status, eq(201), "{outcome:?}");
     }
 }
 
 /// A caller sends the same request 20 times concurrently, to two VMs.
 #[gtest]
 #[tokio::test]
-async fn of_many_at_once_one_is_dispatched() {
+async fn only_one_of_concurrent_claims_is_dispatched() {
     let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
-    let tries = (0..20).map(|i| if i % 2 == 0 { &first } else { &second });
+    let attempts = (0..20).map(|i| if i % 2 == 0 { &first } else { &second });
 
-    let verdicts = futures::future::join_all(tries.map(|vm| vm.claim(order("k")))).await;
+    let verdicts = futures::future::join_all(attempts.map(|vm| vm.claim(claim_request("k")))).await;
 
     let claimed = |v: &&ClaimVerdict| matches!(v, ClaimVerdict::Claimed(_));
     let in_progress = |v: &&ClaimVerdict| matches!(v, ClaimVerdict::InProgress(_));
@@ -144,15 +144,15 @@
 /// would lose the second request; running it would break at-most-once execution per key.
 #[gtest]
 #[tokio::test]
-async fn another_request_under_the_key_is_a_conflict() {
+async fn different_request_with_the_same_key_is_a_conflict() {
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
-    let held = dispatched(vm.claim(order("k")).await);
-    vm.record_response(held, answer("ticket 7"));
+    let held_claim = expect_claimed(vm.claim(claim_request("k")).await);
+    vm.record_response(held_claim, response("ticket 7"));
     vm.flush().await;
     let other = ClaimRequest {
         digest: RequestDigest::of(&team(), b"20 posters"),
-        ..order("k")
+        ..claim_request("k")
     };
 
     let verdict = vm.claim(other).await;
@@ -164,34 +164,34 @@
 /// run. After the outage the key is usable, even if one of the writes took effect unnoticed.
 #[gtest]
 #[tokio::test]
-async fn an_outage_is_not_run_and_leaves_the_key_free() {
-    for fate in [
+async fn claim_during_an_outage_is_not_run_and_leaves_the_key_unclaimed() {
+    for outcome in [
         TransactOutcome::NotRun,
         TransactOutcome::LostAfterEffect,
         TransactOutcome::Late,
     ] {
         let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
-        platform.script([fate]);
+        platform.script([outcome]);
         platform.script(std::iter::repeat_n(
             TransactOutcome::LostBeforeEffect,
             100_000,
         ));
-        let hurried = ClaimRequest {
+        let short_deadline = ClaimRequest {
             time_left: Duration::from_millis(50),
-            ..order("k")
+            ..claim_request("k")
         };
-        let refused = vm.claim(hurried).await;
+        let refused = vm.claim(short_deadline).await;
         platform.clear_script();
         vm.flush().await;
 
-        let verdict = vm.claim(order("k")).await;
+        let verdict = vm.claim(claim_request("k")).await;
 
-        expect_that!(refused, eq(&ClaimVerdict::NotRun), "{fate:?}");
+        expect_that!(refused, eq(&ClaimVerdict::NotRun), "{outcome:?}");
         expect_that!(
             verdict,
             matches_pattern!(ClaimVerdict::Claimed(_)),
-            "{fate:?}"
+            "{outcome:?}"
         );
     }
 }
@@ -202,11 +202,11 @@
 async fn a_released_claim_frees_the_key() {
     let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
-    let held = dispatched(first.claim(order("k")).await);
-    first.release(held);
+    let held_claim = expect_claimed(first.claim(claim_request("k")).await);
+    first.release(held_claim);
     first.flush().await;
 
-    let verdict = second.claim(order("k")).await;
+    let verdict = second.claim(claim_request("k")).await;
 
     expect_that!(verdict, matches_pattern!(ClaimVerdict::Claimed(_)));
 }
@@ -215,14 +215,14 @@
 /// each retry must report that.
 #[gtest]
 #[tokio::test]
-async fn an_unknown_end_stays_unknown() {
+async fn unknown_outcome_stays_unknown() {
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
-    let held = dispatched(vm.claim(order("k")).await);
-    vm.record_unknown(held);
+    let held_claim = expect_claimed(vm.claim(claim_request("k")).await);
+    vm.record_unknown(held_claim);
     vm.flush().await;
 
-    let verdict = vm.claim(order("k")).await;
+    let verdict = vm.claim(claim_request("k")).await;
 
     expect_that!(verdict, eq(&ClaimVerdict::Done(ClaimOutcome::Unknown)));
 }
@@ -230,25 +230,25 @@
 /// The VM that runs a request dies before recording an outcome, and the request's deadline passes.
 #[gtest]
 #[tokio::test]
-async fn a_claim_of_a_dead_holder_becomes_unknown() {
+async fn claim_of_a_dead_vm_becomes_unknown_after_its_deadline() {
     let platform = MockPlatform::default();
     let first = vm(&platform, "vm-1");
     let cfg = ClaimSettings {
         max_clock_skew: Duration::ZERO,
-        ..quick()
+        ..fast_settings()
     };
-    let second = start(&platform, "vm-2", cfg);
+    let second = start_vm(&platform, "vm-2", cfg);
     let short = ClaimRequest {
         time_left: Duration::from_millis(200),
-        ..order("k")
+        ..claim_request("k")
     };
-    drop(dispatched(first.claim(short).await));
-    let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
+    drop(expect_claimed(first.claim(short).await));
+    let ClaimVerdict::InProgress(found) = second.claim(claim_request("k")).await else {
         panic!("the claim is in progress until its deadline");
     };
 
     let verdict = second
-        .wait_for_outcome(&order("k").digest, found, LONG)
+        .wait_for_outcome(&claim_request("k").digest, found, TEST_TIMEOUT)
         .await;
 
     expect_that!(verdict, eq(&ClaimVerdict::Done(ClaimOutcome::Unknown)));
@@ -258,20 +258,20 @@
 /// of the first attempt.
 #[gtest]
 #[tokio::test]
-async fn a_resend_waits_for_the_answer_of_the_first() {
+async fn retry_waits_for_the_response_of_the_first_attempt() {
     let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
-    let held = dispatched(first.claim(order("k")).await);
-    let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
+    let held_claim = expect_claimed(first.claim(claim_request("k")).await);
+    let ClaimVerdict::InProgress(found) = second.claim(claim_request("k")).await else {
         panic!("the first VM still runs the request");
     };
-    let digest = order("k").digest;
-    let waiting = second.wait_for_outcome(&digest, found, LONG);
-    let recording = async { first.record_response(held, answer("ticket 7")) };
+    let digest = claim_request("k").digest;
+    let waiting = second.wait_for_outcome(&digest, found, TEST_TIMEOUT);
+    let recording = async { first.record_response(held_claim, response("ticket 7")) };
 
     let (verdict, ()) = tokio::join!(waiting, recording);
 
-    expect_that!(recorded(verdict).status, eq(201));
+    expect_that!(expect_recorded(verdict).status, eq(201));
 }
 
 /// The VM that runs a generation dies. Only one of the VMs to which its caller may reconnect takes it
@@ -283,9 +283,9 @@
     let vms = ["vm-1", "vm-2", "vm-3"].map(|name| vm(&platform, name));
     let generation = ClaimRequest {
         kind: ClaimKind::Generation,
-        ..order("k")
+        ..claim_request("k")
     };
-    drop(dispatched(vms[0].claim(generation.clone()).await));
+    drop(expect_claimed(vms[0].claim(generation.clone()).await));
     let ClaimVerdict::InProgress(found) = vms[1].claim(generation.clone()).await else {
         panic!("the first VM holds the claim");
     };
@@ -305,16 +305,16 @@
 async fn a_call_is_not_taken_over() {
     let platform = MockPlatform::default();
     let (first, second) = (vm(&platform, "vm-1"), vm(&platform, "vm-2"));
-    drop(dispatched(first.claim(order("k")).await));
-    let ClaimVerdict::InProgress(found) = second.claim(order("k")).await else {
+    drop(expect_claimed(first.claim(claim_request("k")).await));
+    let ClaimVerdict::InProgress(found) = second.claim(claim_request("k")).await else {
         panic!("the first VM holds the claim");
     };
     let as_generation = ClaimRequest {
         kind: ClaimKind::Generation,
-        ..order("k")
+        ..claim_request("k")
     };
 
-    let as_call = second.take_over(order("k"), &found).await;
+    let as_call = second.take_over(claim_request("k"), &found).await;
     let as_generation = second.take_over(as_generation, &found).await;
 
     expect_that!(as_call, matches_pattern!(ClaimVerdict::InProgress(_)));
@@ -325,28 +325,28 @@
 /// recorded without a body, and a retry must not run the request again to get it.
 #[gtest]
 #[tokio::test]
-async fn long_answers_are_kept_up_to_a_size() {
+async fn response_bodies_are_recorded_up_to_the_size_limit() {
     let long = "a ticket of more than sixteen bytes";
     let cases = [
         ("short", Some("short".to_owned())),
         (long, Some(long.to_owned())),
         (&"x".repeat(65), None),
     ];
-    for (body, kept) in cases {
+    for (body, expected_body) in cases {
         let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
-        let held = dispatched(vm.claim(order("k")).await);
-        vm.record_response(held, answer(body));
+        let held_claim = expect_claimed(vm.claim(claim_request("k")).await);
+        vm.record_response(held_claim, response(body));
         vm.flush().await;
 
-        let again = recorded(vm.claim(order("k")).await);
+        let retried = expect_recorded(vm.claim(claim_request("k")).await);
 
         let found = vm
-            .response_body(&again.body)
+            .response_body(&retried.body)
             .await
             .expect("the store is up");
         let found = found.map(|body| String::from_utf8_lossy(&body).into_owned());
-        expect_that!(found, eq(&kept));
+        expect_that!(found, eq(&expected_body));
     }
 }
 
@@ -354,12 +354,12 @@
 /// one too early would let a retry run again.
 #[gtest]
 #[tokio::test]
-async fn a_sweep_takes_what_is_expired_and_no_more() {
+async fn sweep_removes_only_expired_claims() {
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
-    let ended = dispatched(vm.claim(order("ended")).await);
-    vm.record_response(ended, answer("ticket 7"));
-    let unknown = dispatched(vm.claim(order("unknown")).await);
+    let ended = expect_claimed(vm.claim(claim_request("ended")).await);
+    vm.record_response(ended, response("ticket 7"));
+    let unknown = expect_claimed(vm.claim(claim_request("unknown")).await);
     vm.record_unknown(unknown);
     vm.flush().await;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
--- a/crates/standins/tests/fault_proxy.rs
+++ b/crates/standins/tests/fault_proxy.rs
@@ -9,7 +9,7 @@
 };
 
 /// How long a test waits to conclude that no bytes arrive.
-const NOTHING: Duration = Duration::from_millis(60);
+const SILENCE_WAIT: Duration = Duration::from_millis(60);
 
 async fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
@@ -42,14 +42,16 @@
 }
 
 async fn is_silent(stream: &mut TcpStream) -> bool {
-    tokio::time::timeout(NOTHING, echo(stream)).await.is_err()
+    tokio::time::timeout(SILENCE_WAIT, echo(stream))
+        .await
+        .is_err()
 }
 
 /// A device between the two ends, such as a firewall, drops the state of a connection: nothing
 /// arrives on it any more, while a new connection works.
 #[gtest]
 #[tokio::test]
-async fn silence_is_for_good_and_for_open_connections_only() {
+async fn silence_is_permanent_and_affects_open_connections_only() {
     let (proxy, route) = proxy().await;
     let mut old = open(route).await;
     let before = echo(&mut old).await;
@@ -70,7 +72,7 @@
 /// A partition in one or both directions, or a half-open connection: no response arrives.
 #[gtest]
 #[tokio::test]
-async fn cut_routes_are_silent() {
+async fn partitioned_routes_are_silent() {
     for fault in [
         ProxyFault::BlackHole,
         ProxyFault::CutUp,
@@ -89,23 +91,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_healed_route_passes_what_waited() {
+async fn healed_route_forwards_buffered_bytes() {
     let (proxy, route) = proxy().await;
     let mut stream = open(route).await;
     echo(&mut stream).await.expect("an echo");
-    let cut = proxy.inject(0, ProxyFault::CutDown, Duration::ZERO);
+    let partitioned = proxy.inject(0, ProxyFault::CutDown, Duration::ZERO);
     let silent = is_silent(&mut stream).await;
 
     let healed = proxy.inject(0, ProxyFault::Pass, Duration::ZERO);
 
-    expect_that!((cut, silent, healed), eq((true, true, true)));
-    expect_that!(stream.read_u8().await.expect("the waiting byte"), eq(b'x'));
+    expect_that!((partitioned, silent, healed), eq((true, true, true)));
+    expect_that!(stream.read_u8().await.expect("the buffered byte"), eq(b'x'));
 }
 
 /// A process dies, or a call takes effect and its response is lost: the caller sees a reset.
 #[gtest]
 #[tokio::test]
-async fn resets_reach_the_caller() {
+async fn resets_are_forwarded_to_the_caller() {
     for fault in [ProxyFault::Reset, ProxyFault::LoseAnswers] {
         let (proxy, route) = proxy().await;
         let mut stream = open(route).await;
@@ -119,7 +121,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_refusing_route_resets_new_connections() {
+async fn refusing_route_resets_new_connections() {
     let (proxy, route) = proxy().await;
 
     let refused = proxy.inject(0, ProxyFault::Refuse, Duration::ZERO);
@@ -130,7 +132,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_delayed_route_passes_everything() {
+async fn delayed_route_forwards_everything() {
     let (proxy, route) = proxy().await;
     let delayed = proxy.inject(0, ProxyFault::Delay, Duration::from_millis(5));
     let mut stream = open(route).await;
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -28,7 +28,7 @@
     leases: Arc<Leases>,
     bundle: Arc<BundleInForce>,
     timeline: Arc<Timeline>,
-    cut: Arc<AtomicBool>,
+    partitioned: Arc<AtomicBool>,
     _orders: Arc<Orders>,
 }
 
@@ -54,14 +54,14 @@
     }
 }
 
-/// Returns a platform client that refuses all calls as not run while `cut` is set.
-fn cut_off(platform: &MockPlatform, cut: &Arc<AtomicBool>) -> Platform {
+/// Returns a platform client that refuses all calls as not run while `partitioned` is set.
+fn partitionable_platform(platform: &MockPlatform, partitioned: &Arc<AtomicBool>) -> Platform {
     let inner = Arc::new(platform.platform());
-    macro_rules! unless_cut {
+    macro_rules! unless_partitioned {
         ($call:ident) => {{
-            let (inner, cut) = (inner.clone(), cut.clone());
+            let (inner, partitioned) = (inner.clone(), partitioned.clone());
             Box::new(move |q| {
-                if cut.load(Ordering::Relaxed) {
+                if partitioned.load(Ordering::Relaxed) {
                     Box::pin(std::future::ready(Err(PlatformError::NotRun)))
                 } else {
                     (inner.$call)(q)
@@ -70,17 +70,17 @@
         }};
     }
     Platform {
-        transact: unless_cut!(transact),
-        read: unless_cut!(read),
-        scan: unless_cut!(scan),
-        put_object: unless_cut!(put_object),
-        get_object: unless_cut!(get_object),
-        vms: unless_cut!(vms),
+        transact: unless_partitioned!(transact),
+        read: unless_partitioned!(read),
+        scan: unless_partitioned!(scan),
+        put_object: unless_partitioned!(put_object),
+        get_object: unless_partitioned!(get_object),
+        vms: unless_partitioned!(vms),
     }
 }
 
 fn vm(platform: &MockPlatform, name: &str) -> Vm {
-    let cut = Arc::new(AtomicBool::new(false));
+    let partitioned = Arc::new(AtomicBool::new(false));
     let id: VmId = name.parse().expect("a valid id");
     let zone: AvailabilityZone = "zone-0".parse().expect("a valid name");
     let timer = Timer::start();
@@ -90,8 +90,8 @@
         vm: id,
         incarnation: Incarnation(1),
     };
-    let seen = Arc::new(cut_off(platform, &cut));
-    let leases = Leases::start(seen, timer.clone(), me, lease_settings());
+    let vm_platform = Arc::new(partitionable_platform(platform, &partitioned));
+    let leases = Leases::start(vm_platform, timer.clone(), me, lease_settings());
     let orders = Orders::start(
         leases.clone(),
         timer,
@@ -105,7 +105,7 @@
         leases,
         bundle,
         timeline,
-        cut,
+        partitioned,
         _orders: orders,
     }
 }
@@ -117,7 +117,7 @@
         extract.records.iter().filter(of_kind).count()
     }
 
-    fn holds(&self) -> bool {
+    fn holds_lease(&self) -> bool {
         self.leases.compete(SCOPE).held().is_some()
     }
 }
@@ -153,23 +153,23 @@
     }
 }
 
-fn holds_only(engine: &EngineServer, version: &str) -> bool {
+fn has_only_version(engine: &EngineServer, version: &str) -> bool {
     let loaded = engine.loaded_models();
     loaded.len() == 1 && loaded[0].version == version
 }
 
 /// Waits until the condition holds; panics after 30 s.
-async fn until(what: &str, mut is_so: impl FnMut() -> bool) {
+async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let waiting = async {
-        while !is_so() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let waited = tokio::time::timeout(Duration::from_secs(30), waiting).await;
-    assert!(waited.is_ok(), "timed out waiting until {what}");
+    let result = tokio::time::timeout(Duration::from_secs(30), waiting).await;
+    assert!(result.is_ok(), "timed out waiting until {description}");
 }
 
-fn stale_order(term: u64, version: &str) -> engine::EngineOrder {
+fn engine_order(term: u64, version: &str) -> engine::EngineOrder {
     engine::EngineOrder {
         holder: "vm-0".into(),
         models: vec![engine::LoadedModel {
@@ -185,7 +185,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_rollout_reaches_every_engine_one_at_a_time() {
+async fn rollout_loads_models_on_one_engine_at_a_time() {
     let weight_store = WeightStore::default();
     let engines = engines(
         4,
@@ -201,8 +201,8 @@
 
     vm.bundle.advance(bundle(2, &engines, "2"));
 
-    until("all engines hold version 2 only", || {
-        engines.iter().all(|engine| holds_only(engine, "2"))
+    wait_until("all engines hold version 2 only", || {
+        engines.iter().all(|engine| has_only_version(engine, "2"))
     })
     .await;
     expect_that!(weight_store.max_concurrent_loads(), eq(1));
@@ -212,7 +212,7 @@
 /// Two VMs start at the same time and compete for one lease. Only one of them may order the engines.
 #[gtest]
 #[tokio::test]
-async fn two_vms_race_and_one_orders() {
+async fn only_one_of_two_competing_vms_sends_orders() {
     let engines = engines(2, engine_settings()).await;
     let platform = MockPlatform::default();
     let vms = [vm(&platform, "vm-1"), vm(&platform, "vm-2")];
@@ -220,8 +220,8 @@
         vm.bundle.advance(bundle(1, &engines, "2"));
     }
 
-    until("both engines hold version 2", || {
-        engines.iter().all(|engine| holds_only(engine, "2"))
+    wait_until("both engines hold version 2", || {
+        engines.iter().all(|engine| has_only_version(engine, "2"))
     })
     .await;
 
@@ -233,23 +233,23 @@
 /// larger term, and the former holder sends no orders after it reconnects.
 #[gtest]
 #[tokio::test]
-async fn a_holder_that_is_cut_off_is_replaced() {
+async fn partitioned_lease_holder_is_replaced() {
     let engines = engines(2, engine_settings()).await;
     let platform = MockPlatform::default();
     let first = vm(&platform, "vm-1");
     first.bundle.advance(bundle(1, &engines, "2"));
-    until("the first VM holds the lease", || first.holds()).await;
+    wait_until("the first VM holds the lease", || first.holds_lease()).await;
     let second = vm(&platform, "vm-2");
     second.bundle.advance(bundle(1, &engines, "2"));
-    first.cut.store(true, Ordering::Relaxed);
-    until("the second VM holds the lease", || second.holds()).await;
-    let held_at_once = first.holds();
-    first.cut.store(false, Ordering::Relaxed);
+    first.partitioned.store(true, Ordering::Relaxed);
+    wait_until("the second VM holds the lease", || second.holds_lease()).await;
+    let held_at_once = first.holds_lease();
+    first.partitioned.store(false, Ordering::Relaxed);
     first.bundle.advance(bundle(2, &engines, "3"));
     second.bundle.advance(bundle(2, &engines, "3"));
 
-    until("both engines hold version 3", || {
-        engines.iter().all(|engine| holds_only(engine, "3"))
+    wait_until("both engines hold version 3", || {
+        engines.iter().all(|engine| has_only_version(engine, "3"))
     })
     .await;
 
@@ -264,7 +264,7 @@
 /// fencing refuses it; the state of one without fencing is read back and corrected.
 #[gtest]
 #[tokio::test]
-async fn a_stale_order_is_refused_or_corrected() {
+async fn stale_order_is_refused_or_corrected() {
     for enforces_fencing in [true, false] {
         let engines = engines(
             1,
@@ -278,13 +278,16 @@
         let platform = MockPlatform::default();
         let vm = vm(&platform, "vm-1");
         vm.bundle.advance(bundle(1, &engines, "2"));
-        until("the engine holds version 2", || holds_only(engine, "2")).await;
+        wait_until("the engine holds version 2", || {
+            has_only_version(engine, "2")
+        })
+        .await;
 
-        let taken = engine.apply_order(stale_order(0, "1"));
+        let applied = engine.apply_order(engine_order(0, "1"));
 
-        expect_that!(taken.is_ok(), eq(!enforces_fencing));
-        until("the engine holds version 2 again", || {
-            holds_only(engine, "2")
+        expect_that!(applied.is_ok(), eq(!enforces_fencing));
+        wait_until("the engine holds version 2 again", || {
+            has_only_version(engine, "2")
         })
         .await;
         let stale = engine.order_counts().stale_applied;
@@ -295,18 +298,18 @@
 /// The lease row was lost with its table, while engines still remember larger terms.
 #[gtest]
 #[tokio::test]
-async fn terms_rise_above_what_the_engine_knows() {
+async fn new_term_exceeds_the_highest_term_of_the_engine() {
     let engines = engines(1, engine_settings()).await;
     engines[0]
-        .apply_order(stale_order(41, "1"))
+        .apply_order(engine_order(41, "1"))
         .expect("the first order is taken");
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
 
     vm.bundle.advance(bundle(1, &engines, "2"));
 
-    until("the engine holds version 2", || {
-        holds_only(&engines[0], "2")
+    wait_until("the engine holds version 2", || {
+        has_only_version(&engines[0], "2")
     })
     .await;
     expect_that!(vm.leases.compete(SCOPE).held(), some(gt(Term(41))));
@@ -316,7 +319,7 @@
 /// orders to the other engines.
 #[gtest]
 #[tokio::test]
-async fn an_engine_that_refuses_its_orderer_holds_up_no_other() {
+async fn engine_that_refuses_the_orderer_does_not_block_others() {
     let mut engines = engines(
         1,
         EngineSettings {
@@ -331,22 +334,24 @@
 
     vm.bundle.advance(bundle(1, &engines, "2"));
 
-    until("the first engine has refused", || {
+    wait_until("the first engine has refused", || {
         engines[0].order_counts().refused > 0
     })
     .await;
-    until("the others hold version 2", || {
-        engines[1..].iter().all(|engine| holds_only(engine, "2"))
+    wait_until("the others hold version 2", || {
+        engines[1..]
+            .iter()
+            .all(|engine| has_only_version(engine, "2"))
     })
     .await;
-    expect_that!(holds_only(&engines[0], "1"), eq(true));
+    expect_that!(has_only_version(&engines[0], "1"), eq(true));
 }
 
 /// The first write of the lease row has each possible outcome; the lease is acquired in every case.
 #[gtest]
 #[tokio::test]
-async fn a_lease_is_held_through_every_fate_of_its_writes() {
-    let fates = [
+async fn lease_is_acquired_with_every_write_outcome() {
+    let outcomes = [
         TransactOutcome::Answered,
         TransactOutcome::LostAfterEffect,
         TransactOutcome::LostBeforeEffect,
@@ -354,16 +359,16 @@
         TransactOutcome::NotRun,
         TransactOutcome::Throttled,
     ];
-    for fate in fates {
+    for outcome in outcomes {
         let platform = MockPlatform::default();
-        platform.script([fate]);
+        platform.script([outcome]);
         let vm = vm(&platform, "vm-1");
         let lease = vm.leases.compete(SCOPE);
 
-        until("the lease is held", || lease.held().is_some()).await;
+        wait_until("the lease is held", || lease.held().is_some()).await;
 
         let permit = lease.permit().await;
-        expect_that!(permit.map(|p| p.term()), ok(ge(&Term(1))), "{fate:?}");
+        expect_that!(permit.map(|p| p.term()), ok(ge(&Term(1))), "{outcome:?}");
     }
 }
 
@@ -371,11 +376,11 @@
 /// no permit to send orders.
 #[gtest]
 #[tokio::test]
-async fn no_order_is_given_while_the_lease_cannot_be_confirmed() {
+async fn no_permit_while_the_lease_cannot_be_confirmed() {
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     let lease = vm.leases.compete(SCOPE);
-    until("the lease is held", || lease.held().is_some()).await;
+    wait_until("the lease is held", || lease.held().is_some()).await;
     platform.set_outage(true);
 
     let refused = lease.permit().await;
@@ -392,21 +397,21 @@
 /// The platform is unavailable during a rollout for longer than the lease; the rollout then continues.
 #[gtest]
 #[tokio::test]
-async fn a_rollout_goes_on_after_an_outage() {
+async fn rollout_continues_after_a_platform_outage() {
     let engines = engines(3, engine_settings()).await;
     let platform = MockPlatform::default();
     let vm = vm(&platform, "vm-1");
     vm.bundle.advance(bundle(1, &engines, "2"));
-    until("the first order is taken", || {
+    wait_until("the first order is taken", || {
         engines.iter().any(|engine| engine.order_counts().taken > 0)
     })
     .await;
     platform.set_outage(true);
-    until("the lease has lapsed", || !vm.holds()).await;
+    wait_until("the lease has lapsed", || !vm.holds_lease()).await;
     platform.set_outage(false);
 
-    until("all engines hold version 2", || {
-        engines.iter().all(|engine| holds_only(engine, "2"))
+    wait_until("all engines hold version 2", || {
+        engines.iter().all(|engine| has_only_version(engine, "2"))
     })
     .await;
 
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -57,7 +57,7 @@
 /// ran. A refused request must not run.
 #[gtest]
 #[tokio::test]
-async fn faults_run_or_do_not_run_as_they_say() {
+async fn faults_determine_whether_a_request_runs() {
     for (fault, runs) in [
         (PlainFault::LoseAnswer, 1),
         (PlainFault::BreakOff, 1),
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -55,7 +55,7 @@
     }
 }
 
-fn shown(rows: &[Row]) -> Vec<String> {
+fn format_rows(rows: &[Row]) -> Vec<String> {
     rows.iter()
         .map(|row| format!("{}={}@{}", row.key, row.value, row.version))
         .collect()
@@ -63,7 +63,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn conditional_write_is_refused_with_the_row_as_it_is() {
+async fn failed_condition_returns_the_current_row() {
     let server = server(no_faults()).await;
     let platform = client(server.address());
     (platform.transact)(put("a", 0, "one")).await.expect("up");
@@ -72,13 +72,13 @@
 
     let rows = (platform.read)(vec![key("a"), key("b")]).await.expect("up");
     expect_that!(reply.committed, eq(false));
-    expect_that!(shown(&reply.conflicts), eq(&["a=one@1"]));
-    expect_that!(shown(&rows), eq(&["a=one@1"]));
+    expect_that!(format_rows(&reply.conflicts), eq(&["a=one@1"]));
+    expect_that!(format_rows(&rows), eq(&["a=one@1"]));
 }
 
 #[gtest]
 #[tokio::test]
-async fn scan_goes_through_a_prefix_page_by_page() {
+async fn scan_returns_a_prefix_in_pages() {
     let server = server(no_faults()).await;
     let platform = client(server.address());
     for name in ["a/1", "a/2", "a/3", "b/1"] {
@@ -94,8 +94,8 @@
     let first = (platform.scan)(page(None)).await.expect("up");
     let second = (platform.scan)(page(Some("a/2"))).await.expect("up");
 
-    expect_that!(shown(&first), eq(&["a/1=x@1", "a/2=x@1"]));
-    expect_that!(shown(&second), eq(&["a/3=x@1"]));
+    expect_that!(format_rows(&first), eq(&["a/1=x@1", "a/2=x@1"]));
+    expect_that!(format_rows(&second), eq(&["a/3=x@1"]));
 }
 
 #[gtest]
@@ -118,7 +118,7 @@
 struct FaultCase {
     name: &'static str,
     faults: PlatformFaults,
-    seen: PlatformError,
+    expected: PlatformError,
     took_effect: bool,
 }
 
@@ -130,7 +130,7 @@
                 outage: Some(PlatformOutage::Refused),
                 ..no_faults()
             },
-            seen: PlatformError::NotRun,
+            expected: PlatformError::NotRun,
             took_effect: false,
         },
         FaultCase {
@@ -139,7 +139,7 @@
                 outage: Some(PlatformOutage::Silent),
                 ..no_faults()
             },
-            seen: PlatformError::Unknown,
+            expected: PlatformError::Unknown,
             took_effect: false,
         },
         FaultCase {
@@ -148,7 +148,7 @@
                 lose_answers: Some(1),
                 ..no_faults()
             },
-            seen: PlatformError::Unknown,
+            expected: PlatformError::Unknown,
             took_effect: true,
         },
         FaultCase {
@@ -157,7 +157,7 @@
                 answer_delay_ms: Some(10_000),
                 ..no_faults()
             },
-            seen: PlatformError::Unknown,
+            expected: PlatformError::Unknown,
             took_effect: true,
         },
     ]
@@ -167,14 +167,14 @@
 /// report a request as not run although it ran, or would never run it.
 #[gtest]
 #[tokio::test]
-async fn each_fault_tells_whether_the_call_can_have_taken_effect() {
+async fn each_fault_is_reported_as_not_run_or_unknown() {
     for case in fault_cases() {
         let server = server(case.faults).await;
         let platform = client(server.address());
 
-        let seen = (platform.transact)(put("a", 0, "one")).await;
+        let result = (platform.transact)(put("a", 0, "one")).await;
 
-        expect_that!(seen, err(eq(&case.seen)), "{}", case.name);
+        expect_that!(result, err(eq(&case.expected)), "{}", case.name);
         let took_effect = server.stats().rows_written == 1;
         expect_that!(took_effect, eq(case.took_effect), "{}", case.name);
     }
@@ -189,9 +189,9 @@
     drop(unused);
     let platform = client(address);
 
-    let seen = (platform.transact)(put("a", 0, "one")).await;
+    let result = (platform.transact)(put("a", 0, "one")).await;
 
-    expect_that!(seen, err(eq(&PlatformError::NotRun)));
+    expect_that!(result, err(eq(&PlatformError::NotRun)));
 }
 
 /// Writes exceed the platform's rate limit. The excess is refused, and its senders learn that it did
@@ -209,9 +209,9 @@
         .await
         .expect("the write is within the rate limit");
 
-    let seen = (platform.transact)(put("b", 0, "one")).await;
+    let result = (platform.transact)(put("b", 0, "one")).await;
 
-    expect_that!(seen, err(eq(&PlatformError::Throttled)));
+    expect_that!(result, err(eq(&PlatformError::Throttled)));
     expect_that!(server.stats().throttled, eq(1));
 }
 
@@ -229,7 +229,7 @@
 /// The platform's VM list still shows a leaving VM as live. A reader that relies on the list alone
 /// would send the VM new work.
 #[gtest]
-fn vm_list_lags() {
+fn vm_list_can_be_stale() {
     let mut store = PlatformStore::default();
     let at = |seconds| Instant(Duration::from_secs(seconds));
     store.set_vms(at(1), vec![vm("vm-1", VmState::Live)]);
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -22,7 +22,7 @@
 const TOKENS: u32 = 100;
 
 /// Timeout of an answer, which ends a test whose callers would otherwise wait forever.
-const HANG_BOUND: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Site {
     engines: Vec<EngineServer>,
@@ -36,7 +36,7 @@
 
 async fn site(engines: usize, recovery: RecoveryPolicy, load_lag: Duration) -> Site {
     let servers = engine_servers(engines, load_lag).await;
-    site_before(servers, recovery, Settings::default()).await
+    start_site(servers, recovery, Settings::default()).await
 }
 
 async fn engine_servers(engines: usize, load_lag: Duration) -> Vec<EngineServer> {
@@ -54,7 +54,7 @@
     servers
 }
 
-async fn site_before(
+async fn start_site(
     servers: Vec<EngineServer>,
     recovery: RecoveryPolicy,
     settings: Settings,
@@ -96,7 +96,7 @@
         let request = request(prompt);
         let streamed = caller.stream(&request, None, &mut answer, |_| {});
         // On a timeout the received part is checked; an incomplete answer fails the test.
-        if let Ok(outcome) = tokio::time::timeout(HANG_BOUND, streamed).await {
+        if let Ok(outcome) = tokio::time::timeout(ANSWER_TIMEOUT, streamed).await {
             outcome.expect("an answer or a problem");
         }
         answer
@@ -108,26 +108,26 @@
         futures::future::join_all(prompts.iter().map(|prompt| self.answer(prompt))).await
     }
 
-    fn dead(&self) -> usize {
-        let dead = |engine: &&EngineServer| engine.wait_killed().now_or_never().is_some();
-        self.engines.iter().filter(dead).count()
+    fn dead_engines(&self) -> usize {
+        let is_dead = |engine: &&EngineServer| engine.wait_killed().now_or_never().is_some();
+        self.engines.iter().filter(is_dead).count()
     }
 }
 
-fn whole_menus(answers: &[Answer]) -> usize {
-    let whole = |(n, answer): &(usize, &Answer)| {
+fn complete_menus(answers: &[Answer]) -> usize {
+    let is_complete = |(n, answer): &(usize, &Answer)| {
         let chain = TokenChain::new("catkin", "1", &format!("menu {n}"), 3);
         answer.check(chain, TOKENS as usize).is_ok()
     };
-    answers.iter().enumerate().filter(whole).count()
+    answers.iter().enumerate().filter(is_complete).count()
 }
 
 async fn poison_costs_two_engines(recovery: RecoveryPolicy) {
     let site = site(5, recovery, Duration::ZERO).await;
     let poison = format!("{POISON} artwork");
 
-    let (culprit, menus) = futures::join!(site.answer(&poison), site.menus(12));
-    let again = site.answer(&poison).await;
+    let (poison_answer, menus) = futures::join!(site.answer(&poison), site.menus(12));
+    let retried = site.answer(&poison).await;
 
     let outcome = |answer: &Answer| {
         answer
@@ -135,14 +135,14 @@
             .as_ref()
             .map(|p| (p.type_.clone(), p.outcome))
     };
-    expect_that!(whole_menus(&menus), eq(12));
-    expect_that!(site.dead(), eq(2));
+    expect_that!(complete_menus(&menus), eq(12));
+    expect_that!(site.dead_engines(), eq(2));
     expect_that!(
-        outcome(&culprit),
+        outcome(&poison_answer),
         some(eq(&("catkinward:poisoned".into(), Outcome::Failed)))
     );
     expect_that!(
-        outcome(&again),
+        outcome(&retried),
         some(eq(&("catkinward:poisoned_not_run".into(), Outcome::NotRun)))
     );
 }
@@ -167,7 +167,7 @@
 /// requests; callers are not affected, and the router sends it no further ones.
 #[gtest]
 #[tokio::test]
-async fn refusal_of_a_leaving_engine_is_enough() {
+async fn refusal_of_a_leaving_engine_stops_new_work() {
     let site = site(2, RecoveryPolicy::LeastWait, Duration::from_secs(60)).await;
     let before = site.menus(1).await;
     let work = site.engines[0].token_counts();
@@ -175,8 +175,8 @@
     site.engines[0].leave(true);
     let answers = site.menus(16).await;
 
-    expect_that!(whole_menus(&before), eq(1));
-    expect_that!(whole_menus(&answers), eq(16));
+    expect_that!(complete_menus(&before), eq(1));
+    expect_that!(complete_menus(&answers), eq(16));
     expect_that!(site.engines[0].token_counts(), eq(work));
     let deltas = site.node.upstreams.leaving_deltas();
     expect_that!(
@@ -188,7 +188,7 @@
 /// An update from a peer is the only source that reports an engine as leaving.
 #[gtest]
 #[tokio::test]
-async fn word_of_a_peer_ends_new_work() {
+async fn leaving_update_from_a_peer_stops_new_work() {
     let site = site(2, RecoveryPolicy::LeastWait, Duration::ZERO).await;
     site.menus(1).await;
     let work = site.engines[1].token_counts();
@@ -203,7 +203,7 @@
     site.node.upstreams.note_leaving(&id, incarnation, source);
     let answers = site.menus(12).await;
 
-    expect_that!(whole_menus(&answers), eq(12));
+    expect_that!(complete_menus(&answers), eq(12));
     expect_that!(site.engines[1].token_counts(), eq(work));
 }
 
@@ -211,7 +211,7 @@
 /// send it work until its VM is removed.
 #[gtest]
 #[tokio::test]
-async fn word_of_the_platform_ends_new_work() {
+async fn leaving_state_in_the_vm_list_stops_new_work() {
     let platform = PlatformServer::start(free_address(), PlatformFaults::default());
     let platform = platform.await.expect("a free address");
     let settings = Settings {
@@ -219,22 +219,22 @@
         ..Settings::default()
     };
     let servers = engine_servers(2, Duration::ZERO).await;
-    let site = site_before(servers, RecoveryPolicy::LeastWait, settings).await;
+    let site = start_site(servers, RecoveryPolicy::LeastWait, settings).await;
     site.menus(1).await;
 
     list_as_leaving(&platform, "engine-1", site.engines[1].address()).await;
-    let noted = async {
+    let marked_leaving = async {
         while site.node.upstreams.leaving().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(HANG_BOUND, noted)
+    tokio::time::timeout(ANSWER_TIMEOUT, marked_leaving)
         .await
         .expect("the list is read");
     let work = site.engines[1].token_counts();
     let answers = site.menus(12).await;
 
-    expect_that!(whole_menus(&answers), eq(12));
+    expect_that!(complete_menus(&answers), eq(12));
     expect_that!(site.engines[1].token_counts(), eq(work));
 }
 
@@ -265,32 +265,32 @@
 /// shared poison records, each VM would lose two engines.
 #[gtest]
 #[tokio::test]
-async fn another_vm_knows_a_poison_request() {
+async fn poison_request_is_refused_by_another_vm() {
     let servers = engine_servers(5, Duration::ZERO).await;
-    let first = site_before(servers.clone(), RecoveryPolicy::LeastWait, peer(1, vec![])).await;
-    let known = vec![first.peers().own().clone()];
-    let second = site_before(servers, RecoveryPolicy::LeastWait, peer(2, known)).await;
+    let first = start_site(servers.clone(), RecoveryPolicy::LeastWait, peer(1, vec![])).await;
+    let initial_peers = vec![first.peers().own().clone()];
+    let second = start_site(servers, RecoveryPolicy::LeastWait, peer(2, initial_peers)).await;
     let poison = format!("{POISON} artwork");
 
     first.answer(&poison).await;
-    tokio::time::timeout(HANG_BOUND, second.hears_marks(&first))
+    tokio::time::timeout(ANSWER_TIMEOUT, second.wait_for_poison_records(&first))
         .await
         .expect("the poison records spread");
-    let again = second.answer(&poison).await;
+    let retried = second.answer(&poison).await;
 
-    expect_that!(first.dead(), eq(2));
+    expect_that!(first.dead_engines(), eq(2));
     expect_that!(
-        again.problem.map(|p| p.type_),
+        retried.problem.map(|p| p.type_),
         some(eq("catkinward:poisoned_not_run"))
     );
 }
 
-fn peer(n: usize, known: Vec<PeerEntry>) -> Settings {
+fn peer(n: usize, initial_peers: Vec<PeerEntry>) -> Settings {
     Settings {
         vm: format!("vm-{n}").parse().expect("a name"),
         peer_listen: Some(free_address()),
         peer_key: PeerKey::new("shared by both"),
-        peers: known,
+        peers: initial_peers,
         ..Settings::default()
     }
 }
@@ -301,12 +301,12 @@
     }
 
     /// Waits until this VM has all poison records of the other.
-    async fn hears_marks(&self, other: &Self) {
+    async fn wait_for_poison_records(&self, other: &Self) {
         let digests = |site: &Self| {
-            let marks = site.node.upstreams.poison_marks();
-            marks
+            let records = site.node.upstreams.poison_marks();
+            records
                 .iter()
-                .map(|m| (m.digest, m.crash))
+                .map(|record| (record.digest, record.crash))
                 .collect::<Vec<_>>()
         };
         while digests(self) != digests(other) {
--- a/crates/standins/tests/team_limits.rs
+++ b/crates/standins/tests/team_limits.rs
@@ -88,21 +88,24 @@
 /// and does not reach the engines.
 #[gtest]
 #[tokio::test]
-async fn a_team_gets_its_share_and_typed_refusals() {
+async fn team_gets_its_share_and_refusals_with_a_retry_delay() {
     let site = site(2).await;
     let start = Instant::now();
 
     let answers = futures::future::join_all((0..40).map(|_| site.answer())).await;
 
-    let (refused, whole): (Vec<_>, Vec<_>) = answers.iter().partition(|a| a.problem.is_some());
+    let (refused, complete): (Vec<_>, Vec<_>) = answers.iter().partition(|a| a.problem.is_some());
     let refused = refused.iter().filter_map(|a| a.problem.as_ref());
     let refused = refused.collect::<Vec<_>>();
     // A burst of one second's share, plus the share of the elapsed time.
     let share = u64::from(LIMIT / 2);
-    let bound = share * (2 + start.elapsed().as_secs());
-    let whole = u64::try_from(whole.len()).expect("few");
-    expect_that!(whole, all![ge(share), le(bound)]);
-    expect_that!(site.engine.token_counts().0, eq(whole * u64::from(TOKENS)));
+    let max_complete = share * (2 + start.elapsed().as_secs());
+    let complete = u64::try_from(complete.len()).expect("few");
+    expect_that!(complete, all![ge(share), le(max_complete)]);
+    expect_that!(
+        site.engine.token_counts().0,
+        eq(complete * u64::from(TOKENS))
+    );
     expect_that!(
         refused
             .iter()
@@ -119,7 +122,7 @@
 /// Only the allocator of a limit grants slices of it, and only to VMs in its list of live VMs.
 #[gtest]
 #[tokio::test]
-async fn only_the_home_grants_slices() {
+async fn only_the_allocator_grants_slices() {
     let site = site(2).await;
     let request = |team: &str, vm: &str| SliceRequest {
         team: team.parse().expect("a name"),
@@ -129,38 +132,41 @@
     };
     site.answer().await;
 
-    let home = site.node.limits.asks(&vms())[0].home.clone();
+    let allocator = site.node.limits.asks(&vms())[0].home.clone();
     let only_vm = &vms()[..1];
     let granted = site
         .node
         .limits
         .grant(&request("counter", "vm-1"), only_vm, 1.0);
-    let stranger = site
+    let for_unlisted_vm = site
         .node
         .limits
         .grant(&request("counter", "vm-9"), only_vm, 1.0);
-    let unknown = site
+    let for_unknown_team = site
         .node
         .limits
         .grant(&request("nobody", "vm-1"), only_vm, 1.0);
-    let elsewhere = site
+    let from_other_vm = site
         .node
         .limits
         .grant(&request("counter", "vm-1"), &vms()[1..], 1.0);
 
-    expect_that!(vms(), contains(eq(&home)));
+    expect_that!(vms(), contains(eq(&allocator)));
     expect_that!(granted.map(|grant| grant.rate), some(near(1.0, 0.001)));
-    expect_that!([stranger, unknown, elsewhere], each(none()));
+    expect_that!(
+        [for_unlisted_vm, for_unknown_team, from_other_vm],
+        each(none())
+    );
 }
 
 /// A team calls through only one of two VMs. With equal slices, half of its limit would be unused
 /// while its callers are refused.
 #[gtest]
 #[tokio::test]
-async fn a_slice_follows_the_demand() {
+async fn slice_follows_the_demand() {
     let first = site_with(peer(1, vec![])).await;
-    let known = vec![first.node.peers.as_ref().expect("peers").own().clone()];
-    let second = site_with(peer(2, known)).await;
+    let initial_peers = vec![first.node.peers.as_ref().expect("peers").own().clone()];
+    let second = site_with(peer(2, initial_peers)).await;
     let team = "counter".parse().expect("a name");
 
     let slice_grows = async {
@@ -175,13 +181,13 @@
     expect_that!(grown, ok(anything()));
 }
 
-fn peer(n: usize, known: Vec<PeerEntry>) -> Settings {
+fn peer(n: usize, initial_peers: Vec<PeerEntry>) -> Settings {
     Settings {
         vm: format!("vm-{n}").parse().expect("a name"),
         entry_vms: 2,
         peer_listen: Some(free_address()),
         peer_key: PeerKey::new("shared by both"),
-        peers: known,
+        peers: initial_peers,
         ..Settings::default()
     }
 }
