--- a/crates/standins/src/daemon.rs
+++ b/crates/standins/src/daemon.rs
@@ -2,35 +2,35 @@
 use catkin_border::platform::PlatformFaults;
 use std::{ffi::OsString, process::ExitCode, str::FromStr};
 
-/// Why a stand-in cannot run.
+/// Error that ends a mock process.
 #[derive(Debug, Display, Error, From)]
 pub enum StandinError {
-    /// A flag is not known or has no value.
+    /// A flag is unknown or has no value.
     #[display("{_0}")]
     Flag(lexopt::Error),
-    /// A value is wrong.
-    #[display("`--{flag}` cannot be `{value}`")]
+    /// A flag has an invalid value.
+    #[display("invalid value `{value}` for `--{flag}`")]
     #[from(skip)]
     Value {
-        /// Its flag.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// What it is.
+        /// Value as given on the command line.
         value: String,
     },
-    /// It was killed by a fault or a poison request.
-    #[display("the engine died")]
+    /// The mock engine was killed by a fault or crashed by a poison request.
+    #[display("engine killed by a fault or a poison request")]
     #[from(skip)]
     Crashed,
-    /// No kind of stand-in is named.
-    #[display("name a stand-in: `engine`, `plain`, `platform` or `proxy`")]
+    /// The command line names no kind of mock.
+    #[display("missing kind of mock: expected `engine`, `plain`, `platform` or `proxy`")]
     #[from(skip)]
     Kind,
-    /// The address cannot be had.
+    /// Binding the listening address failed.
     #[display("cannot listen: {_0}")]
     Listen(std::io::Error),
 }
 
-/// A stand-in as its command line asks for it.
+/// Kind and settings of the mock to run, parsed from the command line.
 enum Standin {
     Engine(EngineSettings),
     Plain(PlainSettings),
@@ -38,11 +38,12 @@
     Proxy(Vec<SocketAddr>),
 }
 
-/// Runs the stand-ins' daemon: `engine`, `plain`, `platform` or `proxy` with its flags. It prints
-/// `listening ADDRESS`; before that, the proxy prints the address of a route for each `--to`, and
-/// what it listens on is its control.
+/// Runs the mock that `args` select: `engine`, `plain`, `platform` or `proxy`, followed by its flags.
+///
+/// Prints `listening ADDRESS` once it accepts connections. The proxy first prints `route ADDRESS` for
+/// each `--to`; its listening address is that of its control API.
 pub fn run_standin(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    match read_standin(args).map(serve) {
+    match parse_args(args).map(serve) {
         Ok(Ok(())) => ExitCode::SUCCESS,
         Ok(Err(error)) | Err(error) => {
             eprintln!("error: {error}");
@@ -51,19 +52,19 @@
     }
 }
 
-fn read_standin(args: impl IntoIterator<Item = OsString>) -> Result<Standin, StandinError> {
+fn parse_args(args: impl IntoIterator<Item = OsString>) -> Result<Standin, StandinError> {
     let mut parser = lexopt::Parser::from_args(args);
     match parser.next()? {
-        Some(lexopt::Arg::Value(kind)) if kind == "plain" => plain(&mut parser),
-        Some(lexopt::Arg::Value(kind)) if kind == "platform" => platform(&mut parser),
-        Some(lexopt::Arg::Value(kind)) if kind == "proxy" => proxy(&mut parser),
-        Some(lexopt::Arg::Value(kind)) if kind == "engine" => engine(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "plain" => parse_plain(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "platform" => parse_platform(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "proxy" => parse_proxy(&mut parser),
+        Some(lexopt::Arg::Value(kind)) if kind == "engine" => parse_engine(&mut parser),
         Some(arg) => Err(arg.unexpected().into()),
         None => Err(StandinError::Kind),
     }
 }
 
-fn engine(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_engine(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut settings = EngineSettings::default();
     while let Some(arg) = parser.next()? {
         match arg {
@@ -74,9 +75,9 @@
             lexopt::Arg::Long("prefill-us") => {
                 settings.prefill_per_token = micros("prefill-us", parser)?;
             }
-            lexopt::Arg::Long("capacity") => settings.capacity = number("capacity", parser)?,
+            lexopt::Arg::Long("capacity") => settings.capacity = parse_value("capacity", parser)?,
             lexopt::Arg::Long("prefix-cache") => {
-                settings.prefix_cache = number("prefix-cache", parser)?;
+                settings.prefix_cache = parse_value("prefix-cache", parser)?;
             }
             lexopt::Arg::Long("load-model-us") => {
                 settings.load_time = micros("load-model-us", parser)?;
@@ -87,30 +88,30 @@
                 settings.orderers.push(vm.into());
             }
             lexopt::Arg::Long("load-lag-us") => settings.load_lag = micros("load-lag-us", parser)?,
-            lexopt::Arg::Long("seed") => settings.seed = number("seed", parser)?,
+            lexopt::Arg::Long("seed") => settings.seed = parse_value("seed", parser)?,
             _ => return Err(arg.unexpected().into()),
         }
     }
     Ok(Standin::Engine(settings))
 }
 
-fn plain(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_plain(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut settings = PlainSettings::default();
     while let Some(arg) = parser.next()? {
         match arg {
             lexopt::Arg::Long("service-us") => {
                 settings.service_time = micros("service-us", parser)?;
             }
-            lexopt::Arg::Long("spread") => settings.spread = number("spread", parser)?,
-            lexopt::Arg::Long("capacity") => settings.capacity = number("capacity", parser)?,
-            lexopt::Arg::Long("seed") => settings.seed = number("seed", parser)?,
+            lexopt::Arg::Long("spread") => settings.spread = parse_value("spread", parser)?,
+            lexopt::Arg::Long("capacity") => settings.capacity = parse_value("capacity", parser)?,
+            lexopt::Arg::Long("seed") => settings.seed = parse_value("seed", parser)?,
             _ => return Err(arg.unexpected().into()),
         }
     }
     Ok(Standin::Plain(settings))
 }
 
-fn platform(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_platform(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut faults = PlatformFaults {
         answer_delay_ms: None,
         delay_ms: None,
@@ -124,13 +125,13 @@
     while let Some(arg) = parser.next()? {
         match arg {
             lexopt::Arg::Long("reads-per-second") => {
-                faults.reads_per_second = Some(number("reads-per-second", parser)?);
+                faults.reads_per_second = Some(parse_value("reads-per-second", parser)?);
             }
             lexopt::Arg::Long("writes-per-second") => {
-                faults.writes_per_second = Some(number("writes-per-second", parser)?);
+                faults.writes_per_second = Some(parse_value("writes-per-second", parser)?);
             }
             lexopt::Arg::Long("vm-lag-ms") => {
-                faults.vm_lag_ms = Some(number("vm-lag-ms", parser)?);
+                faults.vm_lag_ms = Some(parse_value("vm-lag-ms", parser)?);
             }
             _ => return Err(arg.unexpected().into()),
         }
@@ -138,11 +139,11 @@
     Ok(Standin::Platform(faults))
 }
 
-fn proxy(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
+fn parse_proxy(parser: &mut lexopt::Parser) -> Result<Standin, StandinError> {
     let mut upstreams = Vec::new();
     while let Some(arg) = parser.next()? {
         match arg {
-            lexopt::Arg::Long("to") => upstreams.push(number("to", parser)?),
+            lexopt::Arg::Long("to") => upstreams.push(parse_value("to", parser)?),
             _ => return Err(arg.unexpected().into()),
         }
     }
@@ -150,10 +151,13 @@
 }
 
 fn micros(flag: &'static str, parser: &mut lexopt::Parser) -> Result<Duration, StandinError> {
-    number(flag, parser).map(Duration::from_micros)
+    parse_value(flag, parser).map(Duration::from_micros)
 }
 
-fn number<T: FromStr>(flag: &'static str, parser: &mut lexopt::Parser) -> Result<T, StandinError> {
+fn parse_value<T: FromStr>(
+    flag: &'static str,
+    parser: &mut lexopt::Parser,
+) -> Result<T, StandinError> {
     let value = parser.value()?.to_string_lossy().into_owned();
     value
         .parse()
@@ -162,24 +166,24 @@
 
 #[tokio::main]
 async fn serve(standin: Standin) -> Result<(), StandinError> {
-    let free = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     match standin {
         Standin::Engine(settings) => {
-            let engine = EngineServer::start(free, settings).await?;
+            let engine = EngineServer::start(any_port, settings).await?;
             println!("listening {}", engine.address());
-            engine.died().await;
+            engine.wait_killed().await;
             return Err(StandinError::Crashed);
         }
         Standin::Plain(settings) => {
-            let plain = PlainServer::start(free, settings).await?;
+            let plain = PlainServer::start(any_port, settings).await?;
             println!("listening {}", plain.address());
         }
         Standin::Platform(faults) => {
-            let platform = PlatformServer::start(free, faults).await?;
+            let platform = PlatformServer::start(any_port, faults).await?;
             println!("listening {}", platform.address());
         }
         Standin::Proxy(upstreams) => {
-            let proxy = FaultProxy::start(free).await?;
+            let proxy = FaultProxy::start(any_port).await?;
             for upstream in upstreams {
                 println!("route {}", proxy.route(upstream).await?);
             }
--- a/crates/standins/src/engine_batch.rs
+++ b/crates/standins/src/engine_batch.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::{prefix_cache::PrefixCache, sequence::Sequence};
 
-/// A prompt that begins so crashes the engine that runs it.
+/// Prompt prefix that crashes the engine when it decodes the request.
 pub const POISON: &str = "poison:";
 
-/// A prompt that begins so crashes the engine that it is sent to, before that answers.
+/// Prompt prefix that crashes the engine on receipt of the request, before it responds.
 pub const UNANSWERED_POISON: &str = "poison-unanswered:";
 
-/// The continuous batch of a stand-in engine.
+/// Continuous batching of a mock engine: all running sequences decode one token per step.
 pub(crate) struct EngineBatch {
     settings: EngineSettings,
     sequences: Mutex<Vec<Arc<Sequence>>>,
@@ -31,22 +31,27 @@
         }
     }
 
-    /// Adds an attempt, unless one as new of the same request is there.
+    /// Adds an attempt and cancels older ones of the same request. Returns `None` if an attempt with
+    /// the same or a larger number exists.
     pub(crate) fn add(&self, sequence: Sequence) -> Option<Arc<Sequence>> {
         let mut sequences = self.sequences.lock();
-        let same = |s: &&Arc<Sequence>| s.order.request_id == sequence.order.request_id;
+        let is_same_request =
+            |s: &&Arc<Sequence>| s.request.request_id == sequence.request.request_id;
         if sequences
             .iter()
-            .filter(same)
+            .filter(is_same_request)
             .any(|s| s.attempt() >= sequence.attempt())
         {
             return None;
         }
-        sequences.iter().filter(same).for_each(|s| s.cancel());
-        let digest = request_digest("", sequence.order.prompt.as_bytes());
-        let id = &sequence.order.request_id;
+        sequences
+            .iter()
+            .filter(is_same_request)
+            .for_each(|s| s.cancel());
+        let digest = request_digest("", sequence.request.prompt.as_bytes());
+        let id = &sequence.request.request_id;
         self.runs.lock().add(id, digest);
-        let cached = self.cache.lock().take(&sequence.order.prompt);
+        let cached = self.cache.lock().insert(&sequence.request.prompt);
         sequence.state.lock().prefill_left -= cached;
         let sequence = Arc::new(sequence);
         sequences.push(sequence.clone());
@@ -57,45 +62,45 @@
         self.sequences
             .lock()
             .iter()
-            .find(|s| s.order.request_id == request_id && s.attempt() == attempt)
+            .find(|s| s.request.request_id == request_id && s.attempt() == attempt)
             .cloned()
     }
 
-    /// Cancels all attempts of a request up to `attempt`.
+    /// Cancels all attempts of a request with numbers up to `attempt`.
     pub(crate) fn cancel(&self, request_id: &str, attempt: u64) {
         self.sequences
             .lock()
             .iter()
-            .filter(|s| s.order.request_id == request_id && s.attempt() <= attempt)
+            .filter(|s| s.request.request_id == request_id && s.attempt() <= attempt)
             .for_each(|s| s.cancel());
     }
 
-    /// Cancels all attempts on a model version that is no longer loaded.
+    /// Cancels all attempts on a model version that has been unloaded.
     pub(crate) fn cancel_model(&self, model: &str, version: &str) {
         self.sequences
             .lock()
             .iter()
-            .filter(|s| s.order.model == model && s.order.version == version)
+            .filter(|s| s.request.model == model && s.request.version == version)
             .for_each(|s| s.cancel());
     }
 
-    /// Unfinished sequences on a model version.
-    pub(crate) fn streams(&self, model: &str, version: &str) -> usize {
+    /// Returns the number of unfinished sequences on a model version.
+    pub(crate) fn active_streams(&self, model: &str, version: &str) -> usize {
         self.sequences
             .lock()
             .iter()
-            .filter(|s| s.order.model == model && s.order.version == version)
+            .filter(|s| s.request.model == model && s.request.version == version)
             .filter(|s| s.state.lock().finish.is_none())
             .count()
     }
 
-    /// Attempts started, by request id and digest of the prompt.
+    /// Returns the numbers of attempts started, by request id and digest of the prompt.
     pub(crate) fn runs(&self) -> RunCounts {
         self.runs.lock().clone()
     }
 
-    /// Sequences being decoded, and sequences that wait for a place.
-    pub(crate) fn counts(&self) -> (usize, usize) {
+    /// Returns the numbers of sequences that are being decoded and that wait for a batch slot.
+    pub(crate) fn running_and_waiting(&self) -> (usize, usize) {
         let unfinished = self
             .sequences
             .lock()
@@ -106,7 +111,7 @@
         (running, unfinished - running)
     }
 
-    /// Decodes until the engine is killed.
+    /// Runs decode steps until the engine is killed. A poison prompt in the batch kills it.
     pub(crate) async fn run(self: Arc<Self>, killed: CancellationToken) {
         let mut paused = self.paused.subscribe();
         while !killed.is_cancelled() {
@@ -120,7 +125,7 @@
             if *self.paused.borrow() {
                 continue;
             }
-            if batch.iter().any(|s| s.order.prompt.starts_with(POISON)) {
+            if batch.iter().any(|s| s.request.prompt.starts_with(POISON)) {
                 return killed.cancel();
             }
             for sequence in &batch {
@@ -136,20 +141,20 @@
         let grace = self.settings.detach_grace;
         let mut sequences = self.sequences.lock();
         sequences.retain(|sequence| {
-            let unread = sequence.state.lock().unread_since;
-            let forgotten = unread.is_some_and(|since| now - since > grace);
-            if forgotten {
+            let detached_since = sequence.state.lock().detached_since;
+            let abandoned = detached_since.is_some_and(|since| now - since > grace);
+            if abandoned {
                 sequence.cancel();
             }
-            !forgotten
+            !abandoned
         });
         let mut batch: Vec<_> = sequences
             .iter()
             .filter(|sequence| sequence.state.lock().finish.is_none())
             .cloned()
             .collect();
-        // The sort is stable: among equals, the first come goes first.
-        batch.sort_by_key(|sequence| std::cmp::Reverse(sequence.order.priority));
+        // The sort is stable: sequences of equal priority stay in order of arrival.
+        batch.sort_by_key(|sequence| std::cmp::Reverse(sequence.request.priority));
         batch.truncate(self.settings.capacity);
         batch
     }
--- a/crates/standins/src/fault_proxy.rs
+++ b/crates/standins/src/fault_proxy.rs
@@ -2,14 +2,14 @@
 use crate::killable_listener::KillableListener;
 use crate::{
     proxy_route::ProxyRoute,
-    query::{malformed, query_number, query_value},
+    query::{bad_request, query_number, query_value},
 };
 use tokio::net::TcpListener;
 use volo_http::server::Server;
 
-/// A TCP proxy that injects faults. It is controlled over HTTP: `POST /route?to=ADDRESS` answers
-/// with the address of a new route, `POST /fault?route=N&kind=K&ms=N` changes a route, and
-/// `GET /stats` tells the bytes that each route passed on.
+/// TCP proxy that injects faults, with an HTTP control API: `POST /route?to=ADDRESS` opens a route
+/// and returns its address, `POST /fault?route=N&kind=K&ms=N` sets the fault of a route, and
+/// `GET /stats` returns the number of bytes that each route has forwarded.
 #[derive(Clone)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -17,11 +17,11 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy without routes, controlled on a loopback address.
+    /// Starts a proxy without routes whose control API listens on `address`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let proxy = Self {
@@ -33,17 +33,17 @@
         Ok(proxy)
     }
 
-    /// Where it is controlled.
+    /// Returns the address of the control API.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens a route to an upstream and returns its address.
+    /// Opens a route to an upstream and returns the route's listening address.
     ///
     /// # Errors
     ///
-    /// If no address can be had.
+    /// If no address can be bound.
     pub async fn route(&self, to: SocketAddr) -> std::io::Result<SocketAddr> {
         let route = ProxyRoute::open(to).await?;
         let address = route.address();
@@ -51,7 +51,8 @@
         Ok(address)
     }
 
-    /// Injects a fault on the route opened as number `route`, from 0; false if there is none.
+    /// Injects a fault on the route with this index in order of opening, from 0. Returns false if
+    /// there is no such route.
     #[must_use]
     pub fn inject(&self, route: usize, fault: ProxyFault, delay: Duration) -> bool {
         match self.routes.lock().get(route) {
@@ -61,28 +62,32 @@
         true
     }
 
-    /// Bytes that each route passed on, in both directions.
+    /// Returns the number of bytes that each route has forwarded, both directions together.
     #[must_use]
-    pub fn passed(&self) -> Vec<u64> {
-        self.routes.lock().iter().map(ProxyRoute::passed).collect()
+    pub fn forwarded_bytes(&self) -> Vec<u64> {
+        self.routes
+            .lock()
+            .iter()
+            .map(ProxyRoute::forwarded_bytes)
+            .collect()
     }
 
-    async fn take_route(&self, req: &Request) -> Response {
+    async fn handle_route(&self, req: &Request) -> Response {
         let Some(to) = query_value(req, "to").and_then(|to| to.parse().ok()) else {
-            return malformed();
+            return bad_request();
         };
         match self.route(to).await {
             Ok(address) => Response::new(json_bytes(&address).into()),
-            Err(_) => malformed(),
+            Err(_) => bad_request(),
         }
     }
 
-    fn take_fault(&self, req: &Request) -> Response {
+    fn handle_fault(&self, req: &Request) -> Response {
         let route = usize::try_from(query_number(req, "route")).unwrap_or(usize::MAX);
         let delay = Duration::from_millis(query_number(req, "ms"));
         match query_value(req, "kind").and_then(|kind| kind.parse().ok()) {
             Some(fault) if self.inject(route, fault, delay) => Response::new(Body::empty()),
-            _ => malformed(),
+            _ => bad_request(),
         }
     }
 }
@@ -93,10 +98,10 @@
 
     async fn call(&self, _: &mut ServerContext, req: Request) -> Result<Response, Infallible> {
         Ok(match (req.method(), req.uri().path()) {
-            (&Method::GET, "/stats") => Response::new(json_bytes(&self.passed()).into()),
-            (&Method::POST, "/route") => self.take_route(&req).await,
-            (&Method::POST, "/fault") => self.take_fault(&req),
-            _ => malformed(),
+            (&Method::GET, "/stats") => Response::new(json_bytes(&self.forwarded_bytes()).into()),
+            (&Method::POST, "/route") => self.handle_route(&req).await,
+            (&Method::POST, "/fault") => self.handle_fault(&req),
+            _ => bad_request(),
         })
     }
 }
--- a/crates/standins/src/mock_platform.rs
+++ b/crates/standins/src/mock_platform.rs
@@ -2,24 +2,24 @@
 use catkinward::{Platform, PlatformError};
 use std::collections::VecDeque;
 
-/// Fate of one transaction of a [`MockPlatform`].
+/// Scripted outcome of one transaction of a [`MockPlatform`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TransactOutcome {
-    /// It runs and is answered.
+    /// The transaction runs and its reply arrives.
     Answered,
-    /// It runs, but its answer is lost.
+    /// The transaction runs, but its reply is lost; the client sees an unknown outcome.
     LostAfterEffect,
-    /// It is lost on its way, and its sender cannot tell.
+    /// The transaction is lost before it runs; the client sees an unknown outcome.
     LostBeforeEffect,
-    /// Its sender hears nothing; it runs right before the next transaction.
+    /// The client sees an unknown outcome, and the transaction runs right before the next one.
     Late,
-    /// It is refused.
+    /// The transaction is refused as not run.
     NotRun,
-    /// It is refused for the rate limit.
+    /// The transaction is refused because of the rate limit.
     Throttled,
 }
 
-/// A platform in memory whose transactions meet scripted fates.
+/// In-memory platform whose transactions have scripted outcomes.
 #[derive(Clone, Default)]
 pub struct MockPlatform {
     inner: Arc<Mutex<Inner>>,
@@ -28,49 +28,51 @@
 #[derive(Default)]
 struct Inner {
     store: PlatformStore,
-    fates: VecDeque<TransactOutcome>,
+    outcomes: VecDeque<TransactOutcome>,
     late: Vec<catkin_border::platform::TransactRequest>,
-    out: bool,
+    outage: bool,
 }
 
 impl MockPlatform {
-    /// Gives the next transactions these fates; those after them are answered.
-    pub fn script(&self, fates: impl IntoIterator<Item = TransactOutcome>) {
-        self.inner.lock().fates.extend(fates);
+    /// Appends outcomes for the next transactions. Transactions beyond the script are answered.
+    pub fn script(&self, outcomes: impl IntoIterator<Item = TransactOutcome>) {
+        self.inner.lock().outcomes.extend(outcomes);
     }
 
-    /// Forgets the fates that are left: what comes now is answered.
-    pub fn forget_script(&self) {
-        self.inner.lock().fates.clear();
+    /// Discards the remaining scripted outcomes, so that all further transactions are answered.
+    pub fn clear_script(&self) {
+        self.inner.lock().outcomes.clear();
     }
 
-    /// Begins or ends an outage in which every call is refused.
-    pub fn outage(&self, out: bool) {
-        self.inner.lock().out = out;
+    /// Starts or ends an outage, in which every call is refused as not run.
+    pub fn set_outage(&self, outage: bool) {
+        self.inner.lock().outage = outage;
     }
 
-    /// Looks at the state or changes it, past all faults.
+    /// Gives access to the stored state regardless of scripted outcomes and outages.
     pub fn with_store<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> T {
         f(&mut self.inner.lock().store)
     }
 
-    /// The closures by which a part of the router uses it.
+    /// Returns the platform client that is passed to parts of the router.
     #[must_use]
     pub fn platform(&self) -> Platform {
-        let call = || self.clone();
-        let (transact, read, scan) = (call(), call(), call());
-        let (put_object, get_object, vms) = (call(), call(), call());
+        let client = || self.clone();
+        let (transact, read, scan) = (client(), client(), client());
+        let (put_object, get_object, vms) = (client(), client(), client());
         Platform {
             transact: Box::new(move |req| ready(transact.transact(req))),
-            read: Box::new(move |keys| ready(read.up(|store| store.read(&keys)))),
-            scan: Box::new(move |req| ready(scan.up(|store| store.scan(&req)))),
+            read: Box::new(move |keys| ready(read.unless_outage(|store| store.read(&keys)))),
+            scan: Box::new(move |req| ready(scan.unless_outage(|store| store.scan(&req)))),
             put_object: Box::new(move |(name, body)| {
-                ready(put_object.up(|store| store.put_object(&name, body)))
+                ready(put_object.unless_outage(|store| store.put_object(&name, body)))
+            }),
+            get_object: Box::new(move |name| {
+                ready(get_object.unless_outage(|store| store.get_object(&name)))
             }),
-            get_object: Box::new(move |name| ready(get_object.up(|store| store.get_object(&name)))),
             vms: Box::new(move |()| {
                 let latest = catkin_decisions::Instant(Duration::MAX);
-                ready(vms.up(|store| store.vms(latest)))
+                ready(vms.unless_outage(|store| store.vms(latest)))
             }),
         }
     }
@@ -84,10 +86,14 @@
         for late in std::mem::take(&mut inner.late) {
             inner.store.transact(late);
         }
-        if inner.out {
+        if inner.outage {
             return Err(PlatformError::NotRun);
         }
-        match inner.fates.pop_front().unwrap_or(TransactOutcome::Answered) {
+        match inner
+            .outcomes
+            .pop_front()
+            .unwrap_or(TransactOutcome::Answered)
+        {
             TransactOutcome::Answered => Ok(inner.store.transact(req)),
             TransactOutcome::LostAfterEffect => {
                 inner.store.transact(req);
@@ -103,9 +109,12 @@
         }
     }
 
-    fn up<T>(&self, f: impl FnOnce(&mut PlatformStore) -> T) -> Result<T, PlatformError> {
+    fn unless_outage<T>(
+        &self,
+        f: impl FnOnce(&mut PlatformStore) -> T,
+    ) -> Result<T, PlatformError> {
         let mut inner = self.inner.lock();
-        if inner.out {
+        if inner.outage {
             return Err(PlatformError::NotRun);
         }
         Ok(f(&mut inner.store))
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -7,10 +7,10 @@
 use tokio::net::TcpListener;
 use volo_http::server::Server;
 
-/// Path below which objects are found by name.
+/// Path prefix of stored objects, followed by the object name.
 const OBJECTS: &str = "/v1/objects/";
 
-/// A running stand-in platform: table service, object store and VM list over HTTP.
+/// Running mock platform: table service, object store and VM list over HTTP.
 #[derive(Clone)]
 pub struct PlatformServer {
     inner: Arc<Inner>,
@@ -38,19 +38,19 @@
     writes: RateLimit,
 }
 
-/// What became of a call.
-enum Outcome {
+/// Outcome of a platform call.
+enum CallOutcome {
     Answer(Response),
-    /// It took effect, but its answer breaks off.
+    /// The call took effect, but its response is truncated.
     Lost,
 }
 
 impl PlatformServer {
-    /// Starts a platform on a loopback address; port 0 takes a free one.
+    /// Starts a platform that listens on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// If the address cannot be bound.
     pub async fn start(address: SocketAddr, faults: PlatformFaults) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let server = Self {
@@ -64,25 +64,26 @@
                 killed: CancellationToken::new(),
             }),
         };
-        server.fault(&faults);
+        server.change_faults(&faults);
         let app = Server::new(server.clone());
         let listener = KillableListener::new(listener, server.inner.killed.clone());
         tokio::spawn(app.run(listener));
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// Changes faults; what is absent stays as it is.
-    pub fn fault(&self, change: &PlatformFaults) {
+    /// Changes the injected faults; absent fields keep their values.
+    pub fn change_faults(&self, change: &PlatformFaults) {
         self.inner.faults.lock().change(change);
     }
 
-    /// Calls that took effect since the start.
+    /// Returns the counts of calls since the start: those that took effect, lost responses and
+    /// throttled calls.
     #[must_use]
     pub fn stats(&self) -> PlatformStats {
         PlatformStats {
@@ -96,26 +97,25 @@
         Instant(self.inner.start.elapsed())
     }
 
-    /// Does a call of the platform with the faults of the moment. It runs in a task of its own, so
-    /// that it takes effect also if its caller hangs up, as a call that is under way in a network
-    /// does.
+    /// Handles a platform call with the current faults. The call runs in a separate task, so that it
+    /// takes effect even if the client disconnects, as does a call that is already in the network.
     async fn platform_call(&self, method: Method, path: String, body: Bytes) -> Response {
         let server = self.clone();
-        let call = tokio::spawn(async move { server.effect(&method, &path, body).await });
+        let call = tokio::spawn(async move { server.execute(&method, &path, body).await });
         match call.await {
-            Ok(Outcome::Answer(response)) => response,
-            Ok(Outcome::Lost) | Err(_) => broken(),
+            Ok(CallOutcome::Answer(response)) => response,
+            Ok(CallOutcome::Lost) | Err(_) => truncated_response(),
         }
     }
 
-    async fn effect(&self, method: &Method, path: &str, body: Bytes) -> Outcome {
+    async fn execute(&self, method: &Method, path: &str, body: Bytes) -> CallOutcome {
         let (outage, delay) = {
             let faults = self.inner.faults.lock();
             (faults.outage, faults.delay)
         };
         match outage {
             PlatformOutage::None => {}
-            PlatformOutage::Refused => return Outcome::Answer(status(503)),
+            PlatformOutage::Refused => return CallOutcome::Answer(status(503)),
             PlatformOutage::Silent => std::future::pending().await,
         }
         if !delay.is_zero() {
@@ -124,12 +124,12 @@
         let transaction = path == "/v1/table/transact";
         if !self.admit(path) {
             self.inner.throttled.fetch_add(1, Ordering::Relaxed);
-            return Outcome::Answer(status(429));
+            return CallOutcome::Answer(status(429));
         }
         let response = self.apply(method, path, body);
         let (lost, answer_delay) = {
             let mut faults = self.inner.faults.lock();
-            let lost = transaction && response.status().is_success() && faults.loses_answer();
+            let lost = transaction && response.status().is_success() && faults.should_lose_answer();
             (lost, faults.answer_delay)
         };
         if !answer_delay.is_zero() {
@@ -137,9 +137,9 @@
         }
         if lost {
             self.inner.answers_lost.fetch_add(1, Ordering::Relaxed);
-            return Outcome::Lost;
+            return CallOutcome::Lost;
         }
-        Outcome::Answer(response)
+        CallOutcome::Answer(response)
     }
 
     fn admit(&self, path: &str) -> bool {
@@ -154,14 +154,14 @@
 
     fn apply(&self, method: &Method, path: &str, body: Bytes) -> Response {
         match (method, path) {
-            (&Method::POST, "/v1/table/transact") => parsed(&body, |req: TransactRequest| {
+            (&Method::POST, "/v1/table/transact") => handle_json(&body, |req: TransactRequest| {
                 json(&self.inner.store.lock().transact(req))
             }),
-            (&Method::POST, "/v1/table/read") => parsed(&body, |req: ReadRequest| {
+            (&Method::POST, "/v1/table/read") => handle_json(&body, |req: ReadRequest| {
                 let rows = self.inner.store.lock().read(&req.keys);
                 json(&RowsReply { rows })
             }),
-            (&Method::POST, "/v1/table/scan") => parsed(&body, |req| {
+            (&Method::POST, "/v1/table/scan") => handle_json(&body, |req| {
                 let rows = self.inner.store.lock().scan(&req);
                 json(&RowsReply { rows })
             }),
@@ -171,7 +171,7 @@
                 let vms = self.inner.store.lock().vms(then);
                 json(&VmList { vms })
             }
-            (&Method::PUT, "/v1/vms") => parsed(&body, |list: VmList| {
+            (&Method::PUT, "/v1/vms") => handle_json(&body, |list: VmList| {
                 self.inner.store.lock().set_vms(self.now(), list.vms);
                 status(200)
             }),
@@ -206,12 +206,12 @@
             return Ok(status(400));
         };
         Ok(match (&method, path.as_str()) {
-            (&Method::POST, "/fault") => parsed(&body, |change| {
-                self.fault(&change);
+            (&Method::POST, "/fault") => handle_json(&body, |change| {
+                self.change_faults(&change);
                 status(200)
             }),
             (&Method::GET, "/stats") => json(&self.stats()),
-            // The platform itself sets the list; no fault keeps it from that.
+            // The platform itself sets the VM list, so injected faults do not apply.
             (&Method::PUT, "/v1/vms") => self.apply(&method, &path, body),
             _ => self.platform_call(method, path, body).await,
         })
@@ -251,7 +251,7 @@
         }
     }
 
-    fn loses_answer(&mut self) -> bool {
+    fn should_lose_answer(&mut self) -> bool {
         self.transactions += 1;
         if self.lose_answers > 0 {
             self.lose_answers -= 1;
@@ -261,11 +261,11 @@
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(
+fn handle_json<T: serde::de::DeserializeOwned>(
     body: &[u8],
-    answer: impl FnOnce(T) -> Response,
+    respond: impl FnOnce(T) -> Response,
 ) -> Response {
-    serde_json::from_slice(body).map_or_else(|_| status(400), answer)
+    serde_json::from_slice(body).map_or_else(|_| status(400), respond)
 }
 
 fn json<T: serde::Serialize>(value: &T) -> Response {
@@ -278,8 +278,8 @@
     response
 }
 
-/// An answer whose body breaks off before its first byte.
-fn broken() -> Response {
+/// Returns a response whose body fails before its first byte.
+fn truncated_response() -> Response {
     let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
     let frames =
         futures::stream::iter([Err::<http_body::Frame<Bytes>, volo_http::error::BoxError>(
--- a/crates/standins/src/platform_store.rs
+++ b/crates/standins/src/platform_store.rs
@@ -4,14 +4,14 @@
 };
 use catkin_decisions::Instant;
 
-/// State of the stand-in platform: table rows, objects and the VM list, without network or clock.
+/// State of the mock platform: table rows, objects and the VM list, without network or clock.
 #[derive(Debug, Default)]
 pub struct PlatformStore {
-    /// Rows of each table by key, tables by name; both sorted.
+    /// Tables sorted by name, each with its rows sorted by key.
     tables: Vec<(String, Vec<Row>)>,
-    /// Objects by name, sorted.
+    /// Objects sorted by name.
     objects: Vec<(Arc<str>, Bytes)>,
-    /// VM lists with the time at which each became true, oldest first.
+    /// VM lists with the time from which each is valid, oldest first.
     vm_lists: Vec<(Instant, Vec<VmEntry>)>,
     stats: Counters,
 }
@@ -27,7 +27,8 @@
 }
 
 impl PlatformStore {
-    /// Does all writes if all conditions hold.
+    /// Applies all writes if all conditions hold; otherwise applies none and returns the conflicting
+    /// rows.
     pub fn transact(&mut self, req: TransactRequest) -> TransactReply {
         self.stats.writes += 1;
         let conflicts = req
@@ -38,7 +39,7 @@
             .collect::<Vec<_>>();
         let committed = conflicts.is_empty();
         if committed {
-            self.stats.rows_written += count(req.writes.len());
+            self.stats.rows_written += to_u64(req.writes.len());
             req.writes.into_iter().for_each(|write| self.write(write));
         }
         TransactReply {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The rows of those keys that are there.
+    /// Returns the rows of those keys that exist.
     pub fn read(&mut self, keys: &[RowKey]) -> Vec<Row> {
         let rows = keys
             .iter()
@@ -57,7 +58,7 @@
         rows
     }
 
-    /// Rows of a table by key prefix, in key order.
+    /// Returns a page of the rows whose keys have a prefix, in key order.
     pub fn scan(&mut self, req: &ScanRequest) -> Vec<Row> {
         let table = self.table(&req.table);
         let first = match &req.after {
@@ -74,7 +75,7 @@
         rows
     }
 
-    /// Keys of a table, for tests; not counted as a read.
+    /// Returns the keys of a table, for tests; not counted as a read.
     #[must_use]
     pub fn keys(&self, table: &str) -> Vec<String> {
         let rows = self.table(table).iter();
@@ -84,25 +85,25 @@
     /// Stores an object.
     pub fn put_object(&mut self, name: &str, body: Bytes) {
         self.stats.object_writes += 1;
-        match self.object_place(name) {
+        match self.object_position(name) {
             Ok(i) => self.objects[i].1 = body,
             Err(i) => self.objects.insert(i, (name.into(), body)),
         }
     }
 
-    /// Fetches an object.
+    /// Returns an object, or `None` if it does not exist.
     pub fn get_object(&mut self, name: &str) -> Option<Bytes> {
         self.stats.object_reads += 1;
-        let i = self.object_place(name).ok()?;
+        let i = self.object_position(name).ok()?;
         Some(self.objects[i].1.clone())
     }
 
-    /// Sets the true VM list from `now` on.
+    /// Sets the VM list that is valid from `now` on.
     pub fn set_vms(&mut self, now: Instant, vms: Vec<VmEntry>) {
         self.vm_lists.push((now, vms));
     }
 
-    /// The VM list as it was true at `then`.
+    /// Returns the VM list that was valid at `then`.
     #[must_use]
     pub fn vms(&self, then: Instant) -> Vec<VmEntry> {
         self.vm_lists
@@ -113,7 +114,8 @@
             .unwrap_or_default()
     }
 
-    /// Calls counted since the start; what only a server counts is 0.
+    /// Returns the call counts since the start; `answers_lost` and `throttled`, which only the server
+    /// counts, are 0.
     #[must_use]
     pub fn stats(&self) -> PlatformStats {
         PlatformStats {
@@ -129,10 +131,10 @@
     }
 
     fn table(&self, name: &str) -> &[Row] {
-        let place = self
+        let position = self
             .tables
             .binary_search_by(|(table, _)| table.as_str().cmp(name));
-        place.map_or(&[], |i| &self.tables[i].1)
+        position.map_or(&[], |i| &self.tables[i].1)
     }
 
     fn row(&self, table: &str, key: &str) -> Option<&Row> {
@@ -153,16 +155,16 @@
     }
 
     fn write(&mut self, write: Write) {
-        let place = self
+        let position = self
             .tables
             .binary_search_by(|(table, _)| table.as_str().cmp(&write.table));
-        let i = place.unwrap_or_else(|i| {
+        let i = position.unwrap_or_else(|i| {
             self.tables.insert(i, (write.table.clone(), Vec::new()));
             i
         });
         let rows = &mut self.tables[i].1;
-        let place = rows.binary_search_by(|row| row.key.as_str().cmp(&write.key));
-        match (place, write.value) {
+        let position = rows.binary_search_by(|row| row.key.as_str().cmp(&write.key));
+        match (position, write.value) {
             (Ok(i), Some(value)) => {
                 rows[i].value = value;
                 rows[i].version += 1;
@@ -183,17 +185,17 @@
         }
     }
 
-    fn object_place(&self, name: &str) -> Result<usize, usize> {
+    fn object_position(&self, name: &str) -> Result<usize, usize> {
         self.objects
             .binary_search_by(|(object, _)| object.as_ref().cmp(name))
     }
 
     fn count_read(&mut self, rows: &[Row]) {
         self.stats.reads += 1;
-        self.stats.rows_read += count(rows.len());
+        self.stats.rows_read += to_u64(rows.len());
     }
 }
 
-fn count(n: usize) -> u64 {
+fn to_u64(n: usize) -> u64 {
     u64::try_from(n).unwrap_or(u64::MAX)
 }
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -1,8 +1,7 @@
 use super::*;
 use std::sync::atomic::AtomicUsize;
 
-/// The weight store from which stand-in engines of one process load models; it counts how many do so
-/// at once.
+/// Weight store that counts concurrent model loads by the mock engines of one process.
 #[derive(Clone, Debug, Default)]
 pub struct WeightStore {
     counts: Arc<Counts>,
@@ -11,25 +10,27 @@
 #[derive(Debug, Default)]
 struct Counts {
     loading: AtomicUsize,
-    most: AtomicUsize,
+    max_loading: AtomicUsize,
 }
 
-/// One load, until it is dropped.
+/// Guard that counts one load until it is dropped.
 #[derive(Debug)]
 pub(crate) struct WeightStoreLocation {
     counts: Arc<Counts>,
 }
 
 impl WeightStore {
-    /// The most loads there ever were at once.
+    /// Returns the largest number of concurrent loads so far.
     #[must_use]
-    pub fn most_at_once(&self) -> usize {
-        self.counts.most.load(Ordering::Relaxed)
+    pub fn max_concurrent_loads(&self) -> usize {
+        self.counts.max_loading.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn enter(&self) -> WeightStoreLocation {
+    pub(crate) fn begin_load(&self) -> WeightStoreLocation {
         let loading = self.counts.loading.fetch_add(1, Ordering::Relaxed) + 1;
-        self.counts.most.fetch_max(loading, Ordering::Relaxed);
+        self.counts
+            .max_loading
+            .fetch_max(loading, Ordering::Relaxed);
         WeightStoreLocation {
             counts: self.counts.clone(),
         }
--- a/crates/standins/tests/answer_verdict.rs
+++ b/crates/standins/tests/answer_verdict.rs
@@ -1,4 +1,4 @@
-//! Faults of an answer, told apart from what its caller received alone.
+//! Classification of errors in an answer from the received tokens and text alone.
 
 use catkin_standins::{AnswerVerdict, TokenChain};
 use googletest::prelude::*;
@@ -9,7 +9,7 @@
     TokenChain::new("catkin", "1", prompt, 7)
 }
 
-/// Ids and token bytes of a generation that goes on from `prefix`, sampled with `salt`.
+/// Returns token ids and bytes of a generation that continues `prefix`, sampled with `salt`.
 fn generate(prompt: &str, prefix: &[u32], salt: u64) -> (Vec<u32>, Vec<Vec<u8>>) {
     let mut chain = chain(prompt);
     let mut ids = prefix.to_vec();
@@ -28,12 +28,12 @@
 }
 
 #[gtest]
-fn whole_and_resumed_answers_are_right() {
+fn complete_and_resumed_answers_are_correct() {
     let (ids, bytes) = generate("menu", &[], 1);
     let resumed = generate("menu", &ids[..8], 2);
 
-    expect_that!(verdict(&ids, &bytes).is_right(), eq(true));
-    expect_that!(verdict(&resumed.0, &resumed.1).is_right(), eq(true));
+    expect_that!(verdict(&ids, &bytes).is_correct(), eq(true));
+    expect_that!(verdict(&resumed.0, &resumed.1).is_correct(), eq(true));
 }
 
 #[gtest]
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn an_answer_cut_at_its_end_misses_the_rest() {
+fn truncated_answer_counts_the_missing_tokens() {
     let (ids, bytes) = generate("menu", &[], 1);
 
     let expected = AnswerVerdict {
@@ -60,18 +60,18 @@
     expect_that!(verdict(&ids[..16], &bytes[..16]), eq(expected));
 }
 
-/// A failed answer may end within a character; its text then lacks that character and no more.
+/// A failed answer may end within a character. Its text then lacks only that character.
 #[gtest]
-fn an_answer_cut_within_a_character_is_right_as_far_as_it_goes() {
+fn failed_answer_truncated_within_a_character_is_correct() {
     let (ids, bytes) = generate("menu", &[], 1);
     let text = String::from_utf8_lossy(&bytes[..4].concat()).into_owned();
     let text = text.trim_end_matches(char::REPLACEMENT_CHARACTER);
 
-    let cut = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..4], text, false);
-    let called_whole = AnswerVerdict::of(chain("menu"), 4, &ids[..4], text, true);
+    let truncated = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..4], text, false);
+    let ended_as_complete = AnswerVerdict::of(chain("menu"), 4, &ids[..4], text, true);
 
-    expect_that!(cut.is_right(), eq(true));
-    expect_that!(called_whole.is_right(), eq(false));
+    expect_that!(truncated.is_correct(), eq(true));
+    expect_that!(ended_as_complete.is_correct(), eq(false));
 }
 
 #[gtest]
@@ -87,8 +87,8 @@
     expect_that!(verdict(&ids, &bytes), eq(expected));
 }
 
-/// The answer went on with a second generation of the same request that was not forced to the
-/// tokens delivered before.
+/// After a fail-over, the answer continues with a second generation of the same request whose prefix
+/// was not forced to the tokens already delivered.
 #[gtest]
 fn mixed_generations_are_counted() {
     let (mut ids, mut bytes) = generate("menu", &[], 1);
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn an_answer_to_another_request_is_crossed() {
+fn answer_to_another_request_is_crossed() {
     let (ids, bytes) = generate("reprint", &[], 1);
 
     let expected = AnswerVerdict {
@@ -114,11 +114,11 @@
     expect_that!(verdict(&ids, &bytes), eq(expected));
 }
 
-/// An answer fails after a token that ends within a character. Its caller has the whole characters
-/// only, and what it has is right. An experiment with poison requests (seeds 2 and 5) took such
-/// answers for mixed ones.
+/// An answer fails after a token that ends within a character. The caller then has received complete
+/// characters only, and these are correct. Guards against counting such an answer as mixed, which
+/// poison scenarios with seeds 2 and 5 ran into.
 #[gtest]
-fn an_answer_cut_within_a_character_is_right() {
+fn failed_answer_truncated_after_any_token_is_correct() {
     let (ids, bytes) = generate("menu", &[], 1);
     for count in 1..TOKENS {
         let mut joiner = catkin_decisions::Utf8Joiner::default();
@@ -126,6 +126,10 @@
 
         let verdict = AnswerVerdict::of(chain("menu"), TOKENS, &ids[..count], &text, false);
 
-        expect_that!(verdict.is_right(), eq(true), "cut after {count}");
+        expect_that!(
+            verdict.is_correct(),
+            eq(true),
+            "truncated after {count} tokens"
+        );
     }
 }
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service: it counts runs, and fails on demand.
+//! Tests of the mock plain service: run counts and injected faults.
 
 use bytes::Bytes;
 use catkin_standins::{PlainFault, PlainResponse, PlainServer, PlainSettings, request_digest};
@@ -50,14 +50,14 @@
         second.expect("an answer"),
         eq(&PlainResponse { digest, run: 2 })
     );
-    expect_that!(plain.counts().of_digest(digest), eq(2));
+    expect_that!(plain.run_counts().of_digest(digest), eq(2));
 }
 
-/// A request is run, but its answer is lost or breaks off: the caller cannot tell that it ran, and
-/// the count shows it.
+/// A request runs, but its response is lost or truncated, so that only the run count shows that it
+/// ran. A refused request must not run.
 #[gtest]
 #[tokio::test]
-async fn faults_run_or_do_not_run_as_they_say() {
+async fn faults_determine_whether_a_request_runs() {
     for (fault, runs) in [
         (PlainFault::LoseAnswer, 1),
         (PlainFault::BreakOff, 1),
@@ -65,12 +65,12 @@
         (PlainFault::Leave, 0),
     ] {
         let plain = plain().await;
-        plain.fail(fault);
+        plain.set_fault(fault);
 
         let outcome = post(&plain, "survey").await;
 
         expect_that!(outcome, err(anything()));
         let digest = request_digest("", b"survey");
-        expect_that!(plain.counts().of_digest(digest), eq(runs));
+        expect_that!(plain.run_counts().of_digest(digest), eq(runs));
     }
 }
