--- a/crates/catkinward/src/attempt_stream.rs
+++ b/crates/catkinward/src/attempt_stream.rs
@@ -4,88 +4,91 @@
 use tokio::time::{Instant, Sleep};
 use volo_http::client::sse::{SseEvent, SseReader};
 
-/// The events of one attempt over one connection.
+/// Event stream of one attempt over one connection.
 pub(crate) struct AttemptStream {
     attempt: Attempt,
     reader: SseReader<Body>,
-    unread: Option<EngineEvent>,
-    /// Wakes the reader to look whether the stream is silent. It is set anew only when it fires:
-    /// to set a timer for each token costs more than to read the token.
-    look: Pin<Box<Sleep>>,
+    buffered: Option<EngineEvent>,
+    /// Wakes the reader to check whether the stream is silent. It is reset only when it fires,
+    /// because setting a timer for each token costs more than reading the token.
+    silence_check: Pin<Box<Sleep>>,
 }
 
-/// What reading from the library's event stream gives.
+/// Result of reading from the event stream of the HTTP library.
 type ReadEvent = Result<Option<SseEvent>, volo_http::error::BoxError>;
 
 impl AttemptStream {
-    /// Reads the events of an answer whose headers have come.
+    /// Reads the events of a response whose headers have been received.
     ///
     /// # Errors
     ///
-    /// If the answer is no event stream.
+    /// If the response is not an event stream.
     pub(crate) fn new(attempt: Attempt, response: Response) -> Result<Self, AttemptError> {
         Ok(Self {
             attempt,
             reader: SseReader::into_sse(response).map_err(|_| AttemptError::Broken)?,
-            unread: None,
-            look: Box::pin(tokio::time::sleep(Duration::ZERO)),
+            buffered: None,
+            silence_check: Box::pin(tokio::time::sleep(Duration::ZERO)),
         })
     }
 
-    /// The attempt whose events these are.
+    /// Returns the number of the attempt that sends these events.
     pub(crate) fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// The next event.
+    /// Waits for the next event.
     ///
     /// # Errors
     ///
-    /// If none comes within `bound`, the stream breaks off, or an event cannot be read.
-    pub(crate) async fn next(&mut self, bound: Duration) -> Result<EngineEvent, AttemptError> {
-        if let Some(event) = self.unread.take() {
+    /// If none arrives within `timeout`, the stream is interrupted, or an event cannot be parsed.
+    pub(crate) async fn next(&mut self, timeout: Duration) -> Result<EngineEvent, AttemptError> {
+        if let Some(event) = self.buffered.take() {
             return Ok(event);
         }
-        let silent_at = Instant::now() + bound;
+        let deadline = Instant::now() + timeout;
         loop {
             tokio::select! {
                 biased;
-                read = self.reader.read() => return read_event(read),
-                () = &mut self.look => {
-                    if Instant::now() >= silent_at {
-                        return Err(AttemptError::Silent { bound });
+                read = self.reader.read() => return parse_event(read),
+                () = &mut self.silence_check => {
+                    if Instant::now() >= deadline {
+                        return Err(AttemptError::Silent { timeout });
                     }
-                    self.look.as_mut().reset(silent_at);
+                    self.silence_check.as_mut().reset(deadline);
                 }
             }
         }
     }
 
-    /// An event that has come already, if there is one.
-    pub(crate) fn ready(&mut self) -> Option<Result<EngineEvent, AttemptError>> {
-        if let Some(event) = self.unread.take() {
+    /// Returns an event that has already arrived, if any, without waiting.
+    pub(crate) fn try_next(&mut self) -> Option<Result<EngineEvent, AttemptError>> {
+        if let Some(event) = self.buffered.take() {
             return Some(Ok(event));
         }
-        futures::FutureExt::now_or_never(self.reader.read()).map(read_event)
+        futures::FutureExt::now_or_never(self.reader.read()).map(parse_event)
     }
 
-    /// Waits for the first event that is more than a heartbeat and keeps it for [`Self::next`].
+    /// Waits for the first event other than a heartbeat and buffers it for [`Self::next`].
     ///
     /// # Errors
     ///
     /// As for [`Self::next`].
-    pub(crate) async fn wait_for_progress(&mut self, bound: Duration) -> Result<(), AttemptError> {
+    pub(crate) async fn wait_for_progress(
+        &mut self,
+        timeout: Duration,
+    ) -> Result<(), AttemptError> {
         loop {
-            let event = self.next(bound).await?;
+            let event = self.next(timeout).await?;
             if event != EngineEvent::Heartbeat {
-                self.unread = Some(event);
+                self.buffered = Some(event);
                 return Ok(());
             }
         }
     }
 }
 
-fn read_event(read: ReadEvent) -> Result<EngineEvent, AttemptError> {
+fn parse_event(read: ReadEvent) -> Result<EngineEvent, AttemptError> {
     let event = read.ok().flatten().ok_or(AttemptError::Broken)?;
-    EngineEvent::read(event.event(), event.data().unwrap_or_default())
+    EngineEvent::parse(event.event(), event.data().unwrap_or_default())
 }
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{bundle_rows, bundle_watch::object_name};
+use crate::{bundle_rows, bundle_watch::content_object_name};
 use catkin_decisions::{
     BundleAuthor, BundleChange, BundleDraft, BundleKey, BundleRefusal, BundleRelease, BundleRow,
     ChangeResult, CurrentBundle, DraftId, Stored,
@@ -9,23 +9,24 @@
 /// Settings of a [`BundleStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct BundleStoreSettings {
-    /// How often a call is sent before it is given up.
-    pub tries: u32,
-    /// Wait between two tries.
-    pub pause: Duration,
+    /// Maximum number of times that a call is sent.
+    pub max_attempts: u32,
+    /// Delay between two attempts of a call.
+    pub retry_delay: Duration,
 }
 
 impl Default for BundleStoreSettings {
-    /// Ten tries of one second each at most: an operator waits for that long.
+    /// Ten attempts of at most one second each, as an operator waits for the result.
     fn default() -> Self {
         Self {
-            tries: 10,
-            pause: Duration::from_millis(250),
+            max_attempts: 10,
+            retry_delay: Duration::from_millis(250),
         }
     }
 }
 
-/// Drafts and releases in the platform's table service, their content in its object store.
+/// Stores drafts and releases in the platform's table service and their content in its object
+/// store.
 pub struct BundleStore {
     platform: Arc<Platform>,
     cfg: BundleStoreSettings,
@@ -34,48 +35,51 @@
 /// A change that took effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied<T> {
-    /// What was made.
-    pub made: T,
-    /// True if the table service's answer was lost and reading back showed the effect.
-    pub settled: bool,
+    /// The draft or version that the change created or changed.
+    pub value: T,
+    /// True if the table service's response was lost and reading the row back confirmed the change.
+    pub confirmed_by_read: bool,
 }
 
-/// Largest number of drafts over one release that are listed.
-const DRAFTS_LIMIT: NonZeroU32 = NonZeroU32::new(100).expect("not zero");
+/// Maximum number of listed drafts that are based on one release.
+const MAX_LISTED_DRAFTS: NonZeroU32 = NonZeroU32::new(100).expect("not zero");
 
 impl BundleStore {
-    /// A store on a platform.
+    /// Creates a store on a platform.
     #[must_use]
     pub fn new(platform: Arc<Platform>, cfg: BundleStoreSettings) -> Self {
         Self { platform, cfg }
     }
 
-    /// Proposes a bundle over the release in force. Its content is stored first, so that no draft
-    /// ever names content that is not there.
+    /// Proposes a bundle based on the release in force. Its content is stored first, so that no
+    /// draft refers to missing content.
     ///
     /// # Errors
     ///
-    /// If the bundle is wrong or in force already, or the platform does not answer.
+    /// If the bundle is invalid or already in force, or the platform does not respond.
     pub async fn propose(&self, json: &str, author: BundleAuthor) -> Result<Applied<BundleDraft>> {
         let read = read_bundle(BundleVersion::default(), json)?;
         let digest = read.bundle.digest;
         let current = self.current().await?;
         let change = BundleChange::propose(current.as_ref(), digest, author)?;
         let body = Bytes::copy_from_slice(read.body.as_bytes());
-        self.repeated(|| (self.platform.put_object)((object_name(digest), body.clone())))
+        self.retry(|| (self.platform.put_object)((content_object_name(digest), body.clone())))
             .await?;
-        let settled = self.apply(&change).await?;
+        let confirmed_by_read = self.apply(&change).await?;
         match change.writes.into_iter().next() {
-            Some(BundleRow::Draft(made)) => Ok(Applied { made, settled }),
+            Some(BundleRow::Draft(value)) => Ok(Applied {
+                value,
+                confirmed_by_read,
+            }),
             _ => Err(BundleRefusal::UnexpectedConflict.into()),
         }
     }
 
-    /// Signs a draft off.
+    /// Signs off a draft.
     ///
     /// # Errors
     ///
-    /// If the author may not, another operator was first, or the platform does not answer.
+    /// If not permitted, if another operator was first, or if the platform does not respond.
     pub async fn sign_off(
         &self,
         id: &DraftId,
@@ -84,16 +88,19 @@
     ) -> Result<Applied<BundleDraft>> {
         let draft = self.draft(id).await?;
         let change = BundleChange::sign_off(&draft, digest, author)?;
-        let settled = self.apply(&change).await?;
-        let made = draft.value;
-        Ok(Applied { made, settled })
+        let confirmed_by_read = self.apply(&change).await?;
+        let value = draft.value;
+        Ok(Applied {
+            value,
+            confirmed_by_read,
+        })
     }
 
-    /// Rolls a draft out.
+    /// Rolls out a draft.
     ///
     /// # Errors
     ///
-    /// If it may not be, another operator was first, or the platform does not answer.
+    /// If not permitted, if another operator was first, or if the platform does not respond.
     pub async fn roll_out(
         &self,
         id: &DraftId,
@@ -109,12 +116,12 @@
         self.apply_release(&change).await
     }
 
-    /// Rolls the content of an earlier release out as a new version.
+    /// Rolls out the content of an earlier release as a new version.
     ///
     /// # Errors
     ///
     /// If there is no such version or its content is in force, another operator was first, or the
-    /// platform does not answer.
+    /// platform does not respond.
     pub async fn roll_back(
         &self,
         version: BundleVersion,
@@ -128,43 +135,43 @@
         self.apply_release(&change).await
     }
 
-    /// The row that says which release is in force; `None` before the first.
+    /// Reads the row that names the release in force; `None` before the first release.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not respond.
     pub async fn current(&self) -> Result<Option<Stored<CurrentBundle>>> {
         Ok(find_current(&self.read(&[BundleKey::Current]).await?))
     }
 
-    /// A draft.
+    /// Reads a draft with its row version.
     ///
     /// # Errors
     ///
-    /// If there is no such draft, or the platform does not answer.
+    /// If there is no such draft, or the platform does not respond.
     pub async fn draft(&self, id: &DraftId) -> Result<Stored<BundleDraft>> {
         let rows = self.read(&[BundleKey::Draft(id.clone())]).await?;
         Ok(find_draft(&rows).ok_or_else(|| no_draft(id))?)
     }
 
-    /// A release.
+    /// Reads the release of a version.
     ///
     /// # Errors
     ///
-    /// If there is no such version, or the platform does not answer.
+    /// If there is no such version, or the platform does not respond.
     pub async fn release(&self, version: BundleVersion) -> Result<BundleRelease> {
         let rows = self.read(&[BundleKey::Release(version)]).await?;
         Ok(find_release(&rows).ok_or(BundleRefusal::NoVersion { version })?)
     }
 
-    /// Drafts over a release, which it is not too late to roll out while that is in force.
+    /// Lists the drafts based on a release. They can be rolled out while that release is in force.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not respond.
     pub async fn drafts_over(&self, base: BundleVersion) -> Result<Vec<BundleDraft>> {
         let prefix = format!("draft/{base}-");
-        let rows = self.scan(&prefix, None, DRAFTS_LIMIT).await?;
+        let rows = self.scan(&prefix, None, MAX_LISTED_DRAFTS).await?;
         let drafts = rows.into_iter().filter_map(|(_, row)| match row {
             BundleRow::Draft(draft) => Some(draft),
             _ => None,
@@ -172,11 +179,11 @@
         Ok(drafts.collect())
     }
 
-    /// The latest releases, at most `limit`, oldest first.
+    /// Lists the latest releases, at most `limit`, oldest first.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not respond.
     pub async fn history(&self, limit: NonZeroU32) -> Result<Vec<BundleRelease>> {
         let current = self.current().await?;
         let latest = current.map_or(0, |stored| stored.value.version.0);
@@ -190,70 +197,73 @@
         Ok(releases.collect())
     }
 
-    /// The content of a digest.
+    /// Reads the bundle content that has a digest.
     ///
     /// # Errors
     ///
-    /// If it is not there, was altered, or the platform does not answer.
+    /// If the content is missing or altered, or the platform does not respond.
     pub async fn content(&self, digest: BundleDigest) -> Result<Arc<str>> {
         let body = self
-            .repeated(|| (self.platform.get_object)(object_name(digest)))
+            .retry(|| (self.platform.get_object)(content_object_name(digest)))
             .await?
             .ok_or(Error::BundleContent { digest })?;
         Ok(read_canonical(BundleVersion::default(), digest, &body)?.body)
     }
 
     async fn apply_release(&self, change: &BundleChange) -> Result<Applied<BundleVersion>> {
-        let settled = self.apply(change).await?;
+        let confirmed_by_read = self.apply(change).await?;
         match change.confirmation_key() {
-            BundleKey::Release(made) => Ok(Applied { made, settled }),
+            BundleKey::Release(value) => Ok(Applied {
+                value,
+                confirmed_by_read,
+            }),
             _ => Err(BundleRefusal::UnexpectedConflict.into()),
         }
     }
 
-    /// Makes a change; returns whether its effect was learned by reading back.
+    /// Applies a change; returns whether its effect was confirmed by reading back.
     ///
-    /// The same transaction is sent again as long as nothing is known of it: its conditions let it
-    /// take effect once at most, so an earlier call that comes late does no harm.
+    /// The same transaction is retried while its outcome is unknown. Its conditions allow it to
+    /// take effect at most once, so a delayed earlier call is harmless.
     async fn apply(&self, change: &BundleChange) -> Result<bool> {
         let mut in_doubt = false;
-        let mut last = PlatformError::NotRun;
-        for attempt in 0..self.cfg.tries {
+        let mut last_error = PlatformError::NotRun;
+        for attempt in 0..self.cfg.max_attempts {
             if attempt > 0 {
-                tokio::time::sleep(self.cfg.pause).await;
+                tokio::time::sleep(self.cfg.retry_delay).await;
             }
             match (self.platform.transact)(bundle_rows::transaction(change)).await {
                 Ok(reply) if reply.committed => return Ok(false),
                 Ok(_) => {}
-                Err(fault) => {
-                    in_doubt |= fault == PlatformError::Unknown;
-                    last = fault;
-                    if last != PlatformError::Unknown {
+                Err(error) => {
+                    in_doubt |= error == PlatformError::Unknown;
+                    last_error = error;
+                    if last_error != PlatformError::Unknown {
                         continue;
                     }
                 }
             }
-            match self.settle(change).await {
+            match self.resolve_by_read(change).await {
                 Ok(ChangeResult::Done) => return Ok(true),
                 Ok(ChangeResult::Lost(refusal)) => return Err(refusal.into()),
                 Ok(ChangeResult::Pending) => {}
-                Err(Error::Platform(fault)) => last = fault,
+                Err(Error::Platform(error)) => last_error = error,
                 Err(error) => return Err(error),
             }
         }
         if in_doubt {
-            return Err(Error::ChangeInDoubt { fault: last });
+            return Err(Error::ChangeInDoubt { fault: last_error });
         }
-        Err(Error::NothingChanged { fault: last })
+        Err(Error::NothingChanged { fault: last_error })
     }
 
-    async fn settle(&self, change: &BundleChange) -> Result<ChangeResult> {
+    async fn resolve_by_read(&self, change: &BundleChange) -> Result<ChangeResult> {
         let rows = bundle_rows::read_rows(&self.platform, &[change.confirmation_key()]).await?;
         Ok(change.resolve(rows.first().map(|(_, row)| row)))
     }
 
     async fn read(&self, keys: &[BundleKey]) -> Result<Vec<(u64, BundleRow)>> {
-        self.repeated(|| bundle_rows::read_rows(&self.platform, keys))
+        self.retry(|| bundle_rows::read_rows(&self.platform, keys))
             .await
     }
 
@@ -263,25 +273,25 @@
         after: Option<&BundleKey>,
         limit: NonZeroU32,
     ) -> Result<Vec<(u64, BundleRow)>> {
-        self.repeated(|| bundle_rows::scan_rows(&self.platform, prefix, after, limit))
+        self.retry(|| bundle_rows::scan_rows(&self.platform, prefix, after, limit))
             .await
     }
 
-    /// Sends a call that may be repeated until it is answered.
-    async fn repeated<T, E, F>(&self, call: impl Fn() -> F) -> Result<T>
+    /// Retries an idempotent call until the platform responds or the attempts are used up.
+    async fn retry<T, E, F>(&self, call: impl Fn() -> F) -> Result<T>
     where
         E: Into<Error>,
         F: Future<Output = Result<T, E>>,
     {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match call().await.map_err(Into::into) {
-                Err(Error::Platform(fault)) if tries >= self.cfg.tries => {
-                    return Err(Error::NothingChanged { fault });
+                Err(Error::Platform(error)) if attempts >= self.cfg.max_attempts => {
+                    return Err(Error::NothingChanged { fault: error });
                 }
                 Err(Error::Platform(_)) => {
-                    tries += 1;
-                    tokio::time::sleep(self.cfg.pause).await;
+                    attempts += 1;
+                    tokio::time::sleep(self.cfg.retry_delay).await;
                 }
                 other => return other,
             }
--- a/crates/catkinward/src/coordination.rs
+++ b/crates/catkinward/src/coordination.rs
@@ -1,17 +1,16 @@
-//! Start of the services that agree on something or keep it through the platform.
+//! Starts the services that coordinate VMs through the platform store: claims, leases and orders.
 
 use super::*;
 use catkin_decisions::{LeaseHolder, LeaseSettings, OrderSettings};
 
-/// Longest wait at the end of the process for ends of claims that are not recorded yet, and for
-/// leases to be given back. In an outage of the platform a VM that is to be replaced must not wait
-/// for its end.
-const STOP_BOUND: Duration = Duration::from_secs(10);
+/// Maximum wait at shutdown for unrecorded claim outcomes to be written and leases to be released.
+/// A VM that is being replaced must not wait for the end of a platform outage.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Scope of the lease under which expired claims are swept.
 const SWEEP_SCOPE: &str = "claims-sweep";
 
-/// What the services of agreement are made of.
+/// Dependencies of the coordination services.
 pub(crate) struct CoordinationParts {
     pub(crate) platform: Arc<Platform>,
     pub(crate) timer: Arc<Timer>,
@@ -20,9 +19,9 @@
     pub(crate) bundle: Arc<BundleInForce>,
 }
 
-/// Starts claims, leases and orders, and returns the claims.
+/// Starts claims, leases and orders, and returns the claims service.
 pub(crate) fn start_coordination(
-    kernel: &ServiceRegistry,
+    registry: &ServiceRegistry,
     settings: &Settings,
     parts: CoordinationParts,
 ) -> Result<Arc<Claims>> {
@@ -33,7 +32,7 @@
         connections,
         bundle,
     } = parts;
-    let me = LeaseHolder {
+    let holder = LeaseHolder {
         vm: settings.vm.clone(),
         incarnation: Incarnation(rand::random::<u64>() >> 1),
     };
@@ -41,10 +40,10 @@
         platform.clone(),
         timer.clone(),
         timeline.clone(),
-        me.incarnation,
+        holder.incarnation,
         ClaimSettings::default(),
     );
-    let leases = Leases::start(platform, timer.clone(), me, LeaseSettings::default());
+    let leases = Leases::start(platform, timer.clone(), holder, LeaseSettings::default());
     let orders = Orders::start(
         leases.clone(),
         timer,
@@ -55,16 +54,18 @@
         OrderSettings::default(),
     );
     let sweep_lease = leases.compete(SWEEP_SCOPE);
-    let sweep = claims.clone().sweep(move || sweep_lease.held().is_some());
+    let sweep = claims
+        .clone()
+        .sweep_periodically(move || sweep_lease.held().is_some());
     tokio::spawn(sweep);
-    kernel.register(ServiceName::Leases, leases.clone())?;
-    kernel.register(ServiceName::Orders, orders)?;
-    let stopped = claims.clone();
-    kernel.on_stop(move || async move {
-        let stop = async { tokio::join!(stopped.flush(), leases.give_back()) };
-        if tokio::time::timeout(STOP_BOUND, stop).await.is_err() {
-            tracing::warn!("ended with claims whose outcome is not recorded, or leases held");
+    registry.register(ServiceName::Leases, leases.clone())?;
+    registry.register(ServiceName::Orders, orders)?;
+    let stopping_claims = claims.clone();
+    registry.on_stop(move || async move {
+        let stop = async { tokio::join!(stopping_claims.flush(), leases.give_back()) };
+        if tokio::time::timeout(STOP_TIMEOUT, stop).await.is_err() {
+            tracing::warn!("stopped with unrecorded claim outcomes or unreleased leases");
         }
     });
-    kernel.register(ServiceName::Claims, claims)
+    registry.register(ServiceName::Claims, claims)
 }
--- a/crates/catkinward/src/gateway/shutdown.rs
+++ b/crates/catkinward/src/gateway/shutdown.rs
@@ -55,7 +55,7 @@
         let end = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
         tokio::time::sleep(OUT_OF_ROTATION_DELAY.min(grace)).await;
         close_idle();
-        if tokio::time::timeout_at(end, self.drain.finished(IDLE_BEFORE_EXIT))
+        if tokio::time::timeout_at(end, self.drain.close_when_idle(IDLE_BEFORE_EXIT))
             .await
             .is_err()
         {
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -3,7 +3,7 @@
     engine_client,
     engine_event::{AttemptError, EngineEvent},
     generation::GenerationOutcome,
-    generation_admission::SUSPECT_PATIENCE,
+    generation_admission::SUSPECT_MAX_WAIT,
     peer_exchange::ExchangeResult,
     problem::{Problem, ProblemKind},
     progress_replicator::ProgressReplicator,
@@ -12,16 +12,16 @@
     slot_guard::SlotGuard,
 };
 
-/// Bound until an engine answers an order with the headers of its stream.
-const START_BOUND: Duration = Duration::from_millis(500);
+/// Timeout for an engine to respond to an order with the headers of its stream.
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Tokens after which the upstream's watch over suspects hears of progress.
-const PROGRESS_TOKENS: u32 = 8;
+/// Number of tokens between progress reports to the upstream's observation of suspect requests.
+const TOKENS_PER_PROGRESS_REPORT: u32 = 8;
 
-/// How often one that waits for any upstream looks again.
-const RETRY_PERIOD: Duration = Duration::from_millis(50);
+/// How often a generation that waits for an upstream checks again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a generation to its end, over as many attempts as it takes.
+/// Runs a generation to its end, over as many attempts as needed.
 pub(crate) async fn drive(
     node: Arc<Node>,
     generation: Arc<Generation>,
@@ -53,8 +53,7 @@
     if admitted_here && outcome != GenerationOutcome::Failed(ProblemKind::Superseded) {
         let request = &generation.request;
         let unused = request.max_tokens.saturating_sub(generation.next_index().0);
-        node.limits
-            .give_back(&request.team, LimitKind::Tokens, unused);
+        node.limits.refund(&request.team, LimitKind::Tokens, unused);
     }
     generation.conclude(outcome);
 }
@@ -84,57 +83,58 @@
     }
 }
 
-/// Brings a generation to its end; how it meets losses stands in `recovery`.
+/// Runs the attempts of a generation; recovery from lost streams is in the module `recovery`.
 pub(crate) struct Driver {
     pub(crate) node: Arc<Node>,
     pub(crate) generation: Arc<Generation>,
-    /// Upstreams that this generation has been on since one was last found wanting.
+    /// Upstreams that this generation has used since the list was last cleared, which happens when
+    /// no other upstream is available.
     pub(crate) avoid: Vec<UpstreamId>,
-    keeper: ProgressReplicator,
+    replicator: ProgressReplicator,
 }
 
 impl Driver {
     pub(crate) fn new(node: Arc<Node>, generation: Arc<Generation>) -> Self {
         Self {
             avoid: Vec::new(),
-            keeper: ProgressReplicator::new(node.clone(), generation.clone()),
+            replicator: ProgressReplicator::new(node.clone(), generation.clone()),
             node,
             generation,
         }
     }
 
     async fn run(&mut self, waiting: Option<QueuedRequest>) -> GenerationOutcome {
-        if let Some(attempt) = Box::pin(self.go_on_with_left_running()).await {
+        if let Some(attempt) = Box::pin(self.resume_orphaned_attempt()).await {
             match self.follow(attempt).await {
                 Ok(finish) => return GenerationOutcome::Whole(finish),
-                Err(fault) => {
-                    tracing::warn!(id = %self.generation.request.id, %fault, "attempt lost");
+                Err(error) => {
+                    tracing::warn!(id = %self.generation.request.id, fault = %error, "attempt lost");
                 }
             }
         }
-        let mut place = match self.first_place(waiting).await {
-            Ok(place) => place,
+        let mut slot = match self.first_slot(waiting).await {
+            Ok(slot) => slot,
             Err(kind) => return GenerationOutcome::Failed(kind),
         };
         loop {
-            let fault = match self.start(place).await {
+            let error = match self.start(slot).await {
                 Ok(attempt) => match self.follow(attempt).await {
                     Ok(finish) => return GenerationOutcome::Whole(finish),
-                    Err(fault) => fault,
+                    Err(error) => error,
                 },
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            tracing::warn!(id = %self.generation.request.id, %fault, "attempt lost");
-            place = match self.wait_for_upstream().await {
+            tracing::warn!(id = %self.generation.request.id, fault = %error, "attempt lost");
+            slot = match self.wait_for_upstream().await {
                 Ok(next) => next,
                 Err(kind) => return GenerationOutcome::Failed(kind),
             };
         }
     }
 
-    /// The place that a new generation waits for in the queue, or that one which was taken over
-    /// takes by itself.
-    async fn first_place(
+    /// Obtains the first slot: through the queue for a new generation, directly for one that was
+    /// taken over from another VM.
+    async fn first_slot(
         &mut self,
         waiting: Option<QueuedRequest>,
     ) -> Result<SlotGuard, ProblemKind> {
@@ -143,37 +143,37 @@
         };
         let queued = Queued::new(());
         tokio::select! {
-            granted = waiting.granted() => granted.map_err(|refusal| {
+            granted = waiting.wait_for_slot() => granted.map_err(|refusal| {
                 let not_run = queued.refuse(refusal.reason, refusal.retry_after);
                 Problem::not_run(&not_run).kind
             }),
-            () = self.until_poisoned() => Err(self.poisoned()),
+            () = self.wait_until_poisoned() => Err(self.poisoned_kind()),
         }
     }
 
-    /// Waits until upstreams have died under this request elsewhere. It will get no upstream then,
-    /// and its team's other requests would wait behind it until its deadline.
-    async fn until_poisoned(&self) {
+    /// Waits until the request is poisoned by upstream crashes on other VMs. No upstream accepts it
+    /// then, and until its deadline it would block the other requests of its team in the queue.
+    async fn wait_until_poisoned(&self) {
         let (upstreams, body) = (&self.node.upstreams, self.generation.request.body);
         loop {
             upstreams.check_suspect(body).await;
             if upstreams.refuses(body) {
                 return;
             }
-            let wait = if upstreams.suspects(body) {
-                RETRY_PERIOD
+            let delay = if upstreams.is_suspect(body) {
+                RETRY_INTERVAL
             } else {
-                SUSPECT_PATIENCE
+                SUSPECT_MAX_WAIT
             };
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    /// Waits until an upstream can take the generation.
+    /// Waits until an upstream can accept the generation.
     ///
     /// # Errors
     ///
-    /// Once its deadline is over, or upstreams died under it.
+    /// If its deadline passes, or the request is poisoned.
     async fn wait_for_upstream(&mut self) -> Result<SlotGuard, ProblemKind> {
         let start = self.node.timer.now();
         loop {
@@ -184,64 +184,62 @@
             let body = self.generation.request.body;
             self.node.upstreams.check_suspect(body).await;
             if self.is_poisoned().await {
-                return Err(self.poisoned());
+                return Err(self.poisoned_kind());
             }
-            if let Some(place) = self.choose(now.since(start) > SUSPECT_PATIENCE) {
-                return Ok(place);
+            if let Some(slot) = self.choose(now.since(start) > SUSPECT_MAX_WAIT) {
+                return Ok(slot);
             }
             self.avoid.clear();
-            tokio::time::sleep(RETRY_PERIOD).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Whether upstreams died under this request, here and by what other VMs know.
-    ///
-    /// Its caller sends it again as soon as it is refused. If that came to a VM that has not heard of the
-    /// deaths, more upstreams would be lost to it: one sees two `upstream died` at one VM, `generation
-    /// ended` with `Poisoned`, and `upstream died` at another VM before `a peer tells of a death`. So the
-    /// others are told first. They also tell whom they hold to be the cause, as this request may have run
-    /// beside it.
+    /// Returns whether the request is poisoned, by the crash records of this VM and its peers.
     async fn is_poisoned(&self) -> bool {
         let body = self.generation.request.body;
         let upstreams = &self.node.upstreams;
         if !upstreams.refuses(body) {
             return false;
         }
+        // Peers receive the records first: the caller retries a refused request at once, which would
+        // crash more upstreams on a VM without them. The logs would show two crashes and `generation
+        // ended` with `Poisoned` on one VM, then a crash on another before `a peer tells of a death`.
+        // Peers reply with the request that they blame, as this one may have run beside it.
         let (Some(peers), true) = (&self.node.peers, self.generation.attempts() > Attempt(0))
         else {
             return true;
         };
-        let (marks, start) = (upstreams.poison_marks_of(body), self.node.timer.now());
-        let deaths = marks.len();
+        let (records, start) = (upstreams.poison_records_of(body), self.node.timer.now());
+        let crashes = records.len();
         let ExchangeResult {
             asked, answered, ..
-        } = peers.confer(marks).await;
+        } = peers.query_crash_records(records).await;
         let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
-        tracing::info!(id = %self.generation.request.id, %body, deaths, asked, answered, refused,
-            took_ms = %took.as_millis(), "peers were asked about deaths under a request");
+        tracing::info!(id = %self.generation.request.id, %body, deaths = crashes, asked, answered,
+            refused, took_ms = %took.as_millis(), "peers were asked about deaths under a request");
         refused
     }
 
-    /// Announces the run of a suspect to the other VMs.
-    async fn announce(&self, upstream: &SlotGuard) {
+    /// Announces the run of a suspect request to the other VMs.
+    async fn announce_run(&self, upstream: &SlotGuard) {
         let (Some(peers), Some(run)) = (&self.node.peers, upstream.suspect_run()) else {
             return;
         };
         let (body, start) = (run.digest, self.node.timer.now());
-        let marks = self.node.upstreams.poison_marks_of(body);
-        let tally = peers.announce(run, marks).await;
+        let records = self.node.upstreams.poison_records_of(body);
+        let result = peers.announce(run, records).await;
         let ExchangeResult {
             asked,
             awaited,
             answered,
-        } = tally;
+        } = result;
         let took = self.node.timer.now().since(start);
         tracing::info!(id = %self.generation.request.id, %body, upstream = %upstream.id(), asked,
             awaited, answered, took_ms = %took.as_millis(), "run of a suspect announced to peers");
     }
 
-    /// How a poisoned request ends: as not run only if no attempt was ever sent.
-    fn poisoned(&self) -> ProblemKind {
+    /// Returns how a poisoned request ends: as not run only if no attempt was made.
+    fn poisoned_kind(&self) -> ProblemKind {
         match self.generation.attempts() {
             Attempt(0) => ProblemKind::PoisonedNotRun,
             _ => ProblemKind::Poisoned,
@@ -250,21 +248,21 @@
 
     pub(crate) fn choose(&self, urgent: bool) -> Option<SlotGuard> {
         let request = &self.generation.request;
-        // A caller who has had part of the answer waits in the middle of it: an upstream without
-        // room will do.
-        let must = self.generation.next_index() > TokenIndex(0);
+        // A caller that has received part of the response is waiting for the rest, so an upstream
+        // without free capacity is acceptable.
+        let allow_full = self.generation.next_index() > TokenIndex(0);
         let pool = self.node.admission.pool(&request.service);
-        pool.take(request.lane(), must, |taken| {
-            let want = UpstreamQuery {
+        pool.take_slot(request.lane(), allow_full, |taken| {
+            let query = UpstreamQuery {
                 avoid: &[&self.avoid, taken].concat(),
                 urgent,
-                ..request.want()
+                ..request.upstream_query()
             };
-            self.node.upstreams.choose(&want).ok()
+            self.node.upstreams.choose(&query).ok()
         })
     }
 
-    /// Starts an attempt and makes it the live one.
+    /// Starts a new attempt and makes it the live one.
     async fn start(&mut self, upstream: SlotGuard) -> Result<RunningAttempt, AttemptError> {
         let (reserved, order) = self.generation.reserve();
         self.generation.adopt(reserved);
@@ -288,24 +286,24 @@
         let mut guard = AttemptGuard::new(connections, upstream.address(), order);
         let suspect = upstream.suspect_run();
         let started = async {
-            self.announce(&upstream).await;
+            self.announce_run(&upstream).await;
             upstream.commit()?;
             upstream.prove_alive().await?;
-            engine_client::start_attempt(connections, &upstream, order, START_BOUND).await
+            engine_client::start_attempt(connections, &upstream, order, START_TIMEOUT).await
         };
         let stream = match started.await {
             Ok(stream) => stream,
-            Err(fault) => {
+            Err(error) => {
                 if let (Some(run), Some(peers), true) =
-                    (suspect, &self.node.peers, fault.never_ran())
+                    (suspect, &self.node.peers, error.never_ran())
                 {
                     peers.withdraw(run).await;
                 }
-                let found = Box::pin(self.find_started(&upstream, order, &fault)).await;
-                if !fault.may_have_started() {
+                let found = Box::pin(self.reattach_after_order(&upstream, order, &error)).await;
+                if !error.may_have_started() {
                     guard.release();
                 }
-                found.ok_or(fault)?
+                found.ok_or(error)?
             }
         };
         Ok(RunningAttempt {
@@ -315,57 +313,58 @@
         })
     }
 
-    /// Hands on tokens until the end, recovering what can be recovered.
+    /// Relays tokens until the end, and recovers from lost streams where possible.
     async fn follow(&mut self, mut attempt: RunningAttempt) -> Result<Finish, AttemptError> {
         loop {
-            let fault = match self.relay_events(&mut attempt).await {
+            let error = match self.relay_events(&mut attempt).await {
                 Ok(finish) => return Ok(finish),
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            attempt.upstream.lost(&fault).await;
+            attempt.upstream.record_error(&error).await;
             self.record(
                 EventKind::Suspected,
                 attempt.stream.attempt(),
                 attempt.upstream.id(),
-                Some(fault.to_string().into()),
+                Some(error.to_string().into()),
             );
             tracing::warn!(
                 id = %self.generation.request.id,
                 upstream = %attempt.upstream.id(),
-                %fault,
+                fault = %error,
                 "stream lost"
             );
-            if !matches!(fault, AttemptError::Silent { .. } | AttemptError::Broken) {
-                return Err(fault);
+            if !matches!(error, AttemptError::Silent { .. } | AttemptError::Broken) {
+                return Err(error);
             }
-            // Boxed, as what is rare must not take memory in each stream's task.
+            // Boxed, so that this rare path does not increase the memory of each stream's task.
             attempt = Box::pin(self.recover(attempt)).await?;
         }
     }
 
     async fn relay_events(&mut self, attempt: &mut RunningAttempt) -> Result<Finish, AttemptError> {
-        self.generation.runs_on(attempt.upstream.id());
-        let mut went_on = false;
+        self.generation.set_upstream(attempt.upstream.id());
+        let mut has_progressed = false;
         let mut stalls = StallDetector::default();
         loop {
             let waiting = self.node.timer.now();
             let mut event = attempt.stream.next(stalls.timeout()).await?;
             stalls.observe(self.node.timer.now().since(waiting));
             let mut finish = None;
-            // All that has come already goes on together, with one round of copies.
+            // All events that have already arrived are relayed together, with one replication
+            // round.
             loop {
                 let index = self.generation.next_index();
                 finish = finish.or(self.relay_event(attempt, event)?);
-                if !went_on && self.generation.next_index() > index {
-                    went_on = true;
+                if !has_progressed && self.generation.next_index() > index {
+                    has_progressed = true;
                     self.record_progress(attempt, index);
                 }
-                match attempt.stream.ready() {
+                match attempt.stream.try_next() {
                     Some(Ok(next)) if finish.is_none() => event = next,
                     _ => break,
                 }
             }
-            self.keeper.release().await;
+            self.replicator.release().await;
             if let Some(finish) = finish {
                 return Ok(finish);
             }
@@ -380,17 +379,17 @@
         match event {
             EngineEvent::Heartbeat => {}
             EngineEvent::Token(token) => {
-                attempt.upstream.begun();
-                if token.index.0 % PROGRESS_TOKENS == 0 {
-                    attempt.upstream.progressed();
+                attempt.upstream.record_first_part();
+                if token.index.0 % TOKENS_PER_PROGRESS_REPORT == 0 {
+                    attempt.upstream.record_progress();
                 }
                 self.generation.token(token)?;
             }
             EngineEvent::End(end) => {
                 if let Delivery::End(finish) = self.generation.end(&end)? {
                     attempt.guard.release();
-                    attempt.upstream.ended();
-                    attempt.upstream.succeeded();
+                    attempt.upstream.record_completion();
+                    attempt.upstream.record_success();
                     return Ok(Some(finish));
                 }
             }
@@ -398,7 +397,7 @@
         Ok(None)
     }
 
-    /// Records the first token that an attempt delivers over one connection.
+    /// Records the first token that an attempt delivers over a connection.
     fn record_progress(&self, attempt: &RunningAttempt, index: TokenIndex) {
         let kind = match index {
             TokenIndex(0) => EventKind::FirstToken,
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -5,41 +5,41 @@
     http_server::Listener,
     metrics_endpoint::start_metrics,
     operator_api::OperatorApi,
-    peer_updates::{read_list, start_peer_updates},
+    peer_updates::{poll_vm_list, start_peer_updates},
     slice_exchange::exchange_slices,
     upstream_gossip::gossip_upstreams,
 };
 use volo_http::server::Server;
 
-/// A router with all its services, and quick ways to those that every request needs.
+/// A router with all its services. The services that every request needs are fields as well.
 pub struct Node {
-    /// Settings it was started with.
+    /// Settings that the process was started with.
     pub settings: Settings,
     /// All services by name.
-    pub kernel: ServiceRegistry,
-    /// Tells the time.
+    pub registry: ServiceRegistry,
+    /// Monotonic time and periodic ticks.
     pub timer: Arc<Timer>,
-    /// Events of this process.
+    /// Latest events of this process.
     pub timeline: Arc<Timeline>,
-    /// Connections to other processes.
+    /// HTTP connections to other processes.
     pub connections: Arc<Connections>,
-    /// The bundle in force.
+    /// The bundle in force on this VM.
     pub bundle: Arc<BundleInForce>,
-    /// Word of releases.
+    /// Watch for new releases.
     pub bundle_watch: Arc<BundleWatch>,
-    /// The platform, if there is one.
+    /// The platform, if the settings name its address.
     pub platform: Option<Arc<Platform>>,
-    /// Claims of idempotency keys, if there is a platform.
+    /// Claims of idempotency keys; `None` without a platform.
     pub claims: Option<Arc<Claims>>,
-    /// Upstreams and what is known of them.
+    /// Upstreams of the bundle with their observed state.
     pub upstreams: Arc<Upstreams>,
-    /// Queues and places of all services.
+    /// Queues and concurrency slots of all services.
     pub admission: Arc<Admission>,
-    /// Slices of the teams' limits.
+    /// This VM's slices of the teams' rate limits.
     pub limits: Arc<TeamLimits>,
-    /// Generations under way.
+    /// Generations in progress on this VM.
     pub generations: Arc<Generations>,
-    /// The other VMs, if this one takes calls of peers.
+    /// The other VMs; `None` if this VM does not listen for peers.
     pub peers: Option<Arc<Peers>>,
     /// The state of a graceful shutdown.
     pub drain: Arc<Drain>,
@@ -50,25 +50,25 @@
     ///
     /// # Errors
     ///
-    /// If one cannot be started.
+    /// If a service cannot be started.
     pub fn start(settings: Settings) -> Result<Arc<Self>> {
-        let kernel = ServiceRegistry::default();
-        let timer = kernel.register(ServiceName::Timer, Timer::start())?;
-        let timeline = kernel.register(ServiceName::Timeline, new_timeline(&settings))?;
+        let registry = ServiceRegistry::default();
+        let timer = registry.register(ServiceName::Timer, Timer::start())?;
+        let timeline = registry.register(ServiceName::Timeline, new_timeline(&settings))?;
         timeline.record(Event::new(EventKind::Started));
         let connections = Connections::with_clock(timeline.clock().clone())?;
         let connections = Arc::new(connections);
-        let connections = kernel.register(ServiceName::Connections, connections)?;
+        let connections = registry.register(ServiceName::Connections, connections)?;
         let platform = match settings.platform {
             Some(address) => {
                 let cfg = PlatformSettings::shared_by(settings.entry_vms);
                 let platform =
                     Platform::over_http(connections.clone(), timer.clone(), address, cfg);
-                Some(kernel.register(ServiceName::Platform, Arc::new(platform))?)
+                Some(registry.register(ServiceName::Platform, Arc::new(platform))?)
             }
             None => None,
         };
-        let bundle = kernel.register(
+        let bundle = registry.register(
             ServiceName::Bundle,
             Arc::new(BundleInForce::new(timeline.clone())),
         )?;
@@ -76,7 +76,7 @@
             bundle.advance(read_bundle_file(path)?);
         }
         let bundle_watch = BundleWatch::start(platform.clone(), &timer, &bundle);
-        let bundle_watch = kernel.register(ServiceName::BundleWatch, bundle_watch)?;
+        let bundle_watch = registry.register(ServiceName::BundleWatch, bundle_watch)?;
         let claims = match &platform {
             Some(platform) => {
                 let parts = CoordinationParts {
@@ -86,19 +86,19 @@
                     connections: connections.clone(),
                     bundle: bundle.clone(),
                 };
-                Some(start_coordination(&kernel, &settings, parts)?)
+                Some(start_coordination(&registry, &settings, parts)?)
             }
             None => None,
         };
         let upstreams = Upstreams::start(&timer, &connections, &timeline, &bundle, &settings);
-        let upstreams = kernel.register(ServiceName::Upstreams, upstreams)?;
+        let upstreams = registry.register(ServiceName::Upstreams, upstreams)?;
         start_metrics();
         let admission = Admission::start(&timer, &bundle, &upstreams, &settings);
-        let admission = kernel.register(ServiceName::Admission, admission)?;
+        let admission = registry.register(ServiceName::Admission, admission)?;
         let limits = Arc::new(TeamLimits::new(&timer, &bundle, &settings));
-        let limits = kernel.register(ServiceName::TeamLimits, limits)?;
+        let limits = registry.register(ServiceName::TeamLimits, limits)?;
         let generations: Arc<Generations> =
-            kernel.register(ServiceName::Generations, Arc::default())?;
+            registry.register(ServiceName::Generations, Arc::default())?;
         let peers = start_peers(&settings, |entry| PeerParts {
             entry,
             key: settings.peer_key.clone(),
@@ -109,19 +109,24 @@
             bundle: bundle.clone(),
         })?;
         if let Some(peers) = &peers {
-            kernel.register(ServiceName::Peers, peers.clone())?;
+            registry.register(ServiceName::Peers, peers.clone())?;
             gossip_upstreams(peers, &upstreams);
             start_peer_updates(peers, &bundle_watch, &upstreams, &bundle);
             exchange_slices(peers, &limits, &timer);
         }
         if let Some(platform) = platform.clone() {
             let upstreams = upstreams.clone();
-            tokio::spawn(read_list(platform, peers.clone(), upstreams, timer.clone()));
+            tokio::spawn(poll_vm_list(
+                platform,
+                peers.clone(),
+                upstreams,
+                timer.clone(),
+            ));
         }
-        let drain = kernel.register(ServiceName::Drain, Arc::default())?;
+        let drain = registry.register(ServiceName::Drain, Arc::default())?;
         Ok(Arc::new(Self {
             settings,
-            kernel,
+            registry,
             timer,
             timeline,
             connections,
@@ -138,62 +143,65 @@
         }))
     }
 
-    /// Reads a bundle and puts it in force under `version`, if that is larger than the present one.
+    /// Parses a bundle and puts it in force as `version` if that is larger than the version in force.
+    /// Returns whether the bundle was put in force.
     ///
     /// # Errors
     ///
-    /// Names the field of the bundle that is wrong.
+    /// If the bundle is invalid; the error names the field.
     pub fn put_bundle_in_force(&self, version: u64, json: &str) -> Result<bool> {
         let bundle = read_bundle(BundleVersion(version), json)?;
         Ok(self.bundle.advance(bundle))
     }
 
-    /// Serves callers until a signal, then drains.
+    /// Serves callers until a signal arrives, then drains.
     ///
-    /// The HTTP library ends by itself about 30 s after a signal, whatever is still open, and a
-    /// generation of minutes would be cut off. It runs its shutdown hook before that and goes on
-    /// accepting meanwhile, so the hook waits until nothing is in flight.
+    /// About 30 s after a signal the HTTP library stops even if connections are still open, which
+    /// would interrupt generations that take minutes. It runs its shutdown hook first and keeps
+    /// accepting connections meanwhile, so the hook waits until nothing is in flight.
     ///
     /// # Errors
     ///
-    /// If the server ends otherwise.
+    /// If the server fails.
     pub async fn serve(self: &Arc<Self>, listener: Listener) -> Result<()> {
         let address = listener.address()?;
         tracing::info!(%address, vm = %self.settings.vm, "serving callers");
         let node = self.clone();
         Server::new(CallerApi::new(self.clone()))
-            .register_shutdown_hook(move || Box::pin(async move { node.drained().await }))
+            .register_shutdown_hook(move || Box::pin(async move { node.run_drain().await }))
             .run(listener)
             .await
             .map_err(|source| Error::Server { address, source })?;
-        self.kernel.stop().await;
+        self.registry.stop().await;
         Ok(())
     }
 
-    /// Serves operators until the callers' server has drained, so that they can look on.
+    /// Serves operators until the callers' server has drained, so that they can observe the drain.
     ///
-    /// Each server of a process takes signals by itself. This one waits in its shutdown hook for
-    /// the end of the drain; without that it would close while generations still run.
+    /// Each server of a process handles signals independently. The shutdown hook of this one waits
+    /// for the end of the drain; otherwise it would close while generations are still running.
     ///
     /// # Errors
     ///
-    /// If no operator key is set, or the server ends otherwise.
+    /// If no operator key is set, or the server fails.
     pub async fn serve_operators(self: &Arc<Self>, listener: Listener) -> Result<()> {
         let address = listener.address()?;
         let key = self.settings.operator_key()?;
         let node = self.clone();
         Server::new(OperatorApi::new(self.clone(), key))
-            .register_shutdown_hook(move || Box::pin(async move { node.drain.ended().await }))
+            .register_shutdown_hook(move || {
+                Box::pin(async move { node.drain.wait_until_closed().await })
+            })
             .run(listener)
             .await
             .map_err(|source| Error::Server { address, source })
     }
 
-    async fn drained(&self) {
+    async fn run_drain(&self) {
         self.drain.begin();
         self.timeline.record(Event::new(EventKind::DrainBegan));
         tracing::info!(in_flight = self.drain.in_flight(), "draining");
-        self.drain.finished(self.settings.drain_grace).await;
+        self.drain.close_when_idle(self.settings.drain_grace).await;
         self.timeline.record(Event::new(EventKind::DrainEnded));
         tracing::info!("drained");
     }
@@ -212,12 +220,12 @@
         tokio::net::TcpListener::from_std(listener)
     };
     let listener = listen().map_err(|source| Error::Listen { address, source })?;
-    let bound = listener
+    let bound_address = listener
         .local_addr()
         .map_err(|source| Error::Listen { address, source })?;
     let entry = PeerEntry {
         vm: settings.vm.clone(),
-        address: settings.peer_advertise.unwrap_or(bound),
+        address: settings.peer_advertise.unwrap_or(bound_address),
         zone: settings.zone.clone(),
     };
     Ok(Some(Peers::start(listener, parts(entry))))
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// Enforces this VM's slices of the teams' limits, and hands out slices as the home of others.
+/// Enforces this VM's slices of the teams' limits, and allocates slices of limits to other VMs.
 ///
-/// Until a slice is granted, a VM lets through an even share: the limit by the number of VMs that
-/// the settings name. Peers carry [`SliceRequest`] and [`SliceGrant`]: [`TeamLimits::asks`] says
-/// whom to ask for what, [`TeamLimits::grant`] answers as a home, [`TeamLimits::granted`] takes the
-/// answer in.
+/// Until a slice is granted, a VM admits an even share: the limit divided by the number of VMs in
+/// the settings. [`TeamLimits::slice_requests`] returns the requests to send to peers,
+/// [`TeamLimits::grant`] answers them as the allocator, [`TeamLimits::apply_grant`] applies the
+/// grants.
 pub struct TeamLimits {
     timer: Arc<Timer>,
     bundle: Arc<BundleInForce>,
     vm: VmId,
-    /// VMs that share a limit as long as no slice is granted.
+    /// Number of VMs that share a limit as long as no slice is granted.
     sharers: u32,
     /// Sorted by team and kind.
     slices: Mutex<Vec<LimitSlice>>,
     /// Sorted by team and kind.
-    homes: Mutex<Vec<LimitHome>>,
+    allocators: Mutex<Vec<LimitAllocator>>,
 }
 
 struct LimitSlice {
@@ -25,26 +25,26 @@
     slice: TeamSlice,
 }
 
-struct LimitHome {
+struct LimitAllocator {
     team: TeamId,
     kind: LimitKind,
     limit: f64,
     vms: Vec<VmId>,
-    home: SliceAllocator,
+    allocator: SliceAllocator,
 }
 
-/// Average demand, a second, below which a slice is not asked for any more.
-const LEAST_DEMAND: f64 = 0.05;
+/// Average demand per second below which no slice is requested any more.
+const MIN_DEMAND: f64 = 0.05;
 
-/// A slice to ask for.
+/// A request for a slice, with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamSliceRequest {
-    /// The home of the limit.
-    pub home: VmId,
-    /// What to ask it.
+    /// The VM that allocates the slices of the limit.
+    pub allocator: VmId,
+    /// The request to send to it.
     pub request: SliceRequest,
-    /// Now; the grant lasts from here.
-    pub asked: Instant,
+    /// Time of the request; the validity of the grant starts here.
+    pub requested_at: Instant,
 }
 
 impl TeamLimits {
@@ -55,15 +55,15 @@
             vm: cfg.vm.clone(),
             sharers: cfg.entry_vms.max(1),
             slices: Mutex::default(),
-            homes: Mutex::default(),
+            allocators: Mutex::default(),
         }
     }
 
-    /// Lets a request of a team through that costs `cost`.
+    /// Admits a request of a team and charges `cost` to the team's limit.
     ///
     /// # Errors
     ///
-    /// When to come back, if this VM's slice of the limit is used up.
+    /// The time to wait before a retry, if this VM's slice of the limit is used up.
     pub fn take(&self, team: &TeamId, kind: LimitKind, cost: u32) -> Result<(), Duration> {
         let Some(limit) = self.limit(team, kind) else {
             return Ok(());
@@ -74,77 +74,80 @@
         slice.take(cost.into(), now)
     }
 
-    /// Gives back what a request that was let through did not use.
-    pub fn give_back(&self, team: &TeamId, kind: LimitKind, cost: u32) {
+    /// Refunds the part of the cost that an admitted request did not use.
+    pub fn refund(&self, team: &TeamId, kind: LimitKind, cost: u32) {
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, team, kind) {
             slices[i].slice.refund(cost.into());
         }
     }
 
-    /// Slices to ask for, of the limits that callers lately used here, from their homes among
-    /// `vms`.
+    /// Returns requests for slices of the limits that callers have used recently on this VM,
+    /// addressed to their allocators among `vms`.
     #[must_use]
-    pub fn asks(&self, vms: &[VmId]) -> Vec<TeamSliceRequest> {
+    pub fn slice_requests(&self, vms: &[VmId]) -> Vec<TeamSliceRequest> {
         let now = self.timer.now();
         let mut slices = self.slices.lock();
-        let asks = slices.iter_mut().filter_map(|entry| {
+        let requests = slices.iter_mut().filter_map(|entry| {
             let demand = entry.slice.demand(now);
             Some(TeamSliceRequest {
-                home: home_of(&entry.team, entry.kind, vms)?,
+                allocator: allocator_of(&entry.team, entry.kind, vms)?,
                 request: SliceRequest {
                     team: entry.team.clone(),
                     kind: entry.kind,
                     vm: self.vm.clone(),
-                    demand: (demand > LEAST_DEMAND).then_some(demand)?,
+                    demand: (demand > MIN_DEMAND).then_some(demand)?,
                 },
-                asked: now,
+                requested_at: now,
             })
         });
-        asks.collect()
+        requests.collect()
     }
 
-    /// Grants a slice as the home of `part` of a limit over `vms`; `None` if there is no such limit, this VM
-    /// is not its home, or the one that asks is not among them.
+    /// Grants a slice as the allocator of `fraction` of a limit among `vms`. Returns `None` if there
+    /// is no such limit, this VM is not its allocator, or the requesting VM is not in `vms`.
     #[must_use]
-    pub fn grant(&self, request: &SliceRequest, vms: &[VmId], part: f64) -> Option<SliceGrant> {
-        let limit = part * f64::from(self.limit(&request.team, request.kind)?);
-        if home_of(&request.team, request.kind, vms)? != self.vm {
+    pub fn grant(&self, request: &SliceRequest, vms: &[VmId], fraction: f64) -> Option<SliceGrant> {
+        let limit = fraction * f64::from(self.limit(&request.team, request.kind)?);
+        if allocator_of(&request.team, request.kind, vms)? != self.vm {
             return None;
         }
         let now = self.timer.now();
-        let fresh = || LimitHome {
+        let new_entry = || LimitAllocator {
             team: request.team.clone(),
             kind: request.kind,
             limit,
             vms: vms.to_vec(),
-            home: SliceAllocator::new(limit, vms.to_vec(), now),
+            allocator: SliceAllocator::new(limit, vms.to_vec(), now),
         };
-        let mut homes = self.homes.lock();
+        let mut allocators = self.allocators.lock();
         let key = (&request.team, request.kind);
-        let i = match homes.binary_search_by(|home| (&home.team, home.kind).cmp(&key)) {
+        let i = match allocators
+            .binary_search_by(|allocator| (&allocator.team, allocator.kind).cmp(&key))
+        {
             Ok(i) => i,
             Err(i) => {
-                homes.insert(i, fresh());
+                allocators.insert(i, new_entry());
                 i
             }
         };
-        if homes[i].limit.total_cmp(&limit).is_ne() || homes[i].vms != vms {
-            homes[i] = fresh();
+        if allocators[i].limit.total_cmp(&limit).is_ne() || allocators[i].vms != vms {
+            allocators[i] = new_entry();
         }
-        homes[i].home.grant(request, now)
+        allocators[i].allocator.grant(request, now)
     }
 
-    /// Takes a grant that was asked for at `asked`.
-    pub fn granted(&self, grant: &SliceGrant, asked: Instant) {
+    /// Applies a grant that was requested at `requested_at`.
+    pub fn apply_grant(&self, grant: &SliceGrant, requested_at: Instant) {
         let now = self.timer.now();
         let mut slices = self.slices.lock();
         if let Ok(i) = find(&slices, &grant.team, grant.kind) {
-            slices[i].slice.apply_grant(grant, asked, now);
+            slices[i].slice.apply_grant(grant, requested_at, now);
         }
     }
 
-    /// What this VM lets through of a limit now, a second; `None` if it was not used here.
+    /// Returns the rate per second that this VM currently admits of a limit; `None` if the limit has
+    /// not been used on this VM.
     #[must_use]
     pub fn rate(&self, team: &TeamId, kind: LimitKind) -> Option<f64> {
         let slices = self.slices.lock();
@@ -169,7 +172,7 @@
         limit: u32,
         now: Instant,
     ) -> &'a mut TeamSlice {
-        let fresh = || LimitSlice {
+        let new_entry = || LimitSlice {
             team: team.clone(),
             kind,
             limit,
@@ -178,19 +181,19 @@
         let i = match find(slices, team, kind) {
             Ok(i) => i,
             Err(i) => {
-                slices.insert(i, fresh());
+                slices.insert(i, new_entry());
                 i
             }
         };
         if slices[i].limit != limit {
-            slices[i] = fresh();
+            slices[i] = new_entry();
         }
         &mut slices[i].slice
     }
 }
 
-/// The VM among `vms` that hands out the slices of a limit.
-fn home_of(team: &TeamId, kind: LimitKind, vms: &[VmId]) -> Option<VmId> {
+/// Returns the VM among `vms` that allocates the slices of a limit.
+fn allocator_of(team: &TeamId, kind: LimitKind, vms: &[VmId]) -> Option<VmId> {
     let key = format!("{kind} {team}");
     vms.iter()
         .max_by_key(|vm| rendezvous_score(&key, vm.as_str()))
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -2,250 +2,255 @@
 use crate::{
     engine_event::AttemptError,
     http_client::HttpError,
-    upstream_observer::{UpstreamObserver, load_call},
+    upstream_observer::{UpstreamObserver, liveness_probe},
     upstream_state::{UpstreamState, read_report},
 };
 
-/// One request's hold on an upstream: counted there until it is dropped.
+/// Handle of one request on an upstream. The request counts as running there until the handle is
+/// dropped.
 ///
-/// It is made from an [`Eligible`] only, and orders are sent to handles only, so that no work goes
-/// to an upstream that may get none.
+/// A handle for new work requires an [`Eligible`], and orders are only sent through handles, so no
+/// new work is sent to an upstream that must not receive any.
 pub struct UpstreamHandle {
-    known: Arc<UpstreamObserver>,
+    observer: Arc<UpstreamObserver>,
     state: Arc<UpstreamState>,
     incarnation: Incarnation,
-    /// None for a request that runs there already and is only held.
+    /// `None` for a request that is already running on the upstream.
     eligible: Option<Eligible>,
     sent: Instant,
-    /// Whether its answer is still due.
-    awaits: AtomicBool,
-    asked: AskedReport,
+    /// Whether the response is still outstanding.
+    awaits_response: AtomicBool,
+    requested: AskedReport,
     run: Option<TrackedRunId>,
 }
 
 impl UpstreamHandle {
-    /// A hold for new work.
+    /// Creates a handle for new work.
     pub(crate) fn new(
-        known: &Arc<UpstreamObserver>,
+        observer: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         eligible: Eligible,
         run: Option<TrackedRunId>,
     ) -> Self {
-        let mut handle = Self::held(known, state, eligible.incarnation());
+        let mut handle = Self::for_running(observer, state, eligible.incarnation());
         handle.eligible = Some(eligible);
-        handle.awaits.store(true, Ordering::Relaxed);
+        handle.awaits_response.store(true, Ordering::Relaxed);
         handle.state.record.lock().response_awaited(handle.sent);
         handle.run = run;
         handle
     }
 
-    /// A hold for a request that runs there already.
-    pub(crate) fn held(
-        known: &Arc<UpstreamObserver>,
+    /// Creates a handle for a request that is already running on the upstream.
+    pub(crate) fn for_running(
+        observer: &Arc<UpstreamObserver>,
         state: &Arc<UpstreamState>,
         incarnation: Incarnation,
     ) -> Self {
-        let now = known.timer.now();
+        let now = observer.timer.now();
         let mut record = state.record.lock();
         record.record_dispatch();
         Self {
-            known: known.clone(),
+            observer: observer.clone(),
             state: state.clone(),
             incarnation,
             eligible: None,
             sent: now,
-            awaits: AtomicBool::new(false),
-            asked: record.report_requested(now),
+            awaits_response: AtomicBool::new(false),
+            requested: record.report_requested(now),
             run: None,
         }
     }
 
-    /// Checks that the upstream may get new work now.
+    /// Checks that the upstream may receive new work now.
     ///
     /// # Errors
     ///
-    /// If the hold is not for new work, or the proof that the upstream may get it is too old.
+    /// If the handle is not for new work, or its [`Eligible`] has expired.
     pub(crate) fn check_eligible(&self) -> Result<(), AttemptError> {
-        let now = self.known.timer.now();
+        let now = self.observer.timer.now();
         match &self.eligible {
             Some(eligible) if eligible.is_valid(now) => Ok(()),
             _ => Err(AttemptError::NotEligible),
         }
     }
 
-    /// The upstream's id.
+    /// Returns the id of the upstream.
     #[must_use]
     pub fn id(&self) -> &UpstreamId {
         &self.state.entry.id
     }
 
-    /// Where it listens.
+    /// Returns the address that the upstream listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.state.entry.address
     }
 
-    /// Notes that it failed this request.
-    pub fn failed(&self) {
+    /// Records that the upstream failed this request.
+    pub fn record_failure(&self) {
         self.state
             .record
             .lock()
-            .record_failure(self.known.timer.now());
+            .record_failure(self.observer.timer.now());
     }
 
-    /// Notes that it has begun to answer.
-    pub fn answered(&self) {
-        let now = self.known.timer.now();
+    /// Records that the upstream has started its response.
+    pub fn record_response_start(&self) {
+        let now = self.observer.timer.now();
         let mut record = self.state.record.lock();
         record.record_response(self.incarnation, self.sent, now);
-        self.awaits_no_more(&mut record);
+        self.settle_response(&mut record);
         drop(record);
         if let Some(run) = self.run {
-            self.known.poison.lock().response_started(run);
+            self.observer.poison.lock().response_started(run);
         }
     }
 
-    fn awaits_no_more(&self, record: &mut UpstreamRecord) {
-        if self.awaits.swap(false, Ordering::Relaxed) {
+    fn settle_response(&self, record: &mut UpstreamRecord) {
+        if self.awaits_response.swap(false, Ordering::Relaxed) {
             record.response_settled(self.sent);
         }
     }
 
-    /// Takes the load report that came with the reply.
-    pub(crate) fn reported(&self, load: engine::UpstreamLoad) {
-        self.known
-            .reported(&self.state, self.asked, read_report(load));
+    /// Records the load report that came with the response.
+    pub(crate) fn record_report(&self, load: engine::UpstreamLoad) {
+        self.observer
+            .record_report(&self.state, self.requested, read_report(load));
     }
 
-    /// Notes some tokens delivered.
-    pub fn progressed(&self) {
+    /// Records that some tokens have been delivered.
+    pub fn record_progress(&self) {
         if let Some(run) = self.run {
-            self.known.poison.lock().progressed(run);
+            self.observer.poison.lock().progressed(run);
         }
     }
 
-    /// Notes that it served this request to its end.
-    pub fn succeeded(&self) {
-        let now = self.known.timer.now();
+    /// Records that the upstream completed this request.
+    pub fn record_success(&self) {
+        let now = self.observer.timer.now();
         self.state
             .record
             .lock()
             .evidence
             .record_reply(self.incarnation, now);
         if let Some(run) = self.run {
-            self.known.poison.lock().finished(run);
+            self.observer.poison.lock().finished(run);
         }
     }
 
-    /// Takes in why the upstream did not take the request, or broke off its answer, and finds out
-    /// whether it died; only a death bears on whether the request is poisoned.
+    /// Records why the upstream refused the request or interrupted its response, and probes whether
+    /// the upstream crashed. Only a crash counts towards quarantining the request.
     ///
-    /// This comes before the handle is dropped: only a request that is still counted as running
-    /// there is known to have been there when the upstream died.
-    pub(crate) async fn lost(&self, fault: &AttemptError) {
-        match fault {
-            AttemptError::Refused { kind } => self.refused(*kind),
-            AttemptError::NotEligible | AttemptError::Held { .. } => {}
-            AttemptError::Unproven => {
-                self.failed();
-                // Nothing was sent, so the request was not there when the upstream died.
-                self.forget_run();
-                self.find_out().await;
+    /// Call this before the handle is dropped: a crash is only recorded for requests that count as
+    /// running on the upstream.
+    pub(crate) async fn record_error(&self, error: &AttemptError) {
+        match error {
+            AttemptError::Refused { kind } => self.record_refusal(*kind),
+            AttemptError::NotEligible | AttemptError::Blocked { .. } => {}
+            AttemptError::LivenessUnproven => {
+                self.record_failure();
+                // Nothing was sent, so the request was not running there if the upstream crashed.
+                self.abandon_run();
+                self.probe().await;
             }
-            AttemptError::Http(fault) if fault.never_connected() => {
-                self.failed();
-                // No connection was made, so the request was not there when the upstream died.
-                self.forget_run();
-                self.find_out().await;
+            AttemptError::Http(error) if error.never_connected() => {
+                self.record_failure();
+                // No connection was made, so the request was not running there if the upstream
+                // crashed.
+                self.abandon_run();
+                self.probe().await;
             }
             AttemptError::Http(HttpError::Call { .. } | HttpError::Body { .. })
             | AttemptError::Broken => {
-                self.failed();
-                self.find_out().await;
+                self.record_failure();
+                self.probe().await;
             }
-            _ => self.failed(),
+            _ => self.record_failure(),
         }
     }
 
-    /// Takes in that it refused the request.
-    pub(crate) fn refused(&self, kind: engine::EngineRefusalKind) {
+    /// Records that the upstream refused the request.
+    pub(crate) fn record_refusal(&self, kind: engine::EngineRefusalKind) {
         if kind == engine::EngineRefusalKind::Leaving {
             let source = LeavingSource::Refusal;
-            self.known
-                .note_leaving(&self.state, self.incarnation, source);
+            self.observer
+                .record_leaving(&self.state, self.incarnation, source);
         }
     }
 
-    /// Asks the upstream whether it lives, if its request is a suspect; called right before the order
-    /// is sent.
+    /// Probes whether the upstream is alive if the request is a suspect; called immediately before
+    /// the order is sent.
     ///
-    /// A request that kills its upstream may do so before any answer is read, and then looks like one
-    /// that was sent to an upstream that was dead already. Only this proof tells them apart.
+    /// A request may crash its upstream before any response is read, which looks the same as a
+    /// request sent to an upstream that was already dead. Only this probe distinguishes the two
+    /// cases.
     ///
     /// # Errors
     ///
-    /// If it does not answer, or another process of it does.
+    /// If the upstream does not answer, or a different process answers.
     pub(crate) async fn prove_alive(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
         };
-        if !self.known.poison.lock().needs_liveness_check(run) {
+        if !self.observer.poison.lock().needs_liveness_check(run) {
             return Ok(());
         }
-        let asked = self
+        let requested = self
             .state
             .record
             .lock()
-            .report_requested(self.known.timer.now());
+            .report_requested(self.observer.timer.now());
         let load = self
-            .known
+            .observer
             .connections
-            .call_json(load_call(self.address()))
+            .call_json(liveness_probe(self.address()))
             .await
-            .map_err(|fault| {
-                tracing::info!(upstream = %self.id(), %fault, "no proof that the upstream lives");
-                AttemptError::Unproven
+            .map_err(|error| {
+                tracing::info!(upstream = %self.id(), fault = %error,
+                    "liveness probe before a suspect request failed");
+                AttemptError::LivenessUnproven
             })?;
         let report = read_report(load);
-        let same = report.incarnation == self.incarnation;
-        self.known.reported(&self.state, asked, report);
-        if !same {
-            return Err(AttemptError::Unproven);
+        let is_same_process = report.incarnation == self.incarnation;
+        self.observer.record_report(&self.state, requested, report);
+        if !is_same_process {
+            return Err(AttemptError::LivenessUnproven);
         }
-        self.known.poison.lock().liveness_confirmed(run);
+        self.observer.poison.lock().liveness_confirmed(run);
         Ok(())
     }
 
-    /// The run as it is announced to other VMs, if its request is a suspect.
+    /// Returns the run as announced to other VMs, if the request is a suspect.
     pub(crate) fn suspect_run(&self) -> Option<SuspectRun> {
-        self.known.poison.lock().suspect_run(self.run?)
+        self.observer.poison.lock().suspect_run(self.run?)
     }
 
-    /// Commits the request to this upstream: its order is sent next.
+    /// Commits the request to this upstream; its order is sent next.
     ///
     /// # Errors
     ///
-    /// If deaths under the request or its run on another VM became known since the upstream was chosen.
+    /// If a crash under the request, or a run of it on another VM, has become known since the
+    /// upstream was selected.
     pub(crate) fn commit(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
         };
-        let now = self.known.timer.now();
-        let committed = self.known.poison.lock().commit(run, now);
-        committed.map_err(|hold| AttemptError::Held { hold })
+        let now = self.observer.timer.now();
+        let committed = self.observer.poison.lock().commit(run, now);
+        committed.map_err(|block| AttemptError::Blocked { block })
     }
 
-    async fn find_out(&self) {
+    async fn probe(&self) {
         let _probing = self.state.probing.lock().await;
         let current = self.state.record.lock().evidence.incarnation();
         if current == Some(self.incarnation) {
-            self.known.find_out(&self.state, self.incarnation).await;
+            self.observer.probe(&self.state, self.incarnation).await;
         }
     }
 
-    fn forget_run(&self) {
+    fn abandon_run(&self) {
         if let Some(run) = self.run {
-            self.known.poison.lock().abandoned(run);
+            self.observer.poison.lock().abandoned(run);
         }
     }
 }
@@ -254,8 +259,8 @@
     fn drop(&mut self) {
         let mut record = self.state.record.lock();
         record.record_end();
-        self.awaits_no_more(&mut record);
+        self.settle_response(&mut record);
         drop(record);
-        self.forget_run();
+        self.abandon_run();
     }
 }
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -4,31 +4,31 @@
     upstream_state::{UpstreamState, read_report},
 };
 
-/// Bound of a call for a load report.
-const POLL_BOUND: Duration = Duration::from_millis(400);
+/// Timeout of a poll for a load report.
+const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Bound of the call that finds out whether an upstream died.
-const DEATH_PROBE_BOUND: Duration = Duration::from_millis(300);
+/// Timeout of the probe that determines whether an upstream process has crashed.
+const CRASH_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Words of leaving kept for peers.
-const MOST_UNTOLD: usize = 255;
+/// Maximum number of pending advertisements of leaving upstreams.
+const MAX_PENDING_LEAVING: usize = 255;
 
-/// Words of leaving told to a peer at a time: about half a kilobyte.
-const MOST_TOLD: usize = 12;
+/// Maximum number of leaving upstreams in one message: about 512 bytes.
+const MAX_LEAVING_PER_MESSAGE: usize = 12;
 
-/// How often each is told, as marks of poison are.
-const TELLINGS: u32 = 8;
+/// Number of messages that advertise each leaving upstream; the same as for poison records.
+const MESSAGES_PER_LEAVING: u32 = 8;
 
-/// What requests and polls tell of upstreams.
+/// Records what requests and polls reveal about upstreams, and collects it for peers.
 pub(crate) struct UpstreamObserver {
     pub(crate) timer: Arc<Timer>,
     pub(crate) connections: Arc<Connections>,
     timeline: Arc<Timeline>,
     pub(crate) poison: Mutex<PoisonTracker>,
-    /// Rings when there is something new for peers.
-    pub(crate) news: Notify,
-    /// Processes lately known to be leaving, and how often peers were told.
-    untold: Mutex<Vec<(UpstreamId, Incarnation, u32)>>,
+    /// Notified when there is an update for peers.
+    pub(crate) updated: Notify,
+    /// Processes that started leaving recently, each with the number of messages that advertised it.
+    pending_leaving: Mutex<Vec<(UpstreamId, Incarnation, u32)>>,
 }
 
 impl UpstreamObserver {
@@ -42,46 +42,48 @@
             connections: connections.clone(),
             timeline: timeline.clone(),
             poison: Mutex::default(),
-            news: Notify::new(),
-            untold: Mutex::default(),
+            updated: Notify::new(),
+            pending_leaving: Mutex::default(),
         }
     }
 
-    /// Processes lately known to be leaving, for a peer, sorted.
-    pub(crate) fn tell_leaving(&self) -> Vec<(UpstreamId, Incarnation)> {
-        let mut untold = self.untold.lock();
-        untold.sort_by_key(|(_, _, told)| *told);
-        let mut news = untold
+    /// Returns processes that started leaving recently, for a message to a peer, sorted. Prefers those
+    /// that have been advertised least often.
+    pub(crate) fn leaving_deltas(&self) -> Vec<(UpstreamId, Incarnation)> {
+        let mut pending_leaving = self.pending_leaving.lock();
+        pending_leaving.sort_by_key(|(_, _, times_sent)| *times_sent);
+        let mut selected = pending_leaving
             .iter_mut()
-            .take(MOST_TOLD)
-            .map(|(id, incarnation, told)| {
-                *told += 1;
+            .take(MAX_LEAVING_PER_MESSAGE)
+            .map(|(id, incarnation, times_sent)| {
+                *times_sent += 1;
                 (id.clone(), *incarnation)
             })
             .collect::<Vec<_>>();
-        untold.retain(|(_, _, told)| *told < TELLINGS);
-        news.sort();
-        news
+        pending_leaving.retain(|(_, _, times_sent)| *times_sent < MESSAGES_PER_LEAVING);
+        selected.sort();
+        selected
     }
 
-    /// Takes a load report; the first one of another process proves the former's death.
-    pub(crate) fn reported(
+    /// Records a load report. The first report of a new process proves that the previous process has
+    /// ended.
+    pub(crate) fn record_report(
         &self,
         state: &UpstreamState,
-        asked: AskedReport,
+        requested: AskedReport,
         report: UpstreamReport,
     ) {
         let (incarnation, leaving) = (report.incarnation, report.leaving);
         if leaving {
-            self.note_leaving(state, incarnation, LeavingSource::Report);
+            self.record_leaving(state, incarnation, LeavingSource::Report);
         }
-        let former = state.record.lock().record_report(asked, report);
-        if let Some(former) = former {
-            self.died(state, former);
+        let previous = state.record.lock().record_report(requested, report);
+        if let Some(previous) = previous {
+            self.record_crash(state, previous);
         }
     }
 
-    pub(crate) fn note_leaving(
+    pub(crate) fn record_leaving(
         &self,
         state: &UpstreamState,
         incarnation: Incarnation,
@@ -95,74 +97,78 @@
                 detail: Some(source.to_string().into()),
                 ..Event::new(EventKind::UpstreamLeaving)
             });
-            let mut untold = self.untold.lock();
-            untold.truncate(MOST_UNTOLD);
-            untold.push((state.entry.id.clone(), incarnation, 0));
-            self.news.notify_one();
+            let mut pending_leaving = self.pending_leaving.lock();
+            pending_leaving.truncate(MAX_PENDING_LEAVING);
+            pending_leaving.push((state.entry.id.clone(), incarnation, 0));
+            self.updated.notify_one();
         }
     }
 
-    /// Notes that a process of an upstream died, under whatever runs there.
-    pub(crate) fn died(&self, state: &UpstreamState, incarnation: Incarnation) {
+    /// Records that a process of an upstream has crashed, with the requests that were running on it.
+    pub(crate) fn record_crash(&self, state: &UpstreamState, incarnation: Incarnation) {
         state.record.lock().evidence.record_gone(incarnation);
         let now = self.timer.now();
-        let marks = self
+        let crash_records = self
             .poison
             .lock()
             .upstream_crashed(&state.entry.id, incarnation, now);
-        self.news.notify_one();
+        self.updated.notify_one();
         let upstream = &state.entry.id;
-        tracing::warn!(%upstream, incarnation = incarnation.0, under = marks.len(), "upstream died");
-        for mark in marks {
-            tracing::info!(%upstream, body = %mark.digest, death = %mark.crash,
+        tracing::warn!(%upstream, incarnation = incarnation.0, under = crash_records.len(),
+            "upstream died");
+        for crash_record in crash_records {
+            tracing::info!(%upstream, body = %crash_record.digest, death = %crash_record.crash,
                 "request is a suspect: upstream died under it");
         }
     }
 
-    /// Asks an upstream whether a process of it lives.
-    pub(crate) async fn find_out(&self, state: &UpstreamState, incarnation: Incarnation) {
-        let asked = state.record.lock().report_requested(self.timer.now());
+    /// Probes an upstream to determine whether the process `incarnation` is still alive.
+    pub(crate) async fn probe(&self, state: &UpstreamState, incarnation: Incarnation) {
+        let requested = state.record.lock().report_requested(self.timer.now());
         let load = self
             .connections
-            .call_json(load_call(state.entry.address))
+            .call_json(liveness_probe(state.entry.address))
             .await;
         match load {
             Ok(load) => {
                 let report = read_report(load);
-                let lives = report.incarnation == incarnation;
-                self.reported(state, asked, report);
-                if !lives {
-                    self.died(state, incarnation);
+                let is_alive = report.incarnation == incarnation;
+                self.record_report(state, requested, report);
+                if !is_alive {
+                    self.record_crash(state, incarnation);
                 }
             }
             Err(HttpError::Call { source, .. }) if !is_unreachable(&source) => {
-                self.died(state, incarnation);
+                self.record_crash(state, incarnation);
             }
-            Err(fault) => {
-                tracing::debug!(upstream = %state.entry.id, %fault, "no proof of a death");
+            Err(error) => {
+                tracing::debug!(upstream = %state.entry.id, fault = %error,
+                    "cannot determine whether the upstream crashed");
             }
         }
     }
 
-    /// Asks an upstream for its load, after a random part of `jitter`.
+    /// Polls an upstream for its load, after a random delay of up to `jitter`.
     pub(crate) async fn poll(&self, state: &UpstreamState, jitter: Duration) {
         tokio::time::sleep(jitter.mul_f64(rand::random())).await;
-        let asked = state.record.lock().report_requested(self.timer.now());
+        let requested = state.record.lock().report_requested(self.timer.now());
         let call = HttpCall {
             address: state.entry.address,
             path: "/v1/load".to_owned(),
-            bound: POLL_BOUND,
+            bound: POLL_TIMEOUT,
             fresh: state.poll_fresh.load(Ordering::Relaxed),
             ..HttpCall::default()
         };
         let reply = self.connections.call_json(call).await;
         state.poll_fresh.store(reply.is_err(), Ordering::Relaxed);
         match reply {
-            Ok(load) => self.reported(state, asked, read_report(load)),
-            Err(fault) => {
-                tracing::debug!(upstream = %state.entry.id, %fault, "no load report");
-                // New work goes elsewhere at once, and not only when its last word is too old.
-                if matches!(fault, http_client::HttpError::Call { .. }) {
+            Ok(load) => self.record_report(state, requested, read_report(load)),
+            Err(error) => {
+                tracing::debug!(upstream = %state.entry.id, fault = %error,
+                    "upstream did not send a load report");
+                // Select other upstreams for new work immediately, not only once the last report has
+                // become stale.
+                if matches!(error, http_client::HttpError::Call { .. }) {
                     state.record.lock().record_failure(self.timer.now());
                 }
             }
@@ -170,18 +176,18 @@
     }
 }
 
-/// A call that asks an upstream whether it lives.
-pub(crate) fn load_call(address: SocketAddr) -> HttpCall {
+/// Returns the call that probes whether an upstream is alive.
+pub(crate) fn liveness_probe(address: SocketAddr) -> HttpCall {
     HttpCall {
         address,
         path: "/v1/load".to_owned(),
-        bound: DEATH_PROBE_BOUND,
+        bound: CRASH_PROBE_TIMEOUT,
         fresh: true,
         ..HttpCall::default()
     }
 }
 
-/// Whether the network, not the upstream, is to blame.
+/// Returns whether the error shows a failure of the network rather than of the upstream.
 fn is_unreachable(error: &(dyn std::error::Error + 'static)) -> bool {
     matches!(
         io_kind(error),
