--- a/crates/catkinward/src/bin/catkinctl.rs
+++ b/crates/catkinward/src/bin/catkinctl.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/catkinward/src/ctl.rs
+++ b/crates/catkinward/src/ctl.rs
@@ -9,7 +9,7 @@
 use catkin_decisions::CallLimiterSettings;
 use std::process::ExitCode;
 
-/// Runs the operators' tool on a command line without the program's name.
+/// Runs `catkinctl` with the given command-line arguments, without the program name.
 pub fn run_ctl(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let read = CtlSettings::read(args, |name| std::env::var(name).ok());
     match read.and_then(|(settings, command)| run(&settings, command)) {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Does what is asked; returns what to print.
+/// Runs the command and returns the text for standard output.
 #[tokio::main(flavor = "current_thread")]
 async fn run(settings: &CtlSettings, command: CtlCommand) -> Result<String> {
     match command {
@@ -49,8 +49,8 @@
     CtlVms::new(platform, settings)
 }
 
-/// One operator makes a few calls, so the budget that VMs share is not needed; pauses after faults
-/// are the store's.
+/// Connects to the platform without a call limit: one operator makes only a few calls, so the limit
+/// that VMs share is not needed. `BundleStore` waits between retries after errors.
 fn platform(address: SocketAddr) -> Result<Arc<Platform>> {
     let unlimited = CallLimiterSettings {
         refill_interval: Duration::from_millis(1),
--- a/crates/catkinward/src/ctl_bundle.rs
+++ b/crates/catkinward/src/ctl_bundle.rs
@@ -9,13 +9,13 @@
 };
 use std::{fmt::Write, num::NonZeroU32, path::Path};
 
-/// Releases that `bundle history` shows.
+/// Number of releases that `bundle history` shows.
 const HISTORY: NonZeroU32 = NonZeroU32::new(20).expect("not zero");
 
 const SETTLED: &str =
-    "the platform's answer was lost; reading back shows that the change took effect\n";
+    "the platform's response was lost; reading back confirms that the change took effect\n";
 
-/// The steps of a bundle, as an operator sees them.
+/// Runs the `bundle` commands and formats their results for the operator.
 pub(crate) struct CtlBundle<'a> {
     store: BundleStore,
     settings: &'a CtlSettings,
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Checks a file without the platform.
+    /// Validates a bundle file without access to the platform.
     ///
     /// # Errors
     ///
-    /// Names the field that is wrong.
+    /// Returns an error that names the invalid field.
     pub(crate) fn check(file: &Path) -> Result<String> {
         let read = read_bundle(BundleVersion::default(), &read_file(file)?)?;
         let bundle = read.bundle;
@@ -46,11 +46,11 @@
         ))
     }
 
-    /// Runs one step.
+    /// Runs one `bundle` command.
     ///
     /// # Errors
     ///
-    /// If it is refused, or the platform does not answer.
+    /// Returns an error if the command is refused or the platform does not respond.
     pub(crate) async fn run(&self, step: CtlCommand) -> Result<String> {
         match step {
             CtlCommand::Propose(file) => self.propose(&file).await,
@@ -68,15 +68,15 @@
         let applied = self.store.propose(&json, self.author()?).await?;
         let BundleDraft { id, digest, .. } = &applied.value;
         Ok(format!(
-            "{}draft {id} over version {}, digest {digest}\n\
+            "{}draft {id} based on version {}, digest {digest}\n\
              another operator signs it off with `catkinctl bundle sign-off {id}`\n",
             confirmation_note(applied.confirmed_by_read),
             id.base,
         ))
     }
 
-    /// What is signed off is what the operator is shown: the content is fetched and checked against
-    /// the digest before the sign-off is given to that digest.
+    /// Signs off a draft by its digest. The content is fetched and verified against that digest first,
+    /// so the operator signs off exactly the changes that are shown.
     async fn sign_off(&self, id: &DraftId) -> Result<String> {
         let author = self.author()?;
         let operator = author.operator.clone();
@@ -112,14 +112,14 @@
     async fn diff(&self, a: &BundleReference, b: &BundleReference) -> Result<String> {
         let (a, b) = (self.content(a).await?, self.content(b).await?);
         Ok(match bundle_diff(&a, &b) {
-            same if same.is_empty() => "both say the same\n".to_owned(),
+            same if same.is_empty() => "the contents are identical\n".to_owned(),
             changes => changes,
         })
     }
 
     async fn status(&self) -> Result<String> {
         let Some(current) = self.store.current().await? else {
-            return Ok("no bundle was ever rolled out\n".to_owned() + &self.drafts(0).await?);
+            return Ok("no bundle has been rolled out\n".to_owned() + &self.drafts(0).await?);
         };
         let release = self.store.release(current.value.version).await?;
         let mut text = format!("in force: {}\n", describe(&release));
@@ -155,7 +155,7 @@
             .map(|release| describe(release) + "\n")
             .collect::<String>();
         if lines.is_empty() {
-            return Ok("no bundle was ever rolled out\n".to_owned());
+            return Ok("no bundle has been rolled out\n".to_owned());
         }
         Ok(lines)
     }
@@ -177,7 +177,8 @@
         }
     }
 
-    /// What content changes in a release; nothing is said over the first one, which changes all.
+    /// Describes how `content` differs from release `base`. Empty if there is no earlier release, since
+    /// everything would differ.
     async fn changes(&self, base: BundleVersion, content: &str) -> Result<String> {
         if base == BundleVersion::default() {
             return Ok(String::new());
--- a/crates/catkinward/src/ctl_explain.rs
+++ b/crates/catkinward/src/ctl_explain.rs
@@ -1,21 +1,23 @@
-//! What became of a request, and why, from the logs of one or more processes.
+//! `catkinctl explain`: reconstructs the outcome of a request and its cause from the logs of one or
+//! more processes.
 
 use super::*;
 use serde_json::Value;
 
-/// How long before and after a request's own lines those about its upstreams are shown.
+/// Lines about a request's upstreams and processes are shown from this long before its first line
+/// until this long after its last one.
 const AROUND: Duration = Duration::from_secs(2);
 
-/// A line of a log.
+/// A parsed log line.
 struct LogLine {
-    /// Time of day at the process, in microseconds since 1970.
+    /// Wall-clock time of the process, in microseconds since the Unix epoch.
     micros: u64,
-    /// Name of the file that it stands in.
+    /// Stem of the name of the log file.
     file: Arc<str>,
     fields: Value,
 }
 
-/// Reads the logs, and tells what became of a request.
+/// Reads the log files and explains the outcome of a request.
 pub(crate) fn run(request: Option<&RequestId>, files: &[PathBuf]) -> Result<String> {
     let request = request.ok_or(Error::CtlRequestAbsent)?;
     let mut lines = Vec::new();
@@ -26,13 +28,13 @@
     lines.sort_by_key(|line| line.micros);
     let mut text = explain(request.as_str(), &lines);
     if unread > 0 {
-        let note = format!("{unread} lines are no JSON with a time and were left out\n");
+        let note = format!("{unread} lines are not JSON with a timestamp and were skipped\n");
         text.push_str(&note);
     }
     Ok(text)
 }
 
-/// Adds the lines of a log; returns how many cannot be read.
+/// Appends the lines of a log file and returns the number of lines that cannot be parsed.
 fn read_log(path: &std::path::Path, lines: &mut Vec<LogLine>) -> Result<usize> {
     let text = std::fs::read_to_string(path).map_err(|source| Error::File {
         path: path.to_owned(),
@@ -54,7 +56,7 @@
 }
 
 fn read_line(line: &str, file: &Arc<str>) -> Option<LogLine> {
-    // A collector may have put something before the line.
+    // A log collector may prepend a prefix to the line.
     let json = &line[line.find('{')?..];
     let fields: Value = serde_json::from_str(json).ok()?;
     let time = humantime::parse_rfc3339(fields["timestamp"].as_str()?).ok()?;
@@ -72,7 +74,7 @@
         .filter(|line| line.text("request") == request)
         .collect::<Vec<_>>();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return format!("no line names the request {request}\n");
+        return format!("no log line mentions the request {request}\n");
     };
     let around = u64::try_from(AROUND.as_micros()).unwrap_or(u64::MAX);
     let span = first.micros.saturating_sub(around)..=last.micros.saturating_add(around);
@@ -96,9 +98,9 @@
     text
 }
 
-/// The cause that the lines of a request give, in the words of an operator.
+/// Determines the cause of a request's outcome from its log lines, as text for the operator.
 fn cause(own: &[&LogLine], all: &[LogLine]) -> String {
-    let last = own.last().expect("a request with lines has a last one");
+    let last = own.last().expect("`explain` passes at least one line");
     let losses = own
         .iter()
         .filter(|line| line.message() == "run of a stream lost");
@@ -125,7 +127,7 @@
                 .find(|line| line.message() == "call failed");
             let failed = failed.map_or_else(String::new, |line| {
                 format!(
-                    "; {} failed it ({})",
+                    "; {} failed the call ({})",
                     line.text("upstream"),
                     line.text("fault")
                 )
@@ -135,18 +137,18 @@
                 last.text("outcome")
             )
         }
-        "caller left" => format!("its caller left before the answer was whole{loss}"),
+        "caller left" => format!("the caller disconnected before the response was complete{loss}"),
         "stream cut" => format!("cut: {}{loss}", last.text("cut")),
         "answered" => format!(
             "answered by the upstream with status {}",
             last.fields["status"]
         ),
-        "stream whole" if losses.is_empty() => "whole, no run was lost".to_owned(),
+        "stream whole" if losses.is_empty() => "complete, no run was lost".to_owned(),
         "stream whole" => {
             let pauses = own.iter().filter(|line| line.message() == "stream resumed");
             let longest = pauses.filter_map(|line| line.fields["ms"].as_u64()).max();
             format!(
-                "whole, after a longest resume of {} ms{loss}",
+                "complete, the longest resume took {} ms{loss}",
                 longest.unwrap_or(0)
             )
         }
@@ -154,16 +156,18 @@
     }
 }
 
-/// The cause where a request's lines just end.
+/// Determines the cause for a request whose lines end without an outcome.
 fn unfinished(last: &LogLine, all: &[LogLine]) -> String {
     let mut after = all
         .iter()
         .filter(|line| line.file == last.file && line.micros >= last.micros);
     let process = after.find(|line| matches!(line.message(), "start" | "shutdown cut calls"));
     match process.map(LogLine::message) {
-        Some("shutdown cut calls") => "cut by the end of its process' grace time".to_owned(),
-        Some("start") => "its process died and was started anew".to_owned(),
-        _ => "the lines do not tell: lines are missing".to_owned(),
+        Some("shutdown cut calls") => {
+            "aborted when the drain grace period of its process ended".to_owned()
+        }
+        Some("start") => "its process crashed and was restarted".to_owned(),
+        _ => "unknown: log lines are missing".to_owned(),
     }
 }
 
@@ -189,7 +193,8 @@
         )
     }
 
-    /// The line for a reader: milliseconds since the request's first line, file, message, fields.
+    /// Formats the line for display: milliseconds since the request's first line, file, message and
+    /// fields.
     fn show(&self, start: u64) -> String {
         let sign = if self.micros < start { '-' } else { '+' };
         let ms = self.micros.abs_diff(start) / 1000;
--- a/crates/catkinward/src/ctl_settings.rs
+++ b/crates/catkinward/src/ctl_settings.rs
@@ -6,34 +6,34 @@
 Usage: catkinctl [FLAGS] COMMAND
 
 Commands:
-  bundle check FILE           check a bundle, without the platform
-  bundle propose FILE         store a bundle as a draft over the release in force
-  bundle sign-off DRAFT       sign a draft off; its proposer may not
-  bundle roll-out DRAFT       put a draft that is signed off in force
+  bundle check FILE           validate a bundle file without the platform
+  bundle propose FILE         store a bundle as a draft based on the release in force
+  bundle sign-off DRAFT       sign off a draft; not allowed for its proposer
+  bundle roll-out DRAFT       put a signed-off draft in force
   bundle roll-back VERSION    put the content of an earlier version in force, as a new version
-  bundle diff A B             what B changes in A; each is a version, a draft or a file
-  bundle status               the release in force and the drafts over it
-  bundle history              the latest releases
-  explain FILE...             what became of the request of --request, from logs of processes
-  status                      bundle, readiness and requests in flight of each VM
-  timeline                    events of all VMs in causal order; see the flags below
+  bundle diff A B             show the changes from A to B; each is a version, a draft or a file
+  bundle status               show the release in force and the drafts based on it
+  bundle history              list the latest releases
+  explain FILE...             explain the outcome of the request --request from log files
+  status                      show bundle, readiness and requests in flight of each VM
+  timeline                    show events of all VMs in causal order; see the flags below
 
-Flags (the first three also as a variable, as in CATKINCTL_PLATFORM):
+Flags (the first three can also be set by a variable, such as CATKINCTL_PLATFORM):
   --platform ADDRESS          IP and port of the platform
-  --operator NAME             who you are, for the steps of a bundle
-  --timeout-ms N              longest wait for each VM [2000]
-  --vm ADDRESS                a VM's operator address, in place of the platform's list; repeatable
+  --operator NAME             name of the operator, required by commands that change a bundle
+  --timeout-ms N              timeout for the response of each VM [2000]
+  --vm ADDRESS                operator address of a VM, instead of the platform's list; repeatable
   --request ID                only events of this request
-  --upstream ID               only events on this upstream
-  --since TIME                only events since a clock reading, or an age as in `5m`
+  --upstream ID               only events of this upstream
+  --since TIME                only events since a clock reading, or of the last period, such as `5m`
   --json                      print `status` and `timeline` as JSON
   --help                      print this text
   --version                   print the version
 
-`status` and `timeline` show the operators' key, which is read from CATKINCTL_KEY only.
+`status` and `timeline` authenticate with the operator key, read from CATKINCTL_KEY only.
 ";
 
-/// What `catkinctl` is asked to do.
+/// A command of `catkinctl`.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CtlCommand {
     Check(PathBuf),
@@ -51,7 +51,7 @@
     Version,
 }
 
-/// A bundle by its version, its draft, or its file.
+/// Reference to a bundle: a released version, a draft or a file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum BundleReference {
     Version(BundleVersion),
@@ -85,18 +85,18 @@
     }
 }
 
-/// Flags that are variables too.
+/// Flags that can also be set by an environment variable.
 const CTL_VARIABLES: &[&str] = &["operator", "platform", "timeout-ms"];
 
-/// Flags of the command line only.
+/// Flags that can be set on the command line only.
 const CTL_FLAGS: &[&str] = &["request", "since", "upstream", "vm"];
 
 impl CtlSettings {
-    /// Reads the command line and the variables that `variable` looks up.
+    /// Parses the command line and the environment variables that `variable` looks up.
     ///
     /// # Errors
     ///
-    /// Names what is unknown, wrong, missing or too much.
+    /// Returns an error for an unknown, invalid, missing or unexpected argument.
     pub(crate) fn read(
         args: impl IntoIterator<Item = OsString>,
         variable: impl Fn(&str) -> Option<String>,
@@ -147,34 +147,34 @@
             }
             "upstream" => self.query.upstream = Some(parse(flag, name, value)?),
             "vm" => self.vms.push(parse(flag, address, value)?),
-            _ => unreachable!("every flag is set above"),
+            _ => unreachable!("every flag of CTL_VARIABLES and CTL_FLAGS is handled above"),
         }
         Ok(())
     }
 
-    /// The platform's address.
+    /// Returns the address of the platform.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub(crate) fn platform(&self) -> Result<SocketAddr> {
         self.platform.ok_or_else(|| absent("platform"))
     }
 
-    /// The operator's name.
+    /// Returns the operator's name.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub(crate) fn operator(&self) -> Result<OperatorName> {
         self.operator.clone().ok_or_else(|| absent("operator"))
     }
 
-    /// The operators' key.
+    /// Returns the bearer key for the operator API.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub(crate) fn key(&self) -> Result<&str> {
         self.key.as_deref().ok_or(Error::CtlKeyAbsent)
     }
@@ -229,7 +229,7 @@
     }
 }
 
-/// A clock reading, or the reading of a time that lies an age back.
+/// Parses a clock reading, or an age that is subtracted from the current wall-clock time.
 fn since(value: &str) -> Result<HybridTime> {
     if let Ok(time) = value.parse() {
         return Ok(time);
--- a/crates/catkinward/src/ctl_status.rs
+++ b/crates/catkinward/src/ctl_status.rs
@@ -4,14 +4,14 @@
     ctl_vms::{CtlVms, MissingVm, missing_lines},
 };
 
-/// What `status --json` prints.
+/// Output of `status --json`.
 #[derive(serde::Serialize)]
 struct StatusOutput {
     vms: Vec<operator::StatusReply>,
     missing: Vec<MissingVm>,
 }
 
-/// Asks all VMs for their state.
+/// Queries all VMs for their status and formats the replies.
 pub(crate) async fn run(settings: &CtlSettings, vms: &CtlVms) -> Result<String> {
     let answers = vms.ask::<operator::StatusReply>("/v1/status").await?;
     if settings.json {
@@ -47,13 +47,13 @@
     )
 }
 
-/// The first digits of a digest, enough to tell two apart by eye.
+/// Shortens a digest to its first 12 digits, enough to distinguish two digests by eye.
 fn short(digest: &str) -> &str {
     digest.get(..12).unwrap_or(digest)
 }
 
-/// A value as one line of JSON.
+/// Serializes a value as one line of JSON.
 pub(crate) fn json_line<T: serde::Serialize>(value: &T) -> String {
-    let json = serde_json::to_string(value).expect("outputs have text keys only");
+    let json = serde_json::to_string(value).expect("output types have string keys only");
     json + "\n"
 }
--- a/crates/catkinward/src/ctl_time.rs
+++ b/crates/catkinward/src/ctl_time.rs
@@ -1,19 +1,19 @@
 use super::*;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds since 1970 as a UTC date and time.
+/// Formats seconds since the Unix epoch as a UTC date and time.
 pub(crate) fn utc_seconds(seconds: u64) -> String {
     let time = at(Duration::from_secs(seconds));
     humantime::format_rfc3339_seconds(time).to_string()
 }
 
-/// A clock reading as a UTC date and time with microseconds.
+/// Formats a clock reading as a UTC date and time with microseconds.
 pub(crate) fn utc_micros(time: HybridTime) -> String {
     let time = at(Duration::from_micros(time.micros));
     humantime::format_rfc3339_micros(time).to_string()
 }
 
-/// The last second of the year 9999, the latest that has a form.
+/// Last second of the year 9999, the latest time that RFC 3339 can represent.
 const LATEST: Duration = Duration::from_secs(253_402_300_799);
 
 fn at(since: Duration) -> SystemTime {
--- a/crates/catkinward/src/ctl_timeline.rs
+++ b/crates/catkinward/src/ctl_timeline.rs
@@ -18,14 +18,14 @@
     time: HybridTime,
 }
 
-/// Events that a VM has no more.
+/// Number of events that a VM has overwritten since its process started.
 #[derive(serde::Serialize)]
 struct Overwritten {
     vm: String,
     events: u64,
 }
 
-/// What `timeline --json` prints.
+/// Output of `timeline --json`.
 #[derive(serde::Serialize)]
 struct TimelineOutput {
     events: Vec<MergedEvent>,
@@ -33,7 +33,7 @@
     missing: Vec<MissingVm>,
 }
 
-/// Asks all VMs for their events and merges them in causal order.
+/// Queries all VMs for their events and merges them in causal order.
 pub(crate) async fn run(settings: &CtlSettings, vms: &CtlVms) -> Result<String> {
     let answers = vms.ask(&path(&settings.query)).await?;
     let output = merge(answers.answers, answers.missing);
@@ -42,7 +42,10 @@
     }
     let mut text = output.events.iter().map(line).collect::<String>();
     for Overwritten { vm, events } in &output.overwritten {
-        let _ = writeln!(text, "incomplete: {vm} has lost its {events} oldest events");
+        let _ = writeln!(
+            text,
+            "incomplete: {vm} has overwritten its {events} oldest events"
+        );
     }
     text.push_str(&missing_lines(&output.missing));
     Ok(text)
@@ -88,7 +91,8 @@
             }),
         }
     }
-    // Equal readings of two VMs are unordered; the name makes the output the same each time.
+    // Events of two VMs with equal clock readings are unordered; the VM name makes the output
+    // deterministic.
     events.sort_by(|a, b| (a.time, &a.vm).cmp(&(b.time, &b.vm)));
     TimelineOutput {
         events,
--- a/crates/catkinward/src/ctl_vms.rs
+++ b/crates/catkinward/src/ctl_vms.rs
@@ -3,10 +3,10 @@
 use futures::StreamExt;
 use std::fmt::Write;
 
-/// Calls of VMs that are under way at once; 400 VMs are asked in rounds of this many.
+/// Maximum number of concurrent calls; a system of 400 VMs is queried with this many at a time.
 const FAN_OUT: usize = 32;
 
-/// The VMs that an operator asks.
+/// Client of the operator APIs of all VMs.
 pub(crate) struct CtlVms {
     platform: Option<Arc<Platform>>,
     addresses: Vec<SocketAddr>,
@@ -15,20 +15,20 @@
     timeout: Duration,
 }
 
-/// A VM to ask.
+/// A VM to query. `address` is `None` if the platform lists no operator address for it.
 #[derive(Clone, Debug)]
 struct CtlVm {
     name: String,
     address: Option<SocketAddr>,
 }
 
-/// Answers of the VMs that answered, and the others.
+/// Replies of the VMs, and the VMs that did not reply.
 pub(crate) struct CtlAnswers<T> {
     pub(crate) answers: Vec<T>,
     pub(crate) missing: Vec<MissingVm>,
 }
 
-/// A VM that gave no answer.
+/// A VM without a usable reply.
 #[derive(Clone, Debug, serde::Serialize)]
 pub(crate) struct MissingVm {
     pub(crate) vm: String,
@@ -50,11 +50,11 @@
         })
     }
 
-    /// Asks all VMs for `path`.
+    /// Sends a GET request for `path` to all VMs.
     ///
     /// # Errors
     ///
-    /// If it cannot be learned which VMs there are.
+    /// Returns an error if the list of VMs cannot be fetched from the platform.
     pub(crate) async fn ask<T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
@@ -107,7 +107,7 @@
         let Some(address) = vm.address else {
             return Err(MissingVm {
                 vm: vm.name,
-                reason: "the platform's list has no operator address of it".to_owned(),
+                reason: "the platform lists no operator address for this VM".to_owned(),
             });
         };
         let call = HttpCall {
@@ -126,7 +126,7 @@
     }
 }
 
-/// A line for each VM that gave no answer.
+/// Formats one line for each VM without a reply.
 pub(crate) fn missing_lines(missing: &[MissingVm]) -> String {
     let mut lines = String::new();
     for MissingVm { vm, reason } in missing {
--- a/crates/catkinward/src/error.rs
+++ b/crates/catkinward/src/error.rs
@@ -1,262 +1,264 @@
 use super::*;
 
-/// Every way in which the router can fail, with the sentence that its reader sees.
+/// An error of the router or of `catkinctl`, with the message for its operator.
 #[derive(Debug, Display, StdError, From)]
 pub enum Error {
-    /// A value of a bundle is wrong.
+    /// A field of a bundle has an invalid value.
     #[display("bundle: {field}: {source}")]
     #[from(skip)]
     BundleField {
-        /// Where in the bundle, as in `upstreams[2].address`.
+        /// Path of the field, such as `upstreams[2].address`.
         field: String,
-        /// What is wrong.
+        /// Reason why the value is invalid.
         source: BundleError,
     },
-    /// A row of the bundle store cannot be read.
-    #[display("the row `{key}` of the bundle store cannot be read: {source}")]
+    /// A row of the bundle store cannot be parsed.
+    #[display("the row `{key}` of the bundle store cannot be parsed: {source}")]
     #[from(skip)]
     BundleRow {
-        /// Its key.
+        /// Key of the row.
         key: String,
-        /// Why not.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The content of a release or draft is not in the object store.
+    /// The object store lacks the content of a release or draft.
     #[display("the object store has no content with the digest {digest}")]
     #[from(skip)]
     BundleContent {
-        /// Its digest.
+        /// Digest that the release or draft refers to.
         digest: BundleDigest,
     },
-    /// The content of a release is not what its digest says.
+    /// The content of a release does not match its digest.
     #[display("the bundle's content has the digest {found}, not {expected}")]
     #[from(skip)]
     BundleDigest {
-        /// Digest that it should have.
+        /// Digest that the release refers to.
         expected: BundleDigest,
-        /// Digest that it has.
+        /// Digest of the content.
         found: BundleDigest,
     },
-    /// The content of a release is no text.
-    #[display("the bundle {digest} is no UTF-8 text")]
+    /// The content of a release is not UTF-8.
+    #[display("the bundle {digest} is not UTF-8 text")]
     #[from(skip)]
     BundleText {
-        /// Its digest.
+        /// Digest of the content.
         digest: BundleDigest,
     },
-    /// A bundle is no JSON of the right shape.
+    /// A bundle is not valid JSON, or its top level has the wrong type.
     #[display("bundle: {source}")]
     #[from(skip)]
     BundleSyntax {
-        /// Where and why.
+        /// Error of the JSON parser, with its line and column.
         source: serde_json::Error,
     },
-    /// A step of a bundle was refused.
+    /// A change of a bundle was refused by its rules.
     #[display("{_0}")]
     BundleRefused(catkin_decisions::BundleRefusal),
-    /// Whether a change took effect cannot be learned now.
+    /// It is unknown whether a change took effect.
     #[display(
-        "{fault}, and reading back did not settle it: the change may have taken effect, or may yet; \
-         `catkinctl bundle status` tells once the platform answers"
+        "{fault}, and reading the state back was inconclusive: the change may have taken effect or may \
+         still do so; run `catkinctl bundle status` once the platform responds"
     )]
     #[from(skip)]
     ChangeInDoubt {
-        /// The last fault.
+        /// Error of the last platform call.
         fault: PlatformError,
     },
-    /// A second signal ended the process before the drain had.
-    #[display("ended at the second signal; {in_flight} requests were cut off")]
+    /// A second signal stopped the process before its drain was complete.
+    #[display("stopped by a second signal; {in_flight} requests in flight were aborted")]
     #[from(skip)]
     CutOff {
-        /// Requests that were in flight.
+        /// Number of requests that were in flight.
         in_flight: usize,
     },
-    /// A command of `catkinctl` lacks an argument.
-    #[display("`{command}` needs {argument}; `catkinctl --help` tells more")]
+    /// A command of `catkinctl` lacks a required argument.
+    #[display("`{command}` requires {argument}; see `catkinctl --help`")]
     #[from(skip)]
     CtlArgumentAbsent {
-        /// The command.
+        /// Command as given, such as `bundle propose`.
         command: String,
-        /// What it lacks.
+        /// Placeholder of the argument in `--help`, such as `FILE`.
         argument: &'static str,
     },
-    /// A command of `catkinctl` has an argument too many.
-    #[display("`{argument}` is one argument too many")]
+    /// A command of `catkinctl` has more arguments than it takes.
+    #[display("unexpected argument `{argument}`")]
     #[from(skip)]
     CtlArgumentExtra {
-        /// The argument.
+        /// First surplus argument.
         argument: String,
     },
-    /// `catkinctl` was given no command.
-    #[display("no command is given; `catkinctl --help` lists them")]
+    /// The command line of `catkinctl` has no command.
+    #[display("no command given; `catkinctl --help` lists the commands")]
     #[from(skip)]
     CtlCommandAbsent,
-    /// `catkinctl` was given a command that it does not have.
-    #[display("there is no command `{command}`; `catkinctl --help` lists them")]
+    /// `catkinctl` has no such command.
+    #[display("unknown command `{command}`; `catkinctl --help` lists the commands")]
     #[from(skip)]
     CtlCommandUnknown {
-        /// The command.
+        /// Command as given.
         command: String,
     },
-    /// A flag of `catkinctl` is not known, or has no value.
+    /// A flag of `catkinctl` is unknown or lacks a value.
     #[display("{source}; `catkinctl --help` lists the flags")]
     #[from(skip)]
     CtlFlag {
-        /// Which, and why.
+        /// Error of the command-line parser, which names the flag.
         source: lexopt::Error,
     },
-    /// The operators' key is not set.
-    #[display("the operators' key must be given in `CATKINCTL_KEY`")]
+    /// The environment has no key for the operator API.
+    #[display("the operator key must be set in `CATKINCTL_KEY`")]
     #[from(skip)]
     CtlKeyAbsent,
-    /// The operators' key cannot be sent.
-    #[display("the operators' key must have visible ASCII characters only")]
+    /// The operator key cannot be sent in an HTTP header.
+    #[display("the operator key must consist of visible ASCII characters")]
     #[from(skip)]
     CtlKeyForm,
-    /// `catkinctl explain` was not told which request.
-    #[display("`explain` needs the request's id, as in `--request ID`")]
+    /// `catkinctl explain` was run without `--request`.
+    #[display("`explain` requires the request's id: `--request ID`")]
     #[from(skip)]
     CtlRequestAbsent,
-    /// The platform does not tell which VMs there are.
-    #[display("the platform's list of VMs cannot be had: {fault}; name VMs with `--vm ADDRESS`")]
+    /// The list of VMs cannot be fetched from the platform.
+    #[display(
+        "cannot fetch the list of VMs from the platform: {fault}; pass VM addresses with `--vm ADDRESS`"
+    )]
     #[from(skip)]
     CtlVmList {
-        /// Why not.
+        /// Error of the platform call.
         fault: PlatformError,
     },
-    /// A decision refused its input.
+    /// The decisions library rejected its input.
     #[display("{_0}")]
     Decision(catkin_decisions::Error),
-    /// A flag or variable that is not known, or has no value.
+    /// A flag of `catkinward` is unknown or lacks a value.
     #[display("{_0}; `catkinward --help` lists the flags")]
     Flag(lexopt::Error),
-    /// A file could not be read.
+    /// A file cannot be read.
     #[display("cannot read `{}`: {source}", path.display())]
     #[from(skip)]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An HTTP call failed.
     #[display("{_0}")]
     Http(http_client::HttpError),
-    /// A listening socket could not be had.
+    /// A listening socket cannot be opened.
     #[display("cannot listen on {address}: {source}")]
     #[from(skip)]
     Listen {
-        /// Address asked for.
+        /// Requested address.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A change certainly took no effect.
+    /// A change was not made, and it is certain that it took no effect.
     #[display("{fault}; nothing was changed")]
     #[from(skip)]
     NothingChanged {
-        /// The last fault.
+        /// Error of the last platform call.
         fault: PlatformError,
     },
-    /// The platform gave no answer.
+    /// A call of the platform failed.
     #[display("{_0}")]
     Platform(PlatformError),
-    /// The HTTP server ended by itself.
-    #[display("the HTTP server on {address} ended: {source}")]
+    /// An HTTP server stopped without a request to shut down.
+    #[display("the HTTP server on {address} stopped: {source}")]
     #[from(skip)]
     Server {
-        /// Its address.
+        /// Address that it served.
         address: SocketAddr,
-        /// Why.
+        /// Error of the HTTP library.
         source: volo_http::error::BoxError,
     },
-    /// A service was asked for that is not there.
+    /// A service was looked up that is not registered.
     #[display("no service `{name}` is registered")]
     #[from(skip)]
     ServiceAbsent {
-        /// Its name.
+        /// Name that was looked up.
         name: ServiceName,
     },
-    /// A service was asked for as another type than it has.
-    #[display("the service `{name}` is of another type")]
+    /// A service was looked up with a type other than its own.
+    #[display("the service `{name}` has a different type")]
     #[from(skip)]
     ServiceOfOtherType {
-        /// Its name.
+        /// Name that was looked up.
         name: ServiceName,
     },
-    /// Two services want one name.
-    #[display("a service `{name}` is registered already")]
+    /// A second service was registered under the same name.
+    #[display("a service `{name}` is already registered")]
     #[from(skip)]
     ServiceTaken {
-        /// The name.
+        /// Name of both services.
         name: ServiceName,
     },
-    /// A setting is missing.
+    /// A required setting is missing.
     #[display("`--{flag}` or `{variable}` must be given")]
     #[from(skip)]
     SettingAbsent {
-        /// Its flag.
+        /// Flag of the setting, without the dashes.
         flag: &'static str,
-        /// Its variable.
+        /// Environment variable of the setting.
         variable: String,
     },
-    /// A setting has a wrong value.
+    /// A setting has an invalid value.
     #[display("`--{flag}` must be {expected}, but is `{value}`")]
     #[from(skip)]
     SettingValue {
-        /// Its flag.
+        /// Flag of the setting, without the dashes.
         flag: &'static str,
-        /// What it must be.
+        /// Description of the valid values.
         expected: &'static str,
-        /// What it is.
+        /// Value as given.
         #[error(not(source))]
         value: String,
     },
 }
 
-/// What can be wrong with a value of a bundle.
+/// Reason why a value in a bundle is invalid.
 #[derive(Debug, Display, StdError, From)]
 pub enum BundleError {
-    /// It is no IP address and port.
+    /// The value is not an IP address and port.
     #[display("must be an IP address and port, but is `{_0}`")]
     #[from(skip)]
     Address(#[error(not(source))] String),
-    /// It is empty.
+    /// The value is empty.
     #[display("must not be empty")]
     #[from(skip)]
     Empty,
-    /// It is no HTTP method.
-    #[display("must be an HTTP method in capitals")]
+    /// The value is not an HTTP method.
+    #[display("must be an HTTP method in upper case")]
     #[from(skip)]
     Method,
-    /// It belongs to the other kind of service.
+    /// The field is only allowed for the other kind of service.
     #[display("is not allowed for a service of kind `{_0}`")]
     #[from(skip)]
     OtherKind(#[error(not(source))] bundle_api::ServiceKind),
-    /// It is no path.
+    /// The path prefix is not absolute.
     #[display("must begin with `/`")]
     #[from(skip)]
     Prefix,
-    /// Two teams have one key.
-    #[display("is the key of team `{_0}` too")]
+    /// Two teams have the same key.
+    #[display("is also the key of team `{_0}`")]
     #[from(skip)]
     SharedKey(#[error(not(source))] TeamId),
-    /// It is no JSON of the right shape.
+    /// The value has a JSON type or field that the format does not allow.
     #[display("{_0}")]
     #[from(skip)]
     Syntax(serde_json::Error),
-    /// Its form is wrong.
+    /// The value violates the format of its type, such as a name that is too long.
     #[display("{_0}")]
     Form(catkin_decisions::Error),
-    /// It stands twice.
-    #[display("`{_0}` stands twice")]
+    /// The value occurs more than once.
+    #[display("`{_0}` is defined more than once")]
     #[from(skip)]
     Duplicate(#[error(not(source))] String),
-    /// It is needed for this kind of service.
-    #[display("is needed for a service of kind `generation`")]
+    /// A generation service lacks its model.
+    #[display("is required for a service of kind `generation`")]
     #[from(skip)]
     ModelAbsent,
-    /// It names what is not there.
+    /// The value refers to an entry that the bundle does not define.
     #[display("`{_0}` is not defined in this bundle")]
     #[from(skip)]
     Unknown(#[error(not(source))] String),
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -4,24 +4,24 @@
     problem::{Problem, ProblemKind},
 };
 
-/// In a system of at most this many VMs, all are asked for a generation whose caller comes without
-/// an index. In a larger one that would cost more messages than all else; such a caller has
-/// received nothing, so to begin anew is correct and costs engine time only.
+/// Maximum number of VMs in a system that queries all peers for a generation if the caller sends no
+/// index. In a larger system, these queries would outnumber all other messages. Such a caller has
+/// received nothing, so a restart of the generation is correct and costs only engine time.
 const SMALL_SYSTEM: usize = 16;
 
-/// How long a copy of progress may be on its way to its holder after the VM that sent it was lost.
+/// Maximum time for which a progress replica may still be in transit after the crash of its sender.
 const IN_FLIGHT_BOUND: Duration = Duration::from_millis(500);
 
-/// Wait before a copy that may be on its way is looked for again; it doubles each time.
+/// Delay before the second search for a progress replica that may be in transit; doubles each time.
 const FIRST_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Finds the generation of a caller who gave an idempotency key: the one that runs here, one that
-/// another VM has run, or a new one.
+/// Finds the generation of a caller that sent an idempotency key: resumes the one with a progress
+/// replica here or on a peer, or creates a new one.
 ///
 /// # Errors
 ///
-/// If the key was used for another request, or no copy reaches as far as the caller has come: to
-/// begin anew would give it tokens of another generation.
+/// Returns an error if the key belongs to another request, or if no progress replica includes the
+/// resume point: a new generation would continue the response with different tokens.
 pub(crate) async fn find_or_begin(
     node: &Node,
     request: GenerationRequest,
@@ -42,8 +42,8 @@
     Ok(take_over(node, request, point, &record))
 }
 
-/// Looks for the copy of a generation, again and again while one that reaches as far as the caller may be on its way: a
-/// caller returns sooner than a message of the lost VM takes.
+/// Searches for a progress replica that includes the resume point, and repeats the search while one may
+/// be in transit: a caller can reconnect before the last messages of the crashed VM arrive.
 async fn await_copy(
     node: &Node,
     request: &GenerationRequest,
@@ -61,7 +61,7 @@
         if is_final || waited >= IN_FLIGHT_BOUND {
             if point.next > TokenIndex(0) {
                 tracing::info!(id = %request.id, next = %point.next, found = record.is_some(), is_final,
-                    waited_ms = %waited.as_millis(), "caller returned: copy of progress looked for");
+                    waited_ms = %waited.as_millis(), "caller reconnected: searched for a progress replica");
             }
             return record;
         }
--- a/crates/catkinward/src/http_client.rs
+++ b/crates/catkinward/src/http_client.rs
@@ -3,61 +3,61 @@
 use super::*;
 use volo_http::client::{Client, ClientBuilder};
 
-/// What can go wrong with an HTTP call.
+/// Error of an HTTP call.
 #[derive(Debug, Display, StdError)]
 pub enum HttpError {
     /// The client could not be built.
     #[display("cannot build an HTTP client: {source}")]
     Build {
-        /// Why not.
+        /// Error of the HTTP library.
         source: volo_http::error::ClientError,
     },
-    /// The call failed before its answer's headers came.
-    #[display("no answer from {address}: {source}")]
+    /// The call failed before the response headers arrived.
+    #[display("no response from {address}: {source}")]
     Call {
-        /// Who was called.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// Error of the HTTP library.
         source: volo_http::error::ClientError,
     },
-    /// No answer within the bound.
-    #[display("no answer from {address} within {} ms", bound.as_millis())]
+    /// The call timed out.
+    #[display("no response from {address} within {} ms", bound.as_millis())]
     Timeout {
-        /// Who was called.
+        /// Address of the server.
         address: SocketAddr,
-        /// How long was waited.
+        /// Timeout of the call.
         bound: Duration,
     },
-    /// The body of the answer broke off.
-    #[display("the answer of {address} broke off")]
+    /// The connection ended before the response body was complete.
+    #[display("the response of {address} was truncated")]
     Body {
-        /// Who was called.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The answer has another form than agreed.
-    #[display("the answer of {address} cannot be read: {source}")]
+    /// The response body cannot be parsed as the expected type.
+    #[display("the response of {address} cannot be parsed: {source}")]
     Form {
-        /// Who was called.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The answer has an unexpected status.
-    #[display("{address} answered with status {status}")]
+    /// The response status is not a success.
+    #[display("{address} responded with status {status}")]
     Status {
-        /// Who was called.
+        /// Address of the server.
         address: SocketAddr,
-        /// The status.
+        /// Status of the response.
         status: StatusCode,
     },
 }
 
 impl HttpError {
-    /// Whether no connection was had, so that no byte of the call has left.
+    /// Returns whether no connection was opened, so that no byte of the call was sent.
     ///
-    /// The HTTP library gives a failed connect the kind of a failed request. They differ in their
-    /// source: that of a failed connect is the system's own error, that of a request which failed on
-    /// a connection is one of the protocol.
+    /// The HTTP library reports a failed connect with the kind of a failed request. Only the source
+    /// differs: an I/O error of the operating system for a failed connect, a protocol error for a
+    /// request that failed on an open connection.
     #[must_use]
     pub fn never_connected(&self) -> bool {
         use std::error::Error as _;
@@ -76,23 +76,24 @@
     }
 }
 
-/// One call, to be filled in by update syntax.
+/// Parameters of an HTTP call; construct it with struct update syntax from the default.
 #[derive(Clone, Debug)]
 pub struct HttpCall {
-    /// Who is called.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Bound until the answer's headers.
+    /// Timeout until the response headers arrive.
     pub bound: Duration,
-    /// True to use a connection of its own. Kept connections may have gone silent, and an error on
-    /// one that the other end has just closed does not prove that the call did not run.
+    /// Opens a new connection for this call instead of using one of the pool. A pooled connection may
+    /// be dead without notice, and an error on one that the server has just closed does not prove
+    /// that the call did not run.
     pub fresh: bool,
 }
 
@@ -110,25 +111,26 @@
     }
 }
 
-/// Connections to other processes: kept ones and fresh ones.
+/// HTTP clients for calls to other processes: one with a connection pool, one without.
 pub struct Connections {
     kept: Client,
     fresh: Client,
     clock: Option<Arc<ProcessClock>>,
 }
 
-/// How long a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_BOUND: Duration = Duration::from_secs(1);
 
-/// How long an unused connection is kept.
+/// Idle connections of the pool are closed after this time.
 const IDLE_BOUND: Duration = Duration::from_secs(10);
 
 impl Connections {
-    /// Builds both clients; each call carries a reading of `clock`, which takes in what comes back.
+    /// Builds both clients. Each request carries a reading of `clock`, and `clock` observes the readings
+    /// in the responses.
     ///
     /// # Errors
     ///
-    /// If the library cannot.
+    /// Returns an error if the HTTP library cannot build a client.
     pub fn with_clock(clock: Arc<ProcessClock>) -> Result<Self> {
         Ok(Self {
             clock: Some(clock),
@@ -136,11 +138,11 @@
         })
     }
 
-    /// Builds both clients.
+    /// Builds both clients without a clock.
     ///
     /// # Errors
     ///
-    /// If the library cannot.
+    /// Returns an error if the HTTP library cannot build a client.
     pub fn new() -> Result<Self> {
         let client = |idle| {
             let mut builder = ClientBuilder::new();
@@ -158,11 +160,11 @@
         })
     }
 
-    /// Makes a call and returns the answer as soon as its headers are there.
+    /// Sends a request and returns the response once its headers have arrived.
     ///
     /// # Errors
     ///
-    /// If there is no answer within the call's bound.
+    /// Returns an error if the call fails or times out before that.
     pub async fn call(&self, call: HttpCall) -> Result<Response, HttpError> {
         let HttpCall { address, bound, .. } = call;
         let client = if call.fresh { &self.fresh } else { &self.kept };
@@ -171,8 +173,8 @@
             .body(Body::from(call.body));
         req.headers_mut().extend(call.headers);
         if call.fresh {
-            // Without this the library hands a connection that has just become free to a call that
-            // waits for a new one, also where the pool keeps none.
+            // Without this header, the library passes a connection that has just become idle to a call
+            // that waits for a new one, even if the pool size is 0.
             let close = header::HeaderValue::from_static("close");
             req.headers_mut().insert(header::CONNECTION, close);
         }
@@ -191,11 +193,11 @@
         }
     }
 
-    /// Makes a call and reads the whole answer within the call's bound.
+    /// Sends a request and reads the complete response within the timeout of the call.
     ///
     /// # Errors
     ///
-    /// If the whole answer is not there in time.
+    /// Returns an error if the response is not complete in time.
     pub async fn call_whole(&self, call: HttpCall) -> Result<(StatusCode, Bytes), HttpError> {
         let HttpCall { address, bound, .. } = call;
         let whole = async {
@@ -213,11 +215,12 @@
             .unwrap_or(Err(HttpError::Timeout { address, bound }))
     }
 
-    /// Makes a call whose answer is JSON with a status of success.
+    /// Sends a request and parses the JSON body of a successful response.
     ///
     /// # Errors
     ///
-    /// If there is no such answer in time.
+    /// Returns an error if the call fails or times out, the status is not a success or the body cannot
+    /// be parsed.
     pub async fn call_json<T: serde::de::DeserializeOwned>(
         &self,
         call: HttpCall,
@@ -231,14 +234,14 @@
     }
 }
 
-/// Bytes of a value as JSON.
+/// Serializes a value as JSON.
 ///
 /// # Panics
 ///
-/// Never: border types have text keys only.
+/// Never for the types of `catkin_border`, since all their maps have string keys.
 #[must_use]
 pub fn json_bytes<T: serde::Serialize>(value: &T) -> Bytes {
     serde_json::to_vec(value)
-        .expect("border types have text keys only")
+        .expect("types of catkin_border have string keys only")
         .into()
 }
--- a/crates/catkinward/src/http_server.rs
+++ b/crates/catkinward/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server's listening socket and its limits.
+//! Listening socket of the HTTP servers, with limits for connections that send no request.
 
 use super::*;
 use tokio::{
@@ -7,17 +7,18 @@
 };
 use volo::net::{MakeIncoming, conn::Conn, incoming::Incoming};
 
-/// Wait after an accept that failed. Without it the library's loop would spin a core while the
-/// process is out of file descriptors, and the requests in flight would get no time to end.
+/// Delay after a failed accept. Without it, the accept loop would use a full core while the process is
+/// out of file descriptors, and the requests in flight would get no CPU time to complete.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long a new connection may take to send the headers of its first request.
+/// Timeout for the headers of the first request on a new connection.
 const HEADERS_BOUND: Duration = Duration::from_secs(10);
 
-/// Longest headers that are waited for, in bytes; the library refuses longer ones.
+/// Header size in bytes from which the connection is passed on to the HTTP library, which rejects
+/// longer headers.
 const HEADERS_LIMIT: usize = 16 * 1024;
 
-/// Connections that may wait for their headers at once.
+/// Maximum number of connections that wait for their first headers at the same time.
 const MOST_WAITING: usize = 1024;
 
 /// A bound listening socket, for [`volo_http::server::Server::run`].
@@ -26,18 +27,18 @@
     listener: TcpListener,
 }
 
-/// Connections whose first request has come.
+/// Accepted connections whose first request headers have arrived.
 #[derive(Debug)]
 pub struct ReadyConnections {
     rx: mpsc::Receiver<TcpStream>,
 }
 
 impl Listener {
-    /// Binds an address; port 0 takes a free one.
+    /// Binds an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub async fn bind(address: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind(address)
             .await
@@ -45,11 +46,11 @@
         Ok(Self { listener })
     }
 
-    /// The address it is bound to.
+    /// Returns the bound address.
     ///
     /// # Errors
     ///
-    /// If the system does not tell.
+    /// Returns an error if the operating system does not report the address.
     pub fn address(&self) -> Result<SocketAddr> {
         self.listener.local_addr().map_err(|source| Error::Listen {
             address: SocketAddr::from(([0, 0, 0, 0], 0)),
@@ -72,17 +73,16 @@
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         match self.rx.recv().await {
             Some(stream) => Ok(Some(Conn::from(stream))),
-            // The library would call again at once, for ever.
+            // If this returned, the library would call `accept` again at once, in an endless loop.
             None => std::future::pending().await,
         }
     }
 }
 
-/// Accepts until the server is gone, and hands on each connection once its first request is there.
-///
-/// The library sets no time-out on headers: a caller that sends them byte by byte, or nothing at
-/// all, would hold a connection for good, and enough of them all file descriptors. One would notice
-/// it by other callers who cannot connect.
+/// Accepts connections until the server stops, and passes each one on once the headers of its first
+/// request have arrived. The HTTP library has no timeout for headers: callers that send them byte by
+/// byte, or send nothing, would keep their connections open forever. Enough of them would use up all
+/// file descriptors, so that other callers could not connect.
 async fn accept_connections(listener: TcpListener, tx: mpsc::Sender<TcpStream>) {
     let places = Arc::new(Semaphore::new(MOST_WAITING));
     loop {
@@ -98,7 +98,7 @@
                 continue;
             }
         };
-        // Small events must not wait for one another.
+        // Disables Nagle's algorithm, which would delay small events.
         let _ = stream.set_nodelay(true);
         let Ok(place) = places.clone().acquire_owned().await else {
             return;
@@ -114,8 +114,8 @@
     }
 }
 
-/// Waits until the headers of a request can be read, without taking them; false if the other end
-/// has closed.
+/// Waits until the headers of a request are in the receive buffer, without consuming them. Returns
+/// false if the peer has closed the connection.
 async fn wait_for_headers(stream: &TcpStream) -> bool {
     let mut buf = vec![0; 1024];
     let mut pause = Duration::from_millis(1);
@@ -130,7 +130,7 @@
             buf.resize(buf.len() * 2, 0);
             continue;
         }
-        // What is there already makes the next peek return at once.
+        // The data already in the buffer makes the next `peek` return at once, so wait first.
         tokio::time::sleep(pause).await;
         pause = (pause * 2).min(Duration::from_millis(100));
     }
--- a/crates/catkinward/src/lease_row.rs
+++ b/crates/catkinward/src/lease_row.rs
@@ -4,10 +4,10 @@
 use catkin_border::rows;
 use catkin_decisions::{LeaseHolder, LeaseRecord, LeaseRow};
 
-/// Table of leases.
+/// Name of the table of leases.
 pub(crate) const LEASES: &str = "leases";
 
-/// The lease in a row.
+/// Parses a row; `record` is `None` if its value is invalid.
 pub(crate) fn lease_row(row: &platform_api::Row) -> LeaseRow {
     LeaseRow {
         version: row.version,
@@ -15,7 +15,7 @@
     }
 }
 
-/// The value of a lease's row.
+/// Serializes a lease as the value of a row.
 pub(crate) fn lease_value(record: &LeaseRecord) -> String {
     let row = rows::LeaseRow {
         duration_ms: u64::try_from(record.duration.as_millis()).unwrap_or(u64::MAX),
@@ -23,7 +23,7 @@
         incarnation: record.holder.incarnation.0,
         term: record.term.0,
     };
-    serde_json::to_string(&row).expect("border types have text keys only")
+    serde_json::to_string(&row).expect("types of catkin_border have string keys only")
 }
 
 fn read_record(value: &str) -> Option<LeaseRecord> {
--- a/crates/catkinward/src/leases.rs
+++ b/crates/catkinward/src/leases.rs
@@ -5,53 +5,54 @@
     rendezvous_rank,
 };
 
-/// Wait after a call of the table service that brought no answer.
+/// Delay before the next call after a failed call of the table service.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// VMs that compete for a scope. With all of 400 nodes at 17 scopes, reads of the rows alone would be
-/// more than the table service does; three outlive any two deaths at once.
+/// Number of VMs that compete for the lease of a scope. If all of 400 VMs competed for 17 scopes, the
+/// reads of the rows alone would exceed the rate of the table service. Three candidates tolerate any
+/// two simultaneous crashes.
 const CANDIDATES: usize = 3;
 
-/// How often the platform's list is looked at for who competes.
+/// Interval between reads of the platform's list of VMs, from which the candidates are selected.
 const CANDIDATES_PERIOD: Duration = Duration::from_secs(10);
 
-/// The leases service: for each scope that this VM competes for, a task that takes and renews its
-/// lease.
+/// The leases service. For each scope that this VM competes for, a task acquires and renews the lease.
 pub struct Leases {
     platform: Arc<Platform>,
     timer: Arc<Timer>,
     me: LeaseHolder,
     cfg: LeaseSettings,
     handles: Mutex<Vec<Arc<LeaseHandle>>>,
-    /// Routers that the platform lists as live; empty if it doesn't say.
+    /// Routers that the platform lists as live; empty if the list has not been read or names none.
     routers: Mutex<Vec<VmId>>,
 }
 
-/// A lease that this VM competes for.
+/// Handle to a lease that this VM competes for.
 pub struct LeaseHandle {
     scope: Arc<str>,
     platform: Arc<Platform>,
     timer: Arc<Timer>,
     lease: Mutex<Lease>,
-    /// Held during a call for the lease's row, so that answers are taken in the order of their calls.
+    /// Locked during a call for the lease's row, so that responses are applied in the order of their
+    /// calls.
     calling: tokio::sync::Mutex<()>,
     woken: Notify,
     ended: AtomicBool,
 }
 
-/// Why no order may be given.
+/// Reason why no order may be sent.
 #[derive(Clone, Debug, Display, PartialEq, StdError)]
 pub enum PermitError {
-    /// The lease's row cannot be read, so another VM may have taken it.
+    /// The lease's row cannot be read, so another VM may hold the lease by now.
     #[display("the lease cannot be confirmed: {_0}")]
     Unconfirmed(PlatformError),
-    /// This VM does not hold the lease, or not for long enough.
+    /// This VM does not hold the lease, or holds it for too short a remaining time.
     #[display("the lease is not held")]
     NotHeld,
 }
 
 impl Leases {
-    /// Starts the service; it competes for no lease yet.
+    /// Starts the service without any lease to compete for.
     pub fn start(
         platform: Arc<Platform>,
         timer: Arc<Timer>,
@@ -70,7 +71,7 @@
         leases
     }
 
-    /// Competes for the lease of a scope from now on, while this VM is among its candidates.
+    /// Starts to compete for the lease of a scope, whenever this VM is among the candidates.
     pub fn compete(&self, scope: &str) -> Arc<LeaseHandle> {
         let mut handles = self.handles.lock();
         let place = handles.binary_search_by(|handle| handle.scope.as_ref().cmp(scope));
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Competes for the lease of a scope no more; a lease that is held lapses.
+    /// Stops competing for the lease of a scope. A held lease is not released but expires.
     pub fn leave(&self, scope: &str) {
         let mut handles = self.handles.lock();
         let place = handles.binary_search_by(|handle| handle.scope.as_ref().cmp(scope));
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Whether this VM is among the first of the listed routers and itself for a scope. It counts
-    /// itself in, so that VMs that have all been replaced need not wait for the list.
+    /// Returns whether this VM is among the [`CANDIDATES`] that rank first for a scope. This VM counts
+    /// even if the list lacks it, so that after a replacement of all VMs none waits for the list.
     fn is_candidate(&self, scope: &str) -> bool {
         let mut vms = self.routers.lock().clone();
         if vms.is_empty() {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Gives all leases back, so that another VM need not wait them out.
+    /// Releases all leases, so that other VMs need not wait for their expiry.
     pub async fn give_back(&self) {
         let handles = std::mem::take(&mut *self.handles.lock());
         futures::future::join_all(handles.iter().map(|handle| handle.give_back())).await;
@@ -142,23 +143,23 @@
 }
 
 impl LeaseHandle {
-    /// The term held, if the lease has not lapsed.
+    /// Returns the current term while this VM holds the lease and the lease has not expired.
     #[must_use]
     pub fn held(&self) -> Option<Term> {
         self.lease.lock().held_term(self.timer.now())
     }
 
-    /// Has the term rise above one that an engine knows.
+    /// Raises the next term above one that an engine has reported.
     pub fn exceed(&self, term: Term) {
         self.lease.lock().observe_term(term);
         self.woken.notify_one();
     }
 
-    /// Right to give one order, after a look at the lease's row.
+    /// Returns the permission to send one order, after a read of the lease's row.
     ///
     /// # Errors
     ///
-    /// If the row cannot be read, or another VM has the lease.
+    /// Returns an error if the row cannot be read or this VM does not hold the lease.
     pub async fn permit(&self) -> Result<OrderPermit, PermitError> {
         if self.held().is_none() {
             return Err(PermitError::NotHeld);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Does what is to be done now, and returns how long there is nothing more.
+    /// Performs the next step of the lease and returns the delay until the following one.
     async fn step(&self) -> Duration {
         let _calling = self.calling.lock().await;
         let step = self.lease.lock().next_step(self.timer.now());
@@ -195,7 +196,7 @@
         match done {
             Ok(()) => Duration::ZERO,
             Err(fault) => {
-                tracing::debug!(scope = %self.scope, %fault, "lease not settled");
+                tracing::debug!(scope = %self.scope, %fault, "lease call failed");
                 RETRY_PAUSE
             }
         }
@@ -211,7 +212,7 @@
             lease.next_step(self.timer.now())
         };
         if let LeaseStep::Write(write) = step {
-            // Lost or refused, the lease lapses by itself.
+            // If the write fails, the lease expires by itself.
             let _ = self.write(write).await;
         }
     }
--- a/crates/catkinward/src/lib.rs
+++ b/crates/catkinward/src/lib.rs
@@ -1,7 +1,7 @@
-//! The catkinward router: a micro-kernel, its services, and the daemon made of them.
+//! The catkinward router: a service registry, the services, and the daemon that runs them.
 //!
-//! Whatever is decided is decided in `catkin-decisions`; this crate brings the network, the clock
-//! and the platform to those decisions and obeys them.
+//! The decision logic is in `catkin-decisions` and does no I/O. This crate supplies it with input from
+//! the network, the clock and the platform, and carries out its decisions.
 
 pub(crate) use {
     crate::http_client::{Connections, HttpCall},
@@ -98,7 +98,7 @@
     upstreams::Upstreams,
 };
 
-/// The outcome of anything here that can fail.
+/// Result type of this crate, with [`Error`] as the default error.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 mod admission;
@@ -134,7 +134,7 @@
 mod error;
 mod event;
 mod event_stream;
-/// The way of opaque calls from a caller to an upstream and back.
+/// Gateway that forwards opaque calls from callers to upstreams and returns the responses.
 pub mod gateway;
 mod generation;
 mod generation_admission;
--- a/crates/catkinward/src/logging.rs
+++ b/crates/catkinward/src/logging.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Starts the log: JSON lines on standard error, at the levels that `filter` names.
+/// Starts the log: JSON lines on standard error, filtered by the levels in `filter`.
 pub fn start_logging(filter: &str) {
     let filter = tracing_subscriber::EnvFilter::new(filter);
-    // A second start in one process, as in tests, keeps the first.
+    // Fails if a subscriber is already set, as in tests; the first one stays in use.
     let _ = tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
@@ -12,18 +12,19 @@
         .try_init();
 }
 
-/// Lines that wait for a reader of standard output; more are dropped. About 300 bytes each.
+/// Maximum number of lines buffered for standard output; further lines are dropped. A line has about
+/// 300 bytes.
 const WAITING_LINES: usize = 8192;
 
-/// Starts the decision log: JSON lines on standard output, written by a thread of their own, so that
-/// a reader who stops reading costs lines and never a call. What is returned writes the lines that
-/// still wait when it is dropped.
+/// Starts the decision log: JSON lines on standard output. A separate thread writes them, so that a
+/// reader that stops reading loses lines but delays no calls. The returned guard flushes the buffered
+/// lines when it is dropped.
 pub fn start_decision_log() -> tracing_appender::non_blocking::WorkerGuard {
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .buffered_lines_limit(WAITING_LINES)
         .lossy(true)
         .finish(io::stdout());
-    // A second start in one process, as in tests, keeps the first.
+    // Fails if a subscriber is already set, as in tests; the first one stays in use.
     let _ = tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
--- a/crates/catkinward/src/metrics_endpoint.rs
+++ b/crates/catkinward/src/metrics_endpoint.rs
@@ -2,22 +2,22 @@
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use std::sync::OnceLock;
 
-/// The recorder of this process; nodes that share a process share it.
+/// Metrics recorder of this process, shared by all nodes in the process.
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Starts to record metrics, if that has not begun.
+/// Installs the metrics recorder on the first call and returns its handle.
 pub(crate) fn start_metrics() -> &'static PrometheusHandle {
     RECORDER.get_or_init(|| {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // It fails only where a program that embeds this library has a recorder of its own; the page
-        // stays empty then.
+        // Fails only if a program that embeds this library has installed its own recorder; the metrics
+        // endpoint then stays empty.
         let _ = metrics::set_global_recorder(recorder);
         handle
     })
 }
 
-/// The metrics as Prometheus reads them.
+/// Renders the metrics in the text format of Prometheus.
 #[must_use]
 pub fn metrics_text() -> String {
     let handle = start_metrics();
@@ -25,7 +25,7 @@
     handle.render()
 }
 
-/// The metrics as an answer.
+/// Returns the HTTP response of the metrics endpoint.
 pub(crate) fn metrics_response() -> Response {
     let mut response = Response::new(Body::from(metrics_text()));
     response.headers_mut().insert(
--- a/crates/catkinward/src/operator_api.rs
+++ b/crates/catkinward/src/operator_api.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{http_client::json_bytes, operator_problem::OperatorProblem};
 
-/// The HTTP service that operators see, on an address of its own.
+/// HTTP service for operators, served on a separate address.
 #[derive(Clone)]
 pub(crate) struct OperatorApi {
     node: Arc<Node>,
@@ -29,7 +29,7 @@
 
     fn route(&self, req: &Request) -> Result<Response, OperatorProblem> {
         self.check_key(req.headers())?;
-        // Only one who has the key may move the clock.
+        // The clock observes readings of authenticated clients only, since a reading can advance it.
         self.node.timeline.clock().observe_headers(req.headers());
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/v1/status") => Ok(json_response(&self.status())),
@@ -42,7 +42,7 @@
     }
 
     fn check_key(&self, headers: &HeaderMap) -> Result<(), OperatorProblem> {
-        // The digests are compared, so the time taken tells nothing of the key.
+        // Digests are compared instead of keys, so that response times reveal nothing about the key.
         headers
             .get(header::AUTHORIZATION)
             .and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "))
--- a/crates/catkinward/src/operator_problem.rs
+++ b/crates/catkinward/src/operator_problem.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::http_client::json_bytes;
 
-/// Every error answer to an operator.
+/// Kinds of error responses to operators.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum OperatorProblem {
-    /// A value of the query has a wrong form.
+    /// A parameter of the query is unknown, repeated or invalid.
     MalformedQuery,
-    /// There is no such path.
+    /// The API has no such path.
     NoSuchPath,
-    /// The bearer key is not the operators'.
+    /// The bearer key is absent or is not the operators' key.
     UnknownKey,
 }
 
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -4,21 +4,21 @@
     EngineReport, EngineState, EngineTarget, OrderPlanner, OrderScope, OrderSettings, order_scopes,
 };
 
-/// Which upstreams this VM may give orders to.
+/// Set of upstreams to which this VM may send orders.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum OrderPermission {
-    /// All of them.
+    /// Orders may be sent to every upstream.
     #[default]
     All,
-    /// Those that check who orders: they refuse this VM if it may not.
+    /// Orders may be sent only to upstreams that verify the orderer and reject unauthorized ones.
     Checked,
-    /// None.
+    /// No orders may be sent.
     None,
 }
 
-/// The orders service: for each scope of the bundle in force one VM, by a lease, has the engines hold
-/// what the bundle wants.
+/// The orders service. For each scope of the bundle in force, the VM that holds the scope's lease
+/// orders the engines to load the models that the bundle requires.
 pub struct Orders {
     leases: Arc<Leases>,
     timer: Arc<Timer>,
@@ -30,7 +30,7 @@
     scopes: Mutex<Vec<Arc<str>>>,
 }
 
-/// What the holder of a scope knows, from winning its lease to losing it.
+/// State of a scope while this VM holds its lease in one term.
 struct Holding {
     term: Term,
     planner: OrderPlanner,
@@ -38,7 +38,7 @@
 }
 
 impl Orders {
-    /// Starts the service.
+    /// Starts the service, without tasks if `right` is [`OrderPermission::None`].
     pub fn start(
         leases: Arc<Leases>,
         timer: Arc<Timer>,
@@ -65,7 +65,8 @@
         orders
     }
 
-    /// Has a task for each scope of the bundle in force. One whose scope is gone ends by itself.
+    /// Starts a task for each new scope of the bundle in force. The task of a removed scope ends by
+    /// itself.
     fn apply(self: &Arc<Self>) {
         let wanted = self.allowed_scopes();
         let mut scopes = self.scopes.lock();
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Competes for one scope and gives its orders, while the bundle in force has it.
+    /// Competes for the lease of one scope and sends its orders, until the bundle in force lacks the scope.
     async fn serve(self: Arc<Self>, name: Arc<str>) {
         let lease = self.leases.compete(&name);
         let mut ticks = self.timer.subscribe(self.cfg.poll_interval);
@@ -101,8 +102,8 @@
         scopes.find(|scope| *scope.name == *name)
     }
 
-    /// Scopes whose engines this VM may all give orders to: the lease of any other would keep it from
-    /// a VM that may.
+    /// Returns the scopes in which this VM may send orders to every engine. If it took the lease of
+    /// another scope, it would keep the lease from a VM that has the permission.
     fn allowed_scopes(&self) -> Vec<OrderScope> {
         let bundle = self.bundle.current();
         let checked = |target: &EngineTarget| {
@@ -137,7 +138,7 @@
         });
     }
 
-    /// Reads the engines' states back and orders what differs.
+    /// Polls the reports of the engines and sends an order to each engine that differs from its target.
     async fn round(&self, lease: &LeaseHandle, scope: &OrderScope, holding: &mut Holding) {
         let bundle = self.bundle.current();
         let upstreams = scope
@@ -149,7 +150,8 @@
             .iter()
             .map(|upstream| self.engines.report(upstream));
         for (id, report) in futures::future::join_all(reads).await.into_iter().flatten() {
-            // Terms begin anew when the lease's row is lost, and when scopes are joined.
+            // An engine's term can be higher, since terms restart after the loss of the lease's row and
+            // after a merge of scopes.
             if report.highest_term > holding.term {
                 lease.exceed(report.highest_term);
             }
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Gives one order; false if no more may be given now.
+    /// Sends one order. Returns false if no further orders may be sent in this round.
     async fn order(&self, lease: &LeaseHandle, holding: &mut Holding, state: &EngineState) -> bool {
         let bundle = self.bundle.current();
         let Some(upstream) = bundle.upstream(&state.upstream) else {
@@ -180,7 +182,7 @@
             Ok(permit) if permit.term() == holding.term => permit,
             Ok(_) => return false,
             Err(refusal) => {
-                tracing::debug!(%refusal, "no order");
+                tracing::debug!(%refusal, "order not permitted");
                 return false;
             }
         };
@@ -202,9 +204,9 @@
                 holding.planner.record_refused(&state.upstream);
                 tracing::warn!(upstream = %state.upstream, %kind, "order refused");
             }
-            // What became of it is seen in the engine's next report.
+            // The engine's next report shows whether the order took effect.
             Err(fault) => {
-                tracing::warn!(upstream = %state.upstream, %fault, "order not answered");
+                tracing::warn!(upstream = %state.upstream, %fault, "no valid response to an order");
             }
         }
         true
--- a/crates/catkinward/src/plain_api.rs
+++ b/crates/catkinward/src/plain_api.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services as callers make them.
+//! HTTP API for calls of plain services.
 
 use super::*;
 use crate::{
@@ -12,7 +12,7 @@
 };
 
 impl CallerApi {
-    /// Serves `/v1/services/{service}/...`.
+    /// Handles a request for `/v1/services/{service}/...`.
     pub(crate) async fn handle_plain(&self, req: Request) -> Result<Response, Problem> {
         let _in_flight = self.node.drain.enter();
         let (parts, body) = req.into_parts();
--- a/crates/catkinward/src/plain_call.rs
+++ b/crates/catkinward/src/plain_call.rs
@@ -1,24 +1,25 @@
 use super::*;
 use crate::{plain_headers::passed_on, problem::ProblemKind};
 
-/// Header by which a caller says that its call must not be repeated although the bundle allows it.
-/// There is none for the other direction.
+/// Header with which a caller forbids retries that the bundle allows. No header allows retries that
+/// the bundle forbids.
 const IDEMPOTENT_HEADER: &str = "catkin-idempotent";
 
-/// Header with the caller's deadline in milliseconds from now; plain services get what is left.
+/// Header with the time until the caller's deadline in milliseconds; plain services receive the
+/// remaining time.
 pub(crate) const DEADLINE_HEADER: &str = "catkin-deadline-ms";
 
-/// Header with the key under which a non-idempotent call is made at most once.
+/// Header with the idempotency key; a non-idempotent call with a key runs at most once.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// A call of a plain service, fixed for its whole life.
+/// A call of a plain service; it does not change after its admission.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainCall {
     pub(crate) id: RequestId,
     pub(crate) team: QueueTeam,
     pub(crate) service: ServiceId,
     pub(crate) method: Method,
-    /// Path within the service, with the query.
+    /// Path within the service, including the query.
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -28,7 +29,7 @@
 }
 
 impl PlainCall {
-    /// Whether it only reads, so that its answer may be given to another like it.
+    /// Returns whether the call is a read whose response may be shared with equal calls.
     pub(crate) fn is_read(&self) -> bool {
         self.idempotent
             && self.key.is_none()
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Key of the calls that get the same answer: all that is passed on but the deadline.
+    /// Key of the calls that share one response. It covers everything that is forwarded except the
+    /// deadline.
     pub(crate) fn read_key(&self) -> CallKey {
         let headers = self
             .headers
@@ -56,12 +58,13 @@
         CallKey::new(self.team.id.clone(), parts)
     }
 
-    /// Key of the calls for the same item, whatever is said in their headers and bodies.
+    /// Key of the calls for the same item: team, service, method and path, without headers and body.
     pub(crate) fn item_key(&self) -> CallKey {
         CallKey::new(self.team.id.clone(), self.address_parts())
     }
 
-    /// Digest of all that makes it this call, by which a key used for another one is found.
+    /// Digest of service, method, path and body. It detects that an idempotency key is reused for
+    /// another call.
     pub(crate) fn digest(&self) -> RequestDigest {
         let parts = self.address_parts().into_iter().chain([&*self.body]);
         let mut bytes = Vec::with_capacity(self.body.len() + 256);
@@ -81,7 +84,7 @@
     }
 }
 
-/// Splits `/v1/services/SERVICE/PATH` into service and path; the path begins with `/`.
+/// Splits `/v1/services/SERVICE/PATH` into the service and the path, which starts with `/`.
 pub(crate) fn split_path(path: &str) -> Option<(&str, &str)> {
     let rest = path.strip_prefix("/v1/services/")?;
     let end = rest.find('/').unwrap_or(rest.len());
@@ -89,10 +92,9 @@
     (!service.is_empty()).then_some((service, if path.is_empty() { "/" } else { path }))
 }
 
-/// Whether a call may be repeated: the bundle's rules say so, and the caller does not forbid it.
-///
-/// A path that an upstream may read as another one never may: `/tiles/../orders` would pass for a
-/// read by its prefix, and a repeat would order twice.
+/// Returns whether a call may be retried: the rules of the bundle allow it and the caller does not
+/// forbid it. Never true for a path that an upstream may normalize to another path: `/tiles/../orders`
+/// would match a read by its prefix, and a retry would place the order twice.
 pub(crate) fn is_idempotent(
     kind: &ServiceKind,
     method: &Method,
@@ -112,7 +114,7 @@
         && path.split('/').all(|part| part != "." && part != "..")
 }
 
-/// Headers for the plain service.
+/// Returns the headers that are forwarded to the plain service.
 pub(crate) fn headers_for_upstream(headers: &HeaderMap) -> HeaderMap {
     let mut headers = passed_on(headers);
     headers.remove(DEADLINE_HEADER);
@@ -120,7 +122,7 @@
     headers
 }
 
-/// The idempotency key, if there is one.
+/// Parses the idempotency key, if the caller sent one.
 pub(crate) fn idempotency_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, ProblemKind> {
     let mut keys = headers.get_all(KEY_HEADER).iter();
     let Some(key) = keys.next() else {
--- a/crates/catkinward/src/plain_calls.rs
+++ b/crates/catkinward/src/plain_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of plain services: `/v1/services/{service}/...`.
+//! Execution of calls of plain services (`/v1/services/{service}/...`): team limit, coalescing of equal
+//! reads, and the limit on concurrent calls for one item.
 
 use super::*;
 use crate::{
@@ -10,7 +11,7 @@
     read_leader::{CoalescedRead, ReadLeader},
 };
 
-/// One call for an item, counted until it is dropped.
+/// Counts one concurrent call for an item until it is dropped.
 struct CountedCall {
     pool: Arc<AdmissionPool>,
     key: CallKey,
@@ -22,7 +23,7 @@
     }
 }
 
-/// Makes a call of a plain service.
+/// Runs a call of a plain service.
 pub(crate) async fn call_plain(node: Arc<Node>, call: PlainCall) -> Result<PlainResponse, Problem> {
     let pool = node.admission.pool(&call.service);
     let dispatch = PlainDispatch { node, pool };
@@ -47,7 +48,7 @@
     })
 }
 
-/// Makes a call of which only so many for one item are under way.
+/// Runs a call unless too many calls for the same item are in flight.
 async fn call_counted(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainResponse, Problem> {
     let key = call.item_key();
     if !dispatch.pool.hot_keys.lock().try_acquire(&key) {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Makes a read, or gets the answer of one like it that is under way.
+/// Runs a read, or waits for the response of an equal read that is in flight.
 async fn call_merged(dispatch: &PlainDispatch, call: PlainCall) -> Result<PlainResponse, Problem> {
     let leader = match ReadLeader::join(&dispatch.pool, &call.read_key()) {
         Ok(leader) => leader,
@@ -85,7 +86,7 @@
         }
     };
     let answer = dispatch.call_repeatedly(call).await?;
-    // An upstream's failure is the leader's alone: the next one asks by itself.
+    // A server error is not shared: the next waiting call becomes the leader and sends its own request.
     if !answer.status.is_server_error() {
         leader.share_response(&answer);
     }
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -1,4 +1,5 @@
-//! Non-idempotent calls with an idempotency key: claimed in the table service, then dispatched once.
+//! Non-idempotent calls with an idempotency key: the key is claimed in the table service, then the call
+//! is dispatched once.
 
 use super::*;
 use crate::{
@@ -13,10 +14,10 @@
 };
 
 impl PlainDispatch {
-    /// Dispatches a non-idempotent call that has an idempotency key: at most once over all VMs, and
-    /// a caller who sends it again gets the answer of the first time.
+    /// Dispatches a non-idempotent call with an idempotency key at most once across all VMs. A caller
+    /// that sends the call again receives the response of the first dispatch.
     ///
-    /// Without a platform there are no claims, and the call is made as if it had no key.
+    /// Without a platform there are no claims, and the call is dispatched as if it had no key.
     pub(crate) async fn call_with_key(
         &self,
         call: PlainCall,
@@ -25,8 +26,8 @@
         let Some(claims) = self.node.claims.clone() else {
             return self.call_once(call).await;
         };
-        // A claim costs the table service a write and its release another one, so what would be
-        // refused anyway is refused before.
+        // A claim costs a write of the table service and its release another one, so a call that would
+        // be refused is refused before it is claimed.
         if let Err(refusal) = self.pool.check(&call.arrival()) {
             return Err(refused(Queued::new(call), refusal));
         }
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Dispatches a claimed call in a task of its own: a caller who hangs up and sends it again
-    /// finds its outcome recorded, and not a claim of which nobody knows the end.
+    /// Dispatches a claimed call in a separate task, which continues if the caller disconnects. A caller
+    /// that reconnects then finds a recorded outcome instead of a claim that is never resolved.
     async fn dispatch_claimed(
         &self,
         claims: Arc<Claims>,
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -1,4 +1,4 @@
-//! How calls of plain services are dispatched: once, or with retries and a hedge.
+//! Dispatch of calls of plain services: either once, or with retries and a hedge.
 
 use super::*;
 use crate::{
@@ -12,7 +12,7 @@
 };
 use std::pin::pin;
 
-/// Dispatches the calls of one pool.
+/// Dispatches the calls of one admission pool.
 #[derive(Clone)]
 pub(crate) struct PlainDispatch {
     pub(crate) node: Arc<Node>,
@@ -20,9 +20,8 @@
 }
 
 impl PlainDispatch {
-    /// Dispatches a call that may not be repeated: once, over a connection of its own, and never
-    /// again. A kept connection may have been closed by the other end just now, and an error on it
-    /// would leave it open whether the call has run.
+    /// Dispatches a call that must not be retried, over a new connection. The server may have just
+    /// closed a pooled connection, and an error on it would not show whether the call ran.
     pub(crate) async fn call_once(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
         let (queued, mut place) = self.admitted(call).await?;
         let options = self.options(queued.request(), true);
@@ -35,7 +34,7 @@
         }
     }
 
-    /// Dispatches an idempotent call, again while the retry budget pays for it.
+    /// Dispatches an idempotent call and retries it while the retry budget allows.
     pub(crate) async fn call_repeatedly(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
         let (queued, mut place) = self.admitted(call).await?;
         let mut dispatched = queued.dispatch();
@@ -94,8 +93,8 @@
         }
     }
 
-    /// Sends a call, and a second copy of it elsewhere if the first is later than almost all are.
-    /// The loser is cancelled by being dropped.
+    /// Sends a call, and a hedge to another upstream if the first response takes longer than almost all
+    /// others. The slower of the two is cancelled by dropping it.
     async fn send_hedged(
         &self,
         mut place: SlotGuard,
@@ -106,7 +105,8 @@
         self.record(EventKind::Dispatched, call, place.id());
         let connections = &self.node.connections;
         let options = SendOptions {
-            // Leaves time for a second try: a kept connection may have gone silent for good.
+            // Half of the remaining time, to leave time for a retry: a pooled connection may be dead
+            // without notice.
             bound: self.until(call.deadline) / 2,
             ..self.options(call, false)
         };
@@ -157,7 +157,7 @@
         Some(place)
     }
 
-    /// A place for a retry: on an upstream that has not failed this call, if there is one.
+    /// Takes a slot for a retry, preferably on an upstream that has not failed this call.
     fn place_again(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let elsewhere = self.chooser(avoid.to_vec());
         let anywhere = self.chooser(Vec::new());
@@ -250,8 +250,8 @@
     upstreams.choose(&want).ok()
 }
 
-/// The answer of the first of two copies, or else of the other. If both fail, it is known not to
-/// have run only if neither did.
+/// Returns the first successful response of two hedged requests. If both fail, the error is
+/// [`SendError::NotRun`] only if neither request ran.
 async fn either(
     first: Result<PlainResponse, SendError>,
     other: impl Future<Output = Result<PlainResponse, SendError>>,
--- a/crates/catkinward/src/plain_headers.rs
+++ b/crates/catkinward/src/plain_headers.rs
@@ -1,8 +1,8 @@
-//! Which headers pass between callers and plain services.
+//! Selection of the headers that are forwarded between callers and plain services.
 
 use super::*;
 
-/// Headers that speak of one connection only, or that the other side writes itself.
+/// Headers that apply to a single connection (hop-by-hop) or that the other side sets itself.
 const OF_ONE_CONNECTION: &[&str] = &[
     "connection",
     "content-length",
@@ -17,9 +17,9 @@
     "upgrade",
 ];
 
-/// The headers of a request or answer that are passed on.
+/// Returns the headers of a request or response that are forwarded.
 ///
-/// The bearer key stays here: a plain service that saw it could call in its team's name.
+/// The bearer key is not forwarded: a plain service that received it could make calls as that team.
 pub(crate) fn passed_on(headers: &HeaderMap) -> HeaderMap {
     let named = named_by_connection(headers);
     headers
@@ -34,7 +34,7 @@
         .collect()
 }
 
-/// Names that the `Connection` header adds to those of one connection.
+/// Names of further hop-by-hop headers, which are listed in the `Connection` header.
 fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(header::CONNECTION)
--- a/crates/catkinward/src/plain_response.rs
+++ b/crates/catkinward/src/plain_response.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The answer of a plain service.
+/// Complete response of a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainResponse {
     pub(crate) status: StatusCode,
@@ -9,7 +9,7 @@
 }
 
 impl PlainResponse {
-    /// The answer to the caller.
+    /// Converts it into the response to the caller.
     pub(crate) fn response(self) -> Response {
         let mut response = Response::new(Body::from(self.body));
         *response.status_mut() = self.status;
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a call to a plain service.
+//! A single request of a call to a plain service.
 
 use super::*;
 use crate::{
@@ -9,18 +9,18 @@
     slot_guard::SlotGuard,
 };
 
-/// Why a dispatch brought no answer.
+/// Reason why a request yielded no response to forward.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SendError {
-    /// It certainly did not run.
+    /// The call certainly did not run.
     NotRun(NotRunEvidence),
-    /// It may have run: a byte of it may have left, and no answer came.
+    /// The call may have run: some of it may have been sent, and the response was not received.
     Lost,
-    /// It ran, and its answer is longer than is passed on.
+    /// The call ran, but its response exceeds the size limit.
     TooLarge,
 }
 
-/// Sends a call to the upstream of its place and reads the whole answer, of `limit` bytes at most.
+/// Sends a call to the upstream of its slot and reads the complete response, up to the size limit.
 pub(crate) async fn send(
     connections: &Connections,
     place: &mut SlotGuard,
@@ -53,16 +53,16 @@
     }
 }
 
-/// How a call is sent, to be filled in by update syntax.
+/// Options of a single request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendOptions {
-    /// Bound until the whole answer.
+    /// Timeout until the response is complete.
     pub(crate) bound: Duration,
-    /// What is left until the caller's deadline.
+    /// Remaining time until the caller's deadline, which is sent to the upstream.
     pub(crate) until_deadline: Duration,
-    /// True for a connection of its own.
+    /// Opens a new connection instead of using one of the pool.
     pub(crate) fresh: bool,
-    /// Longest answer, in bytes.
+    /// Maximum size of the response body in bytes.
     pub(crate) limit: usize,
 }
 
@@ -81,8 +81,8 @@
     Ok(answer)
 }
 
-/// An upstream's word that it did not run this call, as the border defines it. Any other answer, and
-/// any other body of that status, is the service's own and is passed on.
+/// Returns the kind of a refusal that states that the upstream did not run the call. Any other response,
+/// including one with the same status but another body, is the service's own and is forwarded.
 fn refusal_kind(answer: &PlainResponse) -> Option<engine::EngineRefusalKind> {
     if answer.status != StatusCode::CONFLICT {
         return None;
@@ -121,8 +121,8 @@
     })
 }
 
-/// Only a call that never had a connection is known not to have run. A request that failed on one
-/// may have been received whole, however the connection ended.
+/// A call is known not to have run only if no connection was opened. A request that failed on an open
+/// connection may have been received completely, whatever the error.
 fn fault_of(fault: &HttpError) -> SendError {
     if fault.never_connected() {
         SendError::NotRun(NotRunEvidence::NoConnection)
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -3,34 +3,34 @@
 use catkin_decisions::{CallLimiter, CallLimiterSettings};
 use futures::future::BoxFuture;
 
-/// Settings of the platform's client.
+/// Settings of the client for the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// Longest wait for an answer.
+    /// Timeout of a call.
     pub bound: Duration,
-    /// Budget of reads, scans, VM lists and objects fetched.
+    /// Call limit for reads, scans, VM lists and fetched objects.
     pub reads: CallLimiterSettings,
-    /// Budget of transactions and objects stored.
+    /// Call limit for transactions and stored objects.
     pub writes: CallLimiterSettings,
 }
 
-/// Transactions a second that all VMs take of the platform together, which does several hundred.
+/// Transactions per second of all VMs together; the platform executes several hundred.
 ///
-/// With more the platform refuses some, and which of the VMs it refuses is chance: in a run of 40
-/// VMs with the parts of 8, before a platform that did 300, 290 claims were refused at their
-/// deadline, and with the parts of 40 none was (example `claim_rate`).
+/// Above its rate the platform refuses transactions, of random VMs. With 40 VMs that each took an
+/// eighth of the rate instead of a fortieth, and a platform limit of 300, 290 claims were refused at
+/// their deadline; with a fortieth none was (example `claim_rate`).
 const WRITES_PER_SECOND: u32 = 300;
 
-/// Reads a second that all VMs take together: half of the two thousand that the platform does, so
-/// that operators and the start of many VMs find room.
+/// Reads per second of all VMs together: half of the 2,000 that the platform executes. The other half
+/// is reserved for operators and for many VMs that start at the same time.
 const READS_PER_SECOND: u32 = 1000;
 
-/// Least calls a second of a VM, however many VMs there are: the bundle's row each second, and what
-/// a lease and a claim need.
+/// Minimum number of reads per second of a VM, regardless of the number of VMs: one for the bundle's
+/// row, and the rest for a lease and a claim.
 const LEAST_READS_PER_SECOND: u32 = 3;
 
 impl PlatformSettings {
-    /// Settings of one of so many VMs that share the platform.
+    /// Returns the settings of one VM if `vms` VMs share the platform.
     #[must_use]
     pub fn shared_by(vms: u32) -> Self {
         let vms = vms.max(1);
@@ -82,7 +82,7 @@
     writes: Mutex<CallLimiter>,
 }
 
-/// Which budget a call is taken from.
+/// Call limit that applies to a call.
 #[derive(Clone, Copy)]
 enum Budget {
     Reads,
@@ -90,7 +90,7 @@
 }
 
 impl Platform {
-    /// A platform at `address` that speaks HTTP with JSON.
+    /// Returns a client for the platform at `address`, over HTTP with JSON.
     #[must_use]
     pub fn over_http(
         connections: Arc<Connections>,
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Makes a call within its budget; `None` if the platform has no such thing.
+    /// Makes a call if its limit allows. Returns `None` if the platform responds that the object or
+    /// path does not exist.
     async fn call(&self, budget: Budget, call: HttpCall) -> Result<Option<Bytes>, PlatformError> {
         let inner = &self.inner;
         let budget = match budget {
@@ -221,8 +222,8 @@
     metrics::counter!("catkin_platform_calls_total", "result" => result).increment(1);
 }
 
-/// The platform answers 429 and 503 before a call has any effect; of every other failure the caller
-/// cannot tell.
+/// Converts a response. The platform sends 429, 503 and other client errors before a call has any
+/// effect; after any other failure status the effect is unknown.
 fn of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformError> {
     match status {
         StatusCode::NOT_FOUND => Ok(None),
@@ -246,7 +247,8 @@
     serde_json::from_slice(body).map_err(|_| PlatformError::Unknown)
 }
 
-/// Object names are opaque: all but letters, digits, `-`, `_` and `.` is escaped.
+/// Returns the path of an object. Names are opaque, so all bytes except ASCII letters, digits, `-`, `_`
+/// and `.` are percent-encoded.
 fn object_path(name: &str) -> String {
     let plain = |b: &u8| b.is_ascii_alphanumeric() || b"-_.".contains(b);
     let escaped = name.bytes().map(|b| {
--- a/crates/catkinward/src/problem.rs
+++ b/crates/catkinward/src/problem.rs
@@ -1,71 +1,71 @@
 use super::*;
 use crate::http_client::json_bytes;
 
-/// Every error answer to a caller. What it says of the outcome is part of the kind, so that no
-/// place in the code can claim `not_run` for a request that may have run.
+/// Kinds of error responses to callers. The outcome is derived from the kind, so that no code can
+/// report `not_run` for a request that may have run.
 #[derive(
     Clone, Copy, Debug, Eq, PartialEq, EnumString, IntoStaticStr, strum::Display, strum::EnumIter,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum ProblemKind {
-    /// An upstream was sent the call, and its answer was lost: the call may have run.
+    /// The call was sent to an upstream and the response was lost: the call may have run.
     AnswerLost,
-    /// The upstream's answer is longer than is passed on: the call has run.
+    /// The upstream's response exceeds the size limit: the call has run.
     AnswerTooLarge,
-    /// The body is longer than allowed.
+    /// The request body exceeds the size limit.
     BodyTooLarge,
-    /// The body was not there before the deadline.
+    /// The request body was not complete before the deadline.
     BodyTooSlow,
-    /// The caller, or a caller's word, ended it.
+    /// The caller cancelled the generation, or disconnected and did not reconnect within the grace period.
     Cancelled,
-    /// The deadline passed before the whole answer was there.
+    /// The deadline passed before the response was complete.
     Deadline,
-    /// The VM is shutting down and takes no new requests.
+    /// The VM is shutting down and accepts no new requests.
     Draining,
-    /// Too many calls for one item are under way.
+    /// Too many calls for one item are in flight.
     HotKey,
-    /// A caller comes back without the idempotency key of its request.
+    /// A caller tried to resume a generation without the idempotency key of its request.
     KeyAbsent,
-    /// The idempotency key was used for another request.
+    /// The idempotency key belongs to another request.
     KeyConflict,
-    /// The same call runs under its key, and had not ended at the deadline.
+    /// The same call is in flight under its key and was not complete at the deadline.
     KeyInUse,
-    /// The request is no JSON of the right form.
+    /// The request does not have the documented form.
     Malformed,
-    /// There is no such path.
+    /// The API has no such path.
     NoSuchPath,
-    /// There is no such service, or none of that kind.
+    /// The bundle has no service of that name and kind.
     NoSuchService,
-    /// No upstream may be given work.
+    /// No upstream is available for the service.
     NoUpstream,
-    /// Its idempotency key could not be claimed in time.
+    /// The idempotency key could not be claimed in time.
     NotClaimed,
     /// The VM has no bundle yet.
     NotReady,
-    /// It cannot be served before its deadline.
+    /// The request cannot be served before its deadline.
     Overloaded,
-    /// Upstreams died under this request, and it ends here.
+    /// Upstreams crashed while running this request; it is not retried.
     Poisoned,
-    /// Upstreams died under the same request before; it was not tried again.
+    /// Upstreams crashed earlier while running the same request; it was not run this time.
     PoisonedNotRun,
-    /// No copy reaches as far as the returning caller has come.
+    /// No progress replica includes the caller's resume point.
     ProgressLost,
-    /// Another VM has taken the generation over, for its caller who came back there.
+    /// Another VM has taken the generation over, because its caller reconnected there.
     Superseded,
     /// The team's limit is reached.
     TeamLimit,
-    /// The team may not call this service.
+    /// The team is not allowed to call this service.
     TeamNotAllowed,
-    /// The bearer key is of no team.
+    /// The bearer key belongs to no team.
     UnknownKey,
-    /// The upstream refused it and says that nothing ran.
+    /// The upstream refused the call and reported that nothing ran.
     UpstreamRefused,
     /// No connection to the upstream could be opened.
     UpstreamUnreachable,
 }
 
 impl ProblemKind {
-    /// HTTP status.
+    /// Returns the HTTP status of the response.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// What became of the request.
+    /// Returns the outcome of the request that is reported to the caller.
     #[must_use]
     pub fn outcome(self) -> caller::Outcome {
         match self {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// When the caller may come back with some hope.
+    /// Returns the delay after which a retry may succeed, or `None` if a retry will not help.
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
@@ -175,18 +175,18 @@
     }
 }
 
-/// An error answer to a caller.
+/// An error response to a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Problem {
     pub(crate) kind: ProblemKind,
     pub(crate) request_id: Option<RequestId>,
     pub(crate) next_index: Option<TokenIndex>,
-    /// When to come back, if that is known better than its kind tells.
+    /// Delay before a retry, which overrides the default of the kind.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Problem {
-    /// What its caller is told of a request that has not run.
+    /// Returns the error response for a request that has not run.
     pub(crate) fn not_run<T>(not_run: &NotRun<T>) -> Self {
         let kind = match not_run.reason() {
             RefusalReason::HotKey => ProblemKind::HotKey,
@@ -212,7 +212,7 @@
         self.retry_after.or(self.kind.retry_after())
     }
 
-    /// The body as the border has it.
+    /// Returns the response body in its schema.
     pub(crate) fn body(&self) -> caller::Problem {
         caller::Problem {
             type_: format!("catkinward:{}", self.kind),
@@ -227,7 +227,7 @@
         }
     }
 
-    /// The answer.
+    /// Returns the HTTP response.
     pub(crate) fn response(&self) -> Response {
         let mut response = Response::new(Body::from(json_bytes(&self.body())));
         *response.status_mut() = self.kind.status();
@@ -237,7 +237,7 @@
             header::HeaderValue::from_static("application/problem+json"),
         );
         if let Some(after) = self.retry_after() {
-            // The header knows whole seconds only.
+            // `Retry-After` has a resolution of seconds, so the delay is rounded up.
             let seconds = after.as_millis().div_ceil(1000).max(1);
             let seconds = u64::try_from(seconds).unwrap_or(u64::MAX);
             headers.insert(header::RETRY_AFTER, seconds.into());
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -1,20 +1,20 @@
 use super::*;
 use crate::{bundle_canonical::canonical_bundle, bundle_format::check_bundle, error::BundleError};
 
-/// A bundle that was read and checked.
+/// A parsed and validated bundle.
 #[derive(Clone, Debug)]
 pub struct ReadBundle {
-    /// The bundle.
+    /// Bundle with its version and digest.
     pub bundle: Bundle,
-    /// Its canonical form.
+    /// Canonical JSON of the bundle.
     pub body: Arc<str>,
 }
 
-/// Reads and checks a bundle, and brings it into its canonical form.
+/// Parses and validates a bundle and converts it to its canonical form.
 ///
 /// # Errors
 ///
-/// Names the field that is wrong, and how.
+/// Returns an error that names the invalid field and the reason.
 pub fn read_bundle(version: BundleVersion, json: &str) -> Result<ReadBundle> {
     let entries = parse_bundle(json)?;
     let (body, digest) = canonical_bundle(&entries);
@@ -22,12 +22,12 @@
     Ok(ReadBundle { bundle, body })
 }
 
-/// Reads and checks the canonical form of a release. Its digest is that of the text itself, which
-/// another version of this program may have written.
+/// Parses and validates the canonical form of a release. The digest is that of `body` as it is, since
+/// another version of this program may have written it in a different canonical form.
 ///
 /// # Errors
 ///
-/// If the text has another digest, or is no bundle.
+/// Returns an error if `body` has another digest or is not a valid bundle.
 pub fn read_canonical(
     version: BundleVersion,
     digest: BundleDigest,
--- a/crates/catkinward/src/running_attempt.rs
+++ b/crates/catkinward/src/running_attempt.rs
@@ -1,15 +1,15 @@
 use super::*;
 use crate::{attempt_stream::AttemptStream, engine_client, slot_guard::SlotGuard};
 
-/// An attempt on its upstream.
+/// An attempt that runs on an upstream.
 pub(crate) struct RunningAttempt {
     pub(crate) upstream: SlotGuard,
     pub(crate) stream: AttemptStream,
     pub(crate) guard: AttemptGuard,
 }
 
-/// Cancels an attempt on its engine when it is dropped, from before the order is sent: one that was
-/// given up while its answer was on the way would otherwise run to its end for nobody.
+/// Cancels an attempt on its engine on drop. It exists before the attempt is sent to the engine: if the
+/// attempt is abandoned while its response is in transit, it would otherwise run to its end unread.
 pub(crate) struct AttemptGuard {
     connections: Arc<Connections>,
     address: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 impl AttemptGuard {
-    /// Guards an attempt that is about to be ordered.
+    /// Guards an attempt that is about to be sent to an engine.
     pub(crate) fn new(
         connections: &Arc<Connections>,
         address: SocketAddr,
@@ -29,12 +29,12 @@
         Self::running(
             connections,
             address,
-            id.expect("orders are made with valid ids"),
+            id.expect("engine requests have valid ids"),
             Attempt(order.attempt),
         )
     }
 
-    /// Guards an attempt that runs already.
+    /// Guards an attempt that is already running.
     pub(crate) fn running(
         connections: &Arc<Connections>,
         address: SocketAddr,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Lets go: the attempt has ended, or never began.
+    /// Disables the cancellation, because the attempt has ended or never started.
     pub(crate) fn release(&mut self) {
         self.released = true;
     }
--- a/crates/catkinward/src/service_name.rs
+++ b/crates/catkinward/src/service_name.rs
@@ -1,39 +1,39 @@
 use super::*;
 
-/// Names by which the services of a process find each other.
+/// Names of the services in the [`ServiceRegistry`].
 #[derive(
     Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, EnumString, IntoStaticStr, strum::Display,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum ServiceName {
-    /// Queues and places of all services.
+    /// Request queues and concurrency slots of all services.
     Admission,
     /// The bundle in force.
     Bundle,
-    /// Word of releases.
+    /// Detection and fetching of new releases of the bundle.
     BundleWatch,
     /// Claims of idempotency keys.
     Claims,
-    /// The state of a graceful shutdown.
+    /// State of the graceful shutdown.
     Drain,
-    /// Generations under way.
+    /// Generations in progress.
     Generations,
-    /// Connections to other processes.
+    /// HTTP clients for calls to other processes.
     Connections,
-    /// Events of this process.
+    /// Recorded events of this process.
     Timeline,
     /// The platform's table service, object store and VM list.
     Platform,
-    /// The other VMs.
+    /// Links to the other VMs.
     Peers,
     /// Leases that this VM competes for.
     Leases,
-    /// Orders to engines.
+    /// Orders that tell engines which models to load.
     Orders,
-    /// Slices of the teams' limits.
+    /// This VM's slices of the rate limits of teams.
     TeamLimits,
-    /// Ticks for parts that do something now and then.
+    /// Monotonic time and periodic ticks.
     Timer,
-    /// Upstreams and what is known of them.
+    /// Upstreams and their observed state.
     Upstreams,
 }
--- a/crates/catkinward/src/settings.rs
+++ b/crates/catkinward/src/settings.rs
@@ -1,44 +1,45 @@
 use super::*;
 
-/// Settings of the router daemon. Each is given by a flag or by an environment variable, which is
-/// the flag in capitals behind `CATKINWARD_`; the flag goes first.
+/// Settings of the router daemon. Each can be set by a flag or by an environment variable, whose name is
+/// `CATKINWARD_` and the flag in upper case. The flag takes precedence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Address on which callers are served.
+    /// Address of the caller API.
     pub listen: SocketAddr,
     /// Id of this VM.
     pub vm: VmId,
     /// Availability zone of this VM.
     pub zone: AvailabilityZone,
-    /// Address on which operators are served, if at all.
+    /// Address of the operator API; `None` disables it.
     pub operator_listen: Option<SocketAddr>,
-    /// SHA-256 of the key that operators show.
+    /// SHA-256 of the bearer key of the operator API.
     pub operator_key: Option<KeyHash>,
-    /// A bundle to start with, for a system without a platform.
+    /// Initial bundle, for a system without a platform.
     pub bundle_file: Option<PathBuf>,
-    /// Address of the platform; without it this VM keeps and agrees on nothing.
+    /// Address of the platform; without it, this VM stores nothing and does not coordinate with others.
     pub platform: Option<SocketAddr>,
-    /// Address on which other VMs are heard; none means that this VM stands alone.
+    /// Address on which connections of other VMs are accepted; `None` means that this VM has no peers.
     pub peer_listen: Option<SocketAddr>,
-    /// Address at which other VMs reach this one, where it differs from the one above.
+    /// Address that is advertised to other VMs, if it differs from `peer_listen`.
     pub peer_advertise: Option<SocketAddr>,
-    /// Secret that all VMs share.
+    /// Secret that authenticates the VMs to each other; the same on all VMs.
     pub peer_key: PeerKey,
-    /// VMs to begin with, besides those of the platform's list.
+    /// Initial peers, in addition to the VMs listed by the platform.
     pub peers: Vec<PeerEntry>,
-    /// Which upstreams this VM may give orders to.
+    /// Set of upstreams to which this VM may send orders.
     pub orders: OrderPermission,
-    /// How long nothing must have been in flight before the process ends.
+    /// Time without any request in flight after which a draining process exits.
     pub drain_grace: Duration,
-    /// How long a generation goes on without a caller who reads it.
+    /// Time for which a generation continues after its caller has disconnected.
     pub caller_grace: Duration,
-    /// Longest request body, and longest answer of a plain service, in bytes.
+    /// Maximum size of a request body and of the response of a plain service, in bytes.
     pub body_limit: usize,
-    /// VMs that share the capacity of the upstreams and of the platform; this one takes its part.
+    /// Number of VMs that share the capacity of the upstreams and of the platform; this VM uses its
+    /// share.
     pub entry_vms: u32,
-    /// Events that the time line holds; older ones make room for newer.
+    /// Maximum number of events in the timeline; the oldest ones are overwritten.
     pub timeline_events: usize,
-    /// Log levels, as in `info,catkinward=debug`.
+    /// Filter of log levels, such as `info,catkinward=debug`.
     pub log: String,
 }
 
@@ -67,14 +68,14 @@
     }
 }
 
-/// What the command line asks for.
+/// Action selected by the command line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Check the settings only.
+    /// Validate the settings and exit.
     Check(Settings),
-    /// Print the flags.
+    /// Print the help text.
     Help,
-    /// Serve.
+    /// Run the router.
     Run(Settings),
     /// Print the version.
     Version,
@@ -84,39 +85,39 @@
 pub const HELP: &str = "\
 Usage: catkinward [FLAGS]
 
-Routes generations and plain calls to upstreams and carries them through their failures.
+Routes generations and plain calls to upstreams and recovers from failures of upstreams.
 
-Flags (each also as a variable, as in CATKINWARD_LISTEN):
+Flags (each can also be set by a variable, such as CATKINWARD_LISTEN):
   --listen ADDRESS          IP and port for callers [127.0.0.1:8080]
   --vm ID                   id of this VM [vm-1]
   --zone NAME               availability zone of this VM [zone-1]
   --operator-listen ADDRESS IP and port for operators; needs --operator-key-sha256
-  --operator-key-sha256 HEX SHA-256 of the key that operators show
-  --bundle-file FILE        bundle to start with, for a system without a platform
-  --platform ADDRESS        IP and port of the platform; without it nothing is kept or agreed on
-  --peer-listen ADDRESS     IP and port for other VMs; without it this VM stands alone
-  --peer-advertise ADDRESS  where other VMs reach this one, if not at --peer-listen
-  --peer-key TEXT           secret that all VMs share; better given as a variable
-  --peers LIST              VMs to begin with, as VM=ADDRESS@ZONE, separated by commas
-  --orders WHICH            upstreams that this VM may order: all, checked (those that check who
-                            orders) or none [all]
-  --drain-grace-ms N        how long nothing must be in flight before the end [2000]
-  --caller-grace-ms N       how long a generation goes on without its caller [20000]
-  --body-limit N            longest request body in bytes [4194304]
-  --entry-vms N             VMs that share the upstreams' and the platform's capacity [1]
-  --timeline-events N       events that the time line holds [20000]
+  --operator-key-sha256 HEX SHA-256 of the bearer key of operators
+  --bundle-file FILE        initial bundle, for a system without a platform
+  --platform ADDRESS        IP and port of the platform; without it nothing is stored or coordinated
+  --peer-listen ADDRESS     IP and port for other VMs; without it this VM has no peers
+  --peer-advertise ADDRESS  address advertised to other VMs, if it differs from --peer-listen
+  --peer-key TEXT           secret shared by all VMs; prefer the variable
+  --peers LIST              initial peers, as VM=ADDRESS@ZONE, separated by commas
+  --orders WHICH            upstreams to which this VM may send orders: all, checked (those that
+                            verify the orderer) or none [all]
+  --drain-grace-ms N        time without requests in flight before a drained process exits [2000]
+  --caller-grace-ms N       time for which a generation continues without its caller [20000]
+  --body-limit N            maximum size of a request body in bytes [4194304]
+  --entry-vms N             number of VMs that share upstream and platform capacity [1]
+  --timeline-events N       maximum number of events in the timeline [20000]
   --log FILTER              log levels [info]
-  --check                   check the settings and end
+  --check                   validate the settings and exit
   --help                    print this text
   --version                 print the version
 ";
 
 impl Settings {
-    /// Reads the command line and the variables that `variable` looks up.
+    /// Parses the command line and the environment variables that `variable` looks up.
     ///
     /// # Errors
     ///
-    /// Names the flag that is unknown, or whose value is wrong.
+    /// Returns an error that names the unknown flag, or the flag with an invalid or missing value.
     pub fn read(
         args: impl IntoIterator<Item = OsString>,
         variable: impl Fn(&str) -> Option<String>,
@@ -153,11 +154,11 @@
         })
     }
 
-    /// Hash of the operators' key.
+    /// Returns the hash of the operators' key.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub fn operator_key(&self) -> Result<KeyHash> {
         let flag = "operator-key-sha256";
         self.operator_key.ok_or_else(|| Error::SettingAbsent {
@@ -166,7 +167,7 @@
         })
     }
 
-    /// Checks what no setting shows alone.
+    /// Validates combinations of settings.
     fn check(&self) -> Result<()> {
         if self.operator_listen.is_some() {
             self.operator_key()?;
@@ -213,13 +214,13 @@
                 self.platform = Some(parse(flag, "an IP address and port", value)?);
             }
             "log" => value.clone_into(&mut self.log),
-            _ => unreachable!("every flag of FLAGS is set above"),
+            _ => unreachable!("every flag of FLAGS is handled above"),
         }
         Ok(())
     }
 }
 
-/// Flags that have a value.
+/// Flags that take a value.
 const FLAGS: &[&str] = &[
     "body-limit",
     "bundle-file",
--- a/crates/catkinward/tests/bundle_format.rs
+++ b/crates/catkinward/tests/bundle_format.rs
@@ -74,12 +74,12 @@
         (
             "/teams/1/key_sha256",
             json!(key),
-            "team `web-shop`.key_sha256: is the key of team `counter` too",
+            "team `web-shop`.key_sha256: is also the key of team `counter`",
         ),
         (
             "/teams/1/name",
             json!("counter"),
-            "teams: `counter` stands twice",
+            "teams: `counter` is defined more than once",
         ),
         (
             "/teams/0/weight",
@@ -109,7 +109,7 @@
         (
             "/services/0/teams",
             json!(["counter", "counter"]),
-            "services[0].teams: `counter` stands twice",
+            "services[0].teams: `counter` is defined more than once",
         ),
         (
             "/services/0/teams",
@@ -129,7 +129,7 @@
         (
             "/services/1/paths/0/method",
             json!("get"),
-            "services[1].paths[0].method: must be an HTTP method in capitals",
+            "services[1].paths[0].method: must be an HTTP method in upper case",
         ),
         (
             "/services/1/paths/0/prefix",
@@ -139,7 +139,7 @@
         (
             "/services/1/paths/-",
             json!({"method": "GET", "prefix": "/", "idempotent": false}),
-            "services[1].paths: `GET /` stands twice",
+            "services[1].paths: `GET /` is defined more than once",
         ),
         (
             "/upstreams/0/address",
@@ -172,7 +172,7 @@
     let service = bundle.pointer_mut("/services/0").expect("a service");
     service.as_object_mut().expect("an object").remove("model");
 
-    let expected = "bundle: services[0].model: is needed for a service of kind `generation`";
+    let expected = "bundle: services[0].model: is required for a service of kind `generation`";
     expect_that!(error(&bundle), eq(expected));
 }
 
--- a/crates/catkinward/tests/bundle_store.rs
+++ b/crates/catkinward/tests/bundle_store.rs
@@ -174,9 +174,9 @@
     use TransactOutcome::{Answered, Late, LostAfterEffect, LostBeforeEffect, NotRun, Throttled};
     const REFUSED: &str = "the platform is not available; nothing was changed";
     const LIMITED: &str = "the platform's rate limit is reached; nothing was changed";
-    const IN_DOUBT: &str = "the platform's answer was lost, and reading back did not settle it: \
-                            the change may have taken effect, or may yet; `catkinctl bundle \
-                            status` tells once the platform answers";
+    const IN_DOUBT: &str = "the platform's response was lost, and reading the state back was \
+                            inconclusive: the change may have taken effect or may still do so; \
+                            run `catkinctl bundle status` once the platform responds";
     let cases: [(&[TransactOutcome], std::result::Result<bool, &str>, bool); 10] = [
         (&[Answered], Ok(false), true),
         (&[LostAfterEffect], Ok(true), true),
--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -1,4 +1,4 @@
-//! `catkinctl` as a process, against an in-process platform and VMs.
+//! Tests of the `catkinctl` binary against a mock platform and VMs that run in this process.
 
 use catkin_border::platform::{PlatformFaults, VmEntry, VmKind, VmList, VmState};
 use catkin_decisions::KeyHash;
@@ -18,13 +18,13 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A platform and a folder of bundle files.
+/// A mock platform and a temporary folder for bundle files.
 struct Site {
     platform: PlatformServer,
     folder: PathBuf,
 }
 
-/// What a run of the tool printed.
+/// Exit code and output of a run of `catkinctl`.
 #[derive(Debug, PartialEq)]
 struct Output {
     code: Option<i32>,
@@ -65,7 +65,7 @@
 }
 
 impl Site {
-    /// A bundle file of one team with that weight.
+    /// Writes a bundle file with one team of the given weight and returns its path.
     fn file(&self, name: &str, weight: u32) -> String {
         let key = KeyHash::of("counter-key");
         let path = self.folder.join(name);
@@ -86,14 +86,14 @@
         ctl(&[&flags, args].concat()).await
     }
 
-    /// Proposes a file; returns the draft's id.
+    /// Proposes a bundle file and returns the id of the draft.
     async fn propose(&self, operator: &str, file: &str) -> String {
         let output = self.run(operator, &["bundle", "propose", file]).await;
         let id = output.out.split(' ').nth(1).expect("a draft id");
         id.to_owned()
     }
 
-    /// Brings a file into force by two operators.
+    /// Proposes, signs off and rolls out a bundle file, with two operators.
     async fn release(&self, file: &str) {
         let draft = self.propose("ada", file).await;
         self.run("bea", &["bundle", "sign-off", &draft]).await;
@@ -115,7 +115,7 @@
     }
 }
 
-/// Replaces each word that looks like a time by TIME, and each digest by DIGEST.
+/// Replaces each timestamp with TIME and each digest with DIGEST.
 fn normal(text: &str) -> String {
     let word = |word: &str| {
         let core = word.trim_end_matches([':', ';']);
@@ -153,8 +153,8 @@
 async fn check_names_the_wrong_field() {
     let site = site().await;
     let file = site.file("a.json", 1);
-    let text = std::fs::read_to_string(&file).expect("the file");
-    std::fs::write(&file, text.replace("weight", "wieght")).expect("the file");
+    let text = std::fs::read_to_string(&file).expect("a readable file");
+    std::fs::write(&file, text.replace("weight", "wieght")).expect("a writable file");
 
     let output = ctl(&["bundle", "check", &file]).await;
 
@@ -213,8 +213,8 @@
     expect_that!(lines[2], eq(expected));
 }
 
-/// The platform does what it is asked, but its answer never comes. The operator must be told that
-/// the step took effect, and must not take it twice.
+/// The platform commits a roll-out, but its response is lost. The operator must be told that the
+/// roll-out took effect, and it must not be done twice.
 #[gtest]
 #[tokio::test]
 async fn lost_answer_is_settled_and_said() {
@@ -229,12 +229,13 @@
 
     let roll_out = site.run("ada", &["bundle", "roll-out", &draft]).await;
 
-    let expected = "the platform's answer was lost; reading back shows that the change took effect\n\
+    let expected = "the platform's response was lost; reading back confirms that the change took effect\n\
                     version 2 is rolled out\n";
     expect_that!(roll_out, eq(&success(expected)));
 }
 
-/// Two operators have drafts over the same release. The second to roll out is told who was first.
+/// Two operators have drafts based on the same release. The second one to roll out must be told who
+/// rolled out first, and nothing is changed.
 #[gtest]
 #[tokio::test]
 async fn loser_of_a_race_is_told_who_won() {
@@ -255,20 +256,23 @@
 #[tokio::test]
 async fn wrong_command_lines_are_explained() {
     let cases: [(&[&str], &str); 9] = [
-        (&[], "no command is given; `catkinctl --help` lists them"),
+        (
+            &[],
+            "no command given; `catkinctl --help` lists the commands",
+        ),
         (
             &["bundle"],
-            "there is no command `bundle`; `catkinctl --help` lists them",
+            "unknown command `bundle`; `catkinctl --help` lists the commands",
         ),
         (
             &["bundle", "burn"],
-            "there is no command `bundle burn`; `catkinctl --help` lists them",
+            "unknown command `bundle burn`; `catkinctl --help` lists the commands",
         ),
         (
             &["bundle", "propose"],
-            "`bundle propose` needs FILE; `catkinctl --help` tells more",
+            "`bundle propose` requires FILE; see `catkinctl --help`",
         ),
-        (&["status", "now"], "`now` is one argument too many"),
+        (&["status", "now"], "unexpected argument `now`"),
         (
             &["bundle", "roll-out", "next"],
             "a draft id must be a version, a dash and a text, as in `7-k3f9`",
@@ -320,7 +324,7 @@
         });
     }
 
-    /// What a message from this VM to another does.
+    /// Advances the clock of another VM as a message from this VM would.
     fn tell(&self, other: &Self) {
         let sent = self.node.timeline.clock().tick();
         other.node.timeline.clock().observe(sent);
@@ -351,11 +355,14 @@
         ..HttpCall::default()
     };
     let connections = Connections::new().expect("a client");
-    connections.call_whole(call).await.expect("a platform");
+    connections
+        .call_whole(call)
+        .await
+        .expect("a response of the platform");
 }
 
-/// A generation moves from one VM to another, and a third VM is gone. Its operator must see all that
-/// the two recorded, in the order of cause and effect, and which VM is missing.
+/// A generation moves from one VM to another, and a third VM is unreachable. The timeline must list the
+/// events of both VMs in causal order and name the missing VM.
 #[gtest]
 #[tokio::test]
 async fn timeline_merges_vms_and_names_the_missing() {
@@ -386,7 +393,7 @@
                     TIME vm-2 leith-hall new_attempt request r-1 attempt 2\n\
                     TIME vm-1 govan-hall whole request r-1 attempt 2\n";
     expect_that!(events, eq(expected));
-    let expected = format!("missing: vm-3: no answer from {gone_address}");
+    let expected = format!("missing: vm-3: no response from {gone_address}");
     expect_that!(missing, starts_with(expected));
     expect_that!(output.code, some(eq(0)));
 }
--- a/crates/catkinward/tests/explain.rs
+++ b/crates/catkinward/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `catkinctl explain`: what became of a request, from logs.
+//! Tests of `catkinctl explain`, which finds the cause of a request's outcome in logs.
 
 use googletest::prelude::*;
 use std::process::{Command, Output};
@@ -34,7 +34,7 @@
     line(second, r#""message":"accepted","request":"r1","route":"a""#)
 }
 
-/// A user complains of a stream that stopped. The lines of two VMs are merged, and the cause is named.
+/// A stream was cut. The lines of two VMs must be merged and the cause of the cut named.
 #[gtest]
 fn cut_stream_is_explained() {
     let lost = r#""message":"run of a stream lost","request":"r1","upstream":"u1","loss":"silent""#;
@@ -60,7 +60,8 @@
     );
 }
 
-/// A process died under a request: its lines just end, and the process starts anew.
+/// A process crashed with a request in flight: the request's lines end without an outcome, and the
+/// process logs another start.
 #[gtest]
 fn death_of_the_process_is_explained() {
     let lost = line(2, r#""message":"store unreachable","feed":"config""#);
@@ -68,10 +69,13 @@
 
     let output = explain(&["--request", "r1"], &[("vm-1.log", log)]);
 
-    expect_that!(text(&output), contains_substring("cause: its process died"));
+    expect_that!(
+        text(&output),
+        contains_substring("cause: its process crashed")
+    );
 }
 
-/// A call was refused. The reason is the VM's.
+/// A VM refused a call. The explanation must name the VM's reason.
 #[gtest]
 fn refused_call_is_explained() {
     let refused = r#""message":"request rejected locally","request":"r1","outcome":"not_run","reason":"upstream_refused""#;
@@ -86,7 +90,8 @@
     );
 }
 
-/// Lines were left out, or the caller left. That is said, and nothing is made up.
+/// The log lacks lines and has a line that is not JSON. The explanation must report both and not
+/// guess a cause.
 #[gtest]
 fn what_the_lines_do_not_tell_is_said() {
     let log = accepted(1) + "no json\n";
@@ -94,11 +99,15 @@
     let output = explain(&["--request", "r1"], &[("vm-1.log", log)]);
 
     let text = text(&output);
-    expect_that!(text, contains_substring("cause: the lines do not tell"));
-    expect_that!(text, contains_substring("1 lines are no JSON"));
+    expect_that!(
+        text,
+        contains_substring("cause: unknown: log lines are missing")
+    );
+    expect_that!(text, contains_substring("1 lines are not JSON"));
 }
 
-/// The request's id, a file, or its text are missing. Each is said with an exact sentence.
+/// The request's id, the log files or lines about the request are missing. Each case must be reported
+/// with its own message.
 #[gtest]
 fn missing_input_is_said() {
     let no_id = explain(&[], &[("vm-1.log", accepted(1))]);
@@ -108,8 +117,11 @@
     let error = |output: &Output| String::from_utf8_lossy(&output.stderr).into_owned();
     expect_that!(
         error(&no_id),
-        eq("error: `explain` needs the request's id, as in `--request ID`\n")
+        eq("error: `explain` requires the request's id: `--request ID`\n")
+    );
+    expect_that!(
+        error(&no_file),
+        contains_substring("`explain` requires FILE")
     );
-    expect_that!(error(&no_file), contains_substring("`explain` needs FILE"));
-    expect_that!(text(&unknown), eq("no line names the request r9\n"));
+    expect_that!(text(&unknown), eq("no log line mentions the request r9\n"));
 }
--- a/crates/catkinward/tests/operator_api.rs
+++ b/crates/catkinward/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! Contract of the operators' HTTP interface.
+//! Contract of the operator API over HTTP.
 
 use catkin_border::operator::{OperatorProblem, StatusReply, TimelineReply};
 use catkin_decisions::KeyHash;
@@ -44,7 +44,7 @@
             ..HttpCall::default()
         };
         let connections = Connections::new().expect("a client");
-        let (status, body) = connections.call_whole(call).await.expect("an answer");
+        let (status, body) = connections.call_whole(call).await.expect("a response");
         (status, String::from_utf8(body.to_vec()).expect("text"))
     }
 
@@ -65,7 +65,7 @@
 
     let (status, body) = operators.get("/v1/timeline?request=b%26c", KEY).await;
 
-    let reply: TimelineReply = serde_json::from_str(&body).expect("a time line");
+    let reply: TimelineReply = serde_json::from_str(&body).expect("a timeline reply");
     expect_that!(status, eq(StatusCode::OK));
     expect_that!(reply.vm, eq("vm-1"));
     expect_that!(reply.availability_zone, eq("zone-1"));
@@ -97,8 +97,8 @@
     expect_that!(after.bundle_digest, some(eq(&digest)));
 }
 
-/// Callers without the operators' key, and operators with a wrong query, are told what is wrong and
-/// get nothing else.
+/// Requests without the operators' key, with an unknown path or with an invalid query must be refused
+/// with the matching problem type.
 #[gtest]
 #[tokio::test]
 async fn wrong_calls_are_refused_with_their_reason() {
--- a/crates/catkinward/tests/settings.rs
+++ b/crates/catkinward/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line, as a process.
+//! Tests of the command line of the `catkinward` binary.
 
 use googletest::prelude::*;
 use std::process::Command;
@@ -71,7 +71,7 @@
     expect_that!(output, eq(&(Some(1), String::new(), error.into())));
 }
 
-/// Operators would be served to anyone who reaches their address.
+/// Without a key, the operator API would serve anyone who can reach its address.
 #[gtest]
 fn operators_are_not_served_without_a_key() {
     let output = run(&["--check", "--operator-listen", "127.0.0.1:0"]).output();
