--- a/crates/catkinward/src/coordination.rs
+++ b/crates/catkinward/src/coordination.rs
@@ -62,7 +62,7 @@
     registry.register(ServiceName::Orders, orders)?;
     let stopping_claims = claims.clone();
     registry.on_stop(move || async move {
-        let stop = async { tokio::join!(stopping_claims.flush(), leases.give_back()) };
+        let stop = async { tokio::join!(stopping_claims.flush(), leases.release_all()) };
         if tokio::time::timeout(STOP_TIMEOUT, stop).await.is_err() {
             tracing::warn!("stopped with unrecorded claim outcomes or unreleased leases");
         }
--- a/crates/catkinward/src/lease_row.rs
+++ b/crates/catkinward/src/lease_row.rs
@@ -5,13 +5,13 @@
 use catkin_decisions::{LeaseHolder, LeaseRecord, LeaseRow};
 
 /// Name of the table of leases.
-pub(crate) const LEASES: &str = "leases";
+pub(crate) const LEASES_TABLE: &str = "leases";
 
 /// Parses a row; `record` is `None` if its value is invalid.
 pub(crate) fn lease_row(row: &platform_api::Row) -> LeaseRow {
     LeaseRow {
         version: row.version,
-        record: read_record(&row.value),
+        record: parse_record(&row.value),
     }
 }
 
@@ -26,7 +26,7 @@
     serde_json::to_string(&row).expect("types of catkin_border have string keys only")
 }
 
-fn read_record(value: &str) -> Option<LeaseRecord> {
+fn parse_record(value: &str) -> Option<LeaseRecord> {
     let row = serde_json::from_str::<rows::LeaseRow>(value).ok()?;
     Some(LeaseRecord {
         holder: LeaseHolder {
--- a/crates/catkinward/src/orders.rs
+++ b/crates/catkinward/src/orders.rs
@@ -25,27 +25,27 @@
     timeline: Arc<Timeline>,
     bundle: Arc<BundleInForce>,
     engines: EngineOrders,
-    right: OrderPermission,
+    permission: OrderPermission,
     cfg: OrderSettings,
     scopes: Mutex<Vec<Arc<str>>>,
 }
 
 /// State of a scope while this VM holds its lease in one term.
-struct Holding {
+struct HeldScope {
     term: Term,
     planner: OrderPlanner,
     reports: Vec<(UpstreamId, EngineReport)>,
 }
 
 impl Orders {
-    /// Starts the service, without tasks if `right` is [`OrderPermission::None`].
+    /// Starts the service, without tasks if `permission` is [`OrderPermission::None`].
     pub fn start(
         leases: Arc<Leases>,
         timer: Arc<Timer>,
         timeline: Arc<Timeline>,
         connections: Arc<Connections>,
         bundle: Arc<BundleInForce>,
-        right: OrderPermission,
+        permission: OrderPermission,
         cfg: OrderSettings,
     ) -> Arc<Self> {
         let engines = EngineOrders::new(connections, timer.clone(), timeline.vm().clone());
@@ -55,45 +55,45 @@
             timeline,
             bundle,
             engines,
-            right,
+            permission,
             cfg,
             scopes: Mutex::default(),
         });
-        if right != OrderPermission::None {
-            tokio::spawn(follow(orders.clone()));
+        if permission != OrderPermission::None {
+            tokio::spawn(follow_bundle(orders.clone()));
         }
         orders
     }
 
     /// Starts a task for each new scope of the bundle in force. The task of a removed scope ends by
     /// itself.
-    fn apply(self: &Arc<Self>) {
-        let wanted = self.allowed_scopes();
+    fn start_tasks(self: &Arc<Self>) {
+        let allowed = self.allowed_scopes();
         let mut scopes = self.scopes.lock();
-        for scope in &wanted {
+        for scope in &allowed {
             if let Err(i) = scopes.binary_search(&scope.name) {
                 scopes.insert(i, scope.name.clone());
-                tokio::spawn(self.clone().serve(scope.name.clone()));
+                tokio::spawn(self.clone().run_scope(scope.name.clone()));
             }
         }
     }
 
     /// Competes for the lease of one scope and sends its orders, until the bundle in force lacks the scope.
-    async fn serve(self: Arc<Self>, name: Arc<str>) {
+    async fn run_scope(self: Arc<Self>, name: Arc<str>) {
         let lease = self.leases.compete(&name);
         let mut ticks = self.timer.subscribe(self.cfg.poll_interval);
-        let mut holding = None;
+        let mut held_scope = None;
         while let Some(scope) = self.scope(&name) {
-            let held = lease.held();
-            self.note(&name, held, &mut holding);
-            if let Some(holding) = &mut holding {
-                self.round(&lease, &scope, holding).await;
+            let term = lease.held();
+            self.record_lease_change(&name, term, &mut held_scope);
+            if let Some(held_scope) = &mut held_scope {
+                self.send_due_orders(&lease, &scope, held_scope).await;
             }
             if ticks.recv().await.is_none() {
                 break;
             }
         }
-        self.leases.leave(&name);
+        self.leases.stop_competing(&name);
         self.scopes.lock().retain(|scope| *scope != name);
     }
 
@@ -112,13 +112,18 @@
         };
         let mut scopes = order_scopes(&bundle);
         scopes.retain(|scope| {
-            self.right == OrderPermission::All || scope.targets.iter().all(checked)
+            self.permission == OrderPermission::All || scope.targets.iter().all(checked)
         });
         scopes
     }
 
-    fn note(&self, scope: &Arc<str>, held: Option<Term>, holding: &mut Option<Holding>) {
-        let before = holding.as_ref().map(|holding| holding.term);
+    fn record_lease_change(
+        &self,
+        scope: &Arc<str>,
+        held: Option<Term>,
+        held_scope: &mut Option<HeldScope>,
+    ) {
+        let before = held_scope.as_ref().map(|held_scope| held_scope.term);
         if before == held {
             return;
         }
@@ -131,7 +136,7 @@
             detail: Some(scope.clone()),
             ..Event::new(kind)
         });
-        *holding = held.map(|term| Holding {
+        *held_scope = held.map(|term| HeldScope {
             term,
             planner: OrderPlanner::new(self.cfg),
             reports: Vec::new(),
@@ -139,7 +144,12 @@
     }
 
     /// Polls the reports of the engines and sends an order to each engine that differs from its target.
-    async fn round(&self, lease: &LeaseHandle, scope: &OrderScope, holding: &mut Holding) {
+    async fn send_due_orders(
+        &self,
+        lease: &LeaseHandle,
+        scope: &OrderScope,
+        held_scope: &mut HeldScope,
+    ) {
         let bundle = self.bundle.current();
         let upstreams = scope
             .targets
@@ -152,41 +162,48 @@
         for (id, report) in futures::future::join_all(reads).await.into_iter().flatten() {
             // An engine's term can be higher, since terms restart after the loss of the lease's row and
             // after a merge of scopes.
-            if report.highest_term > holding.term {
-                lease.exceed(report.highest_term);
+            if report.highest_term > held_scope.term {
+                lease.raise_term_above(report.highest_term);
             }
-            match holding
+            match held_scope
                 .reports
                 .binary_search_by(|(other, _)| other.cmp(&id))
             {
-                Ok(i) => holding.reports[i].1 = report,
-                Err(i) => holding.reports.insert(i, (id, report)),
+                Ok(i) => held_scope.reports[i].1 = report,
+                Err(i) => held_scope.reports.insert(i, (id, report)),
             }
         }
         let now = self.timer.now();
-        let states = holding.planner.plan(now, &scope.targets, &holding.reports);
+        let states = held_scope
+            .planner
+            .plan(now, &scope.targets, &held_scope.reports);
         for state in states {
-            if !self.order(lease, holding, &state).await {
+            if !self.send_order(lease, held_scope, &state).await {
                 return;
             }
         }
     }
 
     /// Sends one order. Returns false if no further orders may be sent in this round.
-    async fn order(&self, lease: &LeaseHandle, holding: &mut Holding, state: &EngineState) -> bool {
+    async fn send_order(
+        &self,
+        lease: &LeaseHandle,
+        held_scope: &mut HeldScope,
+        state: &EngineState,
+    ) -> bool {
         let bundle = self.bundle.current();
         let Some(upstream) = bundle.upstream(&state.upstream) else {
             return true;
         };
         let permit = match lease.permit().await {
-            Ok(permit) if permit.term() == holding.term => permit,
+            Ok(permit) if permit.term() == held_scope.term => permit,
             Ok(_) => return false,
             Err(refusal) => {
                 tracing::debug!(%refusal, "order not permitted");
                 return false;
             }
         };
-        holding.planner.record_sent(self.timer.now(), state);
+        held_scope.planner.record_sent(self.timer.now(), state);
         self.timeline.record(Event {
             upstream: Some(state.upstream.clone()),
             term: Some(permit.term()),
@@ -199,24 +216,24 @@
         metrics::counter!("catkin_orders_total", "result" => name).increment(1);
         match result {
             Ok(()) => {}
-            Err(OrderError::StaleTerm(highest)) => lease.exceed(highest),
+            Err(OrderError::StaleTerm(highest)) => lease.raise_term_above(highest),
             Err(OrderError::Refused(kind)) => {
-                holding.planner.record_refused(&state.upstream);
+                held_scope.planner.record_refused(&state.upstream);
                 tracing::warn!(upstream = %state.upstream, %kind, "order refused");
             }
             // The engine's next report shows whether the order took effect.
-            Err(fault) => {
-                tracing::warn!(upstream = %state.upstream, %fault, "no valid response to an order");
+            Err(error) => {
+                tracing::warn!(upstream = %state.upstream, fault = %error, "no valid response to an order");
             }
         }
         true
     }
 }
 
-async fn follow(orders: Arc<Orders>) {
+async fn follow_bundle(orders: Arc<Orders>) {
     let mut changes = orders.bundle.changes();
     loop {
-        orders.apply();
+        orders.start_tasks();
         if changes.changed().await.is_err() {
             return;
         }
