--- a/crates/catkinward/src/bundle_format.rs
+++ b/crates/catkinward/src/bundle_format.rs
@@ -85,7 +85,7 @@
 }
 
 fn check_model(path: &str, entry: Option<&bundle_api::ModelEntry>) -> Result<Model> {
-    let model = entry.ok_or_else(|| field_error(path, "model", BundleError::ModelAbsent))?;
+    let model = entry.ok_or_else(|| field_error(path, "model", BundleError::MissingModel))?;
     let text = |name: &str, value: &str| match value {
         "" => Err(field_error(
             path,
@@ -116,7 +116,11 @@
         .to_vec(),
     };
     match other_kind_fields.iter().find(|(_, present)| *present) {
-        Some((name, _)) => Err(field_error(path, name, BundleError::OtherKind(entry.kind))),
+        Some((name, _)) => Err(field_error(
+            path,
+            name,
+            BundleError::WrongServiceKind(entry.kind),
+        )),
         None => Ok(()),
     }
 }
@@ -192,7 +196,7 @@
         Some(pair) => Err(field_error(
             &format!("team `{}`", pair[1].id),
             "key_sha256",
-            BundleError::SharedKey(pair[0].id.clone()),
+            BundleError::DuplicateKey(pair[0].id.clone()),
         )),
         None => Ok(()),
     }
--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -252,9 +252,9 @@
             }
         }
         if in_doubt {
-            return Err(Error::ChangeInDoubt { fault: last_error });
+            return Err(Error::ChangeOutcomeUnknown { error: last_error });
         }
-        Err(Error::NothingChanged { fault: last_error })
+        Err(Error::NothingChanged { error: last_error })
     }
 
     async fn resolve_by_read(&self, change: &BundleChange) -> Result<ChangeResult> {
@@ -287,7 +287,7 @@
         loop {
             match call().await.map_err(Into::into) {
                 Err(Error::Platform(error)) if attempts >= self.cfg.max_attempts => {
-                    return Err(Error::NothingChanged { fault: error });
+                    return Err(Error::NothingChanged { error });
                 }
                 Err(Error::Platform(_)) => {
                     attempts += 1;
--- a/crates/catkinward/src/ctl_vms.rs
+++ b/crates/catkinward/src/ctl_vms.rs
@@ -39,7 +39,7 @@
     pub(crate) fn new(platform: Option<Arc<Platform>>, settings: &CtlSettings) -> Result<Self> {
         let mut headers = HeaderMap::new();
         let bearer = format!("Bearer {}", settings.key()?);
-        let bearer = bearer.parse().map_err(|_| Error::CtlKeyForm)?;
+        let bearer = bearer.parse().map_err(|_| Error::CtlKeyInvalid)?;
         headers.insert(header::AUTHORIZATION, bearer);
         Ok(Self {
             platform,
@@ -85,7 +85,7 @@
         };
         let list = (platform.vms)(())
             .await
-            .map_err(|fault| Error::CtlVmList { fault })?;
+            .map_err(|error| Error::CtlVmList { error })?;
         let routers = list
             .into_iter()
             .filter(|entry| entry.kind == platform_api::VmKind::Router);
@@ -114,8 +114,8 @@
             address,
             path: path.to_owned(),
             headers: self.headers.clone(),
-            bound: self.timeout,
-            fresh: true,
+            timeout: self.timeout,
+            new_connection: true,
             ..HttpCall::default()
         };
         let answer = self.connections.call_json(call).await;
--- a/crates/catkinward/src/daemon.rs
+++ b/crates/catkinward/src/daemon.rs
@@ -48,7 +48,7 @@
     let drain = node.drain.clone();
     tokio::select! {
         served = serve_all(&node, listener, operators) => served,
-        () = signals.wait_for_second() => Err(Error::CutOff {
+        () = signals.wait_for_second() => Err(Error::AbortedRequests {
             in_flight: drain.in_flight(),
         }),
     }
--- a/crates/catkinward/src/engine_client.rs
+++ b/crates/catkinward/src/engine_client.rs
@@ -20,7 +20,7 @@
     connections: &Connections,
     upstream: &UpstreamHandle,
     order: &engine::EngineGenerate,
-    bound: Duration,
+    timeout: Duration,
 ) -> Result<AttemptStream, AttemptError> {
     upstream.check_eligible()?;
     let call = HttpCall {
@@ -28,8 +28,8 @@
         method: Method::POST,
         path: "/v1/generate".to_owned(),
         body: json_bytes(order),
-        bound,
-        fresh: true,
+        timeout,
+        new_connection: true,
         ..HttpCall::default()
     };
     let (stream, load) = open_stream(connections, Attempt(order.attempt), call).await?;
@@ -52,7 +52,7 @@
     pub(crate) new_attempt: Attempt,
     /// Index of the first token to send.
     pub(crate) from: TokenIndex,
-    pub(crate) bound: Duration,
+    pub(crate) timeout: Duration,
 }
 
 /// Reattaches to a running attempt over a new connection.
@@ -68,13 +68,13 @@
         attempt,
         new_attempt,
         from,
-        bound,
+        timeout,
     } = reattach;
     let call = HttpCall {
         address,
         path: format!("/v1/streams/{id}?attempt={attempt}&as={new_attempt}&from={from}"),
-        bound,
-        fresh: true,
+        timeout,
+        new_connection: true,
         ..HttpCall::default()
     };
     let (stream, _) = open_stream(connections, new_attempt, call).await?;
@@ -88,10 +88,10 @@
         address,
         method: Method::DELETE,
         path: format!("/v1/streams/{id}?attempt={attempt}"),
-        fresh: true,
+        new_connection: true,
         ..HttpCall::default()
     };
-    if let Err(error) = connections.call_whole(call).await {
+    if let Err(error) = connections.call_complete(call).await {
         tracing::debug!(%address, %id, %attempt, fault = %error, "cancel got no answer");
     }
 }
@@ -112,7 +112,9 @@
     attempt: Attempt,
     call: HttpCall,
 ) -> Result<(AttemptStream, Option<engine::UpstreamLoad>), AttemptError> {
-    let HttpCall { address, bound, .. } = call;
+    let HttpCall {
+        address, timeout, ..
+    } = call;
     let response = connections.call(call).await?;
     let status = response.status();
     if status.is_success() {
@@ -123,9 +125,9 @@
         return Ok((AttemptStream::new(attempt, response)?, load));
     }
     let body = http_body_util::Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
-    let body = tokio::time::timeout(bound, http_body_util::BodyExt::collect(body))
+    let body = tokio::time::timeout(timeout, http_body_util::BodyExt::collect(body))
         .await
-        .map_err(|_| HttpError::Timeout { address, bound })?
+        .map_err(|_| HttpError::Timeout { address, timeout })?
         .map_err(|_| HttpError::Status { address, status })?;
     let refusal: engine::EngineRefusal = serde_json::from_slice(&body.to_bytes())
         .map_err(|_| HttpError::Status { address, status })?;
--- a/crates/catkinward/src/engine_orders.rs
+++ b/crates/catkinward/src/engine_orders.rs
@@ -50,7 +50,7 @@
         let call = HttpCall {
             address: upstream.address,
             path: "/v1/load".to_owned(),
-            bound: REPORT_TIMEOUT,
+            timeout: REPORT_TIMEOUT,
             ..HttpCall::default()
         };
         let load: engine::UpstreamLoad = self.connections.call_json(call).await.ok()?;
@@ -75,11 +75,11 @@
             method: Method::POST,
             path: "/v1/orders".to_owned(),
             body: json_bytes(&order),
-            bound: permit.deadline().since(self.timer.now()),
-            fresh: true,
+            timeout: permit.deadline().since(self.timer.now()),
+            new_connection: true,
             ..HttpCall::default()
         };
-        let (status, body) = self.connections.call_whole(call).await?;
+        let (status, body) = self.connections.call_complete(call).await?;
         if status.is_success() {
             return Ok(());
         }
--- a/crates/catkinward/src/error.rs
+++ b/crates/catkinward/src/error.rs
@@ -40,7 +40,7 @@
     /// The content of a release is not UTF-8.
     #[display("the bundle {digest} is not UTF-8 text")]
     #[from(skip)]
-    BundleText {
+    BundleNotUtf8 {
         /// Digest of the content.
         digest: BundleDigest,
     },
@@ -56,18 +56,18 @@
     BundleRefused(catkin_decisions::BundleRefusal),
     /// It is unknown whether a change took effect.
     #[display(
-        "{fault}, and reading the state back was inconclusive: the change may have taken effect or may \
+        "{error}, and reading the state back was inconclusive: the change may have taken effect or may \
          still do so; run `catkinctl bundle status` once the platform responds"
     )]
     #[from(skip)]
-    ChangeInDoubt {
+    ChangeOutcomeUnknown {
         /// Error of the last platform call.
-        fault: PlatformError,
+        error: PlatformError,
     },
     /// A second signal stopped the process before its drain was complete.
     #[display("stopped by a second signal; {in_flight} requests in flight were aborted")]
     #[from(skip)]
-    CutOff {
+    AbortedRequests {
         /// Number of requests that were in flight.
         in_flight: usize,
     },
@@ -112,19 +112,19 @@
     /// The operator key cannot be sent in an HTTP header.
     #[display("the operator key must consist of visible ASCII characters")]
     #[from(skip)]
-    CtlKeyForm,
+    CtlKeyInvalid,
     /// `catkinctl explain` was run without `--request`.
     #[display("`explain` requires the request's id: `--request ID`")]
     #[from(skip)]
     CtlRequestAbsent,
     /// The list of VMs cannot be fetched from the platform.
     #[display(
-        "cannot fetch the list of VMs from the platform: {fault}; pass VM addresses with `--vm ADDRESS`"
+        "cannot fetch the list of VMs from the platform: {error}; pass VM addresses with `--vm ADDRESS`"
     )]
     #[from(skip)]
     CtlVmList {
         /// Error of the platform call.
-        fault: PlatformError,
+        error: PlatformError,
     },
     /// The decisions library rejected its input.
     #[display("{_0}")]
@@ -154,11 +154,11 @@
         source: io::Error,
     },
     /// A change was not made, and it is certain that it took no effect.
-    #[display("{fault}; nothing was changed")]
+    #[display("{error}; nothing was changed")]
     #[from(skip)]
     NothingChanged {
         /// Error of the last platform call.
-        fault: PlatformError,
+        error: PlatformError,
     },
     /// A call of the platform failed.
     #[display("{_0}")]
@@ -182,14 +182,14 @@
     /// A service was looked up with a type other than its own.
     #[display("the service `{name}` has a different type")]
     #[from(skip)]
-    ServiceOfOtherType {
+    ServiceTypeMismatch {
         /// Name that was looked up.
         name: ServiceName,
     },
     /// A second service was registered under the same name.
     #[display("a service `{name}` is already registered")]
     #[from(skip)]
-    ServiceTaken {
+    ServiceAlreadyRegistered {
         /// Name of both services.
         name: ServiceName,
     },
@@ -234,7 +234,7 @@
     /// The field is only allowed for the other kind of service.
     #[display("is not allowed for a service of kind `{_0}`")]
     #[from(skip)]
-    OtherKind(#[error(not(source))] bundle_api::ServiceKind),
+    WrongServiceKind(#[error(not(source))] bundle_api::ServiceKind),
     /// The path prefix is not absolute.
     #[display("must begin with `/`")]
     #[from(skip)]
@@ -242,7 +242,7 @@
     /// Two teams have the same key.
     #[display("is also the key of team `{_0}`")]
     #[from(skip)]
-    SharedKey(#[error(not(source))] TeamId),
+    DuplicateKey(#[error(not(source))] TeamId),
     /// The value has a JSON type or field that the format does not allow.
     #[display("{_0}")]
     #[from(skip)]
@@ -257,7 +257,7 @@
     /// A generation service lacks its model.
     #[display("is required for a service of kind `generation`")]
     #[from(skip)]
-    ModelAbsent,
+    MissingModel,
     /// The value refers to an entry that the bundle does not define.
     #[display("`{_0}` is not defined in this bundle")]
     #[from(skip)]
--- a/crates/catkinward/src/http_client.rs
+++ b/crates/catkinward/src/http_client.rs
@@ -21,16 +21,16 @@
         source: volo_http::error::ClientError,
     },
     /// The call timed out.
-    #[display("no response from {address} within {} ms", bound.as_millis())]
+    #[display("no response from {address} within {} ms", timeout.as_millis())]
     Timeout {
         /// Address of the server.
         address: SocketAddr,
         /// Timeout of the call.
-        bound: Duration,
+        timeout: Duration,
     },
     /// The connection ended before the response body was complete.
     #[display("the response of {address} was truncated")]
-    Body {
+    TruncatedBody {
         /// Address of the server.
         address: SocketAddr,
     },
@@ -90,11 +90,11 @@
     /// Request body.
     pub body: Bytes,
     /// Timeout until the response headers arrive.
-    pub bound: Duration,
+    pub timeout: Duration,
     /// Opens a new connection for this call instead of using one of the pool. A pooled connection may
     /// be dead without notice, and an error on one that the server has just closed does not prove
     /// that the call did not run.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 impl Default for HttpCall {
@@ -105,24 +105,24 @@
             path: "/".to_owned(),
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            bound: Duration::from_secs(2),
-            fresh: false,
+            timeout: Duration::from_secs(2),
+            new_connection: false,
         }
     }
 }
 
 /// HTTP clients for calls to other processes: one with a connection pool, one without.
 pub struct Connections {
-    kept: Client,
-    fresh: Client,
+    pooled: Client,
+    unpooled: Client,
     clock: Option<Arc<ProcessClock>>,
 }
 
 /// Timeout for opening a connection.
-const CONNECT_BOUND: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Idle connections of the pool are closed after this time.
-const IDLE_BOUND: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Connections {
     /// Builds both clients. Each request carries a reading of `clock`, and `clock` observes the readings
@@ -144,18 +144,18 @@
     ///
     /// Returns an error if the HTTP library cannot build a client.
     pub fn new() -> Result<Self> {
-        let client = |idle| {
+        let client = |max_idle| {
             let mut builder = ClientBuilder::new();
-            builder.set_connect_timeout(CONNECT_BOUND);
-            builder.set_pool_idle_timeout(IDLE_BOUND);
-            builder.set_max_idle_per_host(idle);
+            builder.set_connect_timeout(CONNECT_TIMEOUT);
+            builder.set_pool_idle_timeout(IDLE_TIMEOUT);
+            builder.set_max_idle_per_host(max_idle);
             builder
                 .build()
                 .map_err(|source| HttpError::Build { source })
         };
         Ok(Self {
-            kept: client(64)?,
-            fresh: client(0)?,
+            pooled: client(64)?,
+            unpooled: client(0)?,
             clock: None,
         })
     }
@@ -166,13 +166,19 @@
     ///
     /// Returns an error if the call fails or times out before that.
     pub async fn call(&self, call: HttpCall) -> Result<Response, HttpError> {
-        let HttpCall { address, bound, .. } = call;
-        let client = if call.fresh { &self.fresh } else { &self.kept };
+        let HttpCall {
+            address, timeout, ..
+        } = call;
+        let client = if call.new_connection {
+            &self.unpooled
+        } else {
+            &self.pooled
+        };
         let mut req = client
             .request(call.method, format!("http://{address}{}", call.path))
             .body(Body::from(call.body));
         req.headers_mut().extend(call.headers);
-        if call.fresh {
+        if call.new_connection {
             // Without this header, the library passes a connection that has just become idle to a call
             // that waits for a new one, even if the pool size is 0.
             let close = header::HeaderValue::from_static("close");
@@ -181,7 +187,7 @@
         if let Some(clock) = &self.clock {
             clock.stamp(req.headers_mut());
         }
-        match tokio::time::timeout(bound, req.send()).await {
+        match tokio::time::timeout(timeout, req.send()).await {
             Ok(Ok(response)) => {
                 if let Some(clock) = &self.clock {
                     clock.observe_headers(response.headers());
@@ -189,7 +195,7 @@
                 Ok(response)
             }
             Ok(Err(source)) => Err(HttpError::Call { address, source }),
-            Err(_) => Err(HttpError::Timeout { address, bound }),
+            Err(_) => Err(HttpError::Timeout { address, timeout }),
         }
     }
 
@@ -198,21 +204,23 @@
     /// # Errors
     ///
     /// Returns an error if the response is not complete in time.
-    pub async fn call_whole(&self, call: HttpCall) -> Result<(StatusCode, Bytes), HttpError> {
-        let HttpCall { address, bound, .. } = call;
-        let whole = async {
+    pub async fn call_complete(&self, call: HttpCall) -> Result<(StatusCode, Bytes), HttpError> {
+        let HttpCall {
+            address, timeout, ..
+        } = call;
+        let exchange = async {
             let response = self.call(call).await?;
             let status = response.status();
             let body = response
                 .into_body()
                 .into_bytes()
                 .await
-                .map_err(|_| HttpError::Body { address })?;
+                .map_err(|_| HttpError::TruncatedBody { address })?;
             Ok((status, body))
         };
-        tokio::time::timeout(bound, whole)
+        tokio::time::timeout(timeout, exchange)
             .await
-            .unwrap_or(Err(HttpError::Timeout { address, bound }))
+            .unwrap_or(Err(HttpError::Timeout { address, timeout }))
     }
 
     /// Sends a request and parses the JSON body of a successful response.
@@ -226,7 +234,7 @@
         call: HttpCall,
     ) -> Result<T, HttpError> {
         let address = call.address;
-        let (status, body) = self.call_whole(call).await?;
+        let (status, body) = self.call_complete(call).await?;
         if !status.is_success() {
             return Err(HttpError::Status { address, status });
         }
--- a/crates/catkinward/src/http_server.rs
+++ b/crates/catkinward/src/http_server.rs
@@ -12,14 +12,14 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Timeout for the headers of the first request on a new connection.
-const HEADERS_BOUND: Duration = Duration::from_secs(10);
+const HEADERS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Header size in bytes from which the connection is passed on to the HTTP library, which rejects
 /// longer headers.
-const HEADERS_LIMIT: usize = 16 * 1024;
+const MAX_HEADER_BYTES: usize = 16 * 1024;
 
 /// Maximum number of connections that wait for their first headers at the same time.
-const MOST_WAITING: usize = 1024;
+const MAX_PENDING_CONNECTIONS: usize = 1024;
 
 /// A bound listening socket, for [`volo_http::server::Server::run`].
 #[derive(Debug)]
@@ -84,7 +84,7 @@
 /// byte, or send nothing, would keep their connections open forever. Enough of them would use up all
 /// file descriptors, so that other callers could not connect.
 async fn accept_connections(listener: TcpListener, tx: mpsc::Sender<TcpStream>) {
-    let places = Arc::new(Semaphore::new(MOST_WAITING));
+    let permits = Arc::new(Semaphore::new(MAX_PENDING_CONNECTIONS));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -92,22 +92,22 @@
         };
         let stream = match accepted {
             Ok((stream, _)) => stream,
-            Err(fault) => {
-                tracing::warn!(%fault, "accept failed");
+            Err(error) => {
+                tracing::warn!(fault = %error, "accept failed");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
         // Disables Nagle's algorithm, which would delay small events.
         let _ = stream.set_nodelay(true);
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let tx = tx.clone();
         tokio::spawn(async move {
-            let waited = tokio::time::timeout(HEADERS_BOUND, wait_for_headers(&stream)).await;
-            drop(place);
-            if waited.is_ok_and(|came| came) {
+            let waited = tokio::time::timeout(HEADERS_TIMEOUT, wait_for_headers(&stream)).await;
+            drop(permit);
+            if waited.is_ok_and(|complete| complete) {
                 let _ = tx.send(stream).await;
             }
         });
@@ -118,12 +118,12 @@
 /// false if the peer has closed the connection.
 async fn wait_for_headers(stream: &TcpStream) -> bool {
     let mut buf = vec![0; 1024];
-    let mut pause = Duration::from_millis(1);
+    let mut delay = Duration::from_millis(1);
     loop {
         let Ok(count @ 1..) = stream.peek(&mut buf).await else {
             return false;
         };
-        if buf[..count].windows(4).any(|w| w == b"\r\n\r\n") || count >= HEADERS_LIMIT {
+        if buf[..count].windows(4).any(|w| w == b"\r\n\r\n") || count >= MAX_HEADER_BYTES {
             return true;
         }
         if count == buf.len() {
@@ -131,7 +131,7 @@
             continue;
         }
         // The data already in the buffer makes the next `peek` return at once, so wait first.
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(Duration::from_millis(100));
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(Duration::from_millis(100));
     }
 }
--- a/crates/catkinward/src/plain_api.rs
+++ b/crates/catkinward/src/plain_api.rs
@@ -24,15 +24,15 @@
             .map_err(|_| ProblemKind::BodyTooSlow)??;
         self.record(EventKind::Accepted, &call, call.service.as_str());
         let call = PlainCall { body, ..call };
-        let answer = call_plain(self.node.clone(), call.clone()).await;
-        match &answer {
-            Ok(answer) => self.record(EventKind::Whole, &call, answer.status.as_str()),
+        let response = call_plain(self.node.clone(), call.clone()).await;
+        match &response {
+            Ok(response) => self.record(EventKind::Whole, &call, response.status.as_str()),
             Err(problem) if problem.kind.outcome() != caller::Outcome::NotRun => {
                 self.record(EventKind::Failed, &call, problem.kind.into());
             }
             Err(_) => {}
         }
-        Ok(answer?.response())
+        Ok(response?.response())
     }
 
     fn accept_plain(
@@ -50,7 +50,7 @@
             return Err(ProblemKind::TeamNotAllowed.into());
         }
         let deadline = match parts.headers.get(DEADLINE_HEADER) {
-            Some(ms) => deadline(ms).ok_or(ProblemKind::Malformed)?,
+            Some(ms) => parse_deadline(ms).ok_or(ProblemKind::Malformed)?,
             None => service.deadline,
         };
         Ok(PlainCall {
@@ -79,6 +79,6 @@
     }
 }
 
-fn deadline(ms: &header::HeaderValue) -> Option<Duration> {
+fn parse_deadline(ms: &header::HeaderValue) -> Option<Duration> {
     ms.to_str().ok()?.parse().ok().map(Duration::from_millis)
 }
--- a/crates/catkinward/src/plain_call.rs
+++ b/crates/catkinward/src/plain_call.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{plain_headers::passed_on, problem::ProblemKind};
+use crate::{plain_headers::forwarded_headers, problem::ProblemKind};
 
 /// Header with which a caller forbids retries that the bundle allows. No header allows retries that
 /// the bundle forbids.
@@ -10,7 +10,7 @@
 pub(crate) const DEADLINE_HEADER: &str = "catkin-deadline-ms";
 
 /// Header with the idempotency key; a non-idempotent call with a key runs at most once.
-const KEY_HEADER: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// A call of a plain service; it does not change after its admission.
 #[derive(Clone, Debug)]
@@ -48,25 +48,25 @@
 
     /// Key of the calls that share one response. It covers everything that is forwarded except the
     /// deadline.
-    pub(crate) fn read_key(&self) -> CallKey {
+    pub(crate) fn coalescing_key(&self) -> CallKey {
         let headers = self
             .headers
             .iter()
             .filter(|(name, _)| *name != DEADLINE_HEADER)
             .flat_map(|(name, value)| [name.as_str().as_bytes(), value.as_bytes()]);
-        let parts = self.address_parts().into_iter().chain(headers);
+        let parts = self.target_parts().into_iter().chain(headers);
         CallKey::new(self.team.id.clone(), parts)
     }
 
     /// Key of the calls for the same item: team, service, method and path, without headers and body.
     pub(crate) fn item_key(&self) -> CallKey {
-        CallKey::new(self.team.id.clone(), self.address_parts())
+        CallKey::new(self.team.id.clone(), self.target_parts())
     }
 
     /// Digest of service, method, path and body. It detects that an idempotency key is reused for
     /// another call.
     pub(crate) fn digest(&self) -> RequestDigest {
-        let parts = self.address_parts().into_iter().chain([&*self.body]);
+        let parts = self.target_parts().into_iter().chain([&*self.body]);
         let mut bytes = Vec::with_capacity(self.body.len() + 256);
         for part in parts {
             bytes.extend((part.len() as u64).to_le_bytes());
@@ -75,7 +75,7 @@
         RequestDigest::of(&self.team.id, &bytes)
     }
 
-    fn address_parts(&self) -> [&[u8]; 3] {
+    fn target_parts(&self) -> [&[u8]; 3] {
         [
             self.service.as_str().as_bytes(),
             self.method.as_str().as_bytes(),
@@ -101,14 +101,14 @@
     path: &str,
     headers: &HeaderMap,
 ) -> bool {
-    let forbidden = headers
+    let retries_forbidden = headers
         .get_all(IDEMPOTENT_HEADER)
         .iter()
         .any(|value| value != "true");
-    !forbidden && is_plain_path(path) && kind.idempotent(method.as_str(), path)
+    !retries_forbidden && is_unambiguous_path(path) && kind.idempotent(method.as_str(), path)
 }
 
-fn is_plain_path(path: &str) -> bool {
+fn is_unambiguous_path(path: &str) -> bool {
     !path.contains(['%', '\\', ';'])
         && !path.contains("//")
         && path.split('/').all(|part| part != "." && part != "..")
@@ -116,7 +116,7 @@
 
 /// Returns the headers that are forwarded to the plain service.
 pub(crate) fn headers_for_upstream(headers: &HeaderMap) -> HeaderMap {
-    let mut headers = passed_on(headers);
+    let mut headers = forwarded_headers(headers);
     headers.remove(DEADLINE_HEADER);
     headers.remove(IDEMPOTENT_HEADER);
     headers
@@ -124,7 +124,7 @@
 
 /// Parses the idempotency key, if the caller sent one.
 pub(crate) fn idempotency_key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, ProblemKind> {
-    let mut keys = headers.get_all(KEY_HEADER).iter();
+    let mut keys = headers.get_all(IDEMPOTENCY_KEY_HEADER).iter();
     let Some(key) = keys.next() else {
         return Ok(None);
     };
--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -6,7 +6,7 @@
     admission_pool::Refusal,
     claims::{ClaimRequest, Claims, ResponseToRecord},
     plain_call::PlainCall,
-    plain_dispatch::{PlainDispatch, refused},
+    plain_dispatch::{PlainDispatch, refusal_problem},
     plain_response::PlainResponse,
     plain_send::{SendError, send},
     problem::{Problem, ProblemKind},
@@ -29,13 +29,13 @@
         // A claim costs a write of the table service and its release another one, so a call that would
         // be refused is refused before it is claimed.
         if let Err(refusal) = self.pool.check(&call.arrival()) {
-            return Err(refused(Queued::new(call), refusal));
+            return Err(refusal_problem(Queued::new(call), refusal));
         }
         let request = self.claim_request(&call, key);
         let digest = request.digest;
         let verdict = match claims.claim(request).await {
             ClaimVerdict::InProgress(found) => {
-                let left = self.until(call.deadline);
+                let left = self.time_until(call.deadline);
                 claims.wait_for_outcome(&digest, found, left).await
             }
             verdict => verdict,
@@ -49,7 +49,7 @@
                 self.dispatch_claimed(claims, claimed.with_request(call))
                     .await
             }
-            ClaimVerdict::Done(ClaimOutcome::Answered(answer)) => replay(&claims, answer).await,
+            ClaimVerdict::Done(ClaimOutcome::Answered(response)) => replay(&claims, response).await,
             ClaimVerdict::Done(ClaimOutcome::Unknown) => Err(ProblemKind::AnswerLost.into()),
             ClaimVerdict::InProgress(_) => Err(ProblemKind::KeyInUse.into()),
             ClaimVerdict::Conflict => Err(ProblemKind::KeyConflict.into()),
@@ -59,7 +59,7 @@
                     reason: RefusalReason::NotClaimed,
                     retry_after: Duration::ZERO,
                 };
-                Err(refused(Queued::new(call), refusal))
+                Err(refusal_problem(Queued::new(call), refusal))
             }
         }
     }
@@ -75,45 +75,45 @@
         let in_flight = self.node.drain.enter();
         let task = tokio::spawn(async move {
             let _in_flight = in_flight;
-            dispatch.settle(&claims, claimed).await
+            dispatch.dispatch_and_resolve(&claims, claimed).await
         });
         task.await.unwrap_or(Err(ProblemKind::AnswerLost.into()))
     }
 
-    async fn settle(
+    async fn dispatch_and_resolve(
         &self,
         claims: &Arc<Claims>,
         claimed: Claimed<PlainCall>,
     ) -> Result<PlainResponse, Problem> {
-        let mut place = match self.place(claimed.request()).await {
-            Ok(place) => place,
+        let mut slot = match self.acquire_slot(claimed.request()).await {
+            Ok(slot) => slot,
             Err(refusal) => {
                 let queued = Queued::new(claimed.request().clone());
                 claims.release(claimed.release());
-                return Err(refused(queued, refusal));
+                return Err(refusal_problem(queued, refusal));
             }
         };
-        let (call, held) = claimed.dispatch();
+        let (call, held_claim) = claimed.dispatch();
         let options = self.options(&call, true);
-        self.record(EventKind::Dispatched, &call, place.id());
+        self.record(EventKind::Dispatched, &call, slot.id());
         let dispatched = Queued::new(call).dispatch();
         let connections = &self.node.connections;
-        match send(connections, &mut place, dispatched.request(), options).await {
-            Ok(answer) => {
-                claims.record_response(held, to_record(&answer));
-                Ok(answer)
+        match send(connections, &mut slot, dispatched.request(), options).await {
+            Ok(response) => {
+                claims.record_response(held_claim, response_to_record(&response));
+                Ok(response)
             }
-            Err(fault) => {
-                match fault {
-                    SendError::NotRun(_) => claims.release(held),
-                    SendError::Lost | SendError::TooLarge => claims.record_unknown(held),
+            Err(error) => {
+                match error {
+                    SendError::NotRun(_) => claims.release(held_claim),
+                    SendError::Lost | SendError::TooLarge => claims.record_unknown(held_claim),
                 }
-                Err(self.failed(dispatched, fault))
+                Err(self.failure_problem(dispatched, error))
             }
         }
     }
 
-    async fn place(&self, call: &PlainCall) -> Result<SlotGuard, Refusal> {
+    async fn acquire_slot(&self, call: &PlainCall) -> Result<SlotGuard, Refusal> {
         let waiting = self.pool.offer(&call.arrival(), self.chooser(Vec::new()))?;
         waiting.wait_for_slot().await
     }
@@ -125,35 +125,35 @@
             digest: call.digest(),
             kind: ClaimKind::Call,
             request: call.id.clone(),
-            time_left: self.until(call.deadline),
+            time_left: self.time_until(call.deadline),
         }
     }
 }
 
-fn to_record(answer: &PlainResponse) -> ResponseToRecord {
-    let headers = answer.headers.iter().filter_map(|(name, value)| {
+fn response_to_record(response: &PlainResponse) -> ResponseToRecord {
+    let headers = response.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
         Some((name.as_str().into(), value.into()))
     });
     ResponseToRecord {
-        status: answer.status.as_u16(),
+        status: response.status.as_u16(),
         headers: headers.collect(),
-        body: answer.body.clone(),
+        body: response.body.clone(),
     }
 }
 
-async fn replay(claims: &Claims, answer: RecordedResponse) -> Result<PlainResponse, Problem> {
-    let body = match claims.response_body(&answer.body).await {
+async fn replay(claims: &Claims, response: RecordedResponse) -> Result<PlainResponse, Problem> {
+    let body = match claims.response_body(&response.body).await {
         Ok(Some(body)) => body,
         Ok(None) => return Err(ProblemKind::AnswerTooLarge.into()),
         Err(_) => return Err(ProblemKind::AnswerLost.into()),
     };
-    let headers = answer.headers.iter().filter_map(|(name, value)| {
+    let headers = response.headers.iter().filter_map(|(name, value)| {
         let name: header::HeaderName = name.parse().ok()?;
         Some((name, value.parse().ok()?))
     });
     Ok(PlainResponse {
-        status: StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK),
+        status: StatusCode::from_u16(response.status).unwrap_or(StatusCode::OK),
         headers: headers.collect(),
         body,
     })
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -23,43 +23,46 @@
     /// Dispatches a call that must not be retried, over a new connection. The server may have just
     /// closed a pooled connection, and an error on it would not show whether the call ran.
     pub(crate) async fn call_once(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
-        let (queued, mut place) = self.admitted(call).await?;
+        let (queued, mut slot) = self.admit(call).await?;
         let options = self.options(queued.request(), true);
         let dispatched = queued.dispatch();
-        self.record(EventKind::Dispatched, dispatched.request(), place.id());
+        self.record(EventKind::Dispatched, dispatched.request(), slot.id());
         let connections = &self.node.connections;
-        match send(connections, &mut place, dispatched.request(), options).await {
-            Ok(answer) => Ok(answer),
-            Err(fault) => Err(self.failed(dispatched, fault)),
+        match send(connections, &mut slot, dispatched.request(), options).await {
+            Ok(response) => Ok(response),
+            Err(error) => Err(self.failure_problem(dispatched, error)),
         }
     }
 
     /// Dispatches an idempotent call and retries it while the retry budget allows.
-    pub(crate) async fn call_repeatedly(&self, call: PlainCall) -> Result<PlainResponse, Problem> {
-        let (queued, mut place) = self.admitted(call).await?;
+    pub(crate) async fn call_with_retries(
+        &self,
+        call: PlainCall,
+    ) -> Result<PlainResponse, Problem> {
+        let (queued, mut slot) = self.admit(call).await?;
         let mut dispatched = queued.dispatch();
         let mut avoid = Vec::new();
         for sent in 1.. {
-            avoid.push(place.id().clone());
-            let fault = match self
-                .send_hedged(place, dispatched.request(), &mut avoid)
+            avoid.push(slot.id().clone());
+            let error = match self
+                .send_hedged(slot, dispatched.request(), &mut avoid)
                 .await
             {
-                Ok(answer) => {
+                Ok(response) => {
                     self.pool.retry_budget.lock().record_success();
-                    return Ok(answer);
+                    return Ok(response);
                 }
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            if !self.wait_for_retry(dispatched.request(), fault, sent).await {
-                return Err(self.failed(dispatched, fault));
+            if !self.wait_for_retry(dispatched.request(), error, sent).await {
+                return Err(self.failure_problem(dispatched, error));
             }
-            let Some(next) = self.place_again(&avoid) else {
-                return Err(self.failed(dispatched, fault));
+            let Some(next) = self.take_retry_slot(&avoid) else {
+                return Err(self.failure_problem(dispatched, error));
             };
-            place = next;
+            slot = next;
             self.pool.increment_counter("catkin_retries_total");
-            dispatched = match fault {
+            dispatched = match error {
                 SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                     Ok(queued) => queued.dispatch(),
                     Err(unknown) => unknown.dispatch_again(),
@@ -78,18 +81,18 @@
         });
     }
 
-    async fn admitted(&self, call: PlainCall) -> Result<(Queued<PlainCall>, SlotGuard), Problem> {
+    async fn admit(&self, call: PlainCall) -> Result<(Queued<PlainCall>, SlotGuard), Problem> {
         let queued = Queued::new(call);
         let waiting = match self
             .pool
             .offer(&queued.request().arrival(), self.chooser(Vec::new()))
         {
             Ok(waiting) => waiting,
-            Err(refusal) => return Err(refused(queued, refusal)),
+            Err(refusal) => return Err(refusal_problem(queued, refusal)),
         };
         match waiting.wait_for_slot().await {
-            Ok(place) => Ok((queued, place)),
-            Err(refusal) => Err(refused(queued, refusal)),
+            Ok(slot) => Ok((queued, slot)),
+            Err(refusal) => Err(refusal_problem(queued, refusal)),
         }
     }
 
@@ -97,91 +100,91 @@
     /// others. The slower of the two is cancelled by dropping it.
     async fn send_hedged(
         &self,
-        mut place: SlotGuard,
+        mut slot: SlotGuard,
         call: &PlainCall,
         avoid: &mut Vec<UpstreamId>,
     ) -> Result<PlainResponse, SendError> {
         let start = self.pool.timer.now();
-        self.record(EventKind::Dispatched, call, place.id());
+        self.record(EventKind::Dispatched, call, slot.id());
         let connections = &self.node.connections;
         let options = SendOptions {
             // Half of the remaining time, to leave time for a retry: a pooled connection may be dead
             // without notice.
-            bound: self.until(call.deadline) / 2,
+            timeout: self.time_until(call.deadline) / 2,
             ..self.options(call, false)
         };
-        let mut first = pin!(send(connections, &mut place, call, options));
-        let delay = self.pool.hedge.lock().delay().unwrap_or(options.bound);
+        let mut first = pin!(send(connections, &mut slot, call, options));
+        let delay = self.pool.hedge.lock().delay().unwrap_or(options.timeout);
         tokio::select! {
-            answer = &mut first => return self.observed(start, answer),
+            response = &mut first => return self.record_latency_on_success(start, response),
             () = tokio::time::sleep(delay) => {}
         }
-        let Some(mut second_place) = self.place_for_hedge(avoid) else {
-            let answer = first.await;
-            return self.observed(start, answer);
+        let Some(mut second_slot) = self.take_hedge_slot(avoid) else {
+            let response = first.await;
+            return self.record_latency_on_success(start, response);
         };
-        avoid.push(second_place.id().clone());
-        self.record(EventKind::Dispatched, call, second_place.id());
+        avoid.push(second_slot.id().clone());
+        self.record(EventKind::Dispatched, call, second_slot.id());
         let mut second = pin!(send(
             connections,
-            &mut second_place,
+            &mut second_slot,
             call,
             self.options(call, true)
         ));
-        let answer = tokio::select! {
-            answer = &mut first => either(answer, second).await,
-            answer = &mut second => either(answer, first).await,
+        let response = tokio::select! {
+            response = &mut first => first_success(response, second).await,
+            response = &mut second => first_success(response, first).await,
         };
-        self.observed(start, answer)
+        self.record_latency_on_success(start, response)
     }
 
-    fn observed(
+    fn record_latency_on_success(
         &self,
         start: Instant,
-        answer: Result<PlainResponse, SendError>,
+        response: Result<PlainResponse, SendError>,
     ) -> Result<PlainResponse, SendError> {
-        if answer.is_ok() {
+        if response.is_ok() {
             let latency = self.pool.timer.now().since(start);
             self.pool.hedge.lock().record_latency(latency);
         }
-        answer
+        response
     }
 
-    fn place_for_hedge(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
+    fn take_hedge_slot(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
         let choose = self.chooser(avoid.to_vec());
-        let place = self.pool.take_slot(Lane::Quick, false, choose)?;
+        let slot = self.pool.take_slot(Lane::Quick, false, choose)?;
         if !self.pool.hedge.lock().try_spend(true) {
             return None;
         }
         self.pool.increment_counter("catkin_hedges_total");
-        Some(place)
+        Some(slot)
     }
 
     /// Takes a slot for a retry, preferably on an upstream that has not failed this call.
-    fn place_again(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
-        let elsewhere = self.chooser(avoid.to_vec());
-        let anywhere = self.chooser(Vec::new());
-        let choose = |taken: &[UpstreamId]| elsewhere(taken).or_else(|| anywhere(taken));
+    fn take_retry_slot(&self, avoid: &[UpstreamId]) -> Option<SlotGuard> {
+        let other_upstream = self.chooser(avoid.to_vec());
+        let any_upstream = self.chooser(Vec::new());
+        let choose = |full: &[UpstreamId]| other_upstream(full).or_else(|| any_upstream(full));
         self.pool.take_slot(Lane::Quick, false, choose)
     }
 
-    async fn wait_for_retry(&self, call: &PlainCall, fault: SendError, sent: u32) -> bool {
-        if fault == SendError::TooLarge {
+    async fn wait_for_retry(&self, call: &PlainCall, error: SendError, sent: u32) -> bool {
+        if error == SendError::TooLarge {
             return false;
         }
-        let failed = FailedCall {
+        let failed_call = FailedCall {
             idempotent: call.idempotent,
-            not_run: matches!(fault, SendError::NotRun(_)),
+            not_run: matches!(error, SendError::NotRun(_)),
             sent,
             ..FailedCall::default()
         };
-        let paid = self
+        let retry = self
             .pool
             .retry_budget
             .lock()
-            .try_retry(failed, rand::random());
-        match paid {
-            Ok(wait) if wait < self.until(call.deadline) => {
+            .try_retry(failed_call, rand::random());
+        match retry {
+            Ok(wait) if wait < self.time_until(call.deadline) => {
                 tokio::time::sleep(wait).await;
                 true
             }
@@ -189,8 +192,12 @@
         }
     }
 
-    pub(crate) fn failed(&self, dispatched: Dispatched<PlainCall>, fault: SendError) -> Problem {
-        let kind = match fault {
+    pub(crate) fn failure_problem(
+        &self,
+        dispatched: Dispatched<PlainCall>,
+        error: SendError,
+    ) -> Problem {
+        let kind = match error {
             SendError::NotRun(evidence) => match dispatched.not_run(evidence) {
                 Ok(queued) => {
                     let reason = match evidence {
@@ -199,7 +206,7 @@
                     };
                     self.pool.count_refusal(reason);
                     let retry_after = Duration::ZERO;
-                    return refused(
+                    return refusal_problem(
                         queued,
                         Refusal {
                             reason,
@@ -218,20 +225,20 @@
     pub(crate) fn chooser(&self, avoid: Vec<UpstreamId>) -> ChooseUpstream {
         let upstreams = self.node.upstreams.clone();
         let service = self.pool.service.clone();
-        Box::new(move |taken| choose(&upstreams, &service, &avoid, taken))
+        Box::new(move |full| choose(&upstreams, &service, &avoid, full))
     }
 
-    pub(crate) fn options(&self, call: &PlainCall, fresh: bool) -> SendOptions {
-        let until_deadline = self.until(call.deadline);
+    pub(crate) fn options(&self, call: &PlainCall, new_connection: bool) -> SendOptions {
+        let until_deadline = self.time_until(call.deadline);
         SendOptions {
-            bound: until_deadline,
+            timeout: until_deadline,
             until_deadline,
-            fresh,
+            new_connection,
             limit: self.node.settings.body_limit,
         }
     }
 
-    pub(crate) fn until(&self, deadline: Instant) -> Duration {
+    pub(crate) fn time_until(&self, deadline: Instant) -> Duration {
         deadline.since(self.pool.timer.now())
     }
 }
@@ -240,34 +247,34 @@
     upstreams: &Upstreams,
     service: &ServiceId,
     avoid: &[UpstreamId],
-    taken: &[UpstreamId],
+    full: &[UpstreamId],
 ) -> Option<UpstreamHandle> {
-    let avoid = [avoid, taken].concat();
-    let want = UpstreamQuery {
+    let avoid = [avoid, full].concat();
+    let query = UpstreamQuery {
         avoid: &avoid,
         ..UpstreamQuery::new(service)
     };
-    upstreams.choose(&want).ok()
+    upstreams.choose(&query).ok()
 }
 
 /// Returns the first successful response of two hedged requests. If both fail, the error is
 /// [`SendError::NotRun`] only if neither request ran.
-async fn either(
+async fn first_success(
     first: Result<PlainResponse, SendError>,
     other: impl Future<Output = Result<PlainResponse, SendError>>,
 ) -> Result<PlainResponse, SendError> {
-    let fault = match first {
-        Ok(answer) => return Ok(answer),
-        Err(fault) => fault,
+    let error = match first {
+        Ok(response) => return Ok(response),
+        Err(error) => error,
     };
-    match (fault, other.await) {
-        (_, Ok(answer)) => Ok(answer),
+    match (error, other.await) {
+        (_, Ok(response)) => Ok(response),
         (SendError::NotRun(_), Err(other)) => Err(other),
-        (fault, Err(_)) => Err(fault),
+        (error, Err(_)) => Err(error),
     }
 }
 
-pub(crate) fn refused(queued: Queued<PlainCall>, refusal: Refusal) -> Problem {
+pub(crate) fn refusal_problem(queued: Queued<PlainCall>, refusal: Refusal) -> Problem {
     let not_run = queued.refuse(refusal.reason, refusal.retry_after);
     let id = not_run.request().id.clone();
     Problem {
--- a/crates/catkinward/src/plain_headers.rs
+++ b/crates/catkinward/src/plain_headers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Headers that apply to a single connection (hop-by-hop) or that the other side sets itself.
-const OF_ONE_CONNECTION: &[&str] = &[
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "host",
@@ -20,22 +20,22 @@
 /// Returns the headers of a request or response that are forwarded.
 ///
 /// The bearer key is not forwarded: a plain service that received it could make calls as that team.
-pub(crate) fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let named = named_by_connection(headers);
+pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let listed = listed_in_connection_header(headers);
     headers
         .iter()
         .filter(|(name, _)| {
-            !OF_ONE_CONNECTION.contains(&name.as_str())
+            !HOP_BY_HOP_HEADERS.contains(&name.as_str())
                 && **name != header::AUTHORIZATION
                 && *name != CLOCK_HEADER
-                && !named.iter().any(|other| name.as_str() == other)
+                && !listed.iter().any(|other| name.as_str() == other)
         })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
 /// Names of further hop-by-hop headers, which are listed in the `Connection` header.
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+fn listed_in_connection_header(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -4,7 +4,7 @@
 use crate::{
     http_client::HttpError,
     plain_call::{DEADLINE_HEADER, PlainCall},
-    plain_headers::passed_on,
+    plain_headers::forwarded_headers,
     plain_response::PlainResponse,
     slot_guard::SlotGuard,
 };
@@ -23,31 +23,31 @@
 /// Sends a call to the upstream of its slot and reads the complete response, up to the size limit.
 pub(crate) async fn send(
     connections: &Connections,
-    place: &mut SlotGuard,
+    slot: &mut SlotGuard,
     call: &PlainCall,
-    dispatch: SendOptions,
+    options: SendOptions,
 ) -> Result<PlainResponse, SendError> {
-    let bound = dispatch.bound;
+    let timeout = options.timeout;
     let http_call = HttpCall {
-        address: place.address(),
+        address: slot.address(),
         method: call.method.clone(),
         path: call.path.clone(),
-        headers: headers_with_deadline(call, dispatch.until_deadline),
+        headers: headers_with_deadline(call, options.until_deadline),
         body: call.body.clone(),
-        bound,
-        fresh: dispatch.fresh,
+        timeout,
+        new_connection: options.new_connection,
     };
-    let reading = read(connections, http_call, dispatch.limit);
-    let answer = tokio::time::timeout(bound, reading).await;
-    match answer {
-        Ok(Ok(answer)) => answered(place, answer),
-        Ok(Err(fault)) => {
-            place.record_failure();
-            Err(fault)
+    let response_read = read_response(connections, http_call, options.limit);
+    let response = tokio::time::timeout(timeout, response_read).await;
+    match response {
+        Ok(Ok(response)) => accept_response(slot, response),
+        Ok(Err(error)) => {
+            slot.record_failure();
+            Err(error)
         }
         Err(_) => {
-            place.record_failure();
-            place.record_overload();
+            slot.record_failure();
+            slot.record_overload();
             Err(SendError::Lost)
         }
     }
@@ -57,37 +57,40 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendOptions {
     /// Timeout until the response is complete.
-    pub(crate) bound: Duration,
+    pub(crate) timeout: Duration,
     /// Remaining time until the caller's deadline, which is sent to the upstream.
     pub(crate) until_deadline: Duration,
     /// Opens a new connection instead of using one of the pool.
-    pub(crate) fresh: bool,
+    pub(crate) new_connection: bool,
     /// Maximum size of the response body in bytes.
     pub(crate) limit: usize,
 }
 
-fn answered(place: &mut SlotGuard, answer: PlainResponse) -> Result<PlainResponse, SendError> {
-    if let Some(kind) = refusal_kind(&answer) {
+fn accept_response(
+    slot: &mut SlotGuard,
+    response: PlainResponse,
+) -> Result<PlainResponse, SendError> {
+    if let Some(kind) = refusal_kind(&response) {
         if kind == engine::EngineRefusalKind::Full {
-            place.record_overload();
+            slot.record_overload();
         }
-        place.record_refusal(kind);
+        slot.record_refusal(kind);
         return Err(SendError::NotRun(NotRunEvidence::UpstreamRefused));
     }
-    place.record_first_part();
-    place.record_response_start();
-    place.record_completion();
-    place.record_success();
-    Ok(answer)
+    slot.record_first_part();
+    slot.record_response_start();
+    slot.record_completion();
+    slot.record_success();
+    Ok(response)
 }
 
 /// Returns the kind of a refusal that states that the upstream did not run the call. Any other response,
 /// including one with the same status but another body, is the service's own and is forwarded.
-fn refusal_kind(answer: &PlainResponse) -> Option<engine::EngineRefusalKind> {
-    if answer.status != StatusCode::CONFLICT {
+fn refusal_kind(response: &PlainResponse) -> Option<engine::EngineRefusalKind> {
+    if response.status != StatusCode::CONFLICT {
         return None;
     }
-    let refusal: engine::EngineRefusal = serde_json::from_slice(&answer.body).ok()?;
+    let refusal: engine::EngineRefusal = serde_json::from_slice(&response.body).ok()?;
     matches!(
         refusal.kind,
         engine::EngineRefusalKind::Full | engine::EngineRefusalKind::Leaving
@@ -95,7 +98,7 @@
     .then_some(refusal.kind)
 }
 
-async fn read(
+async fn read_response(
     connections: &Connections,
     call: HttpCall,
     limit: usize,
@@ -103,28 +106,28 @@
     let response = connections
         .call(call)
         .await
-        .map_err(|fault| fault_of(&fault))?;
+        .map_err(|error| send_error(&error))?;
     let (parts, body) = response.into_parts();
     let body = http_body_util::Limited::new(body, limit);
     let body = http_body_util::BodyExt::collect(body).await;
     let body =
         body.map_err(
-            |fault| match fault.downcast::<http_body_util::LengthLimitError>() {
+            |error| match error.downcast::<http_body_util::LengthLimitError>() {
                 Ok(_) => SendError::TooLarge,
                 Err(_) => SendError::Lost,
             },
         )?;
     Ok(PlainResponse {
         status: parts.status,
-        headers: passed_on(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body: body.to_bytes(),
     })
 }
 
 /// A call is known not to have run only if no connection was opened. A request that failed on an open
 /// connection may have been received completely, whatever the error.
-fn fault_of(fault: &HttpError) -> SendError {
-    if fault.never_connected() {
+fn send_error(error: &HttpError) -> SendError {
+    if error.never_connected() {
         SendError::NotRun(NotRunEvidence::NoConnection)
     } else {
         SendError::Lost
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
     /// Timeout of a call.
-    pub bound: Duration,
+    pub timeout: Duration,
     /// Call limit for reads, scans, VM lists and fetched objects.
     pub reads: CallLimiterSettings,
     /// Call limit for transactions and stored objects.
@@ -27,7 +27,7 @@
 
 /// Minimum number of reads per second of a VM, regardless of the number of VMs: one for the bundle's
 /// row, and the rest for a lease and a claim.
-const LEAST_READS_PER_SECOND: u32 = 3;
+const MIN_READS_PER_SECOND: u32 = 3;
 
 impl PlatformSettings {
     /// Returns the settings of one VM if `vms` VMs share the platform.
@@ -35,7 +35,7 @@
     pub fn shared_by(vms: u32) -> Self {
         let vms = vms.max(1);
         let default = Self::default();
-        let reads = (READS_PER_SECOND / vms).max(LEAST_READS_PER_SECOND);
+        let reads = (READS_PER_SECOND / vms).max(MIN_READS_PER_SECOND);
         let second = Duration::from_secs(1);
         Self {
             reads: CallLimiterSettings {
@@ -56,7 +56,7 @@
 impl Default for PlatformSettings {
     fn default() -> Self {
         Self {
-            bound: Duration::from_secs(1),
+            timeout: Duration::from_secs(1),
             reads: CallLimiterSettings {
                 refill_interval: Duration::from_millis(10),
                 burst: 50,
@@ -77,14 +77,14 @@
     connections: Arc<Connections>,
     timer: Arc<Timer>,
     address: SocketAddr,
-    bound: Duration,
+    timeout: Duration,
     reads: Mutex<CallLimiter>,
     writes: Mutex<CallLimiter>,
 }
 
 /// Call limit that applies to a call.
 #[derive(Clone, Copy)]
-enum Budget {
+enum CallKind {
     Reads,
     Writes,
 }
@@ -103,34 +103,35 @@
                 connections,
                 timer,
                 address,
-                bound: cfg.bound,
+                timeout: cfg.timeout,
                 reads: Mutex::new(CallLimiter::new(cfg.reads)),
                 writes: Mutex::new(CallLimiter::new(cfg.writes)),
             }),
         };
         Self {
-            transact: client.call_of(|client, req| async move {
+            transact: client.platform_call(|client, req| async move {
                 let body = json_bytes(&req);
                 client
-                    .post(Budget::Writes, "/v1/table/transact", body)
+                    .post(CallKind::Writes, "/v1/table/transact", body)
                     .await
             }),
-            read: client.call_of(|client, keys| async move {
+            read: client.platform_call(|client, keys| async move {
                 let body = json_bytes(&platform_api::ReadRequest { keys });
                 client.rows("/v1/table/read", body).await
             }),
-            scan: client.call_of(|client, req| async move {
+            scan: client.platform_call(|client, req| async move {
                 client.rows("/v1/table/scan", json_bytes(&req)).await
             }),
-            put_object: client.call_of(|client, (name, body)| async move {
+            put_object: client.platform_call(|client, (name, body)| async move {
                 client.put_object(&name, body).await
             }),
-            get_object: client
-                .call_of(|client, name: Arc<str>| async move { client.get_object(&name).await }),
-            vms: client.call_of(|client, ()| async move {
+            get_object: client.platform_call(|client, name: Arc<str>| async move {
+                client.get_object(&name).await
+            }),
+            vms: client.platform_call(|client, ()| async move {
                 let call = client.http_call(Method::GET, "/v1/vms", Bytes::new());
-                let body = client.call(Budget::Reads, call).await?;
-                let list = parsed::<platform_api::VmList>(&body.unwrap_or_default())?;
+                let body = client.call(CallKind::Reads, call).await?;
+                let list = parse_reply::<platform_api::VmList>(&body.unwrap_or_default())?;
                 Ok(list.vms)
             }),
         }
@@ -138,7 +139,7 @@
 }
 
 impl PlatformClient {
-    fn call_of<Q, A, F>(&self, run: fn(Self, Q) -> F) -> PlatformCall<Q, A>
+    fn platform_call<Q, A, F>(&self, run: fn(Self, Q) -> F) -> PlatformCall<Q, A>
     where
         F: Future<Output = Result<A, PlatformError>> + Send + 'static,
         Q: 'static,
@@ -151,29 +152,29 @@
     }
 
     async fn rows(&self, path: &str, body: Bytes) -> Result<Vec<platform_api::Row>, PlatformError> {
-        let reply: platform_api::RowsReply = self.post(Budget::Reads, path, body).await?;
+        let reply: platform_api::RowsReply = self.post(CallKind::Reads, path, body).await?;
         Ok(reply.rows)
     }
 
     async fn post<T: serde::de::DeserializeOwned>(
         &self,
-        budget: Budget,
+        kind: CallKind,
         path: &str,
         body: Bytes,
     ) -> Result<T, PlatformError> {
         let call = self.http_call(Method::POST, path, body);
-        let body = self.call(budget, call).await?;
-        parsed(&body.unwrap_or_default())
+        let body = self.call(kind, call).await?;
+        parse_reply(&body.unwrap_or_default())
     }
 
     async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
         let call = self.http_call(Method::PUT, &object_path(name), body);
-        self.call(Budget::Writes, call).await.map(|_| ())
+        self.call(CallKind::Writes, call).await.map(|_| ())
     }
 
     async fn get_object(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
         let call = self.http_call(Method::GET, &object_path(name), Bytes::new());
-        self.call(Budget::Reads, call).await
+        self.call(CallKind::Reads, call).await
     }
 
     fn http_call(&self, method: Method, path: &str, body: Bytes) -> HttpCall {
@@ -182,49 +183,49 @@
             method,
             path: path.to_owned(),
             body,
-            bound: self.inner.bound,
+            timeout: self.inner.timeout,
             ..HttpCall::default()
         }
     }
 
     /// Makes a call if its limit allows. Returns `None` if the platform responds that the object or
     /// path does not exist.
-    async fn call(&self, budget: Budget, call: HttpCall) -> Result<Option<Bytes>, PlatformError> {
+    async fn call(&self, kind: CallKind, call: HttpCall) -> Result<Option<Bytes>, PlatformError> {
         let inner = &self.inner;
-        let budget = match budget {
-            Budget::Reads => &inner.reads,
-            Budget::Writes => &inner.writes,
+        let limiter = match kind {
+            CallKind::Reads => &inner.reads,
+            CallKind::Writes => &inner.writes,
         };
-        if !budget.lock().try_take(inner.timer.now()) {
-            count(Some(&PlatformError::OutOfBudget));
+        if !limiter.lock().try_take(inner.timer.now()) {
+            count_call(Some(&PlatformError::OutOfBudget));
             return Err(PlatformError::OutOfBudget);
         }
-        let answer = match inner.connections.call_whole(call).await {
-            Ok((status, body)) => of_status(status, body),
-            Err(error) => Err(of_error(&error)),
+        let result = match inner.connections.call_complete(call).await {
+            Ok((status, body)) => result_of_status(status, body),
+            Err(error) => Err(platform_error(&error)),
         };
-        count(answer.as_ref().err());
-        match &answer {
-            Ok(_) => budget.lock().record_answer(),
-            Err(fault) => {
-                tracing::debug!(%fault, "platform call failed");
-                budget
+        count_call(result.as_ref().err());
+        match &result {
+            Ok(_) => limiter.lock().record_answer(),
+            Err(error) => {
+                tracing::debug!(fault = %error, "platform call failed");
+                limiter
                     .lock()
                     .record_failure(inner.timer.now(), rand::random());
             }
         }
-        answer
+        result
     }
 }
 
-fn count(fault: Option<&PlatformError>) {
-    let result = fault.map_or("answered", Into::into);
+fn count_call(error: Option<&PlatformError>) {
+    let result = error.map_or("answered", Into::into);
     metrics::counter!("catkin_platform_calls_total", "result" => result).increment(1);
 }
 
 /// Converts a response. The platform sends 429, 503 and other client errors before a call has any
 /// effect; after any other failure status the effect is unknown.
-fn of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformError> {
+fn result_of_status(status: StatusCode, body: Bytes) -> Result<Option<Bytes>, PlatformError> {
     match status {
         StatusCode::NOT_FOUND => Ok(None),
         StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::Throttled),
@@ -235,7 +236,7 @@
     }
 }
 
-fn of_error(error: &HttpError) -> PlatformError {
+fn platform_error(error: &HttpError) -> PlatformError {
     if error.never_connected() {
         PlatformError::NotRun
     } else {
@@ -243,16 +244,16 @@
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatformError> {
+fn parse_reply<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PlatformError> {
     serde_json::from_slice(body).map_err(|_| PlatformError::Unknown)
 }
 
 /// Returns the path of an object. Names are opaque, so all bytes except ASCII letters, digits, `-`, `_`
 /// and `.` are percent-encoded.
 fn object_path(name: &str) -> String {
-    let plain = |b: &u8| b.is_ascii_alphanumeric() || b"-_.".contains(b);
+    let is_unreserved = |b: &u8| b.is_ascii_alphanumeric() || b"-_.".contains(b);
     let escaped = name.bytes().map(|b| {
-        if plain(&b) {
+        if is_unreserved(&b) {
             char::from(b).to_string()
         } else {
             format!("%{b:02X}")
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -44,7 +44,7 @@
             attempt,
             new_attempt: reserved.attempt(),
             from: self.generation.next_index(),
-            bound: REATTACH_TIMEOUT,
+            timeout: REATTACH_TIMEOUT,
         };
         let stream = engine_client::reattach(&self.node.connections, reattach).await;
         let stream = stream.inspect_err(|error| {
@@ -144,7 +144,7 @@
             attempt,
             new_attempt: attempt,
             from: self.generation.next_index(),
-            bound: REATTACH_TIMEOUT,
+            timeout: REATTACH_TIMEOUT,
         };
         engine_client::reattach(&self.node.connections, reattach).await
     }
--- a/crates/catkinward/src/service_registry.rs
+++ b/crates/catkinward/src/service_registry.rs
@@ -23,7 +23,7 @@
     ) -> Result<Arc<T>> {
         let mut services = self.services.write();
         match services.binary_search_by_key(&name, |(name, _)| *name) {
-            Ok(_) => Err(Error::ServiceTaken { name }),
+            Ok(_) => Err(Error::ServiceAlreadyRegistered { name }),
             Err(i) => {
                 services.insert(i, (name, service.clone()));
                 Ok(service)
@@ -44,7 +44,7 @@
         let service = services[i].1.clone();
         service
             .downcast()
-            .map_err(|_| Error::ServiceOfOtherType { name })
+            .map_err(|_| Error::ServiceTypeMismatch { name })
     }
 
     /// Registers a hook that [`ServiceRegistry::stop`] runs.
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -160,7 +160,7 @@
                 self.abandon_run();
                 self.probe().await;
             }
-            AttemptError::Http(HttpError::Call { .. } | HttpError::Body { .. })
+            AttemptError::Http(HttpError::Call { .. } | HttpError::TruncatedBody { .. })
             | AttemptError::Broken => {
                 self.record_failure();
                 self.probe().await;
--- a/crates/catkinward/src/upstream_observer.rs
+++ b/crates/catkinward/src/upstream_observer.rs
@@ -155,8 +155,8 @@
         let call = HttpCall {
             address: state.entry.address,
             path: "/v1/load".to_owned(),
-            bound: POLL_TIMEOUT,
-            fresh: state.poll_fresh.load(Ordering::Relaxed),
+            timeout: POLL_TIMEOUT,
+            new_connection: state.poll_fresh.load(Ordering::Relaxed),
             ..HttpCall::default()
         };
         let reply = self.connections.call_json(call).await;
@@ -181,8 +181,8 @@
     HttpCall {
         address,
         path: "/v1/load".to_owned(),
-        bound: CRASH_PROBE_TIMEOUT,
-        fresh: true,
+        timeout: CRASH_PROBE_TIMEOUT,
+        new_connection: true,
         ..HttpCall::default()
     }
 }
--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -356,7 +356,7 @@
     };
     let connections = Connections::new().expect("a client");
     connections
-        .call_whole(call)
+        .call_complete(call)
         .await
         .expect("a response of the platform");
 }
--- a/crates/catkinward/tests/fresh_connections.rs
+++ b/crates/catkinward/tests/fresh_connections.rs
@@ -56,10 +56,10 @@
         for _ in 0..25 {
             let call = HttpCall {
                 address,
-                fresh: true,
+                new_connection: true,
                 ..HttpCall::default()
             };
-            connections.call_whole(call).await.expect("a response");
+            connections.call_complete(call).await.expect("a response");
         }
     };
 
--- a/crates/catkinward/tests/operator_api.rs
+++ b/crates/catkinward/tests/operator_api.rs
@@ -44,7 +44,7 @@
             ..HttpCall::default()
         };
         let connections = Connections::new().expect("a client");
-        let (status, body) = connections.call_whole(call).await.expect("a response");
+        let (status, body) = connections.call_complete(call).await.expect("a response");
         (status, String::from_utf8(body.to_vec()).expect("text"))
     }
 
--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -162,8 +162,8 @@
         path: format!("/v1/services/shopfront/orders?item={i}"),
         headers,
         body: Bytes::from_static(b"order"),
-        bound: Duration::from_secs(5),
-        fresh: false,
+        timeout: Duration::from_secs(5),
+        new_connection: false,
     };
     let start = Instant::now();
     let received = match connections.call(call).await {
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -192,11 +192,11 @@
         let call = HttpCall {
             address: router,
             path: "/readyz".to_owned(),
-            bound: Duration::from_millis(300),
-            fresh: true,
+            timeout: Duration::from_millis(300),
+            new_connection: true,
             ..HttpCall::default()
         };
-        let answer = self.connections.call_whole(call).await;
+        let answer = self.connections.call_complete(call).await;
         answer.is_ok_and(|(status, _)| status.is_success())
     }
 
@@ -237,7 +237,7 @@
     pub async fn inject(&self, engine: usize, fault: ProxyFault) -> Result<(), LoadError> {
         let path = format!("/fault?route={engine}&kind={fault}");
         let call = control_call(self.proxy()?, Method::POST, path);
-        self.connections.call_whole(call).await?;
+        self.connections.call_complete(call).await?;
         Ok(())
     }
 
@@ -252,7 +252,7 @@
             let kind = ProxyFault::Delay;
             let path = format!("/fault?route={route}&kind={kind}&ms={ms}");
             let call = control_call(self.proxy()?, Method::POST, path);
-            self.connections.call_whole(call).await?;
+            self.connections.call_complete(call).await?;
         }
         Ok(())
     }
@@ -294,7 +294,7 @@
     /// If it does not answer.
     pub async fn fail_plain(&self, plain: SocketAddr, fault: PlainFault) -> Result<(), LoadError> {
         let call = control_call(plain, Method::POST, format!("/fault?kind={fault}"));
-        self.connections.call_whole(call).await?;
+        self.connections.call_complete(call).await?;
         Ok(())
     }
 
@@ -326,8 +326,8 @@
         address,
         method,
         path,
-        bound: CONTROL_BOUND,
-        fresh: true,
+        timeout: CONTROL_BOUND,
+        new_connection: true,
         ..HttpCall::default()
     }
 }
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -67,7 +67,7 @@
     ) -> QuickResult {
         let due = start + self.due;
         let call = self.http_call(address, through_router);
-        let end = match connections.call_whole(call).await {
+        let end = match connections.call_complete(call).await {
             Err(_) => QuickEnd::Lost,
             Ok((status, body)) if status.is_success() => {
                 match serde_json::from_slice::<PlainResponse>(&body) {
@@ -109,7 +109,7 @@
             },
             path: format!("{service}/items?{}", self.query),
             headers,
-            bound: DEADLINE + LATE,
+            timeout: DEADLINE + LATE,
             ..HttpCall::default()
         }
     }
--- a/crates/load/tests/router_support/mod.rs
+++ b/crates/load/tests/router_support/mod.rs
@@ -150,8 +150,8 @@
             path: format!("/v1/services/{service}/{}", call.path),
             headers,
             body: Bytes::from_static(call.body.as_bytes()),
-            bound: Duration::from_secs(20),
-            fresh: false,
+            timeout: Duration::from_secs(20),
+            new_connection: false,
         };
         self.read(http_call).await
     }
@@ -168,8 +168,8 @@
             path: "/v1/completions".to_owned(),
             headers,
             body: json_bytes(request),
-            bound: Duration::from_secs(20),
-            fresh: true,
+            timeout: Duration::from_secs(20),
+            new_connection: true,
         };
         self.read(http_call).await
     }
--- a/crates/standins/examples/lease_rate.rs
+++ b/crates/standins/examples/lease_rate.rs
@@ -40,7 +40,7 @@
             body: json_bytes(&list(vms)),
             ..HttpCall::default()
         };
-        connections.call_whole(call).await?;
+        connections.call_complete(call).await?;
     }
     let mut kept = Vec::new();
     for i in 0..vms {
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -72,8 +72,8 @@
             path: "/v1/completions".to_owned(),
             headers,
             body: json_bytes(request),
-            bound: HEADERS_BOUND,
-            fresh: true,
+            timeout: HEADERS_BOUND,
+            new_connection: true,
         };
         let response = self.connections.call(call).await?;
         if !response.status().is_success() {
@@ -112,7 +112,7 @@
             path: "/readyz".to_owned(),
             ..HttpCall::default()
         };
-        let (_, body) = self.connections.call_whole(call).await?;
+        let (_, body) = self.connections.call_complete(call).await?;
         let text = String::from_utf8_lossy(&body);
         let peers = text.lines().find_map(|line| line.strip_prefix("peers "));
         Ok(peers
--- a/crates/standins/src/upstream_probe.rs
+++ b/crates/standins/src/upstream_probe.rs
@@ -9,7 +9,7 @@
     let call = HttpCall {
         address,
         path: "/v1/load".to_owned(),
-        fresh: true,
+        new_connection: true,
         ..HttpCall::default()
     };
     Ok(Connections::new()?.call_json(call).await?)
--- a/crates/standins/tests/plain_server.rs
+++ b/crates/standins/tests/plain_server.rs
@@ -26,7 +26,7 @@
         method: Method::POST,
         path: "/jobs".to_owned(),
         body: Bytes::from_static(body.as_bytes()),
-        bound: Duration::from_millis(300),
+        timeout: Duration::from_millis(300),
         ..HttpCall::default()
     };
     let connections = Connections::new().expect("a client");
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -23,7 +23,7 @@
 fn client(address: SocketAddr) -> Platform {
     let connections = Arc::new(Connections::new().expect("a client"));
     let cfg = PlatformSettings {
-        bound: Duration::from_millis(300),
+        timeout: Duration::from_millis(300),
         writes: CallLimiterSettings {
             failures_before_backoff: 100,
             ..CallLimiterSettings::default()
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -253,7 +253,7 @@
         ..HttpCall::default()
     };
     let connections = Connections::new().expect("a client");
-    let (status, _) = connections.call_whole(call).await.expect("an answer");
+    let (status, _) = connections.call_complete(call).await.expect("an answer");
     assert_that!(status.is_success(), eq(true));
 }
 
