--- a/crates/catkinward/src/caller_api.rs
+++ b/crates/catkinward/src/caller_api.rs
@@ -3,7 +3,7 @@
     event_stream::event_stream,
     generation::GenerationOutcome,
     generation_driver,
-    generation_lookup::find_or_begin,
+    generation_lookup::find_or_create,
     generation_request::GenerationRequest,
     http_client::json_bytes,
     metrics_endpoint::metrics_response,
@@ -181,7 +181,7 @@
         {
             return Ok(running);
         }
-        let generation = find_or_begin(&self.node, request, resume_point).await?;
+        let generation = find_or_create(&self.node, request, resume_point).await?;
         self.begin(generation, team)
     }
 
--- a/crates/catkinward/src/ctl.rs
+++ b/crates/catkinward/src/ctl.rs
@@ -34,9 +34,9 @@
         CtlCommand::Explain(files) => ctl_explain::run(settings.query.request.as_ref(), &files),
         CtlCommand::Status => ctl_status::run(settings, &vms(settings)?).await,
         CtlCommand::Timeline => ctl_timeline::run(settings, &vms(settings)?).await,
-        step => {
+        command => {
             let platform = platform(settings.platform()?)?;
-            CtlBundle::new(platform, settings).run(step).await
+            CtlBundle::new(platform, settings).run(command).await
         }
     }
 }
--- a/crates/catkinward/src/ctl_bundle.rs
+++ b/crates/catkinward/src/ctl_bundle.rs
@@ -10,9 +10,9 @@
 use std::{fmt::Write, num::NonZeroU32, path::Path};
 
 /// Number of releases that `bundle history` shows.
-const HISTORY: NonZeroU32 = NonZeroU32::new(20).expect("not zero");
+const HISTORY_LENGTH: NonZeroU32 = NonZeroU32::new(20).expect("not zero");
 
-const SETTLED: &str =
+const CONFIRMED_NOTICE: &str =
     "the platform's response was lost; reading back confirms that the change took effect\n";
 
 /// Runs the `bundle` commands and formats their results for the operator.
@@ -51,8 +51,8 @@
     /// # Errors
     ///
     /// Returns an error if the command is refused or the platform does not respond.
-    pub(crate) async fn run(&self, step: CtlCommand) -> Result<String> {
-        match step {
+    pub(crate) async fn run(&self, command: CtlCommand) -> Result<String> {
+        match command {
             CtlCommand::Propose(file) => self.propose(&file).await,
             CtlCommand::SignOff(draft) => self.sign_off(&draft).await,
             CtlCommand::RollOut(draft) => self.roll_out(&draft).await,
@@ -70,7 +70,7 @@
         Ok(format!(
             "{}draft {id} based on version {}, digest {digest}\n\
              another operator signs it off with `catkinctl bundle sign-off {id}`\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
             id.base,
         ))
     }
@@ -87,7 +87,7 @@
         Ok(format!(
             "{}{changes}draft {id} is signed off by {operator}, digest {digest}\n\
              it is rolled out with `catkinctl bundle roll-out {id}`\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
         ))
     }
 
@@ -95,7 +95,7 @@
         let applied = self.store.roll_out(id, self.author()?).await?;
         Ok(format!(
             "{}version {} is rolled out\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
             applied.value,
         ))
     }
@@ -104,7 +104,7 @@
         let applied = self.store.roll_back(version, self.author()?).await?;
         Ok(format!(
             "{}version {} is rolled out, with the content of version {version}\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
             applied.value,
         ))
     }
@@ -112,7 +112,7 @@
     async fn diff(&self, a: &BundleReference, b: &BundleReference) -> Result<String> {
         let (a, b) = (self.content(a).await?, self.content(b).await?);
         Ok(match bundle_diff(&a, &b) {
-            same if same.is_empty() => "the contents are identical\n".to_owned(),
+            changes if changes.is_empty() => "the contents are identical\n".to_owned(),
             changes => changes,
         })
     }
@@ -149,7 +149,7 @@
     }
 
     async fn history(&self) -> Result<String> {
-        let releases = self.store.history(HISTORY).await?;
+        let releases = self.store.history(HISTORY_LENGTH).await?;
         let lines = releases
             .iter()
             .map(|release| describe(release) + "\n")
@@ -202,8 +202,12 @@
         .expect("hexadecimal digits are visible ASCII")
 }
 
-fn confirmation_note(confirmed_by_read: bool) -> &'static str {
-    if confirmed_by_read { SETTLED } else { "" }
+fn confirmation_notice(confirmed_by_read: bool) -> &'static str {
+    if confirmed_by_read {
+        CONFIRMED_NOTICE
+    } else {
+        ""
+    }
 }
 
 fn describe(release: &BundleRelease) -> String {
--- a/crates/catkinward/src/ctl_explain.rs
+++ b/crates/catkinward/src/ctl_explain.rs
@@ -6,7 +6,7 @@
 
 /// Lines about a request's upstreams and processes are shown from this long before its first line
 /// until this long after its last one.
-const AROUND: Duration = Duration::from_secs(2);
+const CONTEXT_WINDOW: Duration = Duration::from_secs(2);
 
 /// A parsed log line.
 struct LogLine {
@@ -21,15 +21,15 @@
 pub(crate) fn run(request: Option<&RequestId>, files: &[PathBuf]) -> Result<String> {
     let request = request.ok_or(Error::CtlRequestAbsent)?;
     let mut lines = Vec::new();
-    let mut unread = 0;
+    let mut unparsed = 0;
     for path in files {
-        unread += read_log(path, &mut lines)?;
+        unparsed += read_log(path, &mut lines)?;
     }
     lines.sort_by_key(|line| line.micros);
     let mut text = explain(request.as_str(), &lines);
-    if unread > 0 {
-        let note = format!("{unread} lines are not JSON with a timestamp and were skipped\n");
-        text.push_str(&note);
+    if unparsed > 0 {
+        let notice = format!("{unparsed} lines are not JSON with a timestamp and were skipped\n");
+        text.push_str(&notice);
     }
     Ok(text)
 }
@@ -45,17 +45,17 @@
         .unwrap_or_default()
         .to_string_lossy()
         .into();
-    let mut unread = 0;
+    let mut unparsed = 0;
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
-        match read_line(line, &file) {
+        match parse_line(line, &file) {
             Some(line) => lines.push(line),
-            None => unread += 1,
+            None => unparsed += 1,
         }
     }
-    Ok(unread)
+    Ok(unparsed)
 }
 
-fn read_line(line: &str, file: &Arc<str>) -> Option<LogLine> {
+fn parse_line(line: &str, file: &Arc<str>) -> Option<LogLine> {
     // A log collector may prepend a prefix to the line.
     let json = &line[line.find('{')?..];
     let fields: Value = serde_json::from_str(json).ok()?;
@@ -69,46 +69,49 @@
 }
 
 fn explain(request: &str, lines: &[LogLine]) -> String {
-    let own = lines
+    let request_lines = lines
         .iter()
         .filter(|line| line.text("request") == request)
         .collect::<Vec<_>>();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
+    let (Some(first), Some(last)) = (request_lines.first(), request_lines.last()) else {
         return format!("no log line mentions the request {request}\n");
     };
-    let around = u64::try_from(AROUND.as_micros()).unwrap_or(u64::MAX);
-    let span = first.micros.saturating_sub(around)..=last.micros.saturating_add(around);
-    let upstreams = own
+    let context = u64::try_from(CONTEXT_WINDOW.as_micros()).unwrap_or(u64::MAX);
+    let span = first.micros.saturating_sub(context)..=last.micros.saturating_add(context);
+    let upstreams = request_lines
         .iter()
         .map(|line| line.text("upstream"))
         .collect::<Vec<_>>();
-    let concerns = |line: &&LogLine| {
-        let of_upstream = !line.text("upstream").is_empty()
+    let is_relevant = |line: &&LogLine| {
+        let about_upstream = !line.text("upstream").is_empty()
             && line.text("request").is_empty()
             && upstreams.contains(&line.text("upstream"));
-        let of_process = line.is_of_process() && own.iter().any(|own| own.file == line.file);
+        let about_process =
+            line.is_process_event() && request_lines.iter().any(|other| other.file == line.file);
         line.text("request") == request
-            || (span.contains(&line.micros) && (of_upstream || of_process))
+            || (span.contains(&line.micros) && (about_upstream || about_process))
     };
     let mut text = String::new();
-    for line in lines.iter().filter(concerns) {
-        text.push_str(&line.show(first.micros));
+    for line in lines.iter().filter(is_relevant) {
+        text.push_str(&line.format_line(first.micros));
     }
-    text.extend(["cause: ", &cause(&own, lines), "\n"]);
+    text.extend(["cause: ", &cause(&request_lines, lines), "\n"]);
     text
 }
 
 /// Determines the cause of a request's outcome from its log lines, as text for the operator.
-fn cause(own: &[&LogLine], all: &[LogLine]) -> String {
-    let last = own.last().expect("`explain` passes at least one line");
-    let losses = own
+fn cause(request_lines: &[&LogLine], all: &[LogLine]) -> String {
+    let last = request_lines
+        .last()
+        .expect("`explain` passes at least one line");
+    let lost_runs = request_lines
         .iter()
         .filter(|line| line.message() == "run of a stream lost");
-    let losses = losses.collect::<Vec<_>>();
-    let loss = losses.last().map_or_else(String::new, |line| {
+    let lost_runs = lost_runs.collect::<Vec<_>>();
+    let lost = lost_runs.last().map_or_else(String::new, |line| {
         format!(
             "; the last of {} lost runs was on {} ({})",
-            losses.len(),
+            lost_runs.len(),
             line.text("upstream"),
             line.text("loss")
         )
@@ -121,11 +124,11 @@
             } else {
                 format!(", {reason}")
             };
-            let failed = own
+            let failed_call = request_lines
                 .iter()
                 .rev()
                 .find(|line| line.message() == "call failed");
-            let failed = failed.map_or_else(String::new, |line| {
+            let failed_call = failed_call.map_or_else(String::new, |line| {
                 format!(
                     "; {} failed the call ({})",
                     line.text("upstream"),
@@ -133,36 +136,39 @@
                 )
             });
             format!(
-                "answered by the VM itself: {}{reason}{failed}{loss}",
+                "answered by the VM itself: {}{reason}{failed_call}{lost}",
                 last.text("outcome")
             )
         }
-        "caller left" => format!("the caller disconnected before the response was complete{loss}"),
-        "stream cut" => format!("cut: {}{loss}", last.text("cut")),
+        "caller left" => format!("the caller disconnected before the response was complete{lost}"),
+        "stream cut" => format!("cut: {}{lost}", last.text("cut")),
         "answered" => format!(
             "answered by the upstream with status {}",
             last.fields["status"]
         ),
-        "stream whole" if losses.is_empty() => "complete, no run was lost".to_owned(),
+        "stream whole" if lost_runs.is_empty() => "complete, no run was lost".to_owned(),
         "stream whole" => {
-            let pauses = own.iter().filter(|line| line.message() == "stream resumed");
-            let longest = pauses.filter_map(|line| line.fields["ms"].as_u64()).max();
+            let resumes = request_lines
+                .iter()
+                .filter(|line| line.message() == "stream resumed");
+            let longest = resumes.filter_map(|line| line.fields["ms"].as_u64()).max();
             format!(
-                "complete, the longest resume took {} ms{loss}",
+                "complete, the longest resume took {} ms{lost}",
                 longest.unwrap_or(0)
             )
         }
-        _ => unfinished(last, all),
+        _ => cause_without_outcome(last, all),
     }
 }
 
 /// Determines the cause for a request whose lines end without an outcome.
-fn unfinished(last: &LogLine, all: &[LogLine]) -> String {
-    let mut after = all
+fn cause_without_outcome(last: &LogLine, all: &[LogLine]) -> String {
+    let mut later_lines = all
         .iter()
         .filter(|line| line.file == last.file && line.micros >= last.micros);
-    let process = after.find(|line| matches!(line.message(), "start" | "shutdown cut calls"));
-    match process.map(LogLine::message) {
+    let process_event =
+        later_lines.find(|line| matches!(line.message(), "start" | "shutdown cut calls"));
+    match process_event.map(LogLine::message) {
         Some("shutdown cut calls") => {
             "aborted when the drain grace period of its process ended".to_owned()
         }
@@ -180,7 +186,7 @@
         self.text("message")
     }
 
-    fn is_of_process(&self) -> bool {
+    fn is_process_event(&self) -> bool {
         matches!(
             self.message(),
             "start"
@@ -195,13 +201,13 @@
 
     /// Formats the line for display: milliseconds since the request's first line, file, message and
     /// fields.
-    fn show(&self, start: u64) -> String {
+    fn format_line(&self, start: u64) -> String {
         let sign = if self.micros < start { '-' } else { '+' };
         let ms = self.micros.abs_diff(start) / 1000;
         let mut text = format!("{sign}{ms:>6} ms  {}  {}", self.file, self.message());
-        let left_out = ["timestamp", "level", "message", "target", "request"];
+        let omitted = ["timestamp", "level", "message", "target", "request"];
         for (name, value) in self.fields.as_object().into_iter().flatten() {
-            if !left_out.contains(&name.as_str()) {
+            if !omitted.contains(&name.as_str()) {
                 let value = value
                     .as_str()
                     .map_or_else(|| value.to_string(), ToOwned::to_owned);
--- a/crates/catkinward/src/ctl_settings.rs
+++ b/crates/catkinward/src/ctl_settings.rs
@@ -86,10 +86,10 @@
 }
 
 /// Flags that can also be set by an environment variable.
-const CTL_VARIABLES: &[&str] = &["operator", "platform", "timeout-ms"];
+const FLAGS_WITH_VARIABLE: &[&str] = &["operator", "platform", "timeout-ms"];
 
 /// Flags that can be set on the command line only.
-const CTL_FLAGS: &[&str] = &["request", "since", "upstream", "vm"];
+const COMMAND_LINE_FLAGS: &[&str] = &["request", "since", "upstream", "vm"];
 
 impl CtlSettings {
     /// Parses the command line and the environment variables that `variable` looks up.
@@ -105,14 +105,14 @@
             key: variable("CATKINCTL_KEY"),
             ..Self::default()
         };
-        for flag in CTL_VARIABLES {
-            if let Some(value) = variable(&ctl_variable(flag)) {
+        for flag in FLAGS_WITH_VARIABLE {
+            if let Some(value) = variable(&variable_name(flag)) {
                 settings.set(flag, &value)?;
             }
         }
-        let mut words = Vec::new();
+        let mut arguments = Vec::new();
         let mut parser = lexopt::Parser::from_args(args);
-        while let Some(arg) = parser.next().map_err(ctl_flag)? {
+        while let Some(arg) = parser.next().map_err(flag_error)? {
             match arg {
                 lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => {
                     return Ok((settings, CtlCommand::Help));
@@ -120,17 +120,17 @@
                 lexopt::Arg::Long("version") => return Ok((settings, CtlCommand::Version)),
                 lexopt::Arg::Long("json") => settings.json = true,
                 lexopt::Arg::Long(flag) => {
-                    let known = CTL_VARIABLES.iter().chain(CTL_FLAGS);
+                    let known = FLAGS_WITH_VARIABLE.iter().chain(COMMAND_LINE_FLAGS);
                     let flag = known.copied().find(|known| *known == flag);
-                    let flag = flag.ok_or_else(|| ctl_flag(arg.unexpected()))?;
-                    let value = parser.value().map_err(ctl_flag)?;
+                    let flag = flag.ok_or_else(|| flag_error(arg.unexpected()))?;
+                    let value = parser.value().map_err(flag_error)?;
                     settings.set(flag, &value.to_string_lossy())?;
                 }
-                lexopt::Arg::Value(word) => words.push(word.to_string_lossy().into_owned()),
-                lexopt::Arg::Short(_) => return Err(ctl_flag(arg.unexpected())),
+                lexopt::Arg::Value(text) => arguments.push(text.to_string_lossy().into_owned()),
+                lexopt::Arg::Short(_) => return Err(flag_error(arg.unexpected())),
             }
         }
-        Ok((settings, command(words)?))
+        Ok((settings, parse_command(arguments)?))
     }
 
     fn set(&mut self, flag: &'static str, value: &str) -> Result<()> {
@@ -140,7 +140,7 @@
             "operator" => self.operator = Some(parse(flag, name, value)?),
             "platform" => self.platform = Some(parse(flag, address, value)?),
             "request" => self.query.request = Some(parse(flag, name, value)?),
-            "since" => self.query.since = Some(since(value)?),
+            "since" => self.query.since = Some(parse_since(value)?),
             "timeout-ms" => {
                 let ms = parse(flag, "a number of milliseconds", value)?;
                 self.timeout = Duration::from_millis(ms);
@@ -158,7 +158,7 @@
     ///
     /// Returns an error if it is not set.
     pub(crate) fn platform(&self) -> Result<SocketAddr> {
-        self.platform.ok_or_else(|| absent("platform"))
+        self.platform.ok_or_else(|| missing_setting("platform"))
     }
 
     /// Returns the operator's name.
@@ -167,7 +167,9 @@
     ///
     /// Returns an error if it is not set.
     pub(crate) fn operator(&self) -> Result<OperatorName> {
-        self.operator.clone().ok_or_else(|| absent("operator"))
+        self.operator
+            .clone()
+            .ok_or_else(|| missing_setting("operator"))
     }
 
     /// Returns the bearer key for the operator API.
@@ -180,57 +182,60 @@
     }
 }
 
-fn command(words: Vec<String>) -> Result<CtlCommand> {
-    let mut words = words.into_iter();
-    let first = words.next().ok_or(Error::CtlCommandAbsent)?;
-    let name = match (first.as_str(), words.next()) {
+fn parse_command(arguments: Vec<String>) -> Result<CtlCommand> {
+    let mut arguments = arguments.into_iter();
+    let first = arguments.next().ok_or(Error::CtlCommandAbsent)?;
+    let name = match (first.as_str(), arguments.next()) {
         ("bundle", Some(second)) => format!("bundle {second}"),
         ("explain", Some(file)) => {
-            let files = std::iter::once(file).chain(words).map(PathBuf::from);
+            let files = std::iter::once(file).chain(arguments).map(PathBuf::from);
             return Ok(CtlCommand::Explain(files.collect()));
         }
         (_, Some(extra)) => return Err(Error::CtlArgumentExtra { argument: extra }),
         (_, None) => first,
     };
-    let mut next = |argument: &'static str| {
-        let absent = Error::CtlArgumentAbsent {
+    let mut next_argument = |argument: &'static str| {
+        let missing = Error::CtlArgumentAbsent {
             command: name.clone(),
             argument,
         };
-        words.next().ok_or(absent)
+        arguments.next().ok_or(missing)
     };
     let command = match name.as_str() {
-        "explain" => CtlCommand::Explain(vec![next("FILE")?.into()]),
-        "bundle check" => CtlCommand::Check(next("FILE")?.into()),
-        "bundle propose" => CtlCommand::Propose(next("FILE")?.into()),
-        "bundle sign-off" => CtlCommand::SignOff(next("DRAFT")?.parse()?),
-        "bundle roll-out" => CtlCommand::RollOut(next("DRAFT")?.parse()?),
-        "bundle roll-back" => CtlCommand::RollBack(next("VERSION")?.parse()?),
-        "bundle diff" => CtlCommand::Diff(reference(next("A")?), reference(next("B")?)),
+        "explain" => CtlCommand::Explain(vec![next_argument("FILE")?.into()]),
+        "bundle check" => CtlCommand::Check(next_argument("FILE")?.into()),
+        "bundle propose" => CtlCommand::Propose(next_argument("FILE")?.into()),
+        "bundle sign-off" => CtlCommand::SignOff(next_argument("DRAFT")?.parse()?),
+        "bundle roll-out" => CtlCommand::RollOut(next_argument("DRAFT")?.parse()?),
+        "bundle roll-back" => CtlCommand::RollBack(next_argument("VERSION")?.parse()?),
+        "bundle diff" => CtlCommand::Diff(
+            parse_reference(next_argument("A")?),
+            parse_reference(next_argument("B")?),
+        ),
         "bundle status" => CtlCommand::BundleStatus,
         "bundle history" => CtlCommand::History,
         "status" => CtlCommand::Status,
         "timeline" => CtlCommand::Timeline,
         _ => return Err(Error::CtlCommandUnknown { command: name }),
     };
-    match words.next() {
+    match arguments.next() {
         Some(argument) => Err(Error::CtlArgumentExtra { argument }),
         None => Ok(command),
     }
 }
 
-fn reference(word: String) -> BundleReference {
-    if let Ok(version) = word.parse() {
+fn parse_reference(text: String) -> BundleReference {
+    if let Ok(version) = text.parse() {
         return BundleReference::Version(version);
     }
-    match word.parse() {
+    match text.parse() {
         Ok(draft) => BundleReference::Draft(draft),
-        Err(_) => BundleReference::File(word.into()),
+        Err(_) => BundleReference::File(text.into()),
     }
 }
 
 /// Parses a clock reading, or an age that is subtracted from the current wall-clock time.
-fn since(value: &str) -> Result<HybridTime> {
+fn parse_since(value: &str) -> Result<HybridTime> {
     if let Ok(time) = value.parse() {
         return Ok(time);
     }
@@ -240,9 +245,9 @@
         expected,
         value: value.to_owned(),
     })?;
-    let then = process_clock::wall().saturating_sub(age);
+    let wall_time = process_clock::wall().saturating_sub(age);
     Ok(HybridTime {
-        micros: u64::try_from(then.as_micros()).unwrap_or(u64::MAX),
+        micros: u64::try_from(wall_time.as_micros()).unwrap_or(u64::MAX),
         count: 0,
     })
 }
@@ -255,17 +260,17 @@
     })
 }
 
-fn ctl_variable(flag: &str) -> String {
+fn variable_name(flag: &str) -> String {
     format!("CATKINCTL_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-fn ctl_flag(source: lexopt::Error) -> Error {
+fn flag_error(source: lexopt::Error) -> Error {
     Error::CtlFlag { source }
 }
 
-fn absent(flag: &'static str) -> Error {
+fn missing_setting(flag: &'static str) -> Error {
     Error::SettingAbsent {
         flag,
-        variable: ctl_variable(flag),
+        variable: variable_name(flag),
     }
 }
--- a/crates/catkinward/src/ctl_status.rs
+++ b/crates/catkinward/src/ctl_status.rs
@@ -13,23 +13,27 @@
 
 /// Queries all VMs for their status and formats the replies.
 pub(crate) async fn run(settings: &CtlSettings, vms: &CtlVms) -> Result<String> {
-    let answers = vms.ask::<operator::StatusReply>("/v1/status").await?;
+    let replies = vms.query::<operator::StatusReply>("/v1/status").await?;
     if settings.json {
         let output = StatusOutput {
-            vms: answers.answers,
-            missing: answers.missing,
+            vms: replies.replies,
+            missing: replies.missing,
         };
         return Ok(json_line(&output));
     }
-    let lines = answers.answers.iter().map(status_line);
+    let lines = replies.replies.iter().map(status_line);
     let mut text = lines.collect::<String>();
-    text.push_str(&missing_lines(&answers.missing));
+    text.push_str(&missing_lines(&replies.missing));
     Ok(text)
 }
 
 fn status_line(status: &operator::StatusReply) -> String {
     let bundle = match &status.bundle_digest {
-        Some(digest) => format!("bundle {} {}", status.bundle_version, short(digest)),
+        Some(digest) => format!(
+            "bundle {} {}",
+            status.bundle_version,
+            shorten_digest(digest)
+        ),
         None => "no bundle".to_owned(),
     };
     let state = match (status.draining, status.ready) {
@@ -37,9 +41,9 @@
         (false, true) => "ready",
         (false, false) => "not ready",
     };
-    let open = status.upstreams.iter().filter(|u| u.takes_new_work).count();
+    let available = status.upstreams.iter().filter(|u| u.takes_new_work).count();
     format!(
-        "{} {} {bundle}, {state}, {} in flight, {open} of {} upstreams take new work\n",
+        "{} {} {bundle}, {state}, {} in flight, {available} of {} upstreams take new work\n",
         status.vm,
         status.availability_zone,
         status.in_flight,
@@ -48,7 +52,7 @@
 }
 
 /// Shortens a digest to its first 12 digits, enough to distinguish two digests by eye.
-fn short(digest: &str) -> &str {
+fn shorten_digest(digest: &str) -> &str {
     digest.get(..12).unwrap_or(digest)
 }
 
--- a/crates/catkinward/src/ctl_timeline.rs
+++ b/crates/catkinward/src/ctl_timeline.rs
@@ -20,7 +20,7 @@
 
 /// Number of events that a VM has overwritten since its process started.
 #[derive(serde::Serialize)]
-struct Overwritten {
+struct OverwrittenEvents {
     vm: String,
     events: u64,
 }
@@ -29,19 +29,19 @@
 #[derive(serde::Serialize)]
 struct TimelineOutput {
     events: Vec<MergedEvent>,
-    overwritten: Vec<Overwritten>,
+    overwritten: Vec<OverwrittenEvents>,
     missing: Vec<MissingVm>,
 }
 
 /// Queries all VMs for their events and merges them in causal order.
 pub(crate) async fn run(settings: &CtlSettings, vms: &CtlVms) -> Result<String> {
-    let answers = vms.ask(&path(&settings.query)).await?;
-    let output = merge(answers.answers, answers.missing);
+    let replies = vms.query(&timeline_path(&settings.query)).await?;
+    let output = merge(replies.replies, replies.missing);
     if settings.json {
         return Ok(json_line(&output));
     }
-    let mut text = output.events.iter().map(line).collect::<String>();
-    for Overwritten { vm, events } in &output.overwritten {
+    let mut text = output.events.iter().map(format_event).collect::<String>();
+    for OverwrittenEvents { vm, events } in &output.overwritten {
         let _ = writeln!(
             text,
             "incomplete: {vm} has overwritten its {events} oldest events"
@@ -51,7 +51,7 @@
     Ok(text)
 }
 
-fn path(query: &TimelineQuery) -> String {
+fn timeline_path(query: &TimelineQuery) -> String {
     let mut pairs = form_urlencoded::Serializer::new(String::new());
     if let Some(request) = &query.request {
         pairs.append_pair("request", request.as_str());
@@ -70,7 +70,7 @@
     let mut overwritten = Vec::new();
     for reply in replies {
         if reply.overwritten > 0 {
-            overwritten.push(Overwritten {
+            overwritten.push(OverwrittenEvents {
                 vm: reply.vm.clone(),
                 events: reply.overwritten,
             });
@@ -85,9 +85,9 @@
         });
         match merged.collect::<Result<Vec<_>, catkin_decisions::Error>>() {
             Ok(merged) => events.extend(merged),
-            Err(fault) => missing.push(MissingVm {
+            Err(error) => missing.push(MissingVm {
                 vm: reply.vm.clone(),
-                reason: fault.to_string(),
+                reason: error.to_string(),
             }),
         }
     }
@@ -101,7 +101,7 @@
     }
 }
 
-fn line(merged: &MergedEvent) -> String {
+fn format_event(merged: &MergedEvent) -> String {
     let event = &merged.event;
     let number = |name: &str, value: Option<u64>| value.map(|value| format!(" {name} {value}"));
     let text = |name: &str, value: Option<&str>| value.map(|value| format!(" {name} {value}"));
--- a/crates/catkinward/src/ctl_vms.rs
+++ b/crates/catkinward/src/ctl_vms.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 /// Maximum number of concurrent calls; a system of 400 VMs is queried with this many at a time.
-const FAN_OUT: usize = 32;
+const MAX_CONCURRENT_CALLS: usize = 32;
 
 /// Client of the operator APIs of all VMs.
 pub(crate) struct CtlVms {
@@ -17,14 +17,14 @@
 
 /// A VM to query. `address` is `None` if the platform lists no operator address for it.
 #[derive(Clone, Debug)]
-struct CtlVm {
+struct VmTarget {
     name: String,
     address: Option<SocketAddr>,
 }
 
 /// Replies of the VMs, and the VMs that did not reply.
-pub(crate) struct CtlAnswers<T> {
-    pub(crate) answers: Vec<T>,
+pub(crate) struct VmReplies<T> {
+    pub(crate) replies: Vec<T>,
     pub(crate) missing: Vec<MissingVm>,
 }
 
@@ -55,42 +55,42 @@
     /// # Errors
     ///
     /// Returns an error if the list of VMs cannot be fetched from the platform.
-    pub(crate) async fn ask<T: serde::de::DeserializeOwned>(
+    pub(crate) async fn query<T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
-    ) -> Result<CtlAnswers<T>> {
-        let vms = self.list().await?;
-        let asked = vms.into_iter().map(|vm| self.ask_one(vm, path));
-        let mut results = futures::stream::iter(asked).buffered(FAN_OUT);
-        let mut all = CtlAnswers {
-            answers: Vec::new(),
+    ) -> Result<VmReplies<T>> {
+        let vms = self.list_vms().await?;
+        let queries = vms.into_iter().map(|vm| self.query_vm(vm, path));
+        let mut results = futures::stream::iter(queries).buffered(MAX_CONCURRENT_CALLS);
+        let mut all = VmReplies {
+            replies: Vec::new(),
             missing: Vec::new(),
         };
         while let Some(result) = results.next().await {
             match result {
-                Ok(answer) => all.answers.push(answer),
+                Ok(reply) => all.replies.push(reply),
                 Err(missing) => all.missing.push(missing),
             }
         }
         Ok(all)
     }
 
-    async fn list(&self) -> Result<Vec<CtlVm>> {
+    async fn list_vms(&self) -> Result<Vec<VmTarget>> {
         let Some(platform) = &self.platform else {
-            let named = self.addresses.iter().map(|address| CtlVm {
+            let targets = self.addresses.iter().map(|address| VmTarget {
                 name: address.to_string(),
                 address: Some(*address),
             });
-            return Ok(named.collect());
+            return Ok(targets.collect());
         };
-        let list = (platform.vms)(())
+        let entries = (platform.vms)(())
             .await
             .map_err(|error| Error::CtlVmList { error })?;
-        let routers = list
+        let routers = entries
             .into_iter()
             .filter(|entry| entry.kind == platform_api::VmKind::Router);
         let mut vms = routers
-            .map(|entry| CtlVm {
+            .map(|entry| VmTarget {
                 address: entry.operator_address.and_then(|a| a.parse().ok()),
                 name: entry.id,
             })
@@ -99,9 +99,9 @@
         Ok(vms)
     }
 
-    async fn ask_one<T: serde::de::DeserializeOwned>(
+    async fn query_vm<T: serde::de::DeserializeOwned>(
         &self,
-        vm: CtlVm,
+        vm: VmTarget,
         path: &str,
     ) -> Result<T, MissingVm> {
         let Some(address) = vm.address else {
@@ -118,10 +118,10 @@
             new_connection: true,
             ..HttpCall::default()
         };
-        let answer = self.connections.call_json(call).await;
-        answer.map_err(|fault| MissingVm {
+        let reply = self.connections.call_json(call).await;
+        reply.map_err(|error| MissingVm {
             vm: vm.name,
-            reason: fault.to_string(),
+            reason: error.to_string(),
         })
     }
 }
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -7,13 +7,13 @@
 /// Maximum number of VMs in a system that queries all peers for a generation if the caller sends no
 /// index. In a larger system, these queries would outnumber all other messages. Such a caller has
 /// received nothing, so a restart of the generation is correct and costs only engine time.
-const SMALL_SYSTEM: usize = 16;
+const MAX_VMS_FOR_FULL_SEARCH: usize = 16;
 
 /// Maximum time for which a progress replica may still be in transit after the crash of its sender.
-const IN_FLIGHT_BOUND: Duration = Duration::from_millis(500);
+const REPLICA_TRANSIT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Delay before the second search for a progress replica that may be in transit; doubles each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const INITIAL_SEARCH_DELAY: Duration = Duration::from_millis(20);
 
 /// Finds the generation of a caller that sent an idempotency key: resumes the one with a progress
 /// replica here or on a peer, or creates a new one.
@@ -22,57 +22,57 @@
 ///
 /// Returns an error if the key belongs to another request, or if no progress replica includes the
 /// resume point: a new generation would continue the response with different tokens.
-pub(crate) async fn find_or_begin(
+pub(crate) async fn find_or_create(
     node: &Node,
     request: GenerationRequest,
     point: &ResumePoint,
 ) -> Result<Generation, Problem> {
-    let Some(record) = await_copy(node, &request, point).await else {
+    let Some(record) = search_replica(node, &request, point).await else {
         if point.next == TokenIndex(0) {
             return Ok(Generation::new(request));
         }
-        return Err(lost(&request));
+        return Err(progress_lost(&request));
     };
     if record.head.digest != request.body {
         return Err(ProblemKind::KeyConflict.into());
     }
     if !record.can_resume(point) {
-        return Err(lost(&request));
+        return Err(progress_lost(&request));
     }
     Ok(take_over(node, request, point, &record))
 }
 
 /// Searches for a progress replica that includes the resume point, and repeats the search while one may
 /// be in transit: a caller can reconnect before the last messages of the crashed VM arrive.
-async fn await_copy(
+async fn search_replica(
     node: &Node,
     request: &GenerationRequest,
     point: &ResumePoint,
 ) -> Option<ProgressRecord> {
     let start = node.timer.now();
-    let mut backoff = FIRST_BACKOFF;
+    let mut delay = INITIAL_SEARCH_DELAY;
     loop {
-        let record = find_copy(node, &request.id, point).await;
+        let record = find_replica(node, &request.id, point).await;
         let is_final = match &record {
             Some(record) => record.head.digest != request.body || record.can_resume(point),
             None => point.next == TokenIndex(0),
         };
         let waited = node.timer.now().since(start);
-        if is_final || waited >= IN_FLIGHT_BOUND {
+        if is_final || waited >= REPLICA_TRANSIT_TIMEOUT {
             if point.next > TokenIndex(0) {
                 tracing::info!(id = %request.id, next = %point.next, found = record.is_some(), is_final,
                     waited_ms = %waited.as_millis(), "caller reconnected: searched for a progress replica");
             }
             return record;
         }
-        tokio::time::sleep(backoff).await;
-        backoff *= 2;
+        tokio::time::sleep(delay).await;
+        delay *= 2;
     }
 }
 
-async fn find_copy(node: &Node, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
+async fn find_replica(node: &Node, id: &RequestId, point: &ResumePoint) -> Option<ProgressRecord> {
     let peers = node.peers.as_ref()?;
-    if point.next == TokenIndex(0) && peers.entries().len() > SMALL_SYSTEM {
+    if point.next == TokenIndex(0) && peers.entries().len() > MAX_VMS_FOR_FULL_SEARCH {
         return peers.find_local_replica(id, point);
     }
     peers.find(id, point).await
@@ -106,7 +106,7 @@
     generation
 }
 
-fn lost(request: &GenerationRequest) -> Problem {
+fn progress_lost(request: &GenerationRequest) -> Problem {
     Problem {
         request_id: Some(request.id.clone()),
         next_index: Some(TokenIndex(0)),
--- a/crates/catkinward/src/operator_api.rs
+++ b/crates/catkinward/src/operator_api.rs
@@ -56,7 +56,7 @@
         let extract = timeline.extract(query);
         operator::TimelineReply {
             availability_zone: timeline.zone().to_string(),
-            events: extract.records.iter().map(border_event).collect(),
+            events: extract.records.iter().map(to_api_event).collect(),
             overwritten: extract.overwritten,
             vm: timeline.vm().to_string(),
         }
@@ -65,14 +65,14 @@
     fn status(&self) -> operator::StatusReply {
         let node = &self.node;
         let bundle = node.bundle.current();
-        let absent = bundle.version == BundleVersion::default();
+        let no_bundle = bundle.version == BundleVersion::default();
         operator::StatusReply {
             availability_zone: node.settings.zone.to_string(),
-            bundle_digest: (!absent).then(|| bundle.digest.to_string()),
+            bundle_digest: (!no_bundle).then(|| bundle.digest.to_string()),
             bundle_version: bundle.version.0,
             draining: node.drain.has_begun(),
             in_flight: u64::try_from(node.drain.in_flight()).unwrap_or(u64::MAX),
-            ready: !absent && !node.drain.has_begun(),
+            ready: !no_bundle && !node.drain.has_begun(),
             upstreams: node.upstreams.statuses(),
             vm: node.settings.vm.to_string(),
         }
@@ -80,19 +80,19 @@
 }
 
 fn timeline_query(query: &str) -> Result<TimelineQuery, OperatorProblem> {
-    let mut wanted = TimelineQuery::default();
+    let mut filter = TimelineQuery::default();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
         match &*name {
-            "request" => set(&mut wanted.request, &value)?,
-            "upstream" => set(&mut wanted.upstream, &value)?,
-            "since" => set(&mut wanted.since, &value)?,
+            "request" => set_once(&mut filter.request, &value)?,
+            "upstream" => set_once(&mut filter.upstream, &value)?,
+            "since" => set_once(&mut filter.since, &value)?,
             _ => return Err(OperatorProblem::MalformedQuery),
         }
     }
-    Ok(wanted)
+    Ok(filter)
 }
 
-fn set<T: FromStr>(field: &mut Option<T>, value: &str) -> Result<(), OperatorProblem> {
+fn set_once<T: FromStr>(field: &mut Option<T>, value: &str) -> Result<(), OperatorProblem> {
     let value = value.parse().map_err(|_| OperatorProblem::MalformedQuery)?;
     match field.replace(value) {
         Some(_) => Err(OperatorProblem::MalformedQuery),
@@ -100,7 +100,7 @@
     }
 }
 
-fn border_event(record: &TimelineRecord) -> operator::TimelineEvent {
+fn to_api_event(record: &TimelineRecord) -> operator::TimelineEvent {
     let event = &record.event;
     operator::TimelineEvent {
         attempt: event.attempt.map(|attempt| attempt.0),
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -40,7 +40,7 @@
             found,
         });
     }
-    let body = std::str::from_utf8(body).map_err(|_| Error::BundleText { digest })?;
+    let body = std::str::from_utf8(body).map_err(|_| Error::BundleNotUtf8 { digest })?;
     let bundle = check_bundle(version, digest, &parse_bundle(body)?)?;
     Ok(ReadBundle {
         bundle,
@@ -50,14 +50,14 @@
 
 fn parse_bundle(json: &str) -> Result<bundle_api::Bundle> {
     let mut reader = serde_json::Deserializer::from_str(json);
-    let bundle = serde_path_to_error::deserialize(&mut reader).map_err(|fault| {
-        match fault.path().to_string().as_str() {
+    let bundle = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+        match error.path().to_string().as_str() {
             "." => Error::BundleSyntax {
-                source: fault.into_inner(),
+                source: error.into_inner(),
             },
             field => Error::BundleField {
                 field: field.to_owned(),
-                source: BundleError::Syntax(fault.into_inner()),
+                source: BundleError::Syntax(error.into_inner()),
             },
         }
     })?;
