--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -48,7 +48,7 @@
     }
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let platform = PlatformServer::start(any_address(), PlatformFaults::default()).await;
     let folder = std::env::temp_dir().join(format!("catkinctl-{:016x}", rand::random::<u64>()));
     std::fs::create_dir(&folder).expect("a temporary folder");
@@ -83,7 +83,7 @@
     async fn run(&self, operator: &str, args: &[&str]) -> Output {
         let platform = self.platform.address().to_string();
         let flags = ["--platform", &platform, "--operator", operator];
-        ctl(&[&flags, args].concat()).await
+        run_catkinctl(&[&flags, args].concat()).await
     }
 
     /// Proposes a bundle file and returns the id of the draft.
@@ -101,7 +101,7 @@
     }
 }
 
-async fn ctl(args: &[&str]) -> Output {
+async fn run_catkinctl(args: &[&str]) -> Output {
     let output = tokio::process::Command::new(env!("CARGO_BIN_EXE_catkinctl"))
         .args(args)
         .env("CATKINCTL_KEY", KEY)
@@ -116,7 +116,7 @@
 }
 
 /// Replaces each timestamp with TIME and each digest with DIGEST.
-fn normal(text: &str) -> String {
+fn normalize(text: &str) -> String {
     let word = |word: &str| {
         let core = word.trim_end_matches([':', ';']);
         let rest = &word[core.len()..];
@@ -137,26 +137,26 @@
 
 #[gtest]
 #[tokio::test]
-async fn check_says_what_the_bundle_holds() {
-    let site = site().await;
+async fn check_summarizes_a_valid_bundle() {
+    let site = start_site().await;
     let file = site.file("a.json", 1);
 
-    let output = ctl(&["bundle", "check", &file]).await;
+    let output = run_catkinctl(&["bundle", "check", &file]).await;
 
     expect_that!(output.code, some(eq(0)));
     let expected = "the bundle is valid: teams 1, services 0, upstreams 0\ndigest DIGEST\n";
-    expect_that!(normal(&output.out), eq(expected));
+    expect_that!(normalize(&output.out), eq(expected));
 }
 
 #[gtest]
 #[tokio::test]
-async fn check_names_the_wrong_field() {
-    let site = site().await;
+async fn check_names_the_invalid_field() {
+    let site = start_site().await;
     let file = site.file("a.json", 1);
     let text = std::fs::read_to_string(&file).expect("a readable file");
     std::fs::write(&file, text.replace("weight", "wieght")).expect("a writable file");
 
-    let output = ctl(&["bundle", "check", &file]).await;
+    let output = run_catkinctl(&["bundle", "check", &file]).await;
 
     expect_that!(output.code, some(eq(1)));
     let expected = "error: bundle: teams[0].wieght: unknown field `wieght`, expected one of \
@@ -166,8 +166,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn bundle_goes_from_draft_to_release_and_back() {
-    let site = site().await;
+async fn bundle_is_proposed_signed_off_rolled_out_and_rolled_back() {
+    let site = start_site().await;
     site.release(&site.file("a.json", 1)).await;
     let draft = site.propose("ada", &site.file("b.json", 2)).await;
 
@@ -195,14 +195,14 @@
         "{change}draft {draft} is signed off by bea, digest DIGEST\n\
          it is rolled out with `catkinctl bundle roll-out {draft}`\n"
     );
-    expect_that!(normal(&sign_off.out), eq(&expected));
+    expect_that!(normalize(&sign_off.out), eq(&expected));
     expect_that!(roll_out, eq(&success("version 2 is rolled out\n")));
     let expected = format!("draft `{draft}` is version 2 already, rolled out by ada");
     expect_that!(again, eq(&failure(&expected)));
     expect_that!(diff, eq(&success(change)));
     let expected = "version 3 is rolled out, with the content of version 1\n";
     expect_that!(roll_back, eq(&success(expected)));
-    let history = normal(&history.out);
+    let history = normalize(&history.out);
     let lines = history.lines().collect::<Vec<_>>();
     expect_that!(lines.len(), eq(3));
     let expected = format!(
@@ -217,8 +217,8 @@
 /// roll-out took effect, and it must not be done twice.
 #[gtest]
 #[tokio::test]
-async fn lost_answer_is_settled_and_said() {
-    let site = site().await;
+async fn lost_response_is_resolved_and_reported() {
+    let site = start_site().await;
     site.release(&site.file("a.json", 1)).await;
     let draft = site.propose("ada", &site.file("b.json", 2)).await;
     site.run("bea", &["bundle", "sign-off", &draft]).await;
@@ -238,8 +238,8 @@
 /// rolled out first, and nothing is changed.
 #[gtest]
 #[tokio::test]
-async fn loser_of_a_race_is_told_who_won() {
-    let site = site().await;
+async fn second_roll_out_is_refused_and_names_the_first_operator() {
+    let site = start_site().await;
     let first = site.propose("ada", &site.file("a.json", 1)).await;
     let second = site.propose("bea", &site.file("b.json", 2)).await;
     site.run("bea", &["bundle", "sign-off", &first]).await;
@@ -254,7 +254,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn wrong_command_lines_are_explained() {
+async fn invalid_command_lines_are_rejected_with_a_reason() {
     let cases: [(&[&str], &str); 9] = [
         (
             &[],
@@ -291,7 +291,11 @@
         ),
     ];
     for (args, expected) in cases {
-        expect_that!(ctl(args).await, eq(&failure(expected)), "{args:?}");
+        expect_that!(
+            run_catkinctl(args).await,
+            eq(&failure(expected)),
+            "{args:?}"
+        );
     }
 }
 
@@ -300,7 +304,7 @@
     operators: SocketAddr,
 }
 
-async fn vm(name: &str, zone: &str) -> Vm {
+async fn start_vm(name: &str, zone: &str) -> Vm {
     let node = Node::start(Settings {
         vm: name.parse().expect("a valid name"),
         zone: zone.parse().expect("a valid name"),
@@ -325,7 +329,7 @@
     }
 
     /// Advances the clock of another VM as a message from this VM would.
-    fn tell(&self, other: &Self) {
+    fn send_to(&self, other: &Self) {
         let sent = self.node.timeline.clock().tick();
         other.node.timeline.clock().observe(sent);
     }
@@ -365,47 +369,47 @@
 /// events of both VMs in causal order and name the missing VM.
 #[gtest]
 #[tokio::test]
-async fn timeline_merges_vms_and_names_the_missing() {
-    let site = site().await;
+async fn timeline_merges_events_and_names_unreachable_vms() {
+    let site = start_site().await;
     let (one, two) = (
-        vm("vm-1", "govan-hall").await,
-        vm("vm-2", "leith-hall").await,
+        start_vm("vm-1", "govan-hall").await,
+        start_vm("vm-2", "leith-hall").await,
     );
-    let gone = Listener::bind(any_address()).await.expect("a free port");
-    let gone_address = gone.address().expect("an address");
-    drop(gone);
+    let unreachable = Listener::bind(any_address()).await.expect("a free port");
+    let unreachable_address = unreachable.address().expect("an address");
+    drop(unreachable);
     set_vms(
         &site,
-        vec![two.entry(), entry("vm-3", gone_address), one.entry()],
+        vec![two.entry(), entry("vm-3", unreachable_address), one.entry()],
     )
     .await;
     one.record(EventKind::Accepted, 1);
-    one.tell(&two);
+    one.send_to(&two);
     two.record(EventKind::NewAttempt, 2);
-    two.tell(&one);
+    two.send_to(&one);
     one.record(EventKind::Whole, 2);
 
     let output = site.run("ada", &["timeline", "--request", "r-1"]).await;
 
-    let text = normal(&output.out);
+    let text = normalize(&output.out);
     let (events, missing) = text.split_at(text.find("missing").expect("a VM is missing"));
     let expected = "TIME vm-1 govan-hall accepted request r-1 attempt 1\n\
                     TIME vm-2 leith-hall new_attempt request r-1 attempt 2\n\
                     TIME vm-1 govan-hall whole request r-1 attempt 2\n";
     expect_that!(events, eq(expected));
-    let expected = format!("missing: vm-3: no response from {gone_address}");
+    let expected = format!("missing: vm-3: no response from {unreachable_address}");
     expect_that!(missing, starts_with(expected));
     expect_that!(output.code, some(eq(0)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn timeline_as_json_holds_the_same() {
-    let one = vm("vm-1", "govan-hall").await;
+async fn timeline_json_has_the_recorded_events() {
+    let one = start_vm("vm-1", "govan-hall").await;
     one.record(EventKind::Accepted, 1);
     let address = one.operators.to_string();
 
-    let output = ctl(&["timeline", "--request=r-1", "--json", "--vm", &address]).await;
+    let output = run_catkinctl(&["timeline", "--request=r-1", "--json", "--vm", &address]).await;
 
     let json: serde_json::Value = serde_json::from_str(&output.out).expect("JSON");
     expect_that!(json["events"][0]["kind"].as_str(), some(eq("accepted")));
@@ -416,15 +420,15 @@
 #[gtest]
 #[tokio::test]
 async fn status_shows_each_vm() {
-    let one = vm("vm-1", "govan-hall").await;
-    let two = vm("vm-2", "leith-hall").await;
+    let one = start_vm("vm-1", "govan-hall").await;
+    let two = start_vm("vm-2", "leith-hall").await;
     let empty = r#"{"teams": [], "services": [], "upstreams": []}"#;
     let put = two.node.put_bundle_in_force(3, empty);
     expect_that!(put.expect("a valid bundle"), eq(true));
     let digest = two.node.bundle.current().digest.to_string();
     let (one, two) = (one.operators.to_string(), two.operators.to_string());
 
-    let output = ctl(&["status", "--vm", &one, "--vm", &two]).await;
+    let output = run_catkinctl(&["status", "--vm", &one, "--vm", &two]).await;
 
     let expected = format!(
         "vm-1 govan-hall no bundle, not ready, 0 in flight, 0 of 0 upstreams take new work\n\
--- a/crates/catkinward/tests/explain.rs
+++ b/crates/catkinward/tests/explain.rs
@@ -63,7 +63,7 @@
 /// A process crashed with a request in flight: the request's lines end without an outcome, and the
 /// process logs another start.
 #[gtest]
-fn death_of_the_process_is_explained() {
+fn crash_of_the_process_is_explained() {
     let lost = line(2, r#""message":"store unreachable","feed":"config""#);
     let log = accepted(1) + &lost + &line(4, r#""message":"start","vm":"vm-1""#);
 
@@ -93,7 +93,7 @@
 /// The log lacks lines and has a line that is not JSON. The explanation must report both and not
 /// guess a cause.
 #[gtest]
-fn what_the_lines_do_not_tell_is_said() {
+fn missing_and_invalid_log_lines_are_reported() {
     let log = accepted(1) + "no json\n";
 
     let output = explain(&["--request", "r1"], &[("vm-1.log", log)]);
@@ -109,7 +109,7 @@
 /// The request's id, the log files or lines about the request are missing. Each case must be reported
 /// with its own message.
 #[gtest]
-fn missing_input_is_said() {
+fn missing_input_is_reported() {
     let no_id = explain(&[], &[("vm-1.log", accepted(1))]);
     let no_file = explain(&["--request", "r1"], &[]);
     let unknown = explain(&["--request", "r9"], &[("vm-1.log", accepted(1))]);
--- a/crates/catkinward/tests/operator_api.rs
+++ b/crates/catkinward/tests/operator_api.rs
@@ -13,12 +13,12 @@
 
 const KEY: &str = "operator-key";
 
-struct Operators {
+struct OperatorServer {
     node: Arc<Node>,
     address: SocketAddr,
 }
 
-async fn operators() -> Operators {
+async fn start_operator_server() -> OperatorServer {
     let node = Node::start(Settings {
         operator_key: Some(KeyHash::of(KEY)),
         ..Settings::default()
@@ -29,10 +29,10 @@
     let address = listener.address().expect("an address");
     let serving = node.clone();
     tokio::spawn(async move { serving.serve_operators(listener).await });
-    Operators { node, address }
+    OperatorServer { node, address }
 }
 
-impl Operators {
+impl OperatorServer {
     async fn get(&self, path: &str, key: &str) -> (StatusCode, String) {
         let mut headers = HeaderMap::new();
         let bearer = format!("Bearer {key}").parse().expect("visible ASCII");
@@ -58,12 +58,12 @@
 
 #[gtest]
 #[tokio::test]
-async fn timeline_narrows_to_a_request() {
-    let operators = operators().await;
-    operators.record(EventKind::Accepted, "a");
-    operators.record(EventKind::Accepted, "b&c");
+async fn timeline_filters_by_request() {
+    let server = start_operator_server().await;
+    server.record(EventKind::Accepted, "a");
+    server.record(EventKind::Accepted, "b&c");
 
-    let (status, body) = operators.get("/v1/timeline?request=b%26c", KEY).await;
+    let (status, body) = server.get("/v1/timeline?request=b%26c", KEY).await;
 
     let reply: TimelineReply = serde_json::from_str(&body).expect("a timeline reply");
     expect_that!(status, eq(StatusCode::OK));
@@ -76,16 +76,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn status_tells_of_the_bundle_in_force() {
-    let operators = operators().await;
-    let (_, before) = operators.get("/v1/status", KEY).await;
+async fn status_reports_the_bundle_in_force() {
+    let server = start_operator_server().await;
+    let (_, before) = server.get("/v1/status", KEY).await;
     let empty = r#"{"teams": [], "services": [], "upstreams": []}"#;
-    operators
+    server
         .node
         .put_bundle_in_force(3, empty)
         .expect("a valid bundle");
 
-    let (_, after) = operators.get("/v1/status", KEY).await;
+    let (_, after) = server.get("/v1/status", KEY).await;
 
     let before: StatusReply = serde_json::from_str(&before).expect("a status");
     let after: StatusReply = serde_json::from_str(&after).expect("a status");
@@ -93,7 +93,7 @@
     expect_that!(before.bundle_digest, none());
     expect_that!(after.ready, eq(true));
     expect_that!(after.bundle_version, eq(3));
-    let digest = operators.node.bundle.current().digest.to_string();
+    let digest = server.node.bundle.current().digest.to_string();
     expect_that!(after.bundle_digest, some(eq(&digest)));
 }
 
@@ -101,8 +101,8 @@
 /// with the matching problem type.
 #[gtest]
 #[tokio::test]
-async fn wrong_calls_are_refused_with_their_reason() {
-    let operators = operators().await;
+async fn invalid_requests_are_refused_with_their_reason() {
+    let server = start_operator_server().await;
     let cases = [
         ("/v1/status", "caller-key", 401, "unknown_key"),
         ("/v1/timeline", "", 401, "unknown_key"),
@@ -118,7 +118,7 @@
         ),
     ];
     for (path, key, status, kind) in cases {
-        let (found, body) = operators.get(path, key).await;
+        let (found, body) = server.get(path, key).await;
 
         let problem: OperatorProblem = serde_json::from_str(&body).expect("a problem");
         expect_that!(found.as_u16(), eq(status), "{path}");
--- a/crates/catkinward/tests/settings.rs
+++ b/crates/catkinward/tests/settings.rs
@@ -3,19 +3,19 @@
 use googletest::prelude::*;
 use std::process::Command;
 
-struct Run {
+struct DaemonCommand {
     args: Vec<&'static str>,
     variables: Vec<(&'static str, &'static str)>,
 }
 
-fn run(args: &[&'static str]) -> Run {
-    Run {
+fn daemon(args: &[&'static str]) -> DaemonCommand {
+    DaemonCommand {
         args: args.to_vec(),
         variables: Vec::new(),
     }
 }
 
-impl Run {
+impl DaemonCommand {
     fn variable(mut self, name: &'static str, value: &'static str) -> Self {
         self.variables.push((name, value));
         self
@@ -37,7 +37,7 @@
 
 #[gtest]
 fn check_accepts_the_defaults() {
-    let output = run(&["--check"]).output();
+    let output = daemon(&["--check"]).output();
 
     expect_that!(
         output,
@@ -47,23 +47,23 @@
 
 #[gtest]
 fn version_is_that_of_the_package() {
-    let output = run(&["--version"]).output();
+    let output = daemon(&["--version"]).output();
 
     let version = concat!("catkinward ", env!("CARGO_PKG_VERSION"), "\n");
     expect_that!(output, eq(&(Some(0), version.into(), String::new())));
 }
 
 #[gtest]
-fn wrong_value_names_the_flag() {
-    let output = run(&["--check", "--listen", "localhost"]).output();
+fn invalid_value_names_the_flag() {
+    let output = daemon(&["--check", "--listen", "localhost"]).output();
 
     let error = "error: `--listen` must be an IP address and port, but is `localhost`\n";
     expect_that!(output, eq(&(Some(1), String::new(), error.into())));
 }
 
 #[gtest]
-fn wrong_variable_names_the_flag() {
-    let output = run(&["--check"])
+fn invalid_variable_names_the_flag() {
+    let output = daemon(&["--check"])
         .variable("CATKINWARD_DRAIN_GRACE_MS", "soon")
         .output();
 
@@ -74,7 +74,7 @@
 /// Without a key, the operator API would serve anyone who can reach its address.
 #[gtest]
 fn operators_are_not_served_without_a_key() {
-    let output = run(&["--check", "--operator-listen", "127.0.0.1:0"]).output();
+    let output = daemon(&["--check", "--operator-listen", "127.0.0.1:0"]).output();
 
     let error =
         "error: `--operator-key-sha256` or `CATKINWARD_OPERATOR_KEY_SHA256` must be given\n";
@@ -82,8 +82,8 @@
 }
 
 #[gtest]
-fn flag_goes_before_variable() {
-    let output = run(&["--check", "--vm", "vm-9"])
+fn flag_takes_precedence_over_variable() {
+    let output = daemon(&["--check", "--vm", "vm-9"])
         .variable("CATKINWARD_VM", "vm-8")
         .output();
 
@@ -92,7 +92,7 @@
 
 #[gtest]
 fn unknown_flag_is_named() {
-    let output = run(&["--frobnicate"]).output();
+    let output = daemon(&["--frobnicate"]).output();
 
     let error = "error: invalid option '--frobnicate'; `catkinward --help` lists the flags\n";
     expect_that!(output, eq(&(Some(1), String::new(), error.into())));
@@ -100,7 +100,7 @@
 
 #[gtest]
 fn help_lists_every_flag() {
-    let (code, help, _) = run(&["--help"]).output();
+    let (code, help, _) = daemon(&["--help"]).output();
 
     expect_that!(code, some(eq(0)));
     for flag in [
