--- a/crates/catkinward/src/ctl_explain.rs
+++ b/crates/catkinward/src/ctl_explain.rs
@@ -108,7 +108,7 @@
         .iter()
         .filter(|line| line.message() == "run of a stream lost");
     let lost_runs = lost_runs.collect::<Vec<_>>();
-    let lost = lost_runs.last().map_or_else(String::new, |line| {
+    let loss = lost_runs.last().map_or_else(String::new, |line| {
         format!(
             "; the last of {} lost runs was on {} ({})",
             lost_runs.len(),
@@ -136,12 +136,12 @@
                 )
             });
             format!(
-                "answered by the VM itself: {}{reason}{failed_call}{lost}",
+                "answered by the VM itself: {}{reason}{failed_call}{loss}",
                 last.text("outcome")
             )
         }
-        "caller left" => format!("the caller disconnected before the response was complete{lost}"),
-        "stream cut" => format!("cut: {}{lost}", last.text("cut")),
+        "caller left" => format!("the caller disconnected before the response was complete{loss}"),
+        "stream cut" => format!("cut: {}{loss}", last.text("cut")),
         "answered" => format!(
             "answered by the upstream with status {}",
             last.fields["status"]
@@ -153,7 +153,7 @@
                 .filter(|line| line.message() == "stream resumed");
             let longest = resumes.filter_map(|line| line.fields["ms"].as_u64()).max();
             format!(
-                "complete, the longest resume took {} ms{lost}",
+                "complete, the longest resume took {} ms{loss}",
                 longest.unwrap_or(0)
             )
         }
--- a/crates/catkinward/src/plain_call.rs
+++ b/crates/catkinward/src/plain_call.rs
@@ -63,7 +63,7 @@
         CallKey::new(self.team.id.clone(), self.target_parts())
     }
 
-    /// Digest of service, method, path and body. It detects that an idempotency key is reused for
+    /// Digest of team, service, method, path and body. It detects that an idempotency key is reused for
     /// another call.
     pub(crate) fn digest(&self) -> RequestDigest {
         let parts = self.target_parts().into_iter().chain([&*self.body]);
