--- a/crates/catkinward/src/plain_claim.rs
+++ b/crates/catkinward/src/plain_claim.rs
@@ -35,8 +35,8 @@
         let digest = request.digest;
         let verdict = match claims.claim(request).await {
             ClaimVerdict::InProgress(found) => {
-                let left = self.time_until(call.deadline);
-                claims.wait_for_outcome(&digest, found, left).await
+                let remaining = self.time_until(call.deadline);
+                claims.wait_for_outcome(&digest, found, remaining).await
             }
             verdict => verdict,
         };
