--- a/crates/catkinward/src/ctl_bundle.rs
+++ b/crates/catkinward/src/ctl_bundle.rs
@@ -9,13 +9,13 @@
 };
 use std::{fmt::Write, num::NonZeroU32, path::Path};
 
-/// Releases that `bundle history` shows.
-const HISTORY: NonZeroU32 = NonZeroU32::new(20).expect("not zero");
+/// Number of releases that `bundle history` shows.
+const HISTORY_LENGTH: NonZeroU32 = NonZeroU32::new(20).expect("not zero");
 
-const SETTLED: &str =
-    "the platform's answer was lost; reading back shows that the change took effect\n";
+const CONFIRMED_NOTICE: &str =
+    "the platform's response was lost; reading back confirms that the change took effect\n";
 
-/// The steps of a bundle, as an operator sees them.
+/// Runs the `bundle` commands and formats their results for the operator.
 pub(crate) struct CtlBundle<'a> {
     store: BundleStore,
     settings: &'a CtlSettings,
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Checks a file without the platform.
+    /// Validates a bundle file without access to the platform.
     ///
     /// # Errors
     ///
-    /// Names the field that is wrong.
+    /// Returns an error that names the invalid field.
     pub(crate) fn check(file: &Path) -> Result<String> {
         let read = read_bundle(BundleVersion::default(), &read_file(file)?)?;
         let bundle = read.bundle;
@@ -46,13 +46,13 @@
         ))
     }
 
-    /// Runs one step.
+    /// Runs one `bundle` command.
     ///
     /// # Errors
     ///
-    /// If it is refused, or the platform does not answer.
-    pub(crate) async fn run(&self, step: CtlCommand) -> Result<String> {
-        match step {
+    /// Returns an error if the command is refused or the platform does not respond.
+    pub(crate) async fn run(&self, command: CtlCommand) -> Result<String> {
+        match command {
             CtlCommand::Propose(file) => self.propose(&file).await,
             CtlCommand::SignOff(draft) => self.sign_off(&draft).await,
             CtlCommand::RollOut(draft) => self.roll_out(&draft).await,
@@ -68,15 +68,15 @@
         let applied = self.store.propose(&json, self.author()?).await?;
         let BundleDraft { id, digest, .. } = &applied.value;
         Ok(format!(
-            "{}draft {id} over version {}, digest {digest}\n\
+            "{}draft {id} based on version {}, digest {digest}\n\
              another operator signs it off with `catkinctl bundle sign-off {id}`\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
             id.base,
         ))
     }
 
-    /// What is signed off is what the operator is shown: the content is fetched and checked against
-    /// the digest before the sign-off is given to that digest.
+    /// Signs off a draft by its digest. The content is fetched and verified against that digest first,
+    /// so the operator signs off exactly the changes that are shown.
     async fn sign_off(&self, id: &DraftId) -> Result<String> {
         let author = self.author()?;
         let operator = author.operator.clone();
@@ -87,7 +87,7 @@
         Ok(format!(
             "{}{changes}draft {id} is signed off by {operator}, digest {digest}\n\
              it is rolled out with `catkinctl bundle roll-out {id}`\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
         ))
     }
 
@@ -95,7 +95,7 @@
         let applied = self.store.roll_out(id, self.author()?).await?;
         Ok(format!(
             "{}version {} is rolled out\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
             applied.value,
         ))
     }
@@ -104,7 +104,7 @@
         let applied = self.store.roll_back(version, self.author()?).await?;
         Ok(format!(
             "{}version {} is rolled out, with the content of version {version}\n",
-            confirmation_note(applied.confirmed_by_read),
+            confirmation_notice(applied.confirmed_by_read),
             applied.value,
         ))
     }
@@ -112,14 +112,14 @@
     async fn diff(&self, a: &BundleReference, b: &BundleReference) -> Result<String> {
         let (a, b) = (self.content(a).await?, self.content(b).await?);
         Ok(match bundle_diff(&a, &b) {
-            same if same.is_empty() => "both say the same\n".to_owned(),
+            changes if changes.is_empty() => "the contents are identical\n".to_owned(),
             changes => changes,
         })
     }
 
     async fn status(&self) -> Result<String> {
         let Some(current) = self.store.current().await? else {
-            return Ok("no bundle was ever rolled out\n".to_owned() + &self.drafts(0).await?);
+            return Ok("no bundle has been rolled out\n".to_owned() + &self.drafts(0).await?);
         };
         let release = self.store.release(current.value.version).await?;
         let mut text = format!("in force: {}\n", describe(&release));
@@ -149,13 +149,13 @@
     }
 
     async fn history(&self) -> Result<String> {
-        let releases = self.store.history(HISTORY).await?;
+        let releases = self.store.history(HISTORY_LENGTH).await?;
         let lines = releases
             .iter()
             .map(|release| describe(release) + "\n")
             .collect::<String>();
         if lines.is_empty() {
-            return Ok("no bundle was ever rolled out\n".to_owned());
+            return Ok("no bundle has been rolled out\n".to_owned());
         }
         Ok(lines)
     }
@@ -177,7 +177,8 @@
         }
     }
 
-    /// What content changes in a release; nothing is said over the first one, which changes all.
+    /// Describes how `content` differs from release `base`. Empty if there is no earlier release, since
+    /// everything would differ.
     async fn changes(&self, base: BundleVersion, content: &str) -> Result<String> {
         if base == BundleVersion::default() {
             return Ok(String::new());
@@ -201,8 +202,12 @@
         .expect("hexadecimal digits are visible ASCII")
 }
 
-fn confirmation_note(confirmed_by_read: bool) -> &'static str {
-    if confirmed_by_read { SETTLED } else { "" }
+fn confirmation_notice(confirmed_by_read: bool) -> &'static str {
+    if confirmed_by_read {
+        CONFIRMED_NOTICE
+    } else {
+        ""
+    }
 }
 
 fn describe(release: &BundleRelease) -> String {
--- a/crates/catkinward/src/ctl_settings.rs
+++ b/crates/catkinward/src/ctl_settings.rs
@@ -6,34 +6,34 @@
 Usage: catkinctl [FLAGS] COMMAND
 
 Commands:
-  bundle check FILE           check a bundle, without the platform
-  bundle propose FILE         store a bundle as a draft over the release in force
-  bundle sign-off DRAFT       sign a draft off; its proposer may not
-  bundle roll-out DRAFT       put a draft that is signed off in force
+  bundle check FILE           validate a bundle file without the platform
+  bundle propose FILE         store a bundle as a draft based on the release in force
+  bundle sign-off DRAFT       sign off a draft; not allowed for its proposer
+  bundle roll-out DRAFT       put a signed-off draft in force
   bundle roll-back VERSION    put the content of an earlier version in force, as a new version
-  bundle diff A B             what B changes in A; each is a version, a draft or a file
-  bundle status               the release in force and the drafts over it
-  bundle history              the latest releases
-  explain FILE...             what became of the request of --request, from logs of processes
-  status                      bundle, readiness and requests in flight of each VM
-  timeline                    events of all VMs in causal order; see the flags below
+  bundle diff A B             show the changes from A to B; each is a version, a draft or a file
+  bundle status               show the release in force and the drafts based on it
+  bundle history              list the latest releases
+  explain FILE...             explain the outcome of the request --request from log files
+  status                      show bundle, readiness and requests in flight of each VM
+  timeline                    show events of all VMs in causal order; see the flags below
 
-Flags (the first three also as a variable, as in CATKINCTL_PLATFORM):
+Flags (the first three can also be set by a variable, such as CATKINCTL_PLATFORM):
   --platform ADDRESS          IP and port of the platform
-  --operator NAME             who you are, for the steps of a bundle
-  --timeout-ms N              longest wait for each VM [2000]
-  --vm ADDRESS                a VM's operator address, in place of the platform's list; repeatable
+  --operator NAME             name of the operator, required by commands that change a bundle
+  --timeout-ms N              timeout for the response of each VM [2000]
+  --vm ADDRESS                operator address of a VM, instead of the platform's list; repeatable
   --request ID                only events of this request
-  --upstream ID               only events on this upstream
-  --since TIME                only events since a clock reading, or an age as in `5m`
+  --upstream ID               only events of this upstream
+  --since TIME                only events since a clock reading, or of the last period, such as `5m`
   --json                      print `status` and `timeline` as JSON
   --help                      print this text
   --version                   print the version
 
-`status` and `timeline` show the operators' key, which is read from CATKINCTL_KEY only.
+`status` and `timeline` authenticate with the operator key, read from CATKINCTL_KEY only.
 ";
 
-/// What `catkinctl` is asked to do.
+/// A command of `catkinctl`.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CtlCommand {
     Check(PathBuf),
@@ -51,7 +51,7 @@
     Version,
 }
 
-/// A bundle by its version, its draft, or its file.
+/// Reference to a bundle: a released version, a draft or a file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum BundleReference {
     Version(BundleVersion),
@@ -85,18 +85,18 @@
     }
 }
 
-/// Flags that are variables too.
-const CTL_VARIABLES: &[&str] = &["operator", "platform", "timeout-ms"];
+/// Flags that can also be set by an environment variable.
+const FLAGS_WITH_VARIABLE: &[&str] = &["operator", "platform", "timeout-ms"];
 
-/// Flags of the command line only.
-const CTL_FLAGS: &[&str] = &["request", "since", "upstream", "vm"];
+/// Flags that can be set on the command line only.
+const COMMAND_LINE_FLAGS: &[&str] = &["request", "since", "upstream", "vm"];
 
 impl CtlSettings {
-    /// Reads the command line and the variables that `variable` looks up.
+    /// Parses the command line and the environment variables that `variable` looks up.
     ///
     /// # Errors
     ///
-    /// Names what is unknown, wrong, missing or too much.
+    /// Returns an error for an unknown, invalid, missing or unexpected argument.
     pub(crate) fn read(
         args: impl IntoIterator<Item = OsString>,
         variable: impl Fn(&str) -> Option<String>,
@@ -105,14 +105,14 @@
             key: variable("CATKINCTL_KEY"),
             ..Self::default()
         };
-        for flag in CTL_VARIABLES {
-            if let Some(value) = variable(&ctl_variable(flag)) {
+        for flag in FLAGS_WITH_VARIABLE {
+            if let Some(value) = variable(&variable_name(flag)) {
                 settings.set(flag, &value)?;
             }
         }
-        let mut words = Vec::new();
+        let mut arguments = Vec::new();
         let mut parser = lexopt::Parser::from_args(args);
-        while let Some(arg) = parser.next().map_err(ctl_flag)? {
+        while let Some(arg) = parser.next().map_err(flag_error)? {
             match arg {
                 lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => {
                     return Ok((settings, CtlCommand::Help));
@@ -120,17 +120,17 @@
                 lexopt::Arg::Long("version") => return Ok((settings, CtlCommand::Version)),
                 lexopt::Arg::Long("json") => settings.json = true,
                 lexopt::Arg::Long(flag) => {
-                    let known = CTL_VARIABLES.iter().chain(CTL_FLAGS);
+                    let known = FLAGS_WITH_VARIABLE.iter().chain(COMMAND_LINE_FLAGS);
                     let flag = known.copied().find(|known| *known == flag);
-                    let flag = flag.ok_or_else(|| ctl_flag(arg.unexpected()))?;
-                    let value = parser.value().map_err(ctl_flag)?;
+                    let flag = flag.ok_or_else(|| flag_error(arg.unexpected()))?;
+                    let value = parser.value().map_err(flag_error)?;
                     settings.set(flag, &value.to_string_lossy())?;
                 }
-                lexopt::Arg::Value(word) => words.push(word.to_string_lossy().into_owned()),
-                lexopt::Arg::Short(_) => return Err(ctl_flag(arg.unexpected())),
+                lexopt::Arg::Value(text) => arguments.push(text.to_string_lossy().into_owned()),
+                lexopt::Arg::Short(_) => return Err(flag_error(arg.unexpected())),
             }
         }
-        Ok((settings, command(words)?))
+        Ok((settings, parse_command(arguments)?))
     }
 
     fn set(&mut self, flag: &'static str, value: &str) -> Result<()> {
@@ -140,97 +140,102 @@
             "operator" => self.operator = Some(parse(flag, name, value)?),
             "platform" => self.platform = Some(parse(flag, address, value)?),
             "request" => self.query.request = Some(parse(flag, name, value)?),
-            "since" => self.query.since = Some(since(value)?),
+            "since" => self.query.since = Some(parse_since(value)?),
             "timeout-ms" => {
                 let ms = parse(flag, "a number of milliseconds", value)?;
                 self.timeout = Duration::from_millis(ms);
             }
             "upstream" => self.query.upstream = Some(parse(flag, name, value)?),
             "vm" => self.vms.push(parse(flag, address, value)?),
-            _ => unreachable!("every flag is set above"),
+            _ => unreachable!("every flag of CTL_VARIABLES and CTL_FLAGS is handled above"),
         }
         Ok(())
     }
 
-    /// The platform's address.
+    /// Returns the address of the platform.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub(crate) fn platform(&self) -> Result<SocketAddr> {
-        self.platform.ok_or_else(|| absent("platform"))
+        self.platform.ok_or_else(|| missing_setting("platform"))
     }
 
-    /// The operator's name.
+    /// Returns the operator's name.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub(crate) fn operator(&self) -> Result<OperatorName> {
-        self.operator.clone().ok_or_else(|| absent("operator"))
+        self.operator
+            .clone()
+            .ok_or_else(|| missing_setting("operator"))
     }
 
-    /// The operators' key.
+    /// Returns the bearer key for the operator API.
     ///
     /// # Errors
     ///
-    /// If it is not set.
+    /// Returns an error if it is not set.
     pub(crate) fn key(&self) -> Result<&str> {
         self.key.as_deref().ok_or(Error::CtlKeyAbsent)
     }
 }
 
-fn command(words: Vec<String>) -> Result<CtlCommand> {
-    let mut words = words.into_iter();
-    let first = words.next().ok_or(Error::CtlCommandAbsent)?;
-    let name = match (first.as_str(), words.next()) {
+fn parse_command(arguments: Vec<String>) -> Result<CtlCommand> {
+    let mut arguments = arguments.into_iter();
+    let first = arguments.next().ok_or(Error::CtlCommandAbsent)?;
+    let name = match (first.as_str(), arguments.next()) {
         ("bundle", Some(second)) => format!("bundle {second}"),
         ("explain", Some(file)) => {
-            let files = std::iter::once(file).chain(words).map(PathBuf::from);
+            let files = std::iter::once(file).chain(arguments).map(PathBuf::from);
             return Ok(CtlCommand::Explain(files.collect()));
         }
         (_, Some(extra)) => return Err(Error::CtlArgumentExtra { argument: extra }),
         (_, None) => first,
     };
-    let mut next = |argument: &'static str| {
-        let absent = Error::CtlArgumentAbsent {
+    let mut next_argument = |argument: &'static str| {
+        let missing = Error::CtlArgumentAbsent {
             command: name.clone(),
             argument,
         };
-        words.next().ok_or(absent)
+        arguments.next().ok_or(missing)
     };
     let command = match name.as_str() {
-        "explain" => CtlCommand::Explain(vec![next("FILE")?.into()]),
-        "bundle check" => CtlCommand::Check(next("FILE")?.into()),
-        "bundle propose" => CtlCommand::Propose(next("FILE")?.into()),
-        "bundle sign-off" => CtlCommand::SignOff(next("DRAFT")?.parse()?),
-        "bundle roll-out" => CtlCommand::RollOut(next("DRAFT")?.parse()?),
-        "bundle roll-back" => CtlCommand::RollBack(next("VERSION")?.parse()?),
-        "bundle diff" => CtlCommand::Diff(reference(next("A")?), reference(next("B")?)),
+        "explain" => CtlCommand::Explain(vec![next_argument("FILE")?.into()]),
+        "bundle check" => CtlCommand::Check(next_argument("FILE")?.into()),
+        "bundle propose" => CtlCommand::Propose(next_argument("FILE")?.into()),
+        "bundle sign-off" => CtlCommand::SignOff(next_argument("DRAFT")?.parse()?),
+        "bundle roll-out" => CtlCommand::RollOut(next_argument("DRAFT")?.parse()?),
+        "bundle roll-back" => CtlCommand::RollBack(next_argument("VERSION")?.parse()?),
+        "bundle diff" => CtlCommand::Diff(
+            parse_reference(next_argument("A")?),
+            parse_reference(next_argument("B")?),
+        ),
         "bundle status" => CtlCommand::BundleStatus,
         "bundle history" => CtlCommand::History,
         "status" => CtlCommand::Status,
         "timeline" => CtlCommand::Timeline,
         _ => return Err(Error::CtlCommandUnknown { command: name }),
     };
-    match words.next() {
+    match arguments.next() {
         Some(argument) => Err(Error::CtlArgumentExtra { argument }),
         None => Ok(command),
     }
 }
 
-fn reference(word: String) -> BundleReference {
-    if let Ok(version) = word.parse() {
+fn parse_reference(text: String) -> BundleReference {
+    if let Ok(version) = text.parse() {
         return BundleReference::Version(version);
     }
-    match word.parse() {
+    match text.parse() {
         Ok(draft) => BundleReference::Draft(draft),
-        Err(_) => BundleReference::File(word.into()),
+        Err(_) => BundleReference::File(text.into()),
     }
 }
 
-/// A clock reading, or the reading of a time that lies an age back.
-fn since(value: &str) -> Result<HybridTime> {
+/// Parses a clock reading, or an age that is subtracted from the current wall-clock time.
+fn parse_since(value: &str) -> Result<HybridTime> {
     if let Ok(time) = value.parse() {
         return Ok(time);
     }
@@ -240,9 +245,9 @@
         expected,
         value: value.to_owned(),
     })?;
-    let then = process_clock::wall().saturating_sub(age);
+    let wall_time = process_clock::wall().saturating_sub(age);
     Ok(HybridTime {
-        micros: u64::try_from(then.as_micros()).unwrap_or(u64::MAX),
+        micros: u64::try_from(wall_time.as_micros()).unwrap_or(u64::MAX),
         count: 0,
     })
 }
@@ -255,17 +260,17 @@
     })
 }
 
-fn ctl_variable(flag: &str) -> String {
+fn variable_name(flag: &str) -> String {
     format!("CATKINCTL_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-fn ctl_flag(source: lexopt::Error) -> Error {
+fn flag_error(source: lexopt::Error) -> Error {
     Error::CtlFlag { source }
 }
 
-fn absent(flag: &'static str) -> Error {
+fn missing_setting(flag: &'static str) -> Error {
     Error::SettingAbsent {
         flag,
-        variable: ctl_variable(flag),
+        variable: variable_name(flag),
     }
 }
--- a/crates/catkinward/src/ctl_vms.rs
+++ b/crates/catkinward/src/ctl_vms.rs
@@ -3,10 +3,10 @@
 use futures::StreamExt;
 use std::fmt::Write;
 
-/// Calls of VMs that are under way at once; 400 VMs are asked in rounds of this many.
-const FAN_OUT: usize = 32;
+/// Maximum number of concurrent calls; a system of 400 VMs is queried with this many at a time.
+const MAX_CONCURRENT_CALLS: usize = 32;
 
-/// The VMs that an operator asks.
+/// Client of the operator APIs of all VMs.
 pub(crate) struct CtlVms {
     platform: Option<Arc<Platform>>,
     addresses: Vec<SocketAddr>,
@@ -15,20 +15,20 @@
     timeout: Duration,
 }
 
-/// A VM to ask.
+/// A VM to query. `address` is `None` if the platform lists no operator address for it.
 #[derive(Clone, Debug)]
-struct CtlVm {
+struct VmTarget {
     name: String,
     address: Option<SocketAddr>,
 }
 
-/// Answers of the VMs that answered, and the others.
-pub(crate) struct CtlAnswers<T> {
-    pub(crate) answers: Vec<T>,
+/// Replies of the VMs, and the VMs that did not reply.
+pub(crate) struct VmReplies<T> {
+    pub(crate) replies: Vec<T>,
     pub(crate) missing: Vec<MissingVm>,
 }
 
-/// A VM that gave no answer.
+/// A VM without a usable reply.
 #[derive(Clone, Debug, serde::Serialize)]
 pub(crate) struct MissingVm {
     pub(crate) vm: String,
@@ -39,7 +39,7 @@
     pub(crate) fn new(platform: Option<Arc<Platform>>, settings: &CtlSettings) -> Result<Self> {
         let mut headers = HeaderMap::new();
         let bearer = format!("Bearer {}", settings.key()?);
-        let bearer = bearer.parse().map_err(|_| Error::CtlKeyForm)?;
+        let bearer = bearer.parse().map_err(|_| Error::CtlKeyInvalid)?;
         headers.insert(header::AUTHORIZATION, bearer);
         Ok(Self {
             platform,
@@ -50,47 +50,47 @@
         })
     }
 
-    /// Asks all VMs for `path`.
+    /// Sends a GET request for `path` to all VMs.
     ///
     /// # Errors
     ///
-    /// If it cannot be learned which VMs there are.
-    pub(crate) async fn ask<T: serde::de::DeserializeOwned>(
+    /// Returns an error if the list of VMs cannot be fetched from the platform.
+    pub(crate) async fn query<T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
-    ) -> Result<CtlAnswers<T>> {
-        let vms = self.list().await?;
-        let asked = vms.into_iter().map(|vm| self.ask_one(vm, path));
-        let mut results = futures::stream::iter(asked).buffered(FAN_OUT);
-        let mut all = CtlAnswers {
-            answers: Vec::new(),
+    ) -> Result<VmReplies<T>> {
+        let vms = self.list_vms().await?;
+        let queries = vms.into_iter().map(|vm| self.query_vm(vm, path));
+        let mut results = futures::stream::iter(queries).buffered(MAX_CONCURRENT_CALLS);
+        let mut all = VmReplies {
+            replies: Vec::new(),
             missing: Vec::new(),
         };
         while let Some(result) = results.next().await {
             match result {
-                Ok(answer) => all.answers.push(answer),
+                Ok(reply) => all.replies.push(reply),
                 Err(missing) => all.missing.push(missing),
             }
         }
         Ok(all)
     }
 
-    async fn list(&self) -> Result<Vec<CtlVm>> {
+    async fn list_vms(&self) -> Result<Vec<VmTarget>> {
         let Some(platform) = &self.platform else {
-            let named = self.addresses.iter().map(|address| CtlVm {
+            let targets = self.addresses.iter().map(|address| VmTarget {
                 name: address.to_string(),
                 address: Some(*address),
             });
-            return Ok(named.collect());
+            return Ok(targets.collect());
         };
-        let list = (platform.vms)(())
+        let entries = (platform.vms)(())
             .await
-            .map_err(|fault| Error::CtlVmList { fault })?;
-        let routers = list
+            .map_err(|error| Error::CtlVmList { error })?;
+        let routers = entries
             .into_iter()
             .filter(|entry| entry.kind == platform_api::VmKind::Router);
         let mut vms = routers
-            .map(|entry| CtlVm {
+            .map(|entry| VmTarget {
                 address: entry.operator_address.and_then(|a| a.parse().ok()),
                 name: entry.id,
             })
@@ -99,34 +99,34 @@
         Ok(vms)
     }
 
-    async fn ask_one<T: serde::de::DeserializeOwned>(
+    async fn query_vm<T: serde::de::DeserializeOwned>(
         &self,
-        vm: CtlVm,
+        vm: VmTarget,
         path: &str,
     ) -> Result<T, MissingVm> {
         let Some(address) = vm.address else {
             return Err(MissingVm {
                 vm: vm.name,
-                reason: "the platform's list has no operator address of it".to_owned(),
+                reason: "the platform lists no operator address for this VM".to_owned(),
             });
         };
         let call = HttpCall {
             address,
             path: path.to_owned(),
             headers: self.headers.clone(),
-            bound: self.timeout,
-            fresh: true,
+            timeout: self.timeout,
+            new_connection: true,
             ..HttpCall::default()
         };
-        let answer = self.connections.call_json(call).await;
-        answer.map_err(|fault| MissingVm {
+        let reply = self.connections.call_json(call).await;
+        reply.map_err(|error| MissingVm {
             vm: vm.name,
-            reason: fault.to_string(),
+            reason: error.to_string(),
         })
     }
 }
 
-/// A line for each VM that gave no answer.
+/// Formats one line for each VM without a reply.
 pub(crate) fn missing_lines(missing: &[MissingVm]) -> String {
     let mut lines = String::new();
     for MissingVm { vm, reason } in missing {
--- a/crates/catkinward/src/operator_api.rs
+++ b/crates/catkinward/src/operator_api.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{http_client::json_bytes, operator_problem::OperatorProblem};
 
-/// The HTTP service that operators see, on an address of its own.
+/// HTTP service for operators, served on a separate address.
 #[derive(Clone)]
 pub(crate) struct OperatorApi {
     node: Arc<Node>,
@@ -29,7 +29,7 @@
 
     fn route(&self, req: &Request) -> Result<Response, OperatorProblem> {
         self.check_key(req.headers())?;
-        // Only one who has the key may move the clock.
+        // The clock observes readings of authenticated clients only, since a reading can advance it.
         self.node.timeline.clock().observe_headers(req.headers());
         match (req.method(), req.uri().path()) {
             (&Method::GET, "/v1/status") => Ok(json_response(&self.status())),
@@ -42,7 +42,7 @@
     }
 
     fn check_key(&self, headers: &HeaderMap) -> Result<(), OperatorProblem> {
-        // The digests are compared, so the time taken tells nothing of the key.
+        // Digests are compared instead of keys, so that response times reveal nothing about the key.
         headers
             .get(header::AUTHORIZATION)
             .and_then(|value| value.to_str().ok()?.strip_prefix("Bearer "))
@@ -56,7 +56,7 @@
         let extract = timeline.extract(query);
         operator::TimelineReply {
             availability_zone: timeline.zone().to_string(),
-            events: extract.records.iter().map(border_event).collect(),
+            events: extract.records.iter().map(to_api_event).collect(),
             overwritten: extract.overwritten,
             vm: timeline.vm().to_string(),
         }
@@ -65,14 +65,14 @@
     fn status(&self) -> operator::StatusReply {
         let node = &self.node;
         let bundle = node.bundle.current();
-        let absent = bundle.version == BundleVersion::default();
+        let no_bundle = bundle.version == BundleVersion::default();
         operator::StatusReply {
             availability_zone: node.settings.zone.to_string(),
-            bundle_digest: (!absent).then(|| bundle.digest.to_string()),
+            bundle_digest: (!no_bundle).then(|| bundle.digest.to_string()),
             bundle_version: bundle.version.0,
             draining: node.drain.has_begun(),
             in_flight: u64::try_from(node.drain.in_flight()).unwrap_or(u64::MAX),
-            ready: !absent && !node.drain.has_begun(),
+            ready: !no_bundle && !node.drain.has_begun(),
             upstreams: node.upstreams.statuses(),
             vm: node.settings.vm.to_string(),
         }
@@ -80,19 +80,19 @@
 }
 
 fn timeline_query(query: &str) -> Result<TimelineQuery, OperatorProblem> {
-    let mut wanted = TimelineQuery::default();
+    let mut filter = TimelineQuery::default();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
         match &*name {
-            "request" => set(&mut wanted.request, &value)?,
-            "upstream" => set(&mut wanted.upstream, &value)?,
-            "since" => set(&mut wanted.since, &value)?,
+            "request" => set_once(&mut filter.request, &value)?,
+            "upstream" => set_once(&mut filter.upstream, &value)?,
+            "since" => set_once(&mut filter.since, &value)?,
             _ => return Err(OperatorProblem::MalformedQuery),
         }
     }
-    Ok(wanted)
+    Ok(filter)
 }
 
-fn set<T: FromStr>(field: &mut Option<T>, value: &str) -> Result<(), OperatorProblem> {
+fn set_once<T: FromStr>(field: &mut Option<T>, value: &str) -> Result<(), OperatorProblem> {
     let value = value.parse().map_err(|_| OperatorProblem::MalformedQuery)?;
     match field.replace(value) {
         Some(_) => Err(OperatorProblem::MalformedQuery),
@@ -100,7 +100,7 @@
     }
 }
 
-fn border_event(record: &TimelineRecord) -> operator::TimelineEvent {
+fn to_api_event(record: &TimelineRecord) -> operator::TimelineEvent {
     let event = &record.event;
     operator::TimelineEvent {
         attempt: event.attempt.map(|attempt| attempt.0),
--- a/crates/catkinward/src/plain_headers.rs
+++ b/crates/catkinward/src/plain_headers.rs
@@ -1,9 +1,9 @@
-//! Which headers pass between callers and plain services.
+//! Selection of the headers that are forwarded between callers and plain services.
 
 use super::*;
 
-/// Headers that speak of one connection only, or that the other side writes itself.
-const OF_ONE_CONNECTION: &[&str] = &[
+/// Headers that apply to a single connection (hop-by-hop) or that the other side sets itself.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "host",
@@ -17,25 +17,25 @@
     "upgrade",
 ];
 
-/// The headers of a request or answer that are passed on.
+/// Returns the headers of a request or response that are forwarded.
 ///
-/// The bearer key stays here: a plain service that saw it could call in its team's name.
-pub(crate) fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let named = named_by_connection(headers);
+/// The bearer key is not forwarded: a plain service that received it could make calls as that team.
+pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let listed = listed_in_connection_header(headers);
     headers
         .iter()
         .filter(|(name, _)| {
-            !OF_ONE_CONNECTION.contains(&name.as_str())
+            !HOP_BY_HOP_HEADERS.contains(&name.as_str())
                 && **name != header::AUTHORIZATION
                 && *name != CLOCK_HEADER
-                && !named.iter().any(|other| name.as_str() == other)
+                && !listed.iter().any(|other| name.as_str() == other)
         })
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
-/// Names that the `Connection` header adds to those of one connection.
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+/// Names of further hop-by-hop headers, which are listed in the `Connection` header.
+fn listed_in_connection_header(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/catkinward/src/plain_send.rs
+++ b/crates/catkinward/src/plain_send.rs
@@ -1,93 +1,96 @@
-//! One dispatch of a call to a plain service.
+//! A single request of a call to a plain service.
 
 use super::*;
 use crate::{
     http_client::HttpError,
     plain_call::{DEADLINE_HEADER, PlainCall},
-    plain_headers::passed_on,
+    plain_headers::forwarded_headers,
     plain_response::PlainResponse,
     slot_guard::SlotGuard,
 };
 
-/// Why a dispatch brought no answer.
+/// Reason why a request yielded no response to forward.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SendError {
-    /// It certainly did not run.
+    /// The call certainly did not run.
     NotRun(NotRunEvidence),
-    /// It may have run: a byte of it may have left, and no answer came.
+    /// The call may have run: some of it may have been sent, and the response was not received.
     Lost,
-    /// It ran, and its answer is longer than is passed on.
+    /// The call ran, but its response exceeds the size limit.
     TooLarge,
 }
 
-/// Sends a call to the upstream of its place and reads the whole answer, of `limit` bytes at most.
+/// Sends a call to the upstream of its slot and reads the complete response, up to the size limit.
 pub(crate) async fn send(
     connections: &Connections,
-    place: &mut SlotGuard,
+    slot: &mut SlotGuard,
     call: &PlainCall,
-    dispatch: SendOptions,
+    options: SendOptions,
 ) -> Result<PlainResponse, SendError> {
-    let bound = dispatch.bound;
+    let timeout = options.timeout;
     let http_call = HttpCall {
-        address: place.address(),
+        address: slot.address(),
         method: call.method.clone(),
         path: call.path.clone(),
-        headers: headers_with_deadline(call, dispatch.until_deadline),
+        headers: headers_with_deadline(call, options.until_deadline),
         body: call.body.clone(),
-        bound,
-        fresh: dispatch.fresh,
+        timeout,
+        new_connection: options.new_connection,
     };
-    let reading = read(connections, http_call, dispatch.limit);
-    let answer = tokio::time::timeout(bound, reading).await;
-    match answer {
-        Ok(Ok(answer)) => answered(place, answer),
-        Ok(Err(fault)) => {
-            place.record_failure();
-            Err(fault)
+    let response_read = read_response(connections, http_call, options.limit);
+    let response = tokio::time::timeout(timeout, response_read).await;
+    match response {
+        Ok(Ok(response)) => accept_response(slot, response),
+        Ok(Err(error)) => {
+            slot.record_failure();
+            Err(error)
         }
         Err(_) => {
-            place.record_failure();
-            place.record_overload();
+            slot.record_failure();
+            slot.record_overload();
             Err(SendError::Lost)
         }
     }
 }
 
-/// How a call is sent, to be filled in by update syntax.
+/// Options of a single request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendOptions {
-    /// Bound until the whole answer.
-    pub(crate) bound: Duration,
-    /// What is left until the caller's deadline.
+    /// Timeout until the response is complete.
+    pub(crate) timeout: Duration,
+    /// Remaining time until the caller's deadline, which is sent to the upstream.
     pub(crate) until_deadline: Duration,
-    /// True for a connection of its own.
-    pub(crate) fresh: bool,
-    /// Longest answer, in bytes.
+    /// Opens a new connection instead of using one of the pool.
+    pub(crate) new_connection: bool,
+    /// Maximum size of the response body in bytes.
     pub(crate) limit: usize,
 }
 
-fn answered(place: &mut SlotGuard, answer: PlainResponse) -> Result<PlainResponse, SendError> {
-    if let Some(kind) = refusal_kind(&answer) {
+fn accept_response(
+    slot: &mut SlotGuard,
+    response: PlainResponse,
+) -> Result<PlainResponse, SendError> {
+    if let Some(kind) = refusal_kind(&response) {
         if kind == engine::EngineRefusalKind::Full {
-            place.record_overload();
+            slot.record_overload();
         }
-        place.record_refusal(kind);
+        slot.record_refusal(kind);
         return Err(SendError::NotRun(NotRunEvidence::UpstreamRefused));
     }
-    place.record_first_part();
-    place.record_response_start();
-    place.record_completion();
-    place.record_success();
-    Ok(answer)
+    slot.record_first_part();
+    slot.record_response_start();
+    slot.record_completion();
+    slot.record_success();
+    Ok(response)
 }
 
-/// An upstream's word that it did not run this call, as the border defines it. Any other answer, and
-/// any other body of that status, is the service's own and is passed on.
-fn refusal_kind(answer: &PlainResponse) -> Option<engine::EngineRefusalKind> {
-    if answer.status != StatusCode::CONFLICT {
+/// Returns the kind of a refusal that states that the upstream did not run the call. Any other response,
+/// including one with the same status but another body, is the service's own and is forwarded.
+fn refusal_kind(response: &PlainResponse) -> Option<engine::EngineRefusalKind> {
+    if response.status != StatusCode::CONFLICT {
         return None;
     }
-    let refusal: engine::EngineRefusal = serde_json::from_slice(&answer.body).ok()?;
+    let refusal: engine::EngineRefusal = serde_json::from_slice(&response.body).ok()?;
     matches!(
         refusal.kind,
         engine::EngineRefusalKind::Full | engine::EngineRefusalKind::Leaving
@@ -95,7 +98,7 @@
     .then_some(refusal.kind)
 }
 
-async fn read(
+async fn read_response(
     connections: &Connections,
     call: HttpCall,
     limit: usize,
@@ -103,28 +106,28 @@
     let response = connections
         .call(call)
         .await
-        .map_err(|fault| fault_of(&fault))?;
+        .map_err(|error| send_error(&error))?;
     let (parts, body) = response.into_parts();
     let body = http_body_util::Limited::new(body, limit);
     let body = http_body_util::BodyExt::collect(body).await;
     let body =
         body.map_err(
-            |fault| match fault.downcast::<http_body_util::LengthLimitError>() {
+            |error| match error.downcast::<http_body_util::LengthLimitError>() {
                 Ok(_) => SendError::TooLarge,
                 Err(_) => SendError::Lost,
             },
         )?;
     Ok(PlainResponse {
         status: parts.status,
-        headers: passed_on(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body: body.to_bytes(),
     })
 }
 
-/// Only a call that never had a connection is known not to have run. A request that failed on one
-/// may have been received whole, however the connection ended.
-fn fault_of(fault: &HttpError) -> SendError {
-    if fault.never_connected() {
+/// A call is known not to have run only if no connection was opened. A request that failed on an open
+/// connection may have been received completely, whatever the error.
+fn send_error(error: &HttpError) -> SendError {
+    if error.never_connected() {
         SendError::NotRun(NotRunEvidence::NoConnection)
     } else {
         SendError::Lost
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -1,20 +1,20 @@
 use super::*;
 use crate::{bundle_canonical::canonical_bundle, bundle_format::check_bundle, error::BundleError};
 
-/// A bundle that was read and checked.
+/// A parsed and validated bundle.
 #[derive(Clone, Debug)]
 pub struct ReadBundle {
-    /// The bundle.
+    /// Bundle with its version and digest.
     pub bundle: Bundle,
-    /// Its canonical form.
+    /// Canonical JSON of the bundle.
     pub body: Arc<str>,
 }
 
-/// Reads and checks a bundle, and brings it into its canonical form.
+/// Parses and validates a bundle and converts it to its canonical form.
 ///
 /// # Errors
 ///
-/// Names the field that is wrong, and how.
+/// Returns an error that names the invalid field and the reason.
 pub fn read_bundle(version: BundleVersion, json: &str) -> Result<ReadBundle> {
     let entries = parse_bundle(json)?;
     let (body, digest) = canonical_bundle(&entries);
@@ -22,12 +22,12 @@
     Ok(ReadBundle { bundle, body })
 }
 
-/// Reads and checks the canonical form of a release. Its digest is that of the text itself, which
-/// another version of this program may have written.
+/// Parses and validates the canonical form of a release. The digest is that of `body` as it is, since
+/// another version of this program may have written it in a different canonical form.
 ///
 /// # Errors
 ///
-/// If the text has another digest, or is no bundle.
+/// Returns an error if `body` has another digest or is not a valid bundle.
 pub fn read_canonical(
     version: BundleVersion,
     digest: BundleDigest,
@@ -40,7 +40,7 @@
             found,
         });
     }
-    let body = std::str::from_utf8(body).map_err(|_| Error::BundleText { digest })?;
+    let body = std::str::from_utf8(body).map_err(|_| Error::BundleNotUtf8 { digest })?;
     let bundle = check_bundle(version, digest, &parse_bundle(body)?)?;
     Ok(ReadBundle {
         bundle,
@@ -50,14 +50,14 @@
 
 fn parse_bundle(json: &str) -> Result<bundle_api::Bundle> {
     let mut reader = serde_json::Deserializer::from_str(json);
-    let bundle = serde_path_to_error::deserialize(&mut reader).map_err(|fault| {
-        match fault.path().to_string().as_str() {
+    let bundle = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+        match error.path().to_string().as_str() {
             "." => Error::BundleSyntax {
-                source: fault.into_inner(),
+                source: error.into_inner(),
             },
             field => Error::BundleField {
                 field: field.to_owned(),
-                source: BundleError::Syntax(fault.into_inner()),
+                source: BundleError::Syntax(error.into_inner()),
             },
         }
     })?;
