--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -1,6 +1,6 @@
-//! Plain calls through two routers before three workers, at a part of what these can serve:
-//! `cargo run --release -p catkin-load --example plain_overload -- 2.0`. Routers, workers and
-//! callers share this process; the callers' own delays are in the figures.
+//! Measures plain calls through two routers to three workers, at a multiple of the workers' capacity:
+//! `cargo run --release -p catkin-load --example plain_overload -- 2.0`. Routers, workers and callers
+//! share this process, so the reported latencies include delays of the callers.
 
 use bytes::Bytes;
 use catkin_border::{bundle, caller::Problem};
@@ -25,7 +25,7 @@
 const TEAMS: usize = 5;
 const SECONDS: u64 = 8;
 
-/// Calls of the first part of a run, in which the routers find their limits.
+/// Initial part of a run, in which the routers' concurrency limits adapt. Its calls are not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -116,7 +116,7 @@
     format!("key-{team}")
 }
 
-/// Makes `rate` calls a second, evenly spaced, and returns what each received and when.
+/// Makes `rate` calls per second, evenly spaced, and returns the outcome and latency of each.
 async fn offer(
     routers: &[SocketAddr],
     rate: f64,
@@ -153,7 +153,7 @@
     let bearer = format!("Bearer {}", key(i as usize % TEAMS));
     headers.insert(
         http::header::AUTHORIZATION,
-        bearer.parse().expect("a header"),
+        bearer.parse().expect("a valid header value"),
     );
     headers.insert("catkin-deadline-ms", DEADLINE_MS.into());
     let call = HttpCall {
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// How often the balancer asks each router whether it is ready.
+/// Interval between readiness checks of each router.
 const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// The platform's balancer before the routers: round robin over those that say they are ready.
+/// Mock of the platform's load balancer: round robin over the routers that report ready.
 pub(crate) struct Balancer {
     ready: Vec<AtomicBool>,
     next: AtomicUsize,
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Router of the next call, another than `avoid` if one is ready.
+    /// Selects the router of the next call; avoids `avoid` if another router is ready.
     pub(crate) fn pick(&self, avoid: Option<usize>) -> usize {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
         let count = self.ready.len();
@@ -27,7 +27,7 @@
             .unwrap_or(first % count)
     }
 
-    /// Checks the routers until it is dropped.
+    /// Polls the readiness of all routers until the future is dropped.
     pub(crate) async fn check(&self, fleet: &Fleet) {
         loop {
             let checks = fleet.routers.iter().zip(&self.ready);
--- a/crates/load/src/bin/catkin-load.rs
+++ b/crates/load/src/bin/catkin-load.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! Command-line tool for load tests and fault-injection experiments.
 
 use std::process::ExitCode;
 
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -5,10 +5,10 @@
 const HELP: &str = "\
 Usage: catkin-load COMMAND
 
-  list                                      name the scenarios
+  list                                      list the scenarios
   run SCENARIO [FLAGS]                      run one; exit code 1 if an invariant is broken
-  compare A B SCENARIO [FLAGS]              run it with router flags A and B, by turns
-  bench relay [FLAGS]                       what one router costs that relays streams
+  compare A B SCENARIO [FLAGS]              run it alternately with router flags A and B
+  bench relay [FLAGS]                       measure CPU and memory of a router that relays streams
   help                                      print this text
 
 `catkin-load COMMAND --help` lists the flags of a command.
@@ -18,23 +18,23 @@
 const RUN_HELP: &str = "\
 Usage: catkin-load run SCENARIO [FLAGS]
 
-  --seed N         seed of all that is drawn [1]
+  --seed N         seed of the random number generator [1]
   --size SIZE      small, cobalt or thistlegate [small]
   --seconds N      time for which calls arrive [the scenario's own]
-  --router-flags F flags of the routers, separated by commas
-  --routers N      routers before which operators race [1]
-  --json           print nothing but the report, as one line of JSON
+  --router-flags F extra flags of the routers, separated by commas
+  --routers N      number of routers in `racing-operators` [1]
+  --json           print only the report, as one line of JSON
 ";
 
 /// Text of `catkin-load compare --help`.
 const COMPARE_HELP: &str = "\
 Usage: catkin-load compare A B SCENARIO [FLAGS]
 
-  --rounds N       runs of each side [3]
+  --rounds N       runs with each set of flags [3]
   --seed N         seed of the first round [1]
   --size SIZE      small, cobalt or thistlegate [small]
   --seconds N      time for which calls arrive [the scenario's own]
-  --json           print nothing but the comparison, as one line of JSON
+  --json           print only the comparison, as one line of JSON
 ";
 
 /// Text of `catkin-load bench --help`.
@@ -42,17 +42,17 @@
 Usage: catkin-load bench relay [FLAGS]
 
   --streams N      open streams [500]
-  --routers N      routers that know each other [1]
-  --seconds N      time that is measured
+  --routers N      routers, connected as peers [1]
+  --seconds N      length of the measurement [5]
 ";
 
-/// Name under which [`racing_operators`] is run; it has no load.
+/// Scenario name of [`racing_operators`], which makes no caller requests.
 const RACING_OPERATORS: &str = "racing-operators";
 
-/// Races of a run of [`racing_operators`].
+/// Number of concurrent roll-out pairs in a run of [`racing_operators`].
 const RACES: u64 = 20;
 
-/// Runs the command line of `catkin-load`, without the program's name.
+/// Runs `catkin-load` with the given arguments, which exclude the program name.
 #[must_use]
 pub fn run_command(args: Vec<OsString>) -> ExitCode {
     match command(args) {
@@ -80,7 +80,9 @@
             for scenario in QUICK_SCENARIOS {
                 println!("{:28} {}", scenario.name, scenario.about);
             }
-            println!("{RACING_OPERATORS:28} two operators roll out at once, answers are lost");
+            println!(
+                "{RACING_OPERATORS:28} two operators roll out concurrently while responses are lost"
+            );
             Ok(ExitCode::SUCCESS)
         }
         Some("run") => with_flags(args, RUN_HELP, run),
@@ -94,7 +96,7 @@
     }
 }
 
-/// Runs a command with its flags, or prints its help if they ask for it.
+/// Parses the flags and runs the command, or prints its help if `--help` is among them.
 fn with_flags(
     args: impl Iterator<Item = OsString>,
     help: &str,
@@ -108,7 +110,7 @@
     run(&flags)
 }
 
-/// Flags and operands behind a command.
+/// Flags and operands that follow the command name.
 struct Flags {
     operands: Vec<String>,
     settings: RunSettings,
@@ -238,7 +240,7 @@
     report
 }
 
-/// Runs a scenario with two sets of router flags by turns, and prints each measure as a ratio.
+/// Runs a scenario alternately with two sets of router flags and prints each metric as a ratio.
 #[tokio::main]
 async fn compare(flags: &Flags) -> Result<ExitCode, LoadError> {
     let scenario = Scenario::find(flags.operand(2)?)?;
@@ -269,5 +271,5 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("reports have text keys only")
+    serde_json::to_string(value).expect("reports serialize with string keys only")
 }
--- a/crates/load/src/comparison.rs
+++ b/crates/load/src/comparison.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// Two settings under one scenario, by turns: each measure of the first over that of the second.
+/// Result of alternating runs with two settings: each metric of the first over that of the second.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// Scenario that was run.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// Resume latency, p95.
+    /// Ratio of the 95th percentile of the resume latency.
     pub resume_p95: Spread,
-    /// Time to the first token, p95.
+    /// Ratio of the 95th percentile of the time to the first token.
     pub first_token_p95: Spread,
-    /// Latency of quick calls, p99.
+    /// Ratio of the 99th percentile of the latency of quick calls.
     pub quick_p99: Spread,
-    /// Tokens computed by engines, extra ones counted in.
+    /// Ratio of all tokens that engines computed, including redundant ones.
     pub engine_tokens: Spread,
-    /// Invariants broken on either side.
+    /// Invariants violated in any run.
     pub violations: Vec<String>,
 }
 
-/// A ratio over the rounds of a comparison; absent if a round did not measure it.
+/// Distribution of a ratio over the rounds of a comparison; absent if any round lacks the metric.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
-    /// Smallest ratio.
+    /// Smallest ratio of a round.
     pub min: Option<f64>,
-    /// Median of the ratios.
+    /// Median of the ratios; the upper one for an even number of rounds.
     pub median: Option<f64>,
-    /// Largest ratio.
+    /// Largest ratio of a round.
     pub max: Option<f64>,
 }
 
 impl Comparison {
-    /// Compares reports of equal rounds.
+    /// Compares the reports of both settings pairwise, by round.
     #[must_use]
     pub fn of(scenario: &Scenario, first: &[Report], second: &[Report]) -> Self {
         let spread = |measure: fn(&Report) -> Option<f64>| {
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,67 +1,67 @@
 use super::*;
 
-/// Every way in which an experiment can fail to run.
+/// Errors that prevent an experiment from running.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// A call of a caller failed.
+    /// A caller's request failed.
     #[display("{_0}")]
     Call(catkin_standins::CallError),
-    /// A flag or argument is not known.
+    /// The command line contains an unknown flag or argument.
     #[display("{_0}; `catkin-load help` lists the commands")]
     Flag(lexopt::Error),
-    /// A process could not be started or ended.
+    /// A process could not be started, signalled or waited for.
     #[display("{role}: {source}")]
     #[from(skip)]
     Process {
-        /// What it was to be.
+        /// Role of the process.
         role: crate::Role,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A process ended, or printed something else, before it listened.
-    #[display("{role} did not say where it listens")]
+    /// A process exited, or printed an unexpected line, before it reported its listening address.
+    #[display("{role} did not report a listening address")]
     #[from(skip)]
     NotListening {
-        /// What it was to be.
+        /// Role of the process.
         role: crate::Role,
     },
-    /// A process that should run does not.
-    #[display("{role} does not run")]
+    /// A process that the operation needs is not running.
+    #[display("{role} is not running")]
     #[from(skip)]
     NotRunning {
-        /// What it was to be.
+        /// Role of the process.
         role: crate::Role,
     },
-    /// A call to control a stand-in failed.
+    /// A control request to a mock upstream or the fault proxy failed.
     #[display("{_0}")]
     Control(catkinward::http_client::HttpError),
-    /// The client of the control calls could not be made.
+    /// A component of `catkinward` failed: the HTTP client or the bundle store.
     #[display("{_0}")]
     Client(catkinward::Error),
-    /// A file could not be written or removed.
+    /// A file or socket operation failed.
     #[display("{_0}")]
     File(io::Error),
-    /// The routers did not become ready.
-    #[display("no router became ready in time")]
+    /// The routers did not become ready in time.
+    #[display("the routers did not become ready within 40 s")]
     #[from(skip)]
     NotReady,
-    /// A scenario that there is not.
-    #[display("unknown scenario `{name}`; `catkin-load list` names them")]
+    /// No scenario has this name.
+    #[display("unknown scenario `{name}`; `catkin-load list` lists the scenarios")]
     #[from(skip)]
     UnknownScenario {
-        /// What was asked for.
+        /// The requested name.
         name: String,
     },
-    /// A value of a flag is wrong.
-    #[display("`--{flag}` cannot be `{value}`")]
+    /// A flag has an invalid value.
+    #[display("invalid value `{value}` for `--{flag}`")]
     #[from(skip)]
     Value {
-        /// The flag.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// Its value.
+        /// The rejected value.
         value: String,
     },
-    /// A command that there is not.
+    /// No command has this name.
     #[display("unknown command; `catkin-load help` lists the commands")]
     #[from(skip)]
     UnknownCommand,
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -4,40 +4,40 @@
 use rustix::process::Signal;
 use serde::de::DeserializeOwned;
 
-/// The processes of one run.
+/// The processes of one experiment.
 pub struct Fleet {
-    /// Routers.
+    /// Router processes; the index is the number in the VM's name.
     pub routers: Vec<Process>,
-    /// Engines.
+    /// Mock engine processes.
     pub engines: Vec<Process>,
-    /// Processes of the plain service.
+    /// Mock processes of the plain service.
     pub plains: Vec<Process>,
     proxy: Option<Process>,
-    /// Routes opened through the proxy: those to engines, then those to routers.
+    /// Number of routes through the proxy: first those to engines, then those to routers.
     routes: usize,
     connections: Arc<Connections>,
 }
 
-/// How the processes of a run are started.
+/// Settings of the processes of an experiment.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// How many there are.
+    /// Numbers of processes, zones and teams.
     pub size: FleetSize,
-    /// Time of a decode step.
+    /// Duration of an engine's decode step.
     pub step: Duration,
-    /// How services meet losses.
+    /// Recovery policy of the generation service.
     pub recovery: RecoveryPolicy,
-    /// Whether engines are reached through the fault-injecting proxy.
+    /// Whether routers reach engines through the fault-injecting proxy.
     pub linked: bool,
-    /// Whether routers reach each other through it.
+    /// Whether routers reach each other through the fault-injecting proxy.
     pub peers_linked: bool,
-    /// Further flags of the routers.
+    /// Additional command-line flags of the routers.
     pub router_flags: Vec<String>,
-    /// Further flags of the engines.
+    /// Additional command-line flags of the engines.
     pub engine_flags: Vec<String>,
-    /// Further flags of the plain service.
+    /// Additional command-line flags of the plain service.
     pub plain_flags: Vec<String>,
-    /// Seed of all that is drawn.
+    /// Base seed; each mock upstream adds its index.
     pub seed: u64,
 }
 
@@ -57,10 +57,10 @@
     }
 }
 
-/// Bound of a control call.
+/// Timeout of a control request.
 const CONTROL_BOUND: Duration = Duration::from_secs(2);
 
-/// How long routers may take to become ready and to know each other.
+/// Timeout until all routers are ready and have discovered each other.
 const READY_BOUND: Duration = Duration::from_secs(40);
 
 impl Fleet {
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// If one of them does not start.
+    /// If a process does not start, or the routers are not ready within 40 s.
     pub async fn start(program: &Path, settings: &FleetSettings) -> Result<Self, LoadError> {
         let size = settings.size;
         let engine = |i: usize| standin(program, "engine", engine_flags(settings, i));
@@ -107,7 +107,7 @@
         Ok(engines)
     }
 
-    /// Opens a route through the proxy.
+    /// Adds a route through the proxy and returns its listening address.
     async fn route(&mut self, to: SocketAddr) -> Result<SocketAddr, LoadError> {
         let path = format!("/route?to={to}");
         let route = self.control(self.proxy()?, Method::POST, path).await?;
@@ -121,8 +121,8 @@
         Ok(proxy.address())
     }
 
-    /// Flags of a router for its peers. Behind the proxy its address must be known before it
-    /// starts, so a free one is taken and given back.
+    /// Peer flags of a router. A proxied router needs its port before it starts, because the route
+    /// is set up first, so a free port is bound and released.
     async fn peer_flags(&mut self, linked: bool) -> Result<Vec<String>, LoadError> {
         if !linked {
             return Ok(vec!["--peer-listen=127.0.0.1:0".to_owned()]);
@@ -173,7 +173,7 @@
         ready.map_err(|_| LoadError::NotReady)?
     }
 
-    /// Waits until each router is ready and knows all others.
+    /// Waits until each router answers and has discovered all others.
     async fn wait_until_ready(&self) -> Result<(), LoadError> {
         for client in self.clients(0)? {
             while !client
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Whether a router says that it may be sent calls.
+    /// Whether a router reports that it accepts calls.
     pub async fn is_ready(&self, router: SocketAddr) -> bool {
         let call = HttpCall {
             address: router,
@@ -200,11 +200,11 @@
         answer.is_ok_and(|(status, _)| status.is_success())
     }
 
-    /// A client of one team for each router.
+    /// Creates one client per router with the key of a team.
     ///
     /// # Errors
     ///
-    /// If no client can be made.
+    /// If a client cannot be created.
     pub fn clients(&self, team: usize) -> Result<Vec<CallerClient>, LoadError> {
         let key = team_key(team);
         let client = |router: &Process| CallerClient::new(router.address(), &key);
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     ///
-    /// If it has ended.
+    /// If the process has exited.
     pub fn signal_router(&self, router: usize, signal: Signal) -> Result<(), LoadError> {
         self.routers[router].signal(signal)
     }
@@ -224,16 +224,16 @@
     ///
     /// # Errors
     ///
-    /// If it has ended.
+    /// If the process has exited.
     pub fn signal_engine(&self, engine: usize, signal: Signal) -> Result<(), LoadError> {
         self.engines[engine].signal(signal)
     }
 
-    /// Injects a fault on the way to an engine; only for linked fleets.
+    /// Injects a fault on the proxy route to an engine; only if engines are proxied.
     ///
     /// # Errors
     ///
-    /// If there is no proxy, or it does not answer.
+    /// If there is no proxy, or it does not respond.
     pub async fn inject(&self, engine: usize, fault: ProxyFault) -> Result<(), LoadError> {
         let path = format!("/fault?route={engine}&kind={fault}");
         let call = control_call(self.proxy()?, Method::POST, path);
@@ -241,11 +241,11 @@
         Ok(())
     }
 
-    /// Delays every message between routers so long; only for fleets whose routers are linked.
+    /// Delays every message between routers by `delay`; only if peers are proxied.
     ///
     /// # Errors
     ///
-    /// If there is no proxy, or it does not answer.
+    /// If there is no proxy, or it does not respond.
     pub async fn delay_peers(&self, delay: Duration) -> Result<(), LoadError> {
         let ms = delay.as_millis();
         for route in self.routes - self.routers.len()..self.routes {
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    /// How many engines take connections.
+    /// Number of engines that accept connections.
     pub(crate) async fn live_engines(&self) -> usize {
         let connects = self.engines.iter().map(|engine| async {
             tokio::net::TcpStream::connect(engine.address())
@@ -268,37 +268,37 @@
         live.into_iter().filter(|live| *live).count()
     }
 
-    /// Work of an engine so far, unless it is dead.
+    /// Load report of an engine; `None` if it does not respond.
     pub async fn engine_load(&self, engine: usize) -> Option<engine::UpstreamLoad> {
         self.read(self.engines[engine].address(), "/v1/load").await
     }
 
-    /// Runs that an engine counted, unless it is dead.
+    /// Run counts of an engine; `None` if it does not respond.
     pub async fn engine_runs(&self, engine: usize) -> Option<RunCounts> {
         self.read(self.engines[engine].address(), "/stats").await
     }
 
-    /// Runs that a process of the plain service counted.
+    /// Run counts of a process of the plain service.
     ///
     /// # Errors
     ///
-    /// If it does not answer.
+    /// If it does not respond.
     pub async fn plain_runs(&self, plain: SocketAddr) -> Result<RunCounts, LoadError> {
         self.control(plain, Method::GET, "/stats".to_owned()).await
     }
 
-    /// Makes a process of the plain service fail from now on.
+    /// Sets the fault that a process of the plain service injects from now on.
     ///
     /// # Errors
     ///
-    /// If it does not answer.
+    /// If it does not respond.
     pub async fn fail_plain(&self, plain: SocketAddr, fault: PlainFault) -> Result<(), LoadError> {
         let call = control_call(plain, Method::POST, format!("/fault?kind={fault}"));
         self.connections.call_whole(call).await?;
         Ok(())
     }
 
-    /// Opens a stream of a process; `None` if it refuses.
+    /// Opens a response stream of a process; `None` on an error or a status other than success.
     pub(crate) async fn open(&self, address: SocketAddr, path: String) -> Option<Response> {
         let call = control_call(address, Method::GET, path);
         let response = self.connections.call(call).await.ok()?;
--- a/crates/load/src/fleet_bundle.rs
+++ b/crates/load/src/fleet_bundle.rs
@@ -13,7 +13,7 @@
     format!("key-of-team-{team}")
 }
 
-/// The bundle of a fleet: one generation service, one plain service, teams of equal weight.
+/// Bundle of a fleet: one generation service, one plain service and teams of equal weight.
 #[must_use]
 pub fn fleet_bundle(
     size: FleetSize,
--- a/crates/load/src/generation_call.rs
+++ b/crates/load/src/generation_call.rs
@@ -2,42 +2,42 @@
 use crate::{balancer::Balancer, fleet_bundle::GENERATION_SERVICE};
 use std::num::NonZeroU32;
 
-/// Pause before a caller whose answer broke off turns to another router.
+/// Delay before a caller whose stream was interrupted reconnects to another router.
 const RETURN_PAUSE: Duration = Duration::from_millis(20);
 
-/// One generation that a caller asks for.
+/// A generation request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationCall {
-    /// When it is due, from the start of the run.
+    /// Scheduled time, relative to the start of the run.
     pub(crate) due: Duration,
     pub(crate) team: usize,
     pub(crate) prompt: String,
     pub(crate) seed: u64,
     pub(crate) tokens: u32,
-    /// None for a caller who cannot come back to its answer, and asks anew.
+    /// Idempotency key; `None` for a caller that cannot resume a stream and starts a new request.
     pub(crate) key: Option<String>,
 }
 
-/// How a call ended, as its caller sees it.
+/// Outcome of a call as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallEnd {
-    /// With the whole answer.
+    /// The complete response was received.
     Whole,
-    /// With the word that nothing ran.
+    /// A problem reported that the request did not run.
     NotRun,
-    /// With another typed error.
+    /// Another typed problem was received.
     Failed,
-    /// With neither.
+    /// Neither a complete response nor a typed problem arrived before the deadline.
     Lost,
 }
 
-/// A call and what came of it.
+/// A call with its outcome and response.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationResult {
     pub(crate) call: GenerationCall,
     pub(crate) end: CallEnd,
     pub(crate) answer: Answer,
-    /// How often the caller had to turn to another router.
+    /// Number of times that the caller reconnected after its request had been accepted.
     pub(crate) returns: u32,
 }
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Makes the call, and comes back to another router with what it has until the answer is whole,
-    /// an error is final, or `deadline` is over.
+    /// Makes the call. Reconnects to another router and resumes there until the response is complete,
+    /// a problem is final, or `deadline` has passed.
     pub(crate) async fn make(
         self,
         clients: &[CallerClient],
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads from one router; `None` if the caller has to turn to another.
+    /// Reads the stream from one router; `None` if the caller has to reconnect to another.
     async fn read(
         &self,
         client: &CallerClient,
--- a/crates/load/src/injector.rs
+++ b/crates/load/src/injector.rs
@@ -2,16 +2,16 @@
 use crate::{balancer::Balancer, generation_call::GenerationCall};
 use rustix::process::Signal;
 
-/// How long routers that stutter stand still and run by turns.
+/// Length of each stop and of each run phase of stuttering routers.
 const STUTTER: Duration = Duration::from_millis(80);
 
-/// How often they stand still.
+/// Number of stops of stuttering routers.
 const STUTTERS: u32 = 8;
 
-/// How long a caller of a request that crashes engines waits.
+/// Timeout of a caller whose request crashes engines.
 const POISON_BOUND: Duration = Duration::from_secs(4);
 
-/// Carries out the faults of a scenario, and notes what a killed engine had done.
+/// Injects the faults of a scenario and records the work of engines before they are killed.
 pub(crate) struct Injector<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) balancer: &'a Balancer,
@@ -20,22 +20,23 @@
     pub(crate) outcome: Injected,
 }
 
-/// What the faults of a run were and left behind.
+/// Faults injected in a run, and the state of the processes that they ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Injected {
-    /// When each fault began.
+    /// Start time of each fault.
     pub(crate) at: Vec<Instant>,
-    /// Work and runs of engines that are dead now.
+    /// Load reports and run counts of killed engines, read before the kill.
     pub(crate) dead: Vec<(engine::UpstreamLoad, RunCounts)>,
-    /// Engines and routers that were killed.
+    /// Indexes of killed engines.
     pub(crate) killed_engines: Vec<usize>,
+    /// Indexes of killed routers.
     pub(crate) killed_routers: Vec<usize>,
-    /// Routers that were asked to end.
+    /// Indexes of routers that were sent SIGTERM.
     pub(crate) drained: Vec<usize>,
 }
 
 impl Injector<'_> {
-    /// Injects the faults of a scenario, each at its time.
+    /// Injects the faults of a scenario at their scheduled times.
     pub(crate) async fn run(mut self, scenario: &Scenario) -> Result<Injected, LoadError> {
         for (share, fault) in scenario.faults {
             tokio::time::sleep_until(self.start + scenario.arrivals.mul_f64(*share)).await;
@@ -109,7 +110,7 @@
         self.outcome.dead.extend(load.zip(runs));
     }
 
-    /// Sends a request that crashes its engine, and sends it again as its caller would.
+    /// Sends a request that crashes its engine, then retries it once as its caller would.
     async fn poison(&mut self, prompt: &str, keyed: bool) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(prompt, keyed);
@@ -126,8 +127,8 @@
         Ok(())
     }
 
-    /// Sends a request that crashes its engine to one router, which gets a signal at the loss of the second engine; its
-    /// caller sends it again at once to another.
+    /// Sends a request that crashes its engine to one router, which is sent a signal when the second
+    /// engine is lost. The caller immediately retries at the next router.
     async fn poison_at(&mut self, router: usize, signal: Signal) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(POISON, false);
@@ -148,7 +149,7 @@
         Ok(())
     }
 
-    /// Sends a request that crashes its engine to a router and to the next one at the same time.
+    /// Sends a request that crashes its engine to two routers concurrently.
     async fn poison_at_two(&mut self, router: usize) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(POISON, false);
@@ -179,7 +180,7 @@
     }
 }
 
-/// Makes a call at one router.
+/// Makes a call at a single router and discards the result.
 async fn send_to(client: &CallerClient, call: &GenerationCall) {
     let balancer = Balancer::new(1);
     let deadline = Instant::now() + POISON_BOUND;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,7 @@
-//! Load and experiments: real processes of routers and stand-ins, faults, and checks by callers.
+//! Load generator and fault-injection experiments.
+//!
+//! Starts routers and mock upstreams as real processes, injects faults, and checks the responses
+//! that callers receive.
 
 pub(crate) use {
     catkin_border::{
--- a/crates/load/src/percentiles.rs
+++ b/crates/load/src/percentiles.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// Percentiles of a measure, in milliseconds; absent where nothing was measured.
+/// Percentiles of durations, in milliseconds; absent if there are no samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Values measured.
+    /// Number of samples.
     pub count: u64,
-    /// Median.
+    /// 50th percentile (median).
     pub p50: Option<f64>,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: Option<f64>,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: Option<f64>,
-    /// Largest.
+    /// Largest sample.
     pub max: Option<f64>,
 }
 
-/// Longest time that is told apart from longer ones, in microseconds: an hour.
+/// Upper bound of the histogram, in microseconds: one hour. Longer durations count as this one.
 const LONGEST: u64 = 3_600_000_000;
 
 impl Percentiles {
-    /// Percentiles of the given times.
+    /// Computes the percentiles of the given durations.
     ///
     /// # Panics
     ///
-    /// Never: the histogram's precision is a valid constant.
+    /// Never: the histogram's bounds and precision are valid constants.
     #[must_use]
     pub fn of(times: impl IntoIterator<Item = Duration>) -> Self {
         let mut histogram = hdrhistogram::Histogram::<u64>::new_with_bounds(1, LONGEST, 3)
-            .expect("the bounds and 3 digits are allowed");
+            .expect("the bounds and 3 significant digits are valid");
         for time in times {
             histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
         }
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -2,24 +2,24 @@
 use crate::error::Error;
 use rustix::process::{Pid, Signal};
 
-/// What a process of an experiment is.
+/// Role of a process of an experiment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// A router, as the daemon `catkinward`.
+    /// A router, the same as the daemon `catkinward`.
     Router,
-    /// A stand-in, as the daemon `catkin-standins`.
+    /// A mock server, the same as the daemon `catkin-standins`.
     Standin,
 }
 
-/// A process of an experiment: this program again, as a router or stand-in. It is killed when it is
-/// dropped.
+/// A child process of an experiment: this program, run as a router or mock server. It is killed on
+/// drop.
 #[derive(Debug)]
 pub struct Process {
     role: Role,
     child: Child,
-    /// Held so that it ends with this one. Kept apart from `child`, which would close it when it is waited
-    /// for, and the process would end in the middle of its shutdown.
+    /// Write end of the child's standard input; the child exits when it closes. Kept out of `child`,
+    /// because waiting for the child would close it and end the process during its shutdown.
     _input: Option<ChildStdin>,
     address: SocketAddr,
     others: Vec<(String, SocketAddr)>,
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// If it does not start, or does not say where it listens.
+    /// If it does not start, or does not print its listening address.
     pub async fn start(
         program: &std::path::Path,
         role: Role,
@@ -60,24 +60,24 @@
         })
     }
 
-    /// Where it listens.
+    /// Main listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Another address that it listens on, by the name that it prints.
+    /// Additional listening address with the given name, as printed by the process.
     #[must_use]
     pub fn other_address(&self, name: &str) -> Option<SocketAddr> {
         let found = self.others.iter().find(|(other, _)| other == name);
         found.map(|(_, address)| *address)
     }
 
-    /// Kills it without notice.
+    /// Kills the process with SIGKILL and waits for it.
     ///
     /// # Errors
     ///
-    /// If it cannot be killed.
+    /// If the process cannot be killed or waited for.
     pub async fn kill(&mut self) -> Result<(), Error> {
         let role = self.role;
         self.child
@@ -86,11 +86,11 @@
             .map_err(|source| Error::Process { role, source })
     }
 
-    /// Sends it a signal: kills, pauses or resumes it, or asks it to end.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// If it has been waited for already.
+    /// If the process has already been waited for, or the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         let role = self.role;
         let pid = self.child.id().and_then(|id| i32::try_from(id).ok());
@@ -103,11 +103,11 @@
         })
     }
 
-    /// Waits for its end and returns its exit code.
+    /// Waits until the process exits and returns its exit code; `None` if a signal ended it.
     ///
     /// # Errors
     ///
-    /// If it cannot be waited for.
+    /// If the process cannot be waited for.
     pub async fn wait(&mut self) -> Result<Option<i32>, Error> {
         let role = self.role;
         let status = self.child.wait().await;
@@ -115,19 +115,19 @@
         Ok(status.code())
     }
 
-    /// Whether it has ended by itself or was killed.
+    /// Whether the process has exited or was killed.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Its process id, while it runs.
+    /// Process id; `None` once the process has been waited for.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 }
 
-/// Reads lines of a name and an address until the one that says `listening`.
+/// Reads lines of the form `NAME ADDRESS` until the one named `listening`, the main address.
 async fn listening_addresses(
     lines: &mut Lines<BufReader<ChildStdout>>,
 ) -> Option<(SocketAddr, Vec<(String, SocketAddr)>)> {
@@ -143,13 +143,14 @@
     }
 }
 
-/// Reads what a process writes until its end. Were it not read, the process would find its output closed.
+/// Reads and discards the output of a process until it ends; otherwise the pipe would close and the
+/// process's writes to it would fail.
 async fn read_on(mut lines: Lines<BufReader<ChildStdout>>) {
     while let Ok(Some(_)) = lines.next_line().await {}
 }
 
-/// Where the log of a process goes: into a file of the folder that [`LOG_VARIABLE`] names, or where that of
-/// the experiment goes.
+/// Standard error of a process: a file in the directory that [`LOG_VARIABLE`] names, or inherited
+/// if the variable is unset.
 fn log_output(role: Role) -> Result<Stdio, Error> {
     static PROCESSES: AtomicUsize = AtomicUsize::new(0);
     let Some(folder) = std::env::var_os(LOG_VARIABLE) else {
@@ -161,7 +162,7 @@
     Ok(Stdio::from(file))
 }
 
-/// What routers log: all, where their logs are kept, and else what ends a run.
+/// Log level of routers: `info` if logs are kept in files, otherwise `error`.
 pub(crate) fn log_filter() -> &'static str {
     match std::env::var_os(LOG_VARIABLE) {
         Some(_) => "info",
@@ -169,10 +170,11 @@
     }
 }
 
-/// Variable that names the folder for the logs of an experiment's processes; without it none is kept.
+/// Environment variable with the directory for the log files of an experiment's processes. If it is
+/// unset, no log files are written.
 const LOG_VARIABLE: &str = "CATKIN_LOAD_LOGS";
 
-/// Runs this process as `role`.
+/// Runs this process in the given role until it ends.
 #[must_use]
 pub fn run_process(role: Role, args: Vec<OsString>) -> ExitCode {
     std::thread::spawn(end_with_parent);
@@ -182,12 +184,13 @@
     }
 }
 
-/// Ends this process once its input does: the experiment that started it holds the other end. One that is
-/// killed would leave its processes behind, which hold their ports and the output of the test.
+/// Exits this process when its standard input closes, whose other end the experiment holds. Without
+/// this, a killed experiment would leave its processes behind, which keep their ports and the
+/// output of the test open.
 fn end_with_parent() {
     let mut input = std::io::stdin().lock();
     if let Err(error) = std::io::copy(&mut input, &mut std::io::sink()) {
-        eprintln!("the input cannot be read: {error}");
+        eprintln!("failed to read standard input: {error}");
     }
     std::process::exit(1);
 }
--- a/crates/load/src/process_usage.rs
+++ b/crates/load/src/process_usage.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// What a process has used so far, read from the kernel.
+/// Resource usage of a process since its start, read from `/proc`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
-    /// Processor time, in user and kernel mode.
+    /// CPU time in user and kernel mode.
     pub cpu: Duration,
-    /// Resident memory, in bytes.
+    /// Resident set size in bytes.
     pub resident: u64,
 }
 
-/// Place of the user-mode time among the words of `/proc/PID/stat` behind the program's name.
+/// Index of the user-mode time among the fields of `/proc/PID/stat` after the program name. The
+/// kernel-mode time follows it.
 const USER_TIME: usize = 11;
 
-/// Place of the resident pages there.
+/// Index of the resident set size, in pages, among the same fields.
 const RESIDENT_PAGES: usize = 21;
 
 impl ProcessUsage {
-    /// Reads the usage of a running process; `None` if there is none of that id.
+    /// Reads the usage of a running process; `None` if no process has this id.
     #[must_use]
     pub fn read(pid: u32) -> Option<Self> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -3,45 +3,45 @@
 use catkin_standins::PlainResponse;
 use catkinward::http_client::{Connections, HttpCall};
 
-/// How long a caller waits for its answer.
+/// Deadline that a caller sends with its request; it matches the `catkin-deadline-ms` header below.
 pub(crate) const DEADLINE: Duration = Duration::from_secs(1);
 
-/// How much longer it listens, so that a late answer is not taken for a lost one.
+/// Extra time that a caller keeps reading, so that a late response does not count as lost.
 const LATE: Duration = Duration::from_secs(2);
 
-/// One plain call.
+/// A call of the plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct QuickCall {
-    /// When it is due, from the start of the run.
+    /// Scheduled time, relative to the start of the run.
     pub(crate) due: Duration,
     pub(crate) team: usize,
-    /// Query that names what it asks for.
+    /// Query string that identifies the item.
     pub(crate) query: String,
-    /// Whether it writes and may not be repeated.
+    /// Whether this is a non-idempotent write.
     pub(crate) write: bool,
 }
 
-/// How a plain call ended, as its caller sees it.
+/// Outcome of a plain call as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuickEnd {
-    /// With the answer to its own request.
+    /// The response to the caller's own request was received.
     Answered,
-    /// With the answer to another request.
+    /// A response to another request, or an unreadable one, was received.
     Crossed,
-    /// With the word that nothing ran.
+    /// A problem reported that the request did not run.
     NotRun,
-    /// With another typed error.
+    /// Another typed problem was received.
     Failed,
-    /// With neither.
+    /// Neither a response nor a typed problem was received.
     Lost,
 }
 
-/// A plain call and what came of it.
+/// A plain call with its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct QuickResult {
     pub(crate) call: QuickCall,
     pub(crate) end: QuickEnd,
-    /// From the time it was due to its end.
+    /// Time from the scheduled start to the end of the call.
     pub(crate) took: Duration,
 }
 
@@ -52,12 +52,12 @@
 }
 
 impl QuickCall {
-    /// Digest by which the upstream counts its runs.
+    /// Request digest under which the upstream counts the runs.
     pub(crate) fn digest(&self) -> u64 {
         request_digest(&self.query, b"")
     }
 
-    /// Calls a router, or an upstream directly.
+    /// Makes the call to a router, or directly to an upstream.
     pub(crate) async fn make(
         self,
         connections: &Connections,
@@ -78,7 +78,7 @@
             Ok((_, body)) => match serde_json::from_slice::<caller::Problem>(&body) {
                 Ok(problem) if problem.outcome == caller::Outcome::NotRun => QuickEnd::NotRun,
                 Ok(_) => QuickEnd::Failed,
-                // An upstream's own refusal: nothing ran.
+                // The upstream itself refused the call, so it did not run.
                 Err(_) => QuickEnd::NotRun,
             },
         };
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -4,52 +4,52 @@
     quick_run::CAPACITY,
 };
 
-/// Measures and verdict of a run of plain calls.
+/// Metrics and invariant violations of a run of plain calls.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QuickReport {
-    /// Scenario that was run.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed it was drawn from.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Measures through the routers.
+    /// Metrics of the calls through the routers.
     #[serde(flatten)]
     pub measures: QuickMeasures,
-    /// The same calls round robin to the upstreams.
+    /// Metrics of the same calls sent directly to the upstreams, round robin.
     pub baseline: QuickMeasures,
-    /// Latency of the teams other than the hot one.
+    /// Latency of answered calls of all teams except the hot one.
     pub others_quick_ms: Percentiles,
-    /// Requests that were told that they did not run, and did.
+    /// Requests that were reported as not run although an upstream ran them.
     pub false_not_run: usize,
     /// Non-idempotent requests that ran more than once.
     pub double_runs: usize,
-    /// Invariants that were broken; empty in a good run.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<String>,
 }
 
-/// Measures of plain calls over one way.
+/// Metrics of plain calls, either through routers or sent directly.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QuickMeasures {
-    /// Calls made.
+    /// Number of calls made.
     pub calls: usize,
-    /// Calls answered, in time or late.
+    /// Calls answered, before or after the deadline.
     pub completed: usize,
-    /// Calls answered within their deadline, as a share of those that could have been.
+    /// Calls answered within the deadline, as a share of those that the upstreams' capacity allows.
     pub answered_in_deadline: f64,
-    /// Calls that were told that they did not run.
+    /// Calls that were reported as not run.
     pub refused: usize,
-    /// Calls that ended in another typed error.
+    /// Calls that ended with another typed problem.
     pub failed: usize,
-    /// Calls that got neither.
+    /// Calls that received neither a response nor a typed problem.
     pub lost_answers: usize,
-    /// Calls that got the answer to another one.
+    /// Calls that received a mismatched response.
     pub crossed_answers: usize,
-    /// Time until a refusal.
+    /// Latency of refusals.
     pub refused_ms: Percentiles,
-    /// Time until an answer.
+    /// Latency of answered calls.
     pub quick_ms: Percentiles,
-    /// Jain's index over the teams' shares of calls answered in time.
+    /// Jain's fairness index of the teams' shares of calls answered within the deadline.
     pub fairness: f64,
-    /// Runs whose answer no caller had in time, as a share of all runs.
+    /// Runs whose response reached no caller within the deadline, as a share of all runs.
     pub wasted_work_ratio: f64,
 }
 
@@ -80,7 +80,8 @@
     }
 }
 
-/// Runs of requests that some caller had answered in time, each no oftener than such callers.
+/// Number of runs that were answered within the deadline. For each digest, at most as many runs
+/// count as callers were answered.
 fn useful_runs(results: &[QuickResult], runs: &RunCounts) -> u64 {
     let in_time = results.iter().filter(|result| result.in_deadline());
     let mut digests: Vec<u64> = in_time.map(|result| result.call.digest()).collect();
@@ -97,7 +98,7 @@
     useful.sum()
 }
 
-/// Jain's index: 1 if each team has the same share of its calls answered in time.
+/// Jain's fairness index: 1 if each team has the same share of its calls answered within the deadline.
 fn fairness(results: &[QuickResult]) -> f64 {
     let teams = results.iter().map(|result| result.call.team + 1).max();
     let shares: Vec<f64> = (0..teams.unwrap_or(0))
@@ -114,7 +115,8 @@
 }
 
 impl QuickReport {
-    /// Judges the calls through the routers by what their callers received and what ran.
+    /// Checks the invariants of the calls through the routers: compares the responses that callers
+    /// received with the runs that upstreams counted.
     pub(crate) fn judge(&mut self, results: &[QuickResult], runs: &RunCounts) {
         let ran = |result: &QuickResult| runs.of_digest(result.call.digest());
         let writes = || results.iter().filter(|result| result.call.write);
@@ -122,7 +124,7 @@
             .iter()
             .filter(|result| result.end == QuickEnd::NotRun);
         self.double_runs = writes().filter(|result| ran(result) > 1).count();
-        // A read of an item that others read too may have run for them.
+        // A read of the hot item may have run for another caller of the same item.
         let own = refused.filter(|result| !result.call.query.starts_with(HOT));
         self.false_not_run = own.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
@@ -145,7 +147,7 @@
     }
 }
 
-/// Beginning of the query of a read of the hot item.
+/// Prefix of the query string of reads of the hot item.
 pub(crate) const HOT: &str = "hot=";
 
 #[expect(
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -7,23 +7,24 @@
 };
 use catkinward::http_client::Connections;
 
-/// Places of one plain upstream.
+/// Concurrency slots of each plain upstream.
 const PLACES: f64 = 8.0;
 
-/// Mean time that it takes for a call.
+/// Mean service time of a call.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
 
-/// Plain upstreams.
+/// Number of plain upstreams in each [`FleetSize`].
 const PLAINS: f64 = 3.0;
 
-/// Calls a second that all of them serve.
+/// Calls per second that all plain upstreams together serve; each slot serves 25 at 40 ms a call.
 pub(crate) const CAPACITY: f64 = PLAINS * PLACES * 25.0;
 
-/// Runs a scenario of plain calls through routers, then round robin to upstreams of their own.
+/// Runs a scenario of plain calls through routers, then as a baseline with new upstreams that are
+/// called directly, round robin.
 ///
 /// # Errors
 ///
-/// If the experiment itself cannot be run. Broken invariants stand in the report.
+/// If the experiment itself cannot be run. Violated invariants are listed in the report.
 pub async fn run_quick(
     program: &Path,
     scenario: &QuickScenario,
@@ -155,7 +156,7 @@
     Ok(())
 }
 
-/// Runs generations beside the plain calls.
+/// Runs generations concurrently with the plain calls; does nothing without routers.
 async fn generate(
     fleet: &Fleet,
     scenario: &QuickScenario,
--- a/crates/load/src/quick_scenario.rs
+++ b/crates/load/src/quick_scenario.rs
@@ -1,32 +1,33 @@
 use super::*;
 
-/// One experiment of plain calls under load, beside callers that go round robin to the upstreams.
+/// An experiment of plain calls under load, compared with calls sent directly to the upstreams.
 #[derive(Clone, Debug)]
 pub struct QuickScenario {
-    /// Its name on the command line.
+    /// Name on the command line, in kebab case.
     pub name: &'static str,
-    /// What it shows, in one line.
+    /// One-line description for `catkin-load list`.
     pub about: &'static str,
-    /// How long calls arrive.
+    /// Time for which calls arrive.
     pub arrivals: Duration,
-    /// Calls that arrive, as a share of what the upstreams can serve.
+    /// Arrival rate, as a multiple of the upstreams' capacity.
     pub load: f64,
-    /// Part of the arrivals' time in which so many times as many calls arrive.
+    /// Start and end of a burst, as shares of the arrival time, and its factor on the arrival rate.
     pub burst: Option<(f64, f64, f64)>,
-    /// Share of all calls that one team makes.
+    /// Share of all calls that the hot team makes, which is team 0.
     pub hot_team: f64,
-    /// Share of all calls that read one item.
+    /// Share of reads that read the hot item.
     pub hot_key: f64,
-    /// Share of all calls that write and may not be repeated.
+    /// Share of all calls that are non-idempotent writes.
     pub writes: f64,
-    /// Generations a second for each engine beside.
+    /// Concurrent generations, in arrivals per second for each engine.
     pub generations: f64,
-    /// Faults of the plain upstreams, each at a share of the arrivals' time: of one, or of all.
+    /// Faults of the plain upstreams: the share of the arrival time at which the fault starts, the
+    /// index of the upstream (`None` for all), and the fault.
     pub faults: &'static [(f64, Option<usize>, PlainFault)],
 }
 
 impl QuickScenario {
-    /// A scenario at half load, to be filled in by update syntax.
+    /// Default scenario at half load, for use with struct update syntax.
     pub(crate) const BASE: Self = Self {
         name: "",
         about: "",
@@ -40,7 +41,7 @@
         faults: &[],
     };
 
-    /// The scenario of that name, if there is one.
+    /// Looks up a scenario by name.
     #[must_use]
     pub fn find(name: &str) -> Option<Self> {
         let found = QUICK_SCENARIOS
@@ -54,25 +55,25 @@
 pub const QUICK_SCENARIOS: &[QuickScenario] = &[
     QuickScenario {
         name: "quick",
-        about: "plain calls at half load",
+        about: "plain calls at half of the upstreams' capacity",
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "burst",
-        about: "three times what the upstreams serve, for a fifth of the time",
+        about: "three times the upstreams' capacity for a fifth of the time",
         burst: Some((0.4, 0.6, 6.0)),
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "hot-team",
-        about: "one team makes three quarters of all calls, above what the upstreams serve",
+        about: "one team makes three quarters of all calls, at 1.5 times the upstreams' capacity",
         load: 1.5,
         hot_team: 0.75,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "hot-key",
-        about: "seven of ten calls read one item",
+        about: "70 % of all reads read one item, at 1.5 times the upstreams' capacity",
         load: 1.5,
         hot_key: 0.7,
         ..QuickScenario::BASE
@@ -85,25 +86,25 @@
     },
     QuickScenario {
         name: "mixed-lengths",
-        about: "generations run beside the plain calls",
+        about: "generations run concurrently with the plain calls",
         generations: 2.0,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "overload",
-        about: "twice what the upstreams serve",
+        about: "twice the upstreams' capacity",
         load: 2.0,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "overload-5x",
-        about: "five times what the upstreams serve",
+        about: "five times the upstreams' capacity",
         load: 5.0,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "brownout",
-        about: "all upstreams refuse for a fifth of the time",
+        about: "all upstreams refuse calls for a fifth of the time",
         faults: &[
             (0.4, None, PlainFault::Refuse),
             (0.6, None, PlainFault::None),
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -12,54 +12,54 @@
 use http::{HeaderMap, header};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What a run of racing operators showed.
+/// Metrics and invariant violations of a run of [`racing_operators`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OperatorsReport {
-    /// Seed of the run.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Routers, which know each other.
+    /// Number of routers, connected as peers.
     pub routers: usize,
-    /// Pairs of operators that rolled out at the same moment.
+    /// Number of pairs of concurrent roll-outs.
     pub races: u64,
-    /// Answers of the table service that were lost.
+    /// Responses of the table service that were dropped.
     pub answers_lost: u64,
-    /// From the call that rolled a bundle out until a router had it in force.
+    /// Time from the roll-out call until a router had the bundle in force.
     pub bundle_in_force_ms: Percentiles,
-    /// Times that a router went back to an older bundle.
+    /// Number of times that a router returned to an older bundle.
     pub bundle_reverts: usize,
-    /// Reads of the table service a second, over all routers and operators.
+    /// Reads of the table service per second by all routers and operators.
     pub platform_reads_per_s: f64,
-    /// Transactions a second.
+    /// Transactions of the table service per second by all routers and operators.
     pub platform_writes_per_s: f64,
-    /// What must hold and did not.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<String>,
 }
 
-/// Settings of the run.
+/// Settings of [`racing_operators`].
 #[derive(Clone, Debug)]
 pub struct OperatorsSettings {
-    /// Seed of faults and pauses.
+    /// Seed of the number of lost responses and of the delays between roll-outs.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Races.
+    /// Number of pairs of concurrent roll-outs.
     pub races: u64,
 }
 
 const KEY: &str = "operator-key";
 
-/// Routers that all others are told of at their start.
+/// Number of routers that later ones get as peers at startup; they discover the rest by gossip.
 const FIRST_KNOWN: usize = 3;
 
-/// Longest wait until the last router has the last bundle in force.
+/// Timeout until all routers have the last bundle in force.
 const LAST_BOUND: Duration = Duration::from_secs(10);
 
-/// Two operators roll out at the same moment, again and again, while answers of the table service
-/// are lost; routers are watched through their time lines.
+/// Repeatedly lets two operators roll out concurrently while responses of the table service are
+/// lost, and checks the result through the routers' timelines.
 ///
 /// # Errors
 ///
-/// If the processes do not start, or the platform does not answer.
+/// If the processes do not start, or the platform does not respond.
 pub async fn racing_operators(
     program: &Path,
     cfg: &OperatorsSettings,
@@ -81,7 +81,7 @@
     for version in 1..=cfg.races {
         let lost = rng.random_range(0..3);
         rolled_out.push(race(&store, &platform, version, lost, &mut report).await?);
-        // Releases as far apart as the routers' reads, at no fixed phase to them.
+        // Matches the interval between the routers' store reads, with random phase.
         tokio::time::sleep(Duration::from_millis(rng.random_range(1_000..2_000))).await;
     }
     let timelines = timelines(&routers, cfg.races).await?;
@@ -129,8 +129,8 @@
     ))
 }
 
-/// Two drafts over one version are rolled out at once; `lost` answers are lost meanwhile. Returns
-/// when the calls began.
+/// Rolls out two drafts based on one version concurrently, while `lost` responses are dropped.
+/// Returns the wall-clock time at which the calls began.
 async fn race(
     store: &BundleStore,
     platform: &PlatformServer,
@@ -191,7 +191,9 @@
     let change = format!("{:08x}", rand::random::<u32>());
     BundleAuthor {
         operator: operator.parse().expect("a valid name"),
-        change: change.parse().expect("digits are visible ASCII"),
+        change: change
+            .parse()
+            .expect("hexadecimal digits are visible ASCII"),
         at: wall().as_secs(),
     }
 }
@@ -201,7 +203,7 @@
     now.unwrap_or_default()
 }
 
-/// The routers' time lines, once each has the last version in force.
+/// Reads the routers' timelines after each has the last version in force, or after the timeout.
 async fn timelines(routers: &[Process], last: u64) -> Result<Vec<TimelineReply>, LoadError> {
     let connections = Connections::new()?;
     let mut headers = HeaderMap::new();
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -5,35 +5,36 @@
 use std::num::NonZeroU32;
 use volo_http::client::sse::SseReader;
 
-/// What is measured of a router that relays streams.
+/// Cost of relaying streams through a router.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RelayReport {
-    /// Open streams.
+    /// Number of open streams.
     pub streams: usize,
-    /// Routers that know each other; callers use one of them.
+    /// Number of routers, connected as peers; callers use one of them.
     pub routers: usize,
-    /// Tokens that callers received a second.
+    /// Tokens that callers received per second.
     pub tokens_per_s: f64,
-    /// Processor time that the router took, in cores.
+    /// CPU time of the router per second, in cores.
     pub router_cores: f64,
-    /// Tokens relayed for a second of the router's processor time.
+    /// Tokens relayed per second of the router's CPU time.
     pub tokens_per_cpu_s: f64,
-    /// Growth of the router's resident memory for each open stream, in bytes.
+    /// Growth of the router's resident set size per open stream, in bytes.
     pub memory_per_stream: u64,
-    /// How much later a token came through the router than on a direct connection to its engine.
+    /// Additional latency of a token through the router, compared with a direct connection to its
+    /// engine.
     pub overhead_ms: Percentiles,
 }
 
-/// Settings of the measurement.
+/// Settings of [`bench_relay`].
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
-    /// Open streams.
+    /// Number of open streams.
     pub streams: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Time of a decode step.
+    /// Duration of an engine's decode step.
     pub step: Duration,
-    /// How long is measured.
+    /// Length of the measurement.
     pub window: Duration,
 }
 
@@ -48,23 +49,23 @@
     }
 }
 
-/// Engines before the router.
+/// Number of engines.
 const ENGINES: usize = 4;
 
-/// Streams that are read directly beside.
+/// Number of streams that are also read directly from their engine.
 const OBSERVED: usize = 25;
 
-/// Tokens that each stream has before the measurement begins.
+/// Tokens that each stream receives before the measurement begins.
 const WARM: usize = 50;
 
-/// A stream's arrivals through the router.
+/// Engine id and token arrival times of a stream that is read through the router.
 #[derive(Default)]
 pub(crate) struct Stream {
     engine_id: Mutex<Option<String>>,
     arrivals: Mutex<Vec<Instant>>,
 }
 
-/// Measures what one router costs that relays streams without any fault.
+/// Measures the cost of relaying streams through one router, without faults.
 ///
 /// # Errors
 ///
@@ -127,7 +128,7 @@
     }
 }
 
-/// Opens endless streams at the first router.
+/// Opens streams of unlimited length at the first router.
 pub(crate) fn open_streams(fleet: &Fleet, count: usize) -> Result<Vec<Arc<Stream>>, LoadError> {
     let clients = fleet.clients(0)?;
     let streams = (0..count).map(|i| {
@@ -151,7 +152,7 @@
     Ok(streams.collect())
 }
 
-/// Id under which the engine knows a generation: that of the request, and its chain.
+/// Id of a generation at its engine: the request id followed by the chain id.
 fn engine_id(answer: &Answer) -> Option<String> {
     let point: ResumePoint = answer.last_event_id.as_ref()?.parse().ok()?;
     let (_, chain) = point.origin?;
@@ -170,7 +171,8 @@
     }
 }
 
-/// Reads a running stream from its engine directly, and compares the arrivals.
+/// Reads a running stream directly from its engine and returns by how much each token arrived later
+/// through the router.
 async fn observe(fleet: &Fleet, stream: &Stream, window: Duration) -> Vec<Duration> {
     let id = stream.engine_id.lock().clone().unwrap_or_default();
     let from = stream.arrivals.lock().len();
@@ -193,7 +195,7 @@
     let routed = stream.arrivals.lock();
     let routed = routed.get(from..).unwrap_or_default();
     let pairs = direct.iter().zip(routed);
-    // The first events come together, as fast as the new connection takes them.
+    // The new connection receives the first events in one batch, which says nothing about latency.
     let pairs = pairs.skip(WARM);
     pairs
         .map(|(direct, routed)| routed.saturating_duration_since(*direct))
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,54 +1,55 @@
 use super::*;
 
-/// Measures and verdict of one run.
+/// Metrics and invariant violations of one run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Scenario that was run.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed it was drawn from.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Size of the fleet.
     pub size: String,
-    /// Requests that a router took on.
+    /// Requests that a router accepted.
     pub accepted: usize,
-    /// Requests whose whole answer came.
+    /// Requests whose complete response was received.
     pub completed: usize,
-    /// Requests that were told that they did not run.
+    /// Requests that were reported as not run.
     pub refused: usize,
-    /// Accepted requests that ended in another typed error.
+    /// Requests that ended with another typed problem.
     pub failed: usize,
-    /// Types of those errors, each with its count.
+    /// Problem types of the failed requests with their counts.
     pub failures: Vec<(String, usize)>,
-    /// Calls that had to turn to another router, in times.
+    /// Reconnections of callers to another router, over all calls.
     pub returns: u32,
-    /// Tokens that did not come.
+    /// Tokens that callers did not receive.
     pub missing_tokens: usize,
-    /// Tokens that came again.
+    /// Tokens that callers received more than once.
     pub repeated_tokens: usize,
-    /// Answers that hold tokens of two generations.
+    /// Responses that contain tokens of two generations.
     pub mixed_answers: usize,
-    /// Answers to another request.
+    /// Mismatched responses, which belong to another request.
     pub crossed_answers: usize,
-    /// Accepted requests that got neither a whole answer nor a typed error.
+    /// Requests that received neither a complete response nor a typed problem.
     pub lost_answers: usize,
-    /// Requests that were told that they did not run, and did.
+    /// Requests that were reported as not run although an engine ran them.
     pub false_not_run: usize,
     /// Non-idempotent requests that ran more than once.
     pub double_runs: usize,
-    /// Wait from a fault to the next token, of the answers it held up.
+    /// Time from a fault to the next token, for the responses that it delayed.
     pub resume_ms: Percentiles,
-    /// Wait from the time a call was due to its first token.
+    /// Time from the start of a call to its first token.
     pub first_token_ms: Percentiles,
-    /// Wait between two tokens.
+    /// Time between two consecutive tokens.
     pub token_gap_ms: Percentiles,
-    /// Tokens that engines computed beyond prompts and answers, as a share of these.
+    /// Tokens that engines prefilled and decoded beyond the prompts and responses, as a share of the
+    /// latter.
     pub extra_engine_tokens_ratio: f64,
-    /// Tokens that engines decoded beyond the answers, as a share of these.
+    /// Tokens that engines decoded beyond the responses, as a share of the latter.
     pub extra_decoded_ratio: f64,
-    /// Engines that died.
+    /// Engine processes that ended, whether killed or crashed.
     pub engines_lost: usize,
     /// Latency of quick calls.
     pub quick_ms: Percentiles,
-    /// Invariants that were broken; empty in a good run.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<String>,
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -6,16 +6,16 @@
     tally::Tally,
 };
 
-/// How one scenario is run.
+/// Settings of a run of a scenario.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
-    /// Seed of all that is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Size of the fleet.
     pub size: Size,
-    /// Time for which calls arrive, in place of the scenario's own.
+    /// Time for which calls arrive; `None` for the scenario's default.
     pub arrivals: Option<Duration>,
-    /// Further flags of the routers.
+    /// Additional command-line flags of the routers.
     pub router_flags: Vec<String>,
 }
 
@@ -30,14 +30,15 @@
     }
 }
 
-/// How long a router that was asked to end may take after its last stream.
+/// Timeout for a draining router to exit after the load has ended.
 const DRAIN_BOUND: Duration = Duration::from_secs(10);
 
-/// Runs a scenario with real processes of `program`; `progress` is told of each call that ended.
+/// Runs a scenario with real processes of `program`. After each call, `progress` is called with the
+/// number of finished calls and of all calls.
 ///
 /// # Errors
 ///
-/// If the experiment itself cannot be run. Broken invariants stand in the report.
+/// If the experiment itself cannot be run. Violated invariants are listed in the report.
 pub async fn run_scenario(
     program: &Path,
     scenario: &Scenario,
@@ -69,7 +70,7 @@
     };
     let (results, injected) = tokio::select! {
         done = load => done?,
-        () = balancer.check(&fleet) => unreachable!("the balancer checks for ever"),
+        () = balancer.check(&fleet) => unreachable!("the balancer polls without end"),
     };
     let mut report = settle(&scenario, fleet, &results, &injected).await?;
     report.seed = settings.seed;
@@ -90,7 +91,7 @@
     }
 }
 
-/// Draws arrivals at random times, whatever becomes of earlier calls.
+/// Draws calls with Poisson arrivals, independent of the progress of earlier calls (open loop).
 pub(crate) fn draw_calls(
     scenario: &Scenario,
     size: FleetSize,
@@ -143,7 +144,7 @@
     Ok(join_all(calls).await)
 }
 
-/// Collects what the processes know after the load, and judges.
+/// Collects the engines' counts and the exit codes of drained routers, and builds the report.
 async fn settle(
     scenario: &Scenario,
     mut fleet: Fleet,
@@ -154,7 +155,7 @@
     let mut engines_lost = 0;
     for i in 0..fleet.engines.len() {
         let work = fleet.engine_load(i).await.zip(fleet.engine_runs(i).await);
-        // A busy machine may leave a live engine's answer late; only its end counts as a loss.
+        // An engine on a busy machine may respond too late, so only its exit counts as a loss.
         engines_lost += usize::from(fleet.engines[i].has_ended());
         engines.extend(work);
     }
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -1,68 +1,69 @@
 use super::*;
 
-/// One experiment: a load, the faults that meet it, and what it may end in.
+/// An experiment: a load of generations with injected faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name on the command line.
+    /// Name on the command line, in kebab case.
     pub name: &'static str,
-    /// What it shows, in one line.
+    /// One-line description for `catkin-load list`.
     pub about: &'static str,
-    /// How long calls arrive.
+    /// Time for which calls arrive.
     pub arrivals: Duration,
-    /// Generations that arrive a second for each engine.
+    /// Arrival rate of generations, per second for each engine.
     pub generations: f64,
-    /// Fewest and most tokens of a generation.
+    /// Minimum and maximum number of tokens of a generation.
     pub tokens: (u32, u32),
-    /// Time of a decode step of the engines.
+    /// Duration of an engine's decode step.
     pub step: Duration,
-    /// Faults, each at a share of the arrivals' time.
+    /// Faults, each with the share of the arrival time at which it is injected.
     pub faults: &'static [(f64, Fault)],
-    /// How services meet losses.
+    /// Recovery policy of the generation service.
     pub recovery: RecoveryPolicy,
-    /// Whether engines are reached through the fault-injecting proxy.
+    /// Whether routers reach engines through the fault-injecting proxy.
     pub linked: bool,
-    /// What messages between routers take one way; zero for as long as they take.
+    /// One-way delay added to messages between routers; zero for none.
     pub peer_delay: Duration,
-    /// How long a caller waits for the next token before it turns to another router.
+    /// Time without a token after which a caller reconnects to another router.
     pub patience: Duration,
-    /// Longest time from the last arrival to the end of the run.
+    /// Maximum time from the last arrival to the end of the run.
     pub tail: Duration,
 }
 
-/// A fault of a scenario. Which process it meets is drawn from the seed.
+/// A fault of a scenario. The affected process is drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
     /// An engine process is killed.
     KillEngine,
-    /// An engine process is stopped for so long, and goes on.
+    /// An engine process is stopped for this time and then continued.
     PauseEngine(Duration),
-    /// All open connections to one engine go silent for good.
+    /// All open connections to one engine stop carrying data permanently; new ones work.
     SilenceEngine,
     /// A router process is killed.
     KillRouter,
-    /// A router process is stopped for so long, and goes on.
+    /// A router process is stopped for this time and then continued.
     PauseRouter(Duration),
-    /// All router processes are stopped for a moment, again and again, as on VMs that wait for a processor.
+    /// All router processes are repeatedly stopped for a short time, as on VMs that wait for a CPU.
     StutterRouters,
-    /// A router process is asked to end.
+    /// A router process is sent SIGTERM.
     DrainRouter,
-    /// A request arrives that crashes each engine which runs it; its caller sends it again.
+    /// A request with an idempotency key crashes each engine that runs it; its caller retries.
     Poison,
-    /// The same, from a caller without an idempotency key.
+    /// As `Poison`, but without an idempotency key.
     KeylessPoison,
-    /// The same, but engines crash before they answer.
+    /// As `Poison`, but engines crash before they respond.
     UnansweredPoison,
-    /// A keyless one crashes two engines, its router is killed with the second, and its caller sends it again.
+    /// A request without a key crashes two engines; its router is killed when the second is lost, and
+    /// its caller retries at another.
     PoisonKillingRouter,
-    /// A keyless one arrives at two routers at once.
+    /// A request without a key that crashes engines arrives at two routers concurrently.
     PoisonAtTwoRouters,
-    /// As `PoisonKillingRouter`, but the router is stopped for so long.
+    /// As `PoisonKillingRouter`, but the router is stopped for this time and then continued.
     PoisonPausingRouter(Duration),
 }
 
 impl Scenario {
-    /// A scenario without faults, to be filled in by update syntax.
+    /// Default scenario without faults, for use with struct update syntax.
     pub(crate) const BASE: Self = Self {
         name: "",
         about: "",
@@ -78,11 +79,11 @@
         tail: Duration::from_secs(12),
     };
 
-    /// The scenario of that name.
+    /// Looks up a scenario by name.
     ///
     /// # Errors
     ///
-    /// If there is none.
+    /// If no scenario has this name.
     pub fn find(name: &str) -> Result<Self, LoadError> {
         let found = SCENARIOS.iter().find(|scenario| scenario.name == name);
         found.cloned().ok_or_else(|| LoadError::UnknownScenario {
--- a/crates/load/src/scenarios.rs
+++ b/crates/load/src/scenarios.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Length of a pause after which most bounds have run out.
+/// Length of a process pause, after which most timeouts have expired.
 const PAUSE: Duration = Duration::from_secs(3);
 
-/// All scenarios.
+/// All scenarios of generations under faults.
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "steady",
@@ -12,13 +12,13 @@
     },
     Scenario {
         name: "engine-death",
-        about: "two engine processes are killed under running generations",
+        about: "two engine processes are killed while they run generations",
         faults: &[(0.4, Fault::KillEngine), (0.8, Fault::KillEngine)],
         ..Scenario::BASE
     },
     Scenario {
         name: "engine-death-least-work",
-        about: "the same under the policy of least extra engine time",
+        about: "as engine-death, with the recovery policy least_work",
         faults: &[(0.4, Fault::KillEngine), (0.8, Fault::KillEngine)],
         recovery: RecoveryPolicy::LeastWork,
         ..Scenario::BASE
@@ -33,20 +33,20 @@
     },
     Scenario {
         name: "engine-pause",
-        about: "an engine process is stopped for 3 s and comes back",
+        about: "an engine process is stopped for 3 s and then continued",
         faults: &[(0.4, Fault::PauseEngine(PAUSE))],
         ..Scenario::BASE
     },
     Scenario {
         name: "silent-connection",
-        about: "all open connections to an engine go silent for good; new ones work",
+        about: "all open connections to an engine stop carrying data permanently; new ones work",
         faults: &[(0.4, Fault::SilenceEngine), (0.7, Fault::SilenceEngine)],
         linked: true,
         ..Scenario::BASE
     },
     Scenario {
         name: "silent-connection-least-work",
-        about: "the same under the policy of least extra engine time",
+        about: "as silent-connection, with the recovery policy least_work",
         faults: &[(0.4, Fault::SilenceEngine), (0.7, Fault::SilenceEngine)],
         recovery: RecoveryPolicy::LeastWork,
         linked: true,
@@ -54,13 +54,13 @@
     },
     Scenario {
         name: "drain",
-        about: "a router is asked to end while its streams run",
+        about: "a router is sent SIGTERM while it relays streams",
         faults: &[(0.4, Fault::DrainRouter)],
         ..Scenario::BASE
     },
     Scenario {
         name: "drain-long",
-        about: "the same with streams that outlast 45 s",
+        about: "as drain, with streams of more than 45 s",
         arrivals: Duration::from_secs(2),
         generations: 0.5,
         tokens: (950, 1000),
@@ -71,13 +71,13 @@
     },
     Scenario {
         name: "router-death",
-        about: "a router process is killed; its callers come back to others",
+        about: "a router process is killed; its callers reconnect to others",
         faults: &[(0.5, Fault::KillRouter)],
         ..Scenario::BASE
     },
     Scenario {
         name: "router-death-after-stutter",
-        about: "a router process is killed after all have stood still for moments",
+        about: "a router process is killed after all routers were repeatedly stopped for a short time",
         generations: 6.0,
         faults: &[(0.3, Fault::StutterRouters), (0.31, Fault::KillRouter)],
         ..Scenario::BASE
@@ -91,20 +91,20 @@
     },
     Scenario {
         name: "router-pause",
-        about: "a router process is stopped for 3 s; its callers turn to others; it comes back",
+        about: "a router process is stopped for 3 s and then continued; its callers reconnect to others",
         faults: &[(0.4, Fault::PauseRouter(PAUSE))],
         patience: Duration::from_millis(1500),
         ..Scenario::BASE
     },
     Scenario {
         name: "router-and-engine-death",
-        about: "a router and an engine are killed together",
+        about: "a router and an engine are killed at the same time",
         faults: &[(0.5, Fault::KillRouter), (0.5, Fault::KillEngine)],
         ..Scenario::BASE
     },
     Scenario {
         name: "many-faults",
-        about: "a router and an engine die, another engine pauses and connections go silent, at once",
+        about: "a router and engines are killed, another engine is paused and connections stop carrying data, all at once",
         faults: &[
             (0.3, Fault::SilenceEngine),
             (0.4, Fault::PauseEngine(PAUSE)),
@@ -120,26 +120,26 @@
     },
     Scenario {
         name: "poison",
-        about: "a request crashes each engine that runs it; its caller sends it again",
+        about: "a request crashes each engine that runs it; its caller retries",
         faults: &[(0.3, Fault::Poison)],
         ..Scenario::BASE
     },
     Scenario {
         name: "poison-slow-peers",
-        about: "the same without an idempotency key, while messages between routers take 60 ms",
+        about: "as poison, without an idempotency key, while messages between routers take 60 ms",
         faults: &[(0.3, Fault::KeylessPoison)],
         peer_delay: Duration::from_millis(60),
         ..Scenario::BASE
     },
     Scenario {
         name: "poison-router-death",
-        about: "a router is killed at the second engine that a request crashes; its caller sends it again",
+        about: "a router is killed when a request crashes the second engine; its caller retries at another router",
         faults: &[(0.3, Fault::PoisonKillingRouter)],
         ..Scenario::BASE
     },
     Scenario {
         name: "poison-router-death-slow-peers",
-        about: "the same, while messages between routers take 60 ms",
+        about: "as poison-router-death, while messages between routers take 60 ms",
         faults: &[(0.3, Fault::PoisonKillingRouter)],
         peer_delay: Duration::from_millis(60),
         ..Scenario::BASE
@@ -153,13 +153,13 @@
     },
     Scenario {
         name: "poison-at-two-routers",
-        about: "a request that crashes each engine arrives at two routers at once",
+        about: "a request that crashes each engine arrives at two routers concurrently",
         faults: &[(0.3, Fault::PoisonAtTwoRouters)],
         ..Scenario::BASE
     },
     Scenario {
         name: "poison-unanswered",
-        about: "as poison, but each engine crashes before it answers",
+        about: "as poison, but each engine crashes before it responds",
         faults: &[(0.3, Fault::UnansweredPoison)],
         ..Scenario::BASE
     },
--- a/crates/load/src/size.rs
+++ b/crates/load/src/size.rs
@@ -1,33 +1,33 @@
-/// Sizes of a fleet: those of the two deployments of today, and a small one for quick runs.
+/// Fleet sizes: those of the two existing deployments, and a small one for quick runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Size {
-    /// For tests.
+    /// Small fleet for tests: 6 engines.
     #[default]
     Small,
-    /// Coverage maps: 18 engines.
+    /// The deployment that renders coverage maps: 18 engines.
     Cobalt,
-    /// Print orders: 36 engines.
+    /// The deployment for print orders: 36 engines.
     Thistlegate,
 }
 
-/// Processes of a fleet, and what they are spread over.
+/// Numbers of processes, zones and teams of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSize {
-    /// Router processes.
+    /// Number of router processes.
     pub routers: usize,
-    /// Engine processes.
+    /// Number of engine processes.
     pub engines: usize,
-    /// Processes of the plain service.
+    /// Number of processes of the plain service.
     pub plains: usize,
-    /// Availability zones.
+    /// Number of availability zones over which the processes are spread.
     pub zones: usize,
-    /// Teams.
+    /// Number of teams that make calls.
     pub teams: usize,
 }
 
 impl Size {
-    /// Processes of this size.
+    /// Numbers of processes, zones and teams of this size.
     #[must_use]
     pub fn fleet(self) -> FleetSize {
         let (routers, engines, teams) = match self {
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -4,26 +4,27 @@
     injector::Injected,
 };
 
-/// A wait that is longer than so many steps, and [`NOISE`], was caused by the fault before it.
+/// A gap between tokens of more than this many steps plus [`NOISE`] is attributed to the fault before
+/// it.
 const HELD_UP_STEPS: u32 = 3;
 
-/// Waits that the scheduling of a busy machine causes.
+/// Gap between tokens that process scheduling on a busy machine can cause.
 const NOISE: Duration = Duration::from_millis(20);
 
-/// All that a run left behind.
+/// Data of a finished run, from which the report is computed.
 pub(crate) struct Tally<'a> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) results: &'a [GenerationResult],
     pub(crate) injected: &'a Injected,
-    /// Work and runs of the engines, dead ones as of their death.
+    /// Load reports and run counts of the engines; for killed ones, as read before the kill.
     pub(crate) engines: Vec<(engine::UpstreamLoad, RunCounts)>,
     pub(crate) engines_lost: usize,
-    /// Exit codes of routers that were asked to end.
+    /// Exit codes of drained routers; `None` if a router did not exit in time.
     pub(crate) drained: Vec<Option<i32>>,
 }
 
 impl Tally<'_> {
-    /// Works out measures and verdict.
+    /// Computes the metrics and checks the invariants.
     pub(crate) fn report(&self) -> Report {
         let mut report = Report {
             scenario: self.scenario.name.to_owned(),
@@ -82,7 +83,7 @@
         result.end == CallEnd::NotRun && ran()
     }
 
-    /// Compares what engines computed with what callers asked for and received.
+    /// Compares the tokens that engines computed with those that callers requested and received.
     fn count_work(&self, report: &mut Report) {
         let sum = |tokens: fn(&engine::UpstreamLoad) -> Option<u64>| {
             let tokens = self.engines.iter().filter_map(|(load, _)| tokens(load));
@@ -97,7 +98,7 @@
         report.extra_engine_tokens_ratio = ratio(decoded + prefilled, received + prompts) - 1.0;
     }
 
-    /// How long the fault that held an answer up most did so.
+    /// Longest time from a fault to the next token, over the faults that delayed this response.
     fn held_up(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
@@ -149,7 +150,7 @@
     }
 }
 
-/// Engines that one poison request may cost.
+/// Maximum number of engines that one poison request may crash.
 const POISON_LOSSES: usize = 2;
 
 fn first_token(result: &GenerationResult) -> Option<Duration> {
--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Generations under load: who is admitted, and who is told at once that it is not.
+//! Admission of generations under load.
 
 mod router_support;
 
@@ -42,18 +42,19 @@
     caller
         .stream(request, None, &mut answer, |_| {})
         .await
-        .expect("a whole answer or a problem");
+        .expect("a complete response or a problem");
     answer
 }
 
-/// Twenty generations of a hundred thousand tokens ask for an engine of five places, and then a
-/// quick one comes. In one queue it would wait until one of them ends, in eight minutes.
+/// Guards against a quick generation that waits behind long ones: 20 generations of 100,000 tokens
+/// compete for an engine with five slots. In a single queue the quick one would wait eight minutes,
+/// until one of them ends.
 #[gtest]
 #[tokio::test]
 async fn quick_generation_finds_a_place_beside_long_ones() {
     let engine = engine(5).await;
     let router = Router::start(&[engine.address()], &[]).await;
-    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client");
+    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client is created");
     whole(&caller, &request(4)).await;
     let started = Arc::new(Notify::new());
     let long = (0..20).map(|_| {
@@ -68,7 +69,7 @@
         })
     });
     let long = long.collect::<Vec<_>>();
-    let service = "ticket-model".parse().expect("a name");
+    let service = "ticket-model".parse().expect("a valid name");
     started.notified().await;
     while router.node.admission.queued_count(&service) < 16 {
         tokio::task::yield_now().await;
@@ -84,14 +85,14 @@
     }
 }
 
-/// The one place of an engine is taken for minutes. A generation whose caller waits for less is told
-/// so at once, by status and not in the middle of a stream, and no engine has seen it.
+/// The only slot of the engine is occupied for minutes. A generation with a shorter deadline must be
+/// refused at once, by HTTP status and not in the middle of a stream, and must not reach an engine.
 #[gtest]
 #[tokio::test]
 async fn generation_that_cannot_start_in_time_is_refused_at_once() {
     let engine = engine(1).await;
     let router = Router::start(&[engine.address()], &[]).await;
-    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client");
+    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client is created");
     whole(&caller, &request(100)).await;
     let started = Arc::new(Notify::new());
     let long = tokio::spawn({
@@ -119,14 +120,14 @@
     long.abort();
 }
 
-/// The same request kills two engines of other VMs while it waits here. It must not stay at the head
-/// of its team's queue until its deadline, and it has not run.
+/// A request crashes two engines at other VMs while the same request is queued here. It must not
+/// stay at the head of its team's queue until its deadline, and must be reported as not run.
 #[gtest]
 #[tokio::test]
 async fn queued_generation_that_turns_out_poisoned_is_refused() {
     let engine = engine(1).await;
     let router = Router::start(&[engine.address()], &[]).await;
-    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client");
+    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client is created");
     let started = Arc::new(Notify::new());
     let long = tokio::spawn({
         let (caller, started) = (caller.clone(), started.clone());
@@ -139,7 +140,7 @@
         }
     });
     started.notified().await;
-    let service = "ticket-model".parse().expect("a name");
+    let service = "ticket-model".parse().expect("a valid name");
     let poison = request(500);
     let queued = tokio::spawn({
         let (caller, poison) = (caller.clone(), poison.clone());
@@ -149,16 +150,18 @@
         tokio::task::yield_now().await;
     }
 
-    let peer = "vm-2".parse().expect("a name");
+    let peer = "vm-2".parse().expect("a valid name");
     router
         .node
         .upstreams
         .merge_poison(&two_deaths(&poison), &peer);
 
-    // Without the refusal it would wait for an hour.
+    // Without the refusal the request would wait for an hour.
     let answer = tokio::time::timeout(Duration::from_secs(20), queued).await;
-    let answer = answer.expect("an answer").expect("no panic");
-    let problem = answer.problem.expect("a refusal");
+    let answer = answer
+        .expect("a response")
+        .expect("the task does not panic");
+    let problem = answer.problem.expect("a problem body");
     expect_that!(problem.type_, eq("catkinward:poisoned_not_run"));
     expect_that!(problem.outcome.to_string(), eq("not_run"));
     expect_that!(router.node.admission.queued_count(&service), eq(0));
@@ -166,11 +169,11 @@
 }
 
 fn two_deaths(request: &CompletionRequest) -> [PoisonRecord; 2] {
-    let team = "counter".parse().expect("a name");
+    let team = "counter".parse().expect("a valid name");
     let body = serde_json::to_vec(request).expect("JSON");
     ["engine-8", "engine-9"].map(|upstream| PoisonRecord {
         digest: RequestDigest::of(&team, &body),
-        crash: UpstreamCrashId::of(&upstream.parse().expect("an id"), Incarnation(1)),
+        crash: UpstreamCrashId::of(&upstream.parse().expect("a valid id"), Incarnation(1)),
         cleared: false,
         age_ms: 10,
     })
--- a/crates/load/tests/command.rs
+++ b/crates/load/tests/command.rs
@@ -12,7 +12,7 @@
     (output.status.code(), text)
 }
 
-/// Who asks a command for its flags gets these, and not "invalid option".
+/// Guards against `COMMAND --help` and `-h` being rejected with "invalid option".
 #[gtest]
 fn each_command_lists_its_own_flags() {
     for (command, own, other) in [
--- a/crates/load/tests/drain.rs
+++ b/crates/load/tests/drain.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown of a router process.
+//! Graceful shutdown of a router process.
 
 use catkin_border::{bundle::RecoveryPolicy, caller::CompletionRequest};
 use catkin_load::{Process, Role};
@@ -23,8 +23,9 @@
         .expect("an engine starts");
     let bundle = demo_bundle(&[engine.address()], RecoveryPolicy::LeastWait);
     let file = std::env::temp_dir().join(format!("catkin-{:x}.json", rand::random::<u64>()));
-    std::fs::write(&file, serde_json::to_string(&bundle).expect("JSON")).expect("a file");
-    let path = file.to_str().expect("a path of text");
+    std::fs::write(&file, serde_json::to_string(&bundle).expect("JSON"))
+        .expect("a temporary file is written");
+    let path = file.to_str().expect("a UTF-8 path");
     let args = [
         "--listen",
         "127.0.0.1:0",
@@ -38,16 +39,16 @@
     let router = Process::start(program(), Role::Router, &args)
         .await
         .expect("a router starts");
-    std::fs::remove_file(&file).expect("the file is there");
+    std::fs::remove_file(&file).expect("the file exists");
     System {
         _engine: engine,
         router,
     }
 }
 
-/// Starts to read an answer and returns once its first token is there.
+/// Starts to read a response and returns after its first token.
 async fn reading(router: &Process, tokens: u32) -> JoinHandle<(Result<(), CallError>, Answer)> {
-    let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client");
+    let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client is created");
     let request = CompletionRequest {
         max_tokens: NonZeroU32::new(tokens).expect("not zero"),
         model: "ticket-model".into(),
@@ -71,7 +72,7 @@
 
 fn terminate(router: &Process) {
     let id = router.id().and_then(|id| i32::try_from(id).ok());
-    let id = id.and_then(Pid::from_raw).expect("it runs");
+    let id = id.and_then(Pid::from_raw).expect("the process is running");
     kill_process(id, Signal::TERM).expect("a signal");
 }
 
@@ -80,8 +81,8 @@
     let reading = reading(&system.router, tokens).await;
 
     terminate(&system.router);
-    let (outcome, answer) = reading.await.expect("no panic");
-    let code = system.router.wait().await.expect("it ends");
+    let (outcome, answer) = reading.await.expect("the task does not panic");
+    let code = system.router.wait().await.expect("the process exits");
 
     expect_that!(outcome, ok(anything()));
     let chain = TokenChain::new("catkin", "1", "menu", 7);
@@ -90,16 +91,16 @@
     expect_that!(code, some(eq(0)));
 }
 
-/// An operator shuts a router down while it relays an answer. The caller reads on to the end, and
-/// only then does the process end, by itself and without an error.
+/// A router receives SIGTERM while it relays a response. The caller must get the complete response,
+/// and only then does the process exit, with code 0.
 #[gtest]
 #[tokio::test]
 async fn shutdown_waits_for_a_running_answer() {
     whole_after_termination(100).await;
 }
 
-/// The HTTP library ends a server about 30 s after a signal, whatever is still open. An answer that
-/// takes longer would be cut off just then.
+/// Guards against the shutdown limit of the HTTP library, which ends a server about 30 s after a
+/// signal regardless of open connections, and would truncate responses that take longer.
 #[gtest]
 #[tokio::test]
 #[ignore = "takes 50 s"]
@@ -107,8 +108,8 @@
     whole_after_termination(9000).await;
 }
 
-/// An operator cannot wait and signals again. The process ends at once, fails, and its caller sees
-/// that the answer is not whole.
+/// A second SIGTERM ends the process at once with exit code 1, and its caller can tell that the
+/// response is truncated.
 #[gtest]
 #[tokio::test]
 async fn second_signal_ends_at_once() {
@@ -116,13 +117,13 @@
     let reading = reading(&system.router, 9000).await;
 
     terminate(&system.router);
-    // A signal that comes before the first is handled merges with it.
+    // A signal that arrives before the first one is handled merges with it, so send it repeatedly.
     while system.router.id().is_some() && !reading.is_finished() {
         terminate(&system.router);
         tokio::task::yield_now().await;
     }
-    let (outcome, answer) = reading.await.expect("no panic");
-    let code = system.router.wait().await.expect("it ends");
+    let (outcome, answer) = reading.await.expect("the task does not panic");
+    let code = system.router.wait().await.expect("the process exits");
 
     expect_that!(outcome, err(anything()));
     expect_that!(answer.finish, none());
--- a/crates/load/tests/operator_drain.rs
+++ b/crates/load/tests/operator_drain.rs
@@ -1,4 +1,4 @@
-//! A router that serves callers and operators, and is shut down under a generation.
+//! Shutdown of a router that serves callers and operators while a generation runs.
 
 use catkin_border::{bundle::RecoveryPolicy, caller::CompletionRequest, operator::StatusReply};
 use catkin_decisions::KeyHash;
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 const TOKENS: u32 = 400;
-/// A watchdog: the test fails, and does not hang, if a process of it dies.
+/// Timeout of the test, so that it fails rather than hangs if one of its processes dies.
 const WATCHDOG: Duration = Duration::from_secs(60);
 const OPERATOR_KEY: &str = "operator-key";
 
@@ -29,7 +29,7 @@
     let bundle = demo_bundle(&[engine], RecoveryPolicy::LeastWork);
     let bundle = serde_json::to_string(&bundle).expect("JSON");
     let file = std::env::temp_dir().join(format!("catkin-{:x}.json", rand::random::<u64>()));
-    std::fs::write(&file, bundle).expect("a temporary file");
+    std::fs::write(&file, bundle).expect("a temporary file is written");
     let args = [
         "--listen=127.0.0.1:0",
         "--operator-listen=127.0.0.1:0",
@@ -39,7 +39,7 @@
         "--log=error",
     ];
     let router = Process::start(program(), Role::Router, &args).await;
-    std::fs::remove_file(file).expect("the temporary file is there");
+    std::fs::remove_file(file).expect("the temporary file exists");
     router.expect("a router starts")
 }
 
@@ -65,26 +65,27 @@
         headers,
         ..HttpCall::default()
     };
-    let connections = Connections::new().expect("a client");
-    connections.call_json(call).await.expect("a status")
+    let connections = Connections::new().expect("a client is created");
+    connections.call_json(call).await.expect("a status reply")
 }
 
 fn terminate(process: &Process) {
-    let id = process.id().expect("it runs").to_string();
+    let id = process.id().expect("the process is running").to_string();
     let mut kill = std::process::Command::new("kill");
     let status = kill.args(["-TERM", &id]).status();
-    let status = status.expect("the command is there");
+    let status = status.expect("the `kill` command exists");
     assert!(status.success());
 }
 
-/// A VM is taken out of service while a generation runs on it. Both of its HTTP servers get the
-/// signal. The caller must get the whole answer, and operators must be able to look on meanwhile.
+/// A router is drained while it relays a generation, and both of its HTTP servers receive the signal.
+/// The caller must get the complete response, and operators must be able to query the status
+/// meanwhile.
 #[gtest]
 #[tokio::test]
 async fn drain_cuts_no_generation_and_keeps_operators_served() {
     let drained = tokio::time::timeout(WATCHDOG, drain_under_a_generation());
 
-    drained.await.expect("it ends");
+    drained.await.expect("the test finishes in time");
 }
 
 async fn drain_under_a_generation() {
@@ -92,8 +93,8 @@
     let mut router = router(engine.address()).await;
     let operators = router
         .other_address("operators")
-        .expect("operators are served");
-    let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client");
+        .expect("an operator address");
+    let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client is created");
     let progress = Arc::new((Notify::new(), Notify::new()));
     let reached = progress.clone();
     let reading = tokio::spawn(async move {
@@ -116,7 +117,10 @@
     }
     progress.1.notified().await;
     let late = status(operators).await;
-    let answer = reading.await.expect("no panic").expect("a whole answer");
+    let answer = reading
+        .await
+        .expect("the task does not panic")
+        .expect("a complete response");
 
     expect_that!(late.draining, eq(true));
     expect_that!(late.in_flight, eq(1));
--- a/crates/load/tests/plain_calls.rs
+++ b/crates/load/tests/plain_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service through a router, and what its caller is told of them.
+//! Calls of a plain service through a router, and the outcomes that their callers receive.
 
 mod router_support;
 
@@ -13,7 +13,7 @@
     futures::future::join_all(servers).await
 }
 
-/// Servers that all fail in this way.
+/// Servers that all inject this fault.
 async fn failing(count: usize, fault: PlainFault) -> Vec<PlainServer> {
     let servers = servers(count).await;
     for server in &servers {
@@ -47,8 +47,8 @@
     expect_that!(runs(&servers, &order), eq(1));
 }
 
-/// The upstream runs an order, and its answer breaks off. A second dispatch would print it twice,
-/// and "not run" would make the caller send it again.
+/// The upstream runs an order and its response is truncated. A retry by the router would print the
+/// order twice, and the outcome "not run" would make the caller retry.
 #[gtest]
 #[tokio::test]
 async fn order_whose_answer_breaks_off_is_unknown_and_not_sent_again() {
@@ -62,8 +62,8 @@
     expect_that!(runs(&servers, &order), eq(1));
 }
 
-/// The upstream runs an order and never answers. At its deadline the caller is told that it may have
-/// run.
+/// The upstream runs an order and never responds. At the deadline the caller must learn that the order
+/// may have run.
 #[gtest]
 #[tokio::test]
 async fn order_that_is_never_answered_is_unknown_at_its_deadline() {
@@ -79,8 +79,13 @@
 
 async fn reply_through_proxy(fault: ProxyFault, call: &Call) -> (String, u64) {
     let server = plain_server(PlainSettings::default()).await;
-    let proxy = FaultProxy::start(free_address()).await.expect("a proxy");
-    let address = proxy.route(server.address()).await.expect("a route");
+    let proxy = FaultProxy::start(free_address())
+        .await
+        .expect("the proxy starts");
+    let address = proxy
+        .route(server.address())
+        .await
+        .expect("the proxy adds a route");
     let router = Router::start(&[], &[address]).await;
     let warm_up = router.call(&order("warm-up")).await;
     assert_eq!(warm_up.outcome(), "answered");
@@ -91,7 +96,7 @@
     (reply.outcome(), runs(&[server], call))
 }
 
-/// The connection is reset just as the answer to an order comes back. It ran.
+/// The connection is reset while the response to an order is returned, so the order has run.
 #[gtest]
 #[tokio::test]
 async fn order_whose_connection_is_reset_is_unknown_and_not_sent_again() {
@@ -103,9 +108,9 @@
     expect_that!(runs, eq(1));
 }
 
-/// New connections are accepted and reset before a byte of the order is read. The reset may come
-/// before the order is written or after, so its caller is told either "not run" or "unknown"; it has
-/// not run, and is not sent again.
+/// New connections are accepted and reset before a byte of the order is read. The reset may arrive
+/// before or after the order is written, so the outcome is either "not run" or "unknown". The order
+/// has not run and must not be retried.
 #[gtest]
 #[tokio::test]
 async fn order_on_a_connection_that_is_reset_at_once_does_not_run() {
@@ -117,8 +122,8 @@
     expect_that!(runs, eq(0));
 }
 
-/// The upstream's process has died a moment ago, and its port refuses connections. No byte of the
-/// order has left, and the caller may send it again.
+/// The upstream's process has just ended and its port refuses connections. No byte of the order was
+/// sent, so the caller may retry.
 #[gtest]
 #[tokio::test]
 async fn order_that_reaches_no_connection_is_not_run() {
@@ -153,8 +158,8 @@
     expect_that!(runs(&servers, &order), eq(0));
 }
 
-/// One of two upstreams breaks off its answers. A lookup may be repeated, so its caller notices
-/// nothing.
+/// One of two upstreams truncates its responses. A lookup is idempotent, so the router retries it and
+/// the caller does not see the failure.
 #[gtest]
 #[tokio::test]
 async fn lookup_is_sent_again_to_another_upstream() {
@@ -172,8 +177,8 @@
     expect_that!(replies, each(eq("answered")));
 }
 
-/// The bundle says that a lookup may be repeated and its caller says that it may not: the stricter
-/// word counts. A path that an upstream could read as another one is never repeated either.
+/// The bundle allows retries of a lookup and its caller forbids them: the stricter rule applies. A path
+/// that an upstream could normalize to a different one is never retried either.
 #[gtest]
 #[tokio::test]
 async fn lookup_is_not_sent_again_against_its_callers_word() {
@@ -196,8 +201,8 @@
     expect_that!(runs(&servers, &repeated), gt(1));
 }
 
-/// A caller claims that an order may be repeated. The bundle says no, and a doubled order prints two
-/// thousand leaflets too many.
+/// A caller declares an order idempotent and the bundle does not: it must not be retried, since a
+/// duplicate order prints 2,000 leaflets too many.
 #[gtest]
 #[tokio::test]
 async fn order_is_not_sent_again_at_its_callers_word() {
@@ -210,8 +215,9 @@
     expect_that!(runs(&servers, &order), eq(1));
 }
 
-/// Thirty orders come at once to an upstream that serves one at a time, and their callers wait for
-/// less than that takes. Those who are told "not run" send theirs again; it must be true.
+/// Thirty concurrent orders go to an upstream that serves one at a time, with deadlines shorter than
+/// the total service time. Callers retry orders that were reported as not run, so the report must be
+/// true.
 #[gtest]
 #[tokio::test]
 async fn refused_orders_of_an_overload_have_not_run() {
@@ -248,7 +254,8 @@
     expect_that!(refused, gt(0));
 }
 
-/// A caller hangs up while its order waits for its turn. The order must not run for nobody.
+/// A caller disconnects while its order is queued. The order must not run, since nobody reads the
+/// response.
 #[gtest]
 #[tokio::test]
 async fn order_of_a_caller_that_left_the_queue_does_not_run() {
@@ -276,9 +283,12 @@
     while !queue_length_is(&router, 1).await {}
     leaving.abort();
     while !queue_length_is(&router, 0).await {}
-    let last = call(last).await.expect("no panic");
+    let last = call(last).await.expect("the task does not panic");
 
-    expect_that!(first.await.expect("no panic"), eq("answered"));
+    expect_that!(
+        first.await.expect("the task does not panic"),
+        eq("answered")
+    );
     expect_that!(last, eq("answered"));
     expect_that!(runs(&[server], &left), eq(0));
 }
@@ -288,12 +298,12 @@
     router
         .node
         .admission
-        .queued_count(&"shopfront".parse().expect("a name"))
+        .queued_count(&"shopfront".parse().expect("a valid name"))
         == length
 }
 
-/// Fifty lookups of one tile come while the first of them is served, half of them from another team.
-/// Each team's are one run; neither gets the other's answer.
+/// Fifty concurrent lookups of one tile, half of them from another team. The lookups of each team are
+/// coalesced, and no team receives a response to the other's lookup.
 #[gtest]
 #[tokio::test]
 async fn identical_lookups_are_merged_within_a_team() {
@@ -325,8 +335,8 @@
     expect_that!(runs(&[server], &own), all![ge(2), lt(10)]);
 }
 
-/// The upstream fails the first of several identical lookups. The others asked for something that
-/// can be answered and are.
+/// The caller of the first of several coalesced lookups disconnects. The other lookups must still be
+/// answered.
 #[gtest]
 #[tokio::test]
 async fn failed_lookup_does_not_fail_those_merged_with_it() {
@@ -353,14 +363,17 @@
     while router
         .node
         .admission
-        .waiting_read_count(&"shopfront".parse().expect("a name"))
+        .waiting_read_count(&"shopfront".parse().expect("a valid name"))
         == 0
     {
         tokio::task::yield_now().await;
     }
     leader.abort();
 
-    expect_that!(follower.await.expect("no panic"), eq("answered"));
+    expect_that!(
+        follower.await.expect("the task does not panic"),
+        eq("answered")
+    );
 }
 
 #[gtest]
--- a/crates/load/tests/plain_claims.rs
+++ b/crates/load/tests/plain_claims.rs
@@ -1,4 +1,4 @@
-//! Orders with an idempotency key: at most one run over all VMs, whatever is lost on the way.
+//! Orders with an idempotency key run at most once over all VMs, whichever messages are lost.
 
 mod router_support;
 
@@ -9,7 +9,7 @@
 use router_support::{Call, Router, free_address, order, plain_server};
 use std::{sync::Arc, time::Duration};
 
-/// Two routers before one plain service, with a platform.
+/// Two routers with one plain upstream and a mock platform.
 struct System {
     server: PlainServer,
     platform: PlatformServer,
@@ -25,11 +25,11 @@
     .await;
     let platform = PlatformServer::start(free_address(), PlatformFaults::default())
         .await
-        .expect("a platform");
+        .expect("the mock platform starts");
     let plain = [server.address()];
     let router = |vm: &'static str| {
         let settings = Settings {
-            vm: vm.parse().expect("a name"),
+            vm: vm.parse().expect("a valid name"),
             platform: Some(platform.address()),
             ..Settings::default()
         };
@@ -51,7 +51,7 @@
     system.server.counts().of_digest(call.digest())
 }
 
-/// The answer to an order is lost between router and caller, who sends it again to another VM.
+/// The response to an order is lost between router and caller, and the caller retries at another VM.
 #[gtest]
 #[tokio::test]
 async fn order_sent_again_gets_the_answer_of_its_one_run() {
@@ -67,7 +67,7 @@
     expect_that!(runs(&system, &order), eq(1));
 }
 
-/// An impatient client sends the same order to two VMs at once.
+/// A client sends the same order to two VMs concurrently.
 #[gtest]
 #[tokio::test]
 async fn order_sent_to_two_vms_at_once_runs_once() {
@@ -97,8 +97,8 @@
     expect_that!(runs(&system, &leaflet), eq(0));
 }
 
-/// The upstream runs an order and its answer breaks off. The caller asks again with its key and is
-/// told the same, however often: nobody knows whether it ran, and it is not run again.
+/// The upstream runs an order and its response is truncated. Retries with the same key must return
+/// "unknown" again, and the order must not run a second time.
 #[gtest]
 #[tokio::test]
 async fn order_whose_answer_was_lost_stays_unknown() {
@@ -115,8 +115,8 @@
     expect_that!(runs(&system, &order), eq(1));
 }
 
-/// The upstream refuses an order. It has not run, so its caller may send it again under the same
-/// key, and it must not be taken for one that ran.
+/// The upstream refuses an order. It has not run, so a retry with the same key must run it and must
+/// not be taken for a duplicate.
 #[gtest]
 #[tokio::test]
 async fn order_that_was_refused_may_be_sent_again() {
@@ -133,7 +133,8 @@
     expect_that!(runs(&system, &order), eq(1));
 }
 
-/// The table service is out. Without a claim another VM could run the same order, so it is refused.
+/// The table service is unavailable. Without a claim another VM could run the same order, so the order
+/// must be refused.
 #[gtest]
 #[tokio::test]
 async fn order_is_not_run_while_it_cannot_be_claimed() {
@@ -151,8 +152,8 @@
     expect_that!(runs(&system, &order), eq(0));
 }
 
-/// The table service takes a claim and its answer is lost. The router must find its own claim and
-/// not take it for another's.
+/// The table service stores a claim and its response is lost. The router must recognize its own claim
+/// and not take it for that of another VM.
 #[gtest]
 #[tokio::test]
 async fn order_runs_once_though_the_answer_to_its_claim_is_lost() {
@@ -169,7 +170,7 @@
     expect_that!(runs(&system, &order), eq(1));
 }
 
-/// A caller hangs up while its order runs, and asks another VM for it with its key.
+/// A caller disconnects while its order runs, and retries at another VM with the same key.
 #[gtest]
 #[tokio::test]
 async fn order_of_a_caller_that_hung_up_is_found_by_its_key() {
--- a/crates/load/tests/plain_headers.rs
+++ b/crates/load/tests/plain_headers.rs
@@ -1,4 +1,4 @@
-//! What a plain service sees of a call, and its caller of the answer.
+//! Headers, path and status that are forwarded between callers and plain services.
 
 mod router_support;
 
@@ -9,7 +9,8 @@
     body::Body, context::ServerContext, request::Request, response::Response, server::Server,
 };
 
-/// A plain service that answers with the head of the request, and with headers of its own.
+/// A plain service that returns the request line and headers as the response body, and adds headers of
+/// its own.
 struct Echo;
 
 impl volo::Service<ServerContext, Request> for Echo {
@@ -41,8 +42,8 @@
 async fn echo() -> SocketAddr {
     let listener = catkinward::http_server::Listener::bind(router_support::free_address())
         .await
-        .expect("a port");
-    let address = listener.address().expect("an address");
+        .expect("a free port");
+    let address = listener.address().expect("a bound address");
     tokio::spawn(Server::new(Echo).run(listener));
     address
 }
@@ -75,8 +76,8 @@
     expect_that!(reply.headers.contains_key("keep-alive"), eq(false));
 }
 
-/// A header of the caller's connection that reached the service would speak of another connection,
-/// and the bearer key would let the service call in its team's name.
+/// Guards against forwarding hop-by-hop headers, which describe the caller's connection and not the
+/// one to the service, and the bearer key, with which the service could call in its team's name.
 #[gtest]
 #[tokio::test]
 async fn headers_of_one_connection_and_the_bearer_key_stay_here() {
--- a/crates/load/tests/process.rs
+++ b/crates/load/tests/process.rs
@@ -1,4 +1,4 @@
-//! Processes of an experiment.
+//! Lifetime of the processes of an experiment.
 
 use googletest::prelude::*;
 use std::{
@@ -7,8 +7,8 @@
     time::{Duration, Instant},
 };
 
-/// An experiment is killed, as by the time limit of a test run. Its processes end with it; before, they held
-/// the output of the test open, and whoever waited for that waited for good.
+/// Guards against processes that outlive a killed experiment, for example after the time limit of a
+/// test run: they kept the output of the test open, so its reader waited forever.
 #[gtest]
 fn processes_end_with_their_experiment() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_catkin-load"))
@@ -18,7 +18,11 @@
         .spawn()
         .unwrap();
     let mut line = String::new();
-    let mut output = child.stdout.take().map(BufReader::new).expect("an output");
+    let mut output = child
+        .stdout
+        .take()
+        .map(BufReader::new)
+        .expect("standard output is piped");
     let read = output.read_line(&mut line);
 
     drop(child.stdin.take());
--- a/crates/load/tests/quick_scenarios.rs
+++ b/crates/load/tests/quick_scenarios.rs
@@ -1,11 +1,11 @@
-//! Short runs of the scenarios of plain calls with real processes.
+//! Short runs of the plain-call scenarios with real processes.
 
 use catkin_load::{QuickReport, QuickScenario, RunSettings, run_quick};
 use googletest::prelude::*;
 use std::{path::Path, time::Duration};
 
 async fn short_run(name: &str) -> QuickReport {
-    let scenario = QuickScenario::find(name).expect("a scenario");
+    let scenario = QuickScenario::find(name).expect("a known scenario");
     let settings = RunSettings {
         arrivals: Some(Duration::from_secs(1)),
         ..RunSettings::default()
@@ -16,8 +16,8 @@
         .expect("the experiment runs")
 }
 
-/// Twice as many calls arrive as can be served. Some are refused, and those have not run; the
-/// others get the answer to their own request.
+/// Twice as many calls arrive as can be served. Some are refused, and these must not have run; the
+/// others must get the response to their own request.
 #[gtest]
 #[tokio::test]
 async fn overload() {
@@ -28,7 +28,7 @@
     expect_that!(report.measures.completed, gt(0));
 }
 
-/// Most calls read one item. They share answers, and only reads do.
+/// Most calls read one item. Reads are coalesced; writes must not be.
 #[gtest]
 #[tokio::test]
 async fn hot_key() {
@@ -38,7 +38,7 @@
     expect_that!(report.measures.completed, gt(0));
 }
 
-/// All upstreams refuse for a while. What callers are told did not run has not.
+/// All upstreams refuse calls for a while. Calls that are reported as not run must not have run.
 #[gtest]
 #[tokio::test]
 async fn brownout() {
--- a/crates/load/tests/racing_operators.rs
+++ b/crates/load/tests/racing_operators.rs
@@ -1,11 +1,12 @@
-//! Operators who race each other, with real routers.
+//! Concurrent roll-outs by two operators, with real routers.
 
 use catkin_load::{OperatorsSettings, racing_operators};
 use googletest::prelude::*;
 use std::path::Path;
 
-/// Two operators roll out at the same moment while the table service's answers are lost. Exactly one
-/// wins, the other is told who, and every router takes every version and none back.
+/// Two operators roll out concurrently while responses of the table service are lost. Exactly one must
+/// win, the other must learn who won, and every router must apply every version and never return to an
+/// older one.
 #[gtest]
 #[tokio::test]
 async fn one_operator_wins_and_no_router_goes_back() {
--- a/crates/load/tests/rollout.rs
+++ b/crates/load/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! A model version is rolled out while callers are served.
+//! Roll-out of a model version while callers are served.
 
 mod router_support;
 
@@ -43,22 +43,22 @@
     let addresses = engines.iter().map(EngineServer::address);
     let addresses = addresses.collect::<Vec<_>>();
     let mut bundle = demo_bundle(&addresses, RecoveryPolicy::LeastWait);
-    let model = bundle.services[0].model.as_mut().expect("a model");
+    let model = bundle.services[0].model.as_mut().expect("a model entry");
     version.clone_into(&mut model.version);
     serde_json::to_string(&bundle).expect("JSON")
 }
 
 async fn generate(router: &Router, max_tokens: u32) -> Answer {
-    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client");
+    let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client is created");
     let mut answer = Answer::default();
     caller
         .stream(&request(max_tokens), None, &mut answer, |_| {})
         .await
-        .expect("a whole answer");
+        .expect("a complete response");
     answer
 }
 
-/// The version that computed a whole answer; `None` if it is of neither, or of both.
+/// The model version that computed a complete response; `None` if neither or both versions did.
 fn version_of(answer: &Answer, max_tokens: usize) -> Option<&'static str> {
     let is_of = |version: &&str| {
         let chain = TokenChain::new("catkin", version, "menu reprint", 3);
@@ -75,9 +75,9 @@
     engines.iter().filter(holds).count()
 }
 
-/// A bundle that names a new model version comes into force. Engines load it one after another;
-/// callers meanwhile must be served by those that are ready, and a generation that began on the old
-/// version must end on it.
+/// A bundle with a new model version comes into force, and engines load it one after another.
+/// Meanwhile callers must be served by engines that are ready, and a generation that started on the
+/// old version must finish on it.
 #[gtest]
 #[tokio::test]
 async fn callers_are_served_throughout_a_rollout() {
@@ -86,7 +86,7 @@
     let faults = serde_json::from_str("{}").expect("all fields are optional");
     let platform = PlatformServer::start(free_address(), faults).await;
     let settings = Settings {
-        platform: Some(platform.expect("a platform").address()),
+        platform: Some(platform.expect("the mock platform starts").address()),
         ..Settings::default()
     };
     let addresses = engines.iter().map(EngineServer::address);
@@ -104,7 +104,7 @@
         }
         versions
     });
-    // The router hears of the last engine's load with its next report.
+    // The router learns that the last engine has loaded the model from that engine's next report.
     let moved_over = async { while version_of(&generate(&router, 5).await, 5) != Some("2") {} };
     let moved_over = tokio::time::timeout(Duration::from_secs(30), moved_over).await;
 
--- a/crates/load/tests/router_death.rs
+++ b/crates/load/tests/router_death.rs
@@ -1,4 +1,4 @@
-//! A router dies, and its caller comes back to another one, with real processes.
+//! A router process is killed and its caller reconnects to another one.
 
 use catkin_border::{
     bundle::RecoveryPolicy,
@@ -60,8 +60,9 @@
     let addresses = engines.iter().map(Process::address).collect::<Vec<_>>();
     let bundle = demo_bundle(&addresses, RecoveryPolicy::LeastWait);
     let file = std::env::temp_dir().join(format!("catkin-{:x}.json", rand::random::<u64>()));
-    std::fs::write(&file, serde_json::to_string(&bundle).expect("JSON")).expect("a file");
-    let path = file.to_str().expect("a path of text");
+    std::fs::write(&file, serde_json::to_string(&bundle).expect("JSON"))
+        .expect("a temporary file is written");
+    let path = file.to_str().expect("a UTF-8 path");
     let mut system = System {
         engines,
         routers: Vec::new(),
@@ -70,7 +71,7 @@
         let peers = system.peers();
         system.routers.push(router(name, path, &peers).await);
     }
-    std::fs::remove_file(&file).expect("the file is there");
+    std::fs::remove_file(&file).expect("the file exists");
     system.wait_for_peers().await;
     system
 }
@@ -78,18 +79,18 @@
 impl System {
     fn peers(&self) -> String {
         let entry = |(i, router): (usize, &Process)| {
-            let address = router.other_address("peers").expect("it listens for peers");
+            let address = router.other_address("peers").expect("a peer address");
             format!("vm-{i}={address}@zone-{}", i % 2)
         };
         let entries = self.routers.iter().enumerate().map(entry);
         entries.collect::<Vec<_>>().join(",")
     }
 
-    /// Waits until every router has told of all others.
+    /// Waits until every router reports all others as peers.
     async fn wait_for_peers(&self) {
         for router in &self.routers {
             let caller = caller(router);
-            while caller.peers().await.expect("an answer") + 1 < self.routers.len() {
+            while caller.peers().await.expect("a response") + 1 < self.routers.len() {
                 tokio::task::yield_now().await;
             }
         }
@@ -97,7 +98,7 @@
 }
 
 fn caller(router: &Process) -> CallerClient {
-    CallerClient::new(router.address(), DEMO_KEY).expect("a client")
+    CallerClient::new(router.address(), DEMO_KEY).expect("a client is created")
 }
 
 fn request(prompt: &str) -> CompletionRequest {
@@ -112,7 +113,8 @@
     }
 }
 
-/// Reads the beginning of an answer from the first router, and lets `fault` happen then.
+/// Reads the first tokens of a response from the first router, then runs `fault`, which must interrupt
+/// the stream.
 async fn read_until_fault(system: &mut System, fault: impl AsyncFnOnce(&mut System)) -> Answer {
     let caller = caller(&system.routers[0]);
     let midway = Arc::new(Notify::new());
@@ -130,7 +132,7 @@
     });
     midway.notified().await;
     fault(system).await;
-    let (outcome, answer) = reading.await.expect("no panic");
+    let (outcome, answer) = reading.await.expect("the task does not panic");
     expect_that!(outcome, err(anything()));
     answer
 }
@@ -149,15 +151,18 @@
     answer.check(chain, tokens).is_ok()
 }
 
-/// The VM that relays an answer dies, its engine does not. The caller comes back to each other VM
-/// in turn with its key and last event id, and reads on where it was.
+/// The router that relays a response is killed, and its engine is not. The caller reconnects to another
+/// VM with its key and last event id and must resume where it was. Each other VM is tried.
 #[gtest]
 #[tokio::test]
 async fn answer_goes_on_at_any_other_vm() {
     for survivor in 1..3 {
         let mut system = system(3).await;
         let answer = read_until_fault(&mut system, async |system| {
-            system.routers[0].kill().await.expect("it runs");
+            system.routers[0]
+                .kill()
+                .await
+                .expect("the process is running");
         })
         .await;
 
@@ -167,8 +172,9 @@
     }
 }
 
-/// The VM that relays an answer and the engine that makes it die together, as in a rack that loses
-/// its power. The delivered tokens are known from a copy, and another engine goes on after them.
+/// The router that relays a response and its engine are killed together, as in a rack that loses power.
+/// The delivered tokens must be recovered from a progress replica, and another engine must continue
+/// after them.
 #[gtest]
 #[tokio::test]
 async fn answer_goes_on_after_router_and_engine_die_together() {
@@ -176,26 +182,37 @@
     let answer = read_until_fault(&mut system, async |system| {
         let addresses = system.engines.iter().map(Process::address);
         let busy = first_busy(&addresses.collect::<Vec<_>>()).await;
-        let busy = busy.expect("load reports").expect("an engine that runs it");
-        system.routers[0].kill().await.expect("it runs");
-        system.engines[busy].kill().await.expect("it runs");
+        let busy = busy
+            .expect("engines report their load")
+            .expect("an engine that runs the request");
+        system.routers[0]
+            .kill()
+            .await
+            .expect("the process is running");
+        system.engines[busy]
+            .kill()
+            .await
+            .expect("the process is running");
     })
     .await;
 
     let answer = go_on(&system.routers[1], answer).await;
 
     expect_that!(is_whole(&answer), eq(true), "{answer:?}");
-    expect_that!(answer.usage.expect("an end").attempts, gt(1));
+    expect_that!(answer.usage.expect("a usage record").attempts, gt(1));
 }
 
-/// A key is used again for another prompt, by mistake, while its caller comes back. Were the answer
-/// gone on with, the caller would get the end of another prompt's answer.
+/// A caller reconnects and by mistake uses its key with a different prompt. If the stream were resumed,
+/// the caller would receive the end of the response to the first prompt.
 #[gtest]
 #[tokio::test]
 async fn key_of_another_request_is_refused() {
     let mut system = system(2).await;
     let answer = read_until_fault(&mut system, async |system| {
-        system.routers[0].kill().await.expect("it runs");
+        system.routers[0]
+            .kill()
+            .await
+            .expect("the process is running");
     })
     .await;
     let mut other = Answer {
@@ -208,19 +225,22 @@
         .await;
 
     expect_that!(outcome, ok(anything()));
-    let problem = other.problem.expect("a problem");
+    let problem = other.problem.expect("a problem body");
     expect_that!(problem.type_, eq("catkinward:key_conflict"));
     expect_that!(problem.outcome, eq(Outcome::NotRun));
 }
 
-/// All VMs that knew of an answer are gone. To begin anew would give the caller tokens of another
-/// generation behind those that it has; it is told so instead.
+/// No VM has the progress of a response any more. Starting anew would append tokens of another
+/// generation to those that the caller has, so the loss must be reported instead.
 #[gtest]
 #[tokio::test]
 async fn lost_progress_is_told() {
     let mut system = system(2).await;
     let answer = read_until_fault(&mut system, async |system| {
-        system.routers[0].kill().await.expect("it runs");
+        system.routers[0]
+            .kill()
+            .await
+            .expect("the process is running");
     })
     .await;
     let mut answer = Answer {
@@ -238,7 +258,7 @@
         .await;
 
     expect_that!(outcome, ok(anything()));
-    let problem = answer.problem.expect("a problem");
+    let problem = answer.problem.expect("a problem body");
     expect_that!(problem.type_, eq("catkinward:progress_lost"));
     expect_that!(problem.next_index, some(eq(0)));
 }
--- a/crates/load/tests/router_support/mod.rs
+++ b/crates/load/tests/router_support/mod.rs
@@ -1,6 +1,6 @@
-//! A router in this process before stand-ins, and its callers.
+//! Test fixtures: a router in this process, with mock upstreams, and its callers.
 
-// Each test file uses its own part of this.
+// Each test file uses a different subset of this module.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -22,7 +22,7 @@
 /// Bearer key of a second team.
 pub const OTHER_KEY: &str = "other-key";
 
-/// A free loopback address.
+/// Loopback address with port 0, so that the system picks a free port.
 pub fn free_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -33,14 +33,14 @@
         .expect("a plain service starts")
 }
 
-/// A router before engines and plain services at these addresses.
+/// A router in this process, with an HTTP client for its callers.
 pub struct Router {
     pub address: SocketAddr,
     pub node: Arc<Node>,
     connections: Arc<Connections>,
 }
 
-/// One call of the plain service.
+/// A call of the plain service.
 #[derive(Clone)]
 pub struct Call {
     pub method: Method,
@@ -50,7 +50,7 @@
     pub headers: Vec<(&'static str, &'static str)>,
 }
 
-/// An order, which may not be repeated.
+/// A non-idempotent order.
 pub fn order(item: &str) -> Call {
     Call {
         method: Method::POST,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A lookup, which may.
+/// An idempotent lookup.
 pub fn lookup(item: &str) -> Call {
     Call {
         method: Method::GET,
@@ -77,14 +77,14 @@
         self
     }
 
-    /// Digest under which a plain service counts its runs.
+    /// Request digest under which a plain service counts the runs of this call.
     pub fn digest(&self) -> u64 {
         let query = self.path.split_once('?').map_or("", |(_, query)| query);
         request_digest(query, self.body.as_bytes())
     }
 }
 
-/// What a caller received.
+/// Response that a caller received.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -94,10 +94,10 @@
 
 impl Reply {
     pub fn problem(&self) -> Problem {
-        serde_json::from_slice(&self.body).expect("a problem")
+        serde_json::from_slice(&self.body).expect("a problem body")
     }
 
-    /// What the problem says became of the call; `answered` if there is none.
+    /// Outcome according to the problem; `answered` if the call succeeded.
     pub fn outcome(&self) -> String {
         if self.status.is_success() {
             return "answered".to_owned();
@@ -117,8 +117,8 @@
         plain: &[SocketAddr],
     ) -> Self {
         let listener = Listener::bind(free_address()).await.expect("a free port");
-        let address = listener.address().expect("an address");
-        let node = Node::start(settings).expect("a node starts");
+        let address = listener.address().expect("a bound address");
+        let node = Node::start(settings).expect("the node starts");
         let bundle = serde_json::to_string(&bundle_of(engines, plain)).expect("JSON");
         node.put_bundle_in_force(1, &bundle)
             .expect("a valid bundle");
@@ -127,22 +127,24 @@
         Self {
             address,
             node,
-            connections: Arc::new(Connections::new().expect("a client")),
+            connections: Arc::new(Connections::new().expect("a client is created")),
         }
     }
 
-    /// Makes a call. It waits in the router until an upstream has reported its load.
+    /// Makes a call. The router queues it until an upstream has reported its load.
     pub async fn call(&self, call: &Call) -> Reply {
         self.call_service("shopfront", call).await
     }
 
     pub async fn call_service(&self, service: &str, call: &Call) -> Reply {
         let mut headers = HeaderMap::new();
-        let bearer = format!("Bearer {}", call.key).parse().expect("a header");
+        let bearer = format!("Bearer {}", call.key)
+            .parse()
+            .expect("a valid header value");
         headers.insert(http::header::AUTHORIZATION, bearer);
         for (name, value) in &call.headers {
-            let name: HeaderName = name.parse().expect("a name");
-            headers.insert(name, value.parse().expect("a header"));
+            let name: HeaderName = name.parse().expect("a valid name");
+            headers.insert(name, value.parse().expect("a valid header value"));
         }
         let http_call = HttpCall {
             address: self.address,
@@ -156,10 +158,12 @@
         self.read(http_call).await
     }
 
-    /// Asks for a generation whose caller waits so many milliseconds.
+    /// Requests a generation with a deadline of `ms` milliseconds.
     pub async fn complete_within(&self, request: &CompletionRequest, ms: u64) -> Reply {
         let mut headers = HeaderMap::new();
-        let bearer = format!("Bearer {DEMO_KEY}").parse().expect("a header");
+        let bearer = format!("Bearer {DEMO_KEY}")
+            .parse()
+            .expect("a valid header value");
         headers.insert(http::header::AUTHORIZATION, bearer);
         headers.insert("catkin-deadline-ms", ms.into());
         let http_call = HttpCall {
@@ -184,9 +188,13 @@
     }
 
     async fn read(&self, call: HttpCall) -> Reply {
-        let response = self.connections.call(call).await.expect("an answer");
+        let response = self.connections.call(call).await.expect("a response");
         let (status, headers) = (response.status(), response.headers().clone());
-        let body = response.into_body().into_bytes().await.expect("a body");
+        let body = response
+            .into_body()
+            .into_bytes()
+            .await
+            .expect("a readable body");
         Reply {
             status,
             headers,
--- a/crates/load/tests/scenarios.rs
+++ b/crates/load/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short runs of the scenarios with real processes; what callers received must hold.
+//! Short runs of the scenarios with real processes, which must not violate any invariant.
 
 use catkin_load::{Report, RunSettings, Scenario, run_scenario};
 use googletest::prelude::*;
@@ -8,7 +8,7 @@
     let scenario = Scenario {
         tokens: (60, 160),
         step: Duration::from_millis(5),
-        ..Scenario::find(name).expect("a scenario")
+        ..Scenario::find(name).expect("a known scenario")
     };
     let settings = RunSettings {
         seed,
@@ -21,9 +21,9 @@
         .expect("the experiment runs")
 }
 
-/// Runs a scenario with the tokens and the step that it has.
+/// Runs a scenario with its own numbers of tokens and decode step.
 async fn run_as_it_is(name: &str, seed: u64, arrivals: Duration) -> Report {
-    let scenario = Scenario::find(name).expect("a scenario");
+    let scenario = Scenario::find(name).expect("a known scenario");
     let settings = RunSettings {
         seed,
         arrivals: Some(arrivals),
@@ -45,8 +45,8 @@
     expect_that!(report.extra_decoded_ratio, eq(0.0));
 }
 
-/// Engine processes are killed under running generations. Callers read on; tokens that they have
-/// are not decoded again.
+/// Engine processes are killed while they run generations. Callers must receive complete responses, and
+/// tokens that they already have must not be decoded again.
 #[gtest]
 #[tokio::test]
 async fn engine_death() {
@@ -57,7 +57,7 @@
     expect_that!(report.resume_ms.count, gt(0));
 }
 
-/// An engine process stops for a while and comes back, still acting on what it believed before.
+/// An engine process is stopped for a while and then continues with its stale state.
 #[gtest]
 #[tokio::test]
 async fn engine_pause() {
@@ -66,8 +66,8 @@
     expect_that!(report.violations, is_empty());
 }
 
-/// Open connections go silent for good. The generation goes on over a new connection to the same
-/// engine, which computes nothing again.
+/// Open connections stop carrying data permanently. Generations must continue over a new connection to
+/// the same engine, without recomputing tokens.
 #[gtest]
 #[tokio::test]
 async fn silent_connection() {
@@ -77,8 +77,8 @@
     expect_that!(report.extra_engine_tokens_ratio, eq(0.0));
 }
 
-/// A router is asked to end while it streams. Its streams run to their end, new calls go to the
-/// others, and it ends by itself.
+/// A router is drained while it relays streams. The streams must complete, new calls must go to the
+/// other routers, and the process must exit by itself.
 #[gtest]
 #[tokio::test]
 async fn drain() {
@@ -88,8 +88,8 @@
     expect_that!(report.returns, eq(0));
 }
 
-/// A router process is killed. Its callers come back to another one with what they have and get the
-/// rest of the same answer.
+/// A router process is killed. Its callers reconnect to another one with their resume point and must
+/// get the rest of the same response.
 #[gtest]
 #[tokio::test]
 async fn router_death() {
@@ -99,7 +99,7 @@
     expect_that!(report.returns, gt(0));
 }
 
-/// Guards against a caller who is told that its progress is lost while the copy is on its way to its holder.
+/// Guards against reporting progress as lost while its replica is still in flight to the peer.
 #[gtest]
 #[tokio::test]
 async fn router_that_dies_while_copies_are_in_flight_loses_no_answer() {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Guards against copies of progress that are given up because a busy VM wrote them late.
+/// Guards against progress replicas that are abandoned because a busy VM sent them late.
 #[gtest]
 #[tokio::test]
 async fn router_that_dies_after_it_waited_for_a_processor_loses_no_answer() {
@@ -123,7 +123,7 @@
     }
 }
 
-/// A router and an engine die at the same moment.
+/// A router and an engine are killed at the same time.
 #[gtest]
 #[tokio::test]
 async fn router_and_engine_death() {
@@ -133,8 +133,8 @@
     expect_that!(report.engines_lost, eq(1));
 }
 
-/// One request crashes each engine that runs it, and its caller sends it again. It may take two
-/// engines with it; the generations that ran beside it go on elsewhere and end whole.
+/// A request crashes each engine that runs it, and its caller retries. It may crash at most two
+/// engines, and the generations that ran beside it must fail over and complete.
 #[gtest]
 #[tokio::test]
 async fn poison_request_costs_two_engines_at_most_and_no_innocent() {
@@ -143,12 +143,11 @@
     expect_that!(report.violations, is_empty());
 }
 
-/// A request crashes two engines at one router and is refused there. Its caller sends it again at once, and it
-/// reaches a router that has heard of neither death: messages between routers take 60 ms. Four engines are
-/// lost in place of two, and at times a generation that ran beside it is refused, whose caller did nothing.
-/// The logs of a run: `upstream died` twice at vm-2 within 23 ms, the refusal right after, `upstream died` at
-/// vm-0 30 ms later under the same body, and only 33 ms after that `a peer tells of a death` there. So the
-/// refusal was quicker than the news, and now waits until the other routers have it.
+/// Guards against a retry at a router that has not received the crash records yet. A request crashes
+/// two engines at one router within 23 ms and is refused; its caller retries 30 ms later at another,
+/// while messages between routers take 60 ms. The refusal therefore waits until the other routers have
+/// the records. Without the wait four engines were lost instead of two, and unrelated generations on
+/// them were refused at times.
 #[gtest]
 #[tokio::test]
 async fn poison_request_is_refused_where_news_of_it_is_slow() {
@@ -157,7 +156,8 @@
     expect_that!(report.violations, is_empty());
 }
 
-/// Guards against a refusal that is not sent to a router which did not answer lately, but serves callers.
+/// Guards against crash records that are not sent to a router which missed recent responses to peers
+/// but still serves callers.
 #[gtest]
 #[tokio::test]
 async fn poison_request_is_refused_by_a_router_that_was_slow_to_answer() {
@@ -168,7 +168,8 @@
     }
 }
 
-/// Guards against a router that is lost with the second engine and leaves nobody who knows under which request it died.
+/// Guards against the loss of a crash record: the router is killed together with the second engine, and
+/// no other router knows which request that engine was running.
 #[gtest]
 #[tokio::test]
 async fn poison_request_costs_two_engines_when_its_router_is_killed_with_the_second() {
@@ -177,7 +178,8 @@
     expect_that!(report.violations, is_empty());
 }
 
-/// Guards against a run that is not announced to routers which missed an answer lately, or is sent before they know of it.
+/// Guards against a suspect run that is not announced to routers which missed a recent response, or is
+/// dispatched before they have received the announcement.
 #[gtest]
 #[tokio::test]
 async fn poison_request_costs_two_engines_when_its_router_is_killed_and_peers_are_slow() {
@@ -189,7 +191,8 @@
     }
 }
 
-/// Guards against a router that is paused at the loss of the second engine, as the one that is killed.
+/// Guards against the same loss of a crash record as with a killed router, if the router is paused when
+/// the second engine is lost.
 #[gtest]
 #[tokio::test]
 async fn poison_request_costs_two_engines_when_its_router_is_paused_at_the_second() {
@@ -200,7 +203,8 @@
     }
 }
 
-/// Guards against two routers that send one suspect to two engines, as each learns of the other's run too late.
+/// Guards against two routers that dispatch one suspect request to two engines, because each learns of
+/// the other's run too late.
 #[gtest]
 #[tokio::test]
 async fn poison_request_that_arrives_at_two_routers_costs_two_engines() {
@@ -212,7 +216,8 @@
     }
 }
 
-/// Guards against an innocent request that is refused for the death of an engine to which its order was never sent.
+/// Guards against refusing a request because of the crash of an engine to which its order was never
+/// sent.
 #[gtest]
 #[tokio::test]
 async fn request_is_not_blamed_for_an_engine_that_dies_before_its_order() {
@@ -224,8 +229,9 @@
     }
 }
 
-/// A request crashes each engine before that answers, so that it looks like one that was sent to an
-/// engine which was dead already. It took four engines with it before it was refused.
+/// A request crashes each engine before the engine responds, so its attempts look like attempts on an
+/// engine that had already ended. Guards against not counting such crashes, with which it crashed four
+/// engines before it was refused.
 #[gtest]
 #[tokio::test]
 async fn poison_request_without_an_answer_costs_two_engines_at_most() {
@@ -234,9 +240,9 @@
     expect_that!(report.violations, is_empty());
 }
 
-/// A router and two engines are lost within milliseconds, as at the loss of a rack, while
-/// connections to others go silent. A request that met both dying engines was taken for the one that
-/// kills them, and its caller was refused.
+/// A router and two engines are lost within milliseconds, as when a rack fails, while connections to
+/// others stop carrying data. Guards against refusing a request that happened to run on both engines as
+/// the cause of their crashes.
 #[gtest]
 #[tokio::test]
 async fn many_faults() {
--- a/crates/load/tests/thin_path.rs
+++ b/crates/load/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes: caller, router, two engines.
+//! End-to-end test with real processes: a caller, a router and two engines.
 
 use catkin_border::{bundle::RecoveryPolicy, caller::CompletionRequest};
 use catkin_load::{Process, Role};
@@ -24,8 +24,8 @@
     let addresses = engines.iter().map(Process::address).collect::<Vec<_>>();
     let bundle = serde_json::to_string(&demo_bundle(&addresses, recovery)).expect("JSON");
     let file = std::env::temp_dir().join(format!("catkin-{:x}.json", rand::random::<u64>()));
-    std::fs::write(&file, bundle).expect("a temporary file");
-    let path = file.to_str().expect("a path of text");
+    std::fs::write(&file, bundle).expect("a temporary file is written");
+    let path = file.to_str().expect("a UTF-8 path");
     let args = [
         "--listen",
         "127.0.0.1:0",
@@ -37,7 +37,7 @@
     let router = Process::start(program(), Role::Router, &args)
         .await
         .expect("a router starts");
-    std::fs::remove_file(file).expect("the temporary file is there");
+    std::fs::remove_file(file).expect("the temporary file exists");
     router
 }
 
@@ -60,7 +60,7 @@
 async fn killed_engine_answer(recovery: RecoveryPolicy) -> Answer {
     let mut engines = vec![engine("1").await, engine("2").await];
     let router = router(&engines, recovery).await;
-    let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client");
+    let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client is created");
     let midway = Arc::new(Notify::new());
     let reached = midway.clone();
     let reading = tokio::spawn(async move {
@@ -76,29 +76,34 @@
     });
     midway.notified().await;
     let addresses = engines.iter().map(Process::address).collect::<Vec<_>>();
-    let busy = first_busy(&addresses).await.expect("load reports");
-    let busy = busy.expect("an engine that runs it");
+    let busy = first_busy(&addresses)
+        .await
+        .expect("engines report their load");
+    let busy = busy.expect("an engine that runs the request");
     engines[busy].kill().await.expect("the engine runs");
-    reading.await.expect("no panic").expect("a whole answer")
+    reading
+        .await
+        .expect("the task does not panic")
+        .expect("a complete response")
 }
 
-/// An engine process is killed in the middle of a generation. The caller reads on and gets every
-/// token once, from one chain.
+/// An engine process is killed in the middle of a generation. The caller must receive every token
+/// exactly once, all of one chain.
 #[gtest]
 #[tokio::test]
 async fn killed_engine_costs_a_pause_only_with_least_wait() {
     let answer = killed_engine_answer(RecoveryPolicy::LeastWait).await;
 
     expect_that!(answer.check(chain(), 120), ok(eq(&())));
-    expect_that!(answer.usage.expect("an end").attempts, eq(2));
+    expect_that!(answer.usage.expect("a usage record").attempts, eq(2));
 }
 
-/// The same with the policy that probes the old engine before it spends time on another.
+/// As above, with the policy that probes the old engine before it starts on another.
 #[gtest]
 #[tokio::test]
 async fn killed_engine_costs_a_pause_only_with_least_work() {
     let answer = killed_engine_answer(RecoveryPolicy::LeastWork).await;
 
     expect_that!(answer.check(chain(), 120), ok(eq(&())));
-    expect_that!(answer.usage.expect("an end").attempts, eq(2));
+    expect_that!(answer.usage.expect("a usage record").attempts, eq(2));
 }
