--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -19,11 +19,11 @@
 
 const WORKERS: usize = 3;
 const ROUTERS: usize = 2;
-const PLACES: usize = 4;
+const SLOTS_PER_WORKER: usize = 4;
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 const DEADLINE_MS: u64 = 1000;
 const TEAMS: usize = 5;
-const SECONDS: u64 = 8;
+const RUN_SECONDS: u64 = 8;
 
 /// Initial part of a run, in which the routers' concurrency limits adapt. Its calls are not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
@@ -43,7 +43,7 @@
     for seed in 0..WORKERS as u64 {
         let settings = PlainSettings {
             service_time: SERVICE_TIME,
-            capacity: PLACES,
+            capacity: SLOTS_PER_WORKER,
             seed,
             ..PlainSettings::default()
         };
@@ -54,7 +54,7 @@
         routers.push(start_router(&workers).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let places = u32::try_from(WORKERS * PLACES)?;
+    let places = u32::try_from(WORKERS * SLOTS_PER_WORKER)?;
     let capacity = f64::from(places) / SERVICE_TIME.as_secs_f64();
     let calls = offer(&routers, capacity * load).await?;
     report(capacity, &calls);
@@ -126,7 +126,7 @@
     let mut calls = Vec::new();
     for i in 0_u32.. {
         let at = Duration::from_secs_f64(f64::from(i) / rate);
-        if at >= Duration::from_secs(SECONDS) {
+        if at >= Duration::from_secs(RUN_SECONDS) {
             break;
         }
         tokio::time::sleep_until(start + at).await;
@@ -199,7 +199,7 @@
         .iter()
         .filter(|wait| **wait <= Duration::from_millis(DEADLINE_MS))
         .count();
-    let seconds = Duration::from_secs(SECONDS).saturating_sub(WARM_UP);
+    let seconds = Duration::from_secs(RUN_SECONDS).saturating_sub(WARM_UP);
     let could = capacity * seconds.as_secs_f64();
     #[allow(clippy::cast_precision_loss)]
     let part = in_time as f64 / could;
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Interval between readiness checks of each router.
-const CHECK_PERIOD: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Mock of the platform's load balancer: round robin over the routers that report ready.
 pub(crate) struct Balancer {
@@ -36,7 +36,7 @@
                 ready.store(now, Ordering::Relaxed);
             }))
             .await;
-            tokio::time::sleep(CHECK_PERIOD).await;
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -50,7 +50,7 @@
 const RACING_OPERATORS: &str = "racing-operators";
 
 /// Number of concurrent roll-out pairs in a run of [`racing_operators`].
-const RACES: u64 = 20;
+const RACE_COUNT: u64 = 20;
 
 /// Runs `catkin-load` with the given arguments, which exclude the program name.
 #[must_use]
@@ -212,7 +212,7 @@
     let settings = OperatorsSettings {
         seed: flags.settings.seed,
         routers: flags.relay.routers,
-        races: RACES,
+        races: RACE_COUNT,
     };
     let program = std::env::current_exe()?;
     let report = racing_operators(&program, &settings).await?;
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -58,10 +58,10 @@
 }
 
 /// Timeout of a control request.
-const CONTROL_BOUND: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Timeout until all routers are ready and have discovered each other.
-const READY_BOUND: Duration = Duration::from_secs(40);
+const READY_TIMEOUT: Duration = Duration::from_secs(40);
 
 impl Fleet {
     /// Starts all processes and waits until the routers are ready.
@@ -168,7 +168,7 @@
             }
             self.routers.push(router);
         }
-        let ready = tokio::time::timeout(READY_BOUND, self.wait_until_ready()).await;
+        let ready = tokio::time::timeout(READY_TIMEOUT, self.wait_until_ready()).await;
         std::fs::remove_file(&file)?;
         ready.map_err(|_| LoadError::NotReady)?
     }
@@ -326,7 +326,7 @@
         address,
         method,
         path,
-        bound: CONTROL_BOUND,
+        bound: CONTROL_TIMEOUT,
         fresh: true,
         ..HttpCall::default()
     }
--- a/crates/load/src/generation_call.rs
+++ b/crates/load/src/generation_call.rs
@@ -3,7 +3,7 @@
 use std::num::NonZeroU32;
 
 /// Delay before a caller whose stream was interrupted reconnects to another router.
-const RETURN_PAUSE: Duration = Duration::from_millis(20);
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
 /// A generation request of a caller.
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
                 Ok(None) => {}
             }
             returns += u32::from(answer.accepted);
-            tokio::time::sleep(RETURN_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             router = balancer.pick(Some(router));
         };
         GenerationResult {
--- a/crates/load/src/injector.rs
+++ b/crates/load/src/injector.rs
@@ -3,13 +3,13 @@
 use rustix::process::Signal;
 
 /// Length of each stop and of each run phase of stuttering routers.
-const STUTTER: Duration = Duration::from_millis(80);
+const STUTTER_INTERVAL: Duration = Duration::from_millis(80);
 
 /// Number of stops of stuttering routers.
-const STUTTERS: u32 = 8;
+const STUTTER_COUNT: u32 = 8;
 
 /// Timeout of a caller whose request crashes engines.
-const POISON_BOUND: Duration = Duration::from_secs(4);
+const POISON_CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Injects the faults of a scenario and records the work of engines before they are killed.
 pub(crate) struct Injector<'a> {
@@ -74,12 +74,12 @@
                 fleet.signal_router(router, Signal::CONT)?;
             }
             Fault::StutterRouters => {
-                for _ in 0..STUTTERS {
+                for _ in 0..STUTTER_COUNT {
                     for signal in [Signal::STOP, Signal::CONT] {
                         for router in 0..fleet.routers.len() {
                             fleet.signal_router(router, signal)?;
                         }
-                        tokio::time::sleep(STUTTER).await;
+                        tokio::time::sleep(STUTTER_INTERVAL).await;
                     }
                 }
             }
@@ -119,8 +119,8 @@
             call.make(
                 &clients,
                 self.balancer,
-                POISON_BOUND,
-                Instant::now() + POISON_BOUND,
+                POISON_CALL_TIMEOUT,
+                Instant::now() + POISON_CALL_TIMEOUT,
             )
             .await;
         }
@@ -183,9 +183,9 @@
 /// Makes a call at a single router and discards the result.
 async fn send_to(client: &CallerClient, call: &GenerationCall) {
     let balancer = Balancer::new(1);
-    let deadline = Instant::now() + POISON_BOUND;
+    let deadline = Instant::now() + POISON_CALL_TIMEOUT;
     let clients = std::slice::from_ref(client);
     call.clone()
-        .make(clients, &balancer, POISON_BOUND, deadline)
+        .make(clients, &balancer, POISON_CALL_TIMEOUT, deadline)
         .await;
 }
--- a/crates/load/src/percentiles.rs
+++ b/crates/load/src/percentiles.rs
@@ -16,7 +16,7 @@
 }
 
 /// Upper bound of the histogram, in microseconds: one hour. Longer durations count as this one.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_MICROS: u64 = 3_600_000_000;
 
 impl Percentiles {
     /// Computes the percentiles of the given durations.
@@ -26,7 +26,7 @@
     /// Never: the histogram's bounds and precision are valid constants.
     #[must_use]
     pub fn of(times: impl IntoIterator<Item = Duration>) -> Self {
-        let mut histogram = hdrhistogram::Histogram::<u64>::new_with_bounds(1, LONGEST, 3)
+        let mut histogram = hdrhistogram::Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3)
             .expect("the bounds and 3 significant digits are valid");
         for time in times {
             histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -149,11 +149,11 @@
     while let Ok(Some(_)) = lines.next_line().await {}
 }
 
-/// Standard error of a process: a file in the directory that [`LOG_VARIABLE`] names, or inherited
+/// Standard error of a process: a file in the directory that [`LOG_DIR_VARIABLE`] names, or inherited
 /// if the variable is unset.
 fn log_output(role: Role) -> Result<Stdio, Error> {
     static PROCESSES: AtomicUsize = AtomicUsize::new(0);
-    let Some(folder) = std::env::var_os(LOG_VARIABLE) else {
+    let Some(folder) = std::env::var_os(LOG_DIR_VARIABLE) else {
         return Ok(Stdio::inherit());
     };
     let number = PROCESSES.fetch_add(1, Ordering::Relaxed);
@@ -164,7 +164,7 @@
 
 /// Log level of routers: `info` if logs are kept in files, otherwise `error`.
 pub(crate) fn log_filter() -> &'static str {
-    match std::env::var_os(LOG_VARIABLE) {
+    match std::env::var_os(LOG_DIR_VARIABLE) {
         Some(_) => "info",
         None => "error",
     }
@@ -172,7 +172,7 @@
 
 /// Environment variable with the directory for the log files of an experiment's processes. If it is
 /// unset, no log files are written.
-const LOG_VARIABLE: &str = "CATKIN_LOAD_LOGS";
+const LOG_DIR_VARIABLE: &str = "CATKIN_LOAD_LOGS";
 
 /// Runs this process in the given role until it ends.
 #[must_use]
--- a/crates/load/src/process_usage.rs
+++ b/crates/load/src/process_usage.rs
@@ -11,10 +11,10 @@
 
 /// Index of the user-mode time among the fields of `/proc/PID/stat` after the program name. The
 /// kernel-mode time follows it.
-const USER_TIME: usize = 11;
+const USER_TIME_FIELD: usize = 11;
 
 /// Index of the resident set size, in pages, among the same fields.
-const RESIDENT_PAGES: usize = 21;
+const RESIDENT_PAGES_FIELD: usize = 21;
 
 impl ProcessUsage {
     /// Reads the usage of a running process; `None` if no process has this id.
@@ -24,12 +24,12 @@
         let (_, words) = stat.rsplit_once(") ")?;
         let words: Vec<&str> = words.split(' ').collect();
         let word = |i: usize| words.get(i)?.parse::<u64>().ok();
-        let ticks = word(USER_TIME)? + word(USER_TIME + 1)?;
+        let ticks = word(USER_TIME_FIELD)? + word(USER_TIME_FIELD + 1)?;
         let nanos = 1_000_000_000 / rustix::param::clock_ticks_per_second();
         let page = u64::try_from(rustix::param::page_size()).ok()?;
         Some(Self {
             cpu: Duration::from_nanos(ticks * nanos),
-            resident: word(RESIDENT_PAGES)? * page,
+            resident: word(RESIDENT_PAGES_FIELD)? * page,
         })
     }
 }
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -7,7 +7,7 @@
 pub(crate) const DEADLINE: Duration = Duration::from_secs(1);
 
 /// Extra time that a caller keeps reading, so that a late response does not count as lost.
-const LATE: Duration = Duration::from_secs(2);
+const LATE_RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
 /// A call of the plain service.
 #[derive(Clone, Debug)]
@@ -109,7 +109,7 @@
             },
             path: format!("{service}/items?{}", self.query),
             headers,
-            bound: DEADLINE + LATE,
+            bound: DEADLINE + LATE_RESPONSE_GRACE,
             ..HttpCall::default()
         }
     }
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -125,7 +125,7 @@
             .filter(|result| result.end == QuickEnd::NotRun);
         self.double_runs = writes().filter(|result| ran(result) > 1).count();
         // A read of the hot item may have run for another caller of the same item.
-        let own = refused.filter(|result| !result.call.query.starts_with(HOT));
+        let own = refused.filter(|result| !result.call.query.starts_with(HOT_ITEM_QUERY));
         self.false_not_run = own.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
         let others = others.filter(|result| result.end == QuickEnd::Answered);
@@ -148,7 +148,7 @@
 }
 
 /// Prefix of the query string of reads of the hot item.
-pub(crate) const HOT: &str = "hot=";
+pub(crate) const HOT_ITEM_QUERY: &str = "hot=";
 
 #[expect(
     clippy::cast_precision_loss,
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -2,22 +2,22 @@
 use crate::{
     balancer::Balancer,
     quick_call::{QuickCall, QuickResult},
-    quick_report::HOT,
+    quick_report::HOT_ITEM_QUERY,
     run::{draw_calls, make_calls},
 };
 use catkinward::http_client::Connections;
 
 /// Concurrency slots of each plain upstream.
-const PLACES: f64 = 8.0;
+const SLOTS_PER_UPSTREAM: f64 = 8.0;
 
 /// Mean service time of a call.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
 
 /// Number of plain upstreams in each [`FleetSize`].
-const PLAINS: f64 = 3.0;
+const PLAIN_UPSTREAMS: f64 = 3.0;
 
 /// Calls per second that all plain upstreams together serve; each slot serves 25 at 40 ms a call.
-pub(crate) const CAPACITY: f64 = PLAINS * PLACES * 25.0;
+pub(crate) const CAPACITY: f64 = PLAIN_UPSTREAMS * SLOTS_PER_UPSTREAM * 25.0;
 
 /// Runs a scenario of plain calls through routers, then as a baseline with new upstreams that are
 /// called directly, round robin.
@@ -62,7 +62,7 @@
         router_flags: settings.router_flags.clone(),
         plain_flags: vec![
             format!("--service-us={}", SERVICE_TIME.as_micros()),
-            format!("--capacity={PLACES}"),
+            format!("--capacity={SLOTS_PER_UPSTREAM}"),
         ],
         seed: settings.seed,
         ..FleetSettings::default()
@@ -112,7 +112,7 @@
                 random.random_range(1..size.teams)
             },
             query: if hot {
-                format!("{HOT}1")
+                format!("{HOT_ITEM_QUERY}1")
             } else {
                 format!("n={:016x}", random.random::<u64>())
             },
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -46,13 +46,13 @@
     pub races: u64,
 }
 
-const KEY: &str = "operator-key";
+const OPERATOR_KEY: &str = "operator-key";
 
 /// Number of routers that later ones get as peers at startup; they discover the rest by gossip.
-const FIRST_KNOWN: usize = 3;
+const MAX_SEED_PEERS: usize = 3;
 
 /// Timeout until all routers have the last bundle in force.
-const LAST_BOUND: Duration = Duration::from_secs(10);
+const LAST_BUNDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Repeatedly lets two operators roll out concurrently while responses of the table service are
 /// lost, and checks the result through the routers' timelines.
@@ -101,7 +101,7 @@
         let args = [
             "--listen=127.0.0.1:0".to_owned(),
             "--operator-listen=127.0.0.1:0".to_owned(),
-            format!("--operator-key-sha256={}", KeyHash::of(KEY)),
+            format!("--operator-key-sha256={}", KeyHash::of(OPERATOR_KEY)),
             format!("--platform={platform}"),
             "--peer-listen=127.0.0.1:0".to_owned(),
             "--peer-key=secret".to_owned(),
@@ -111,7 +111,7 @@
             "--log=error".to_owned(),
         ];
         let router = Process::start(program, Role::Router, &args).await?;
-        if let Some(address) = router.other_address("peers").filter(|_| i < FIRST_KNOWN) {
+        if let Some(address) = router.other_address("peers").filter(|_| i < MAX_SEED_PEERS) {
             known.push(format!("vm-{i}={address}@zone-{}", i % 3));
         }
         routers.push(router);
@@ -209,7 +209,7 @@
     let mut headers = HeaderMap::new();
     let bearer = header::HeaderValue::from_static("Bearer operator-key");
     headers.insert(header::AUTHORIZATION, bearer);
-    let end = Instant::now() + LAST_BOUND;
+    let end = Instant::now() + LAST_BUNDLE_TIMEOUT;
     let mut replies = Vec::new();
     for router in routers {
         let role = Role::Router;
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -50,13 +50,13 @@
 }
 
 /// Number of engines.
-const ENGINES: usize = 4;
+const ENGINE_COUNT: usize = 4;
 
 /// Number of streams that are also read directly from their engine.
-const OBSERVED: usize = 25;
+const OBSERVED_STREAMS: usize = 25;
 
 /// Tokens that each stream receives before the measurement begins.
-const WARM: usize = 50;
+const WARM_UP_TOKENS: usize = 50;
 
 /// Engine id and token arrival times of a stream that is read through the router.
 #[derive(Default)]
@@ -86,11 +86,11 @@
             .sum::<usize>()
     };
     for stream in &streams {
-        while stream.arrivals.lock().len() < WARM {
+        while stream.arrivals.lock().len() < WARM_UP_TOKENS {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let observers = streams.iter().take(OBSERVED);
+    let observers = streams.iter().take(OBSERVED_STREAMS);
     let observers = observers.map(|stream| observe(&fleet, stream, settings.window));
     let (start, before) = (Instant::now(), usage());
     let tokens_before = received();
@@ -114,7 +114,7 @@
     FleetSettings {
         size: FleetSize {
             routers: settings.routers,
-            engines: ENGINES,
+            engines: ENGINE_COUNT,
             plains: 0,
             zones: 1,
             teams: 1,
@@ -196,7 +196,7 @@
     let routed = routed.get(from..).unwrap_or_default();
     let pairs = direct.iter().zip(routed);
     // The new connection receives the first events in one batch, which says nothing about latency.
-    let pairs = pairs.skip(WARM);
+    let pairs = pairs.skip(WARM_UP_TOKENS);
     pairs
         .map(|(direct, routed)| routed.saturating_duration_since(*direct))
         .collect()
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -31,7 +31,7 @@
 }
 
 /// Timeout for a draining router to exit after the load has ended.
-const DRAIN_BOUND: Duration = Duration::from_secs(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs a scenario with real processes of `program`. After each call, `progress` is called with the
 /// number of finished calls and of all calls.
@@ -161,7 +161,7 @@
     }
     let mut drained = Vec::new();
     for router in &injected.drained {
-        let ended = tokio::time::timeout(DRAIN_BOUND, fleet.routers[*router].wait()).await;
+        let ended = tokio::time::timeout(DRAIN_TIMEOUT, fleet.routers[*router].wait()).await;
         drained.push(ended.ok().transpose()?.flatten());
     }
     let tally = Tally {
--- a/crates/load/src/scenarios.rs
+++ b/crates/load/src/scenarios.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Length of a process pause, after which most timeouts have expired.
-const PAUSE: Duration = Duration::from_secs(3);
+const PAUSE_DURATION: Duration = Duration::from_secs(3);
 
 /// All scenarios of generations under faults.
 pub const SCENARIOS: &[Scenario] = &[
@@ -34,7 +34,7 @@
     Scenario {
         name: "engine-pause",
         about: "an engine process is stopped for 3 s and then continued",
-        faults: &[(0.4, Fault::PauseEngine(PAUSE))],
+        faults: &[(0.4, Fault::PauseEngine(PAUSE_DURATION))],
         ..Scenario::BASE
     },
     Scenario {
@@ -92,7 +92,7 @@
     Scenario {
         name: "router-pause",
         about: "a router process is stopped for 3 s and then continued; its callers reconnect to others",
-        faults: &[(0.4, Fault::PauseRouter(PAUSE))],
+        faults: &[(0.4, Fault::PauseRouter(PAUSE_DURATION))],
         patience: Duration::from_millis(1500),
         ..Scenario::BASE
     },
@@ -107,7 +107,7 @@
         about: "a router and engines are killed, another engine is paused and connections stop carrying data, all at once",
         faults: &[
             (0.3, Fault::SilenceEngine),
-            (0.4, Fault::PauseEngine(PAUSE)),
+            (0.4, Fault::PauseEngine(PAUSE_DURATION)),
             (0.4, Fault::KillRouter),
             (0.45, Fault::KillEngine),
             (0.6, Fault::SilenceEngine),
@@ -147,7 +147,7 @@
     Scenario {
         name: "poison-router-pause",
         about: "as poison-router-death, but the router is stopped for 3 s",
-        faults: &[(0.3, Fault::PoisonPausingRouter(PAUSE))],
+        faults: &[(0.3, Fault::PoisonPausingRouter(PAUSE_DURATION))],
         patience: Duration::from_millis(1500),
         ..Scenario::BASE
     },
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -4,12 +4,12 @@
     injector::Injected,
 };
 
-/// A gap between tokens of more than this many steps plus [`NOISE`] is attributed to the fault before
+/// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the fault before
 /// it.
-const HELD_UP_STEPS: u32 = 3;
+const DELAYED_STEPS: u32 = 3;
 
 /// Gap between tokens that process scheduling on a busy machine can cause.
-const NOISE: Duration = Duration::from_millis(20);
+const SCHEDULING_JITTER: Duration = Duration::from_millis(20);
 
 /// Data of a finished run, from which the report is computed.
 pub(crate) struct Tally<'a> {
@@ -103,7 +103,7 @@
         let answer = &result.answer;
         let started = answer.started?;
         let resumed = result.returns > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
-        let bound = self.scenario.step * HELD_UP_STEPS + NOISE;
+        let bound = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
         let wait = |fault: &Instant| {
             let fault = fault.checked_duration_since(started)?;
             let next = answer.arrivals.partition_point(|arrival| *arrival < fault);
@@ -137,10 +137,10 @@
         if self.results.is_empty() {
             violations.push("no request was made".to_owned());
         }
-        if self.engines_lost > self.injected.killed_engines.len() + POISON_LOSSES {
+        if self.engines_lost > self.injected.killed_engines.len() + MAX_POISON_LOSSES {
             let lost = self.engines_lost;
             violations.push(format!(
-                "{lost} engines lost, {POISON_LOSSES} to one request at most"
+                "{lost} engines lost, {MAX_POISON_LOSSES} to one request at most"
             ));
         }
         for code in self.drained.iter().filter(|code| **code != Some(0)) {
@@ -151,7 +151,7 @@
 }
 
 /// Maximum number of engines that one poison request may crash.
-const POISON_LOSSES: usize = 2;
+const MAX_POISON_LOSSES: usize = 2;
 
 fn first_token(result: &GenerationResult) -> Option<Duration> {
     result.answer.arrivals.first().copied()
--- a/crates/load/tests/router_death.rs
+++ b/crates/load/tests/router_death.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 const TOKENS: u32 = 150;
-const BEFORE: usize = 50;
+const TOKENS_BEFORE_FAULT: usize = 50;
 const SEED: u64 = 7;
 
 fn program() -> &'static Path {
@@ -123,7 +123,7 @@
         let mut answer = Answer::default();
         let outcome = caller
             .stream(&request("menu"), Some("key-1"), &mut answer, |answer| {
-                if answer.ids.len() >= BEFORE {
+                if answer.ids.len() >= TOKENS_BEFORE_FAULT {
                     reached.notify_one();
                 }
             })
