--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -75,10 +75,10 @@
         }
         Some("list") => {
             for scenario in SCENARIOS {
-                println!("{:28} {}", scenario.name, scenario.about);
+                println!("{:28} {}", scenario.name, scenario.description);
             }
             for scenario in QUICK_SCENARIOS {
-                println!("{:28} {}", scenario.name, scenario.about);
+                println!("{:28} {}", scenario.name, scenario.description);
             }
             println!(
                 "{RACING_OPERATORS:28} two operators roll out concurrently while responses are lost"
@@ -144,8 +144,8 @@
                 lexopt::Arg::Long("rounds") => flags.rounds = value("rounds", &mut parser)?,
                 lexopt::Arg::Long("seconds") => {
                     let seconds: f64 = value("seconds", &mut parser)?;
-                    settings.arrivals = Duration::try_from_secs_f64(seconds).ok();
-                    flags.relay.window = settings.arrivals.unwrap_or(flags.relay.window);
+                    settings.arrival_window = Duration::try_from_secs_f64(seconds).ok();
+                    flags.relay.window = settings.arrival_window.unwrap_or(flags.relay.window);
                 }
                 lexopt::Arg::Long("streams") => {
                     flags.relay.streams = value("streams", &mut parser)?;
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -11,10 +11,10 @@
     /// Mock engine processes.
     pub engines: Vec<Process>,
     /// Mock processes of the plain service.
-    pub plains: Vec<Process>,
+    pub plain_upstreams: Vec<Process>,
     proxy: Option<Process>,
     /// Number of routes through the proxy: first those to engines, then those to routers.
-    routes: usize,
+    proxy_routes: usize,
     connections: Arc<Connections>,
 }
 
@@ -28,9 +28,9 @@
     /// Recovery policy of the generation service.
     pub recovery: RecoveryPolicy,
     /// Whether routers reach engines through the fault-injecting proxy.
-    pub linked: bool,
+    pub proxied: bool,
     /// Whether routers reach each other through the fault-injecting proxy.
-    pub peers_linked: bool,
+    pub peers_proxied: bool,
     /// Additional command-line flags of the routers.
     pub router_flags: Vec<String>,
     /// Additional command-line flags of the engines.
@@ -47,8 +47,8 @@
             size: Size::Small.fleet(),
             step: Duration::from_millis(10),
             recovery: RecoveryPolicy::LeastWait,
-            linked: false,
-            peers_linked: false,
+            proxied: false,
+            peers_proxied: false,
             router_flags: Vec::new(),
             engine_flags: Vec::new(),
             plain_flags: Vec::new(),
@@ -74,31 +74,31 @@
         let engine = |i: usize| standin(program, "engine", engine_flags(settings, i));
         let plain = |i: usize| standin(program, "plain", plain_flags(settings, i));
         let engines = try_join_all((0..size.engines).map(engine)).await?;
-        let plains = try_join_all((0..size.plains).map(plain)).await?;
+        let plain_upstreams = try_join_all((0..size.plain_upstreams).map(plain)).await?;
         let connections = Arc::new(Connections::new()?);
         let mut fleet = Self {
             routers: Vec::new(),
             engines,
-            plains,
+            plain_upstreams,
             proxy: None,
-            routes: 0,
+            proxy_routes: 0,
             connections,
         };
-        if settings.linked || settings.peers_linked {
+        if settings.proxied || settings.peers_proxied {
             fleet.proxy = Some(standin(program, "proxy", Vec::new()).await?);
         }
-        let engines = fleet.engine_addresses(settings.linked).await?;
-        let plains: Vec<_> = fleet.plains.iter().map(Process::address).collect();
-        let bundle = fleet_bundle(size, settings.recovery, &engines, &plains);
+        let engines = fleet.engine_addresses(settings.proxied).await?;
+        let plain_upstreams: Vec<_> = fleet.plain_upstreams.iter().map(Process::address).collect();
+        let bundle = fleet_bundle(size, settings.recovery, &engines, &plain_upstreams);
         fleet.start_routers(program, settings, &bundle).await?;
         Ok(fleet)
     }
 
-    async fn engine_addresses(&mut self, linked: bool) -> Result<Vec<SocketAddr>, LoadError> {
+    async fn engine_addresses(&mut self, proxied: bool) -> Result<Vec<SocketAddr>, LoadError> {
         let mut engines = Vec::new();
         let addresses = self.engines.iter().map(Process::address);
         for address in addresses.collect::<Vec<_>>() {
-            engines.push(if linked {
+            engines.push(if proxied {
                 self.route(address).await?
             } else {
                 address
@@ -111,7 +111,7 @@
     async fn route(&mut self, to: SocketAddr) -> Result<SocketAddr, LoadError> {
         let path = format!("/route?to={to}");
         let route = self.control(self.proxy()?, Method::POST, path).await?;
-        self.routes += 1;
+        self.proxy_routes += 1;
         Ok(route)
     }
 
@@ -123,8 +123,8 @@
 
     /// Peer flags of a router. A proxied router needs its port before it starts, because the route
     /// is set up first, so a free port is bound and released.
-    async fn peer_flags(&mut self, linked: bool) -> Result<Vec<String>, LoadError> {
-        if !linked {
+    async fn peer_flags(&mut self, proxied: bool) -> Result<Vec<String>, LoadError> {
+        if !proxied {
             return Ok(vec!["--peer-listen=127.0.0.1:0".to_owned()]);
         }
         let free = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
@@ -161,7 +161,7 @@
         let mut peers = Vec::new();
         for i in 0..settings.size.routers {
             let mut flags = flags(i, &peers.join(","));
-            flags.extend(self.peer_flags(settings.peers_linked).await?);
+            flags.extend(self.peer_flags(settings.peers_proxied).await?);
             let router = Process::start(program, Role::Router, &flags).await?;
             if let Some(address) = router.other_address("peers") {
                 peers.push(format!("vm-{i}={address}@zone-{}", i % settings.size.zones));
@@ -248,7 +248,7 @@
     /// If there is no proxy, or it does not respond.
     pub async fn delay_peers(&self, delay: Duration) -> Result<(), LoadError> {
         let ms = delay.as_millis();
-        for route in self.routes - self.routers.len()..self.routes {
+        for route in self.proxy_routes - self.routers.len()..self.proxy_routes {
             let kind = ProxyFault::Delay;
             let path = format!("/fault?route={route}&kind={kind}&ms={ms}");
             let call = control_call(self.proxy()?, Method::POST, path);
--- a/crates/load/src/fleet_bundle.rs
+++ b/crates/load/src/fleet_bundle.rs
@@ -19,7 +19,7 @@
     size: FleetSize,
     recovery: RecoveryPolicy,
     engines: &[SocketAddr],
-    plains: &[SocketAddr],
+    plain_upstreams: &[SocketAddr],
 ) -> bundle::Bundle {
     let upstream = |service: &'static str| {
         move |(i, address): (usize, &SocketAddr)| bundle::UpstreamEntry {
@@ -32,11 +32,14 @@
         }
     };
     let engines = engines.iter().enumerate().map(upstream(GENERATION_SERVICE));
-    let plains = plains.iter().enumerate().map(upstream(PLAIN_SERVICE));
+    let plain_upstreams = plain_upstreams
+        .iter()
+        .enumerate()
+        .map(upstream(PLAIN_SERVICE));
     bundle::Bundle {
         services: vec![generation_service(recovery), plain_service()],
         teams: (0..size.teams).map(team).collect(),
-        upstreams: engines.chain(plains).collect(),
+        upstreams: engines.chain(plain_upstreams).collect(),
     }
 }
 
--- a/crates/load/src/generation_call.rs
+++ b/crates/load/src/generation_call.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationCall {
     /// Scheduled time, relative to the start of the run.
-    pub(crate) due: Duration,
+    pub(crate) scheduled: Duration,
     pub(crate) team: usize,
     pub(crate) prompt: String,
     pub(crate) seed: u64,
@@ -38,7 +38,7 @@
     pub(crate) end: CallEnd,
     pub(crate) answer: Answer,
     /// Number of times that the caller reconnected after its request had been accepted.
-    pub(crate) returns: u32,
+    pub(crate) reconnects: u32,
 }
 
 impl GenerationCall {
@@ -64,20 +64,20 @@
         self,
         clients: &[CallerClient],
         balancer: &Balancer,
-        patience: Duration,
+        token_timeout: Duration,
         deadline: Instant,
     ) -> GenerationResult {
         let mut answer = Answer::default();
-        let mut returns = 0;
+        let mut reconnects = 0;
         let mut router = balancer.pick(None);
         let end = loop {
-            let reading = self.read(&clients[router], &mut answer, patience);
+            let reading = self.read(&clients[router], &mut answer, token_timeout);
             match tokio::time::timeout_at(deadline, reading).await {
                 Err(_) => break CallEnd::Lost,
                 Ok(Some(end)) => break end,
                 Ok(None) => {}
             }
-            returns += u32::from(answer.accepted);
+            reconnects += u32::from(answer.accepted);
             tokio::time::sleep(RECONNECT_DELAY).await;
             router = balancer.pick(Some(router));
         };
@@ -85,7 +85,7 @@
             call: self,
             end,
             answer,
-            returns,
+            reconnects,
         }
     }
 
@@ -94,7 +94,7 @@
         &self,
         client: &CallerClient,
         answer: &mut Answer,
-        patience: Duration,
+        token_timeout: Duration,
     ) -> Option<CallEnd> {
         let (progress_tx, mut progress) = tokio::sync::watch::channel(());
         let request = self.request();
@@ -102,7 +102,7 @@
             progress_tx.send_replace(());
         });
         let impatience = async {
-            while let Ok(Ok(())) = tokio::time::timeout(patience, progress.changed()).await {}
+            while let Ok(Ok(())) = tokio::time::timeout(token_timeout, progress.changed()).await {}
         };
         tokio::select! {
             read = reading => read.ok()?,
--- a/crates/load/src/injector.rs
+++ b/crates/load/src/injector.rs
@@ -17,45 +17,45 @@
     pub(crate) balancer: &'a Balancer,
     pub(crate) start: Instant,
     pub(crate) random: Xoshiro256PlusPlus,
-    pub(crate) outcome: Injected,
+    pub(crate) injected: InjectedFaults,
 }
 
 /// Faults injected in a run, and the state of the processes that they ended.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Injected {
+pub(crate) struct InjectedFaults {
     /// Start time of each fault.
-    pub(crate) at: Vec<Instant>,
+    pub(crate) fault_times: Vec<Instant>,
     /// Load reports and run counts of killed engines, read before the kill.
-    pub(crate) dead: Vec<(engine::UpstreamLoad, RunCounts)>,
+    pub(crate) killed_engine_stats: Vec<(engine::UpstreamLoad, RunCounts)>,
     /// Indexes of killed engines.
     pub(crate) killed_engines: Vec<usize>,
     /// Indexes of killed routers.
     pub(crate) killed_routers: Vec<usize>,
     /// Indexes of routers that were sent SIGTERM.
-    pub(crate) drained: Vec<usize>,
+    pub(crate) drained_routers: Vec<usize>,
 }
 
 impl Injector<'_> {
     /// Injects the faults of a scenario at their scheduled times.
-    pub(crate) async fn run(mut self, scenario: &Scenario) -> Result<Injected, LoadError> {
+    pub(crate) async fn run(mut self, scenario: &Scenario) -> Result<InjectedFaults, LoadError> {
         for (share, fault) in scenario.faults {
-            tokio::time::sleep_until(self.start + scenario.arrivals.mul_f64(*share)).await;
+            tokio::time::sleep_until(self.start + scenario.arrival_window.mul_f64(*share)).await;
             self.inject(*fault).await?;
         }
-        Ok(self.outcome)
+        Ok(self.injected)
     }
 
     async fn inject(&mut self, fault: Fault) -> Result<(), LoadError> {
         let fleet = self.fleet;
-        let engine = self.draw(fleet.engines.len(), &self.outcome.killed_engines.clone());
-        let router = self.draw(fleet.routers.len(), &self.outcome.killed_routers.clone());
+        let engine = self.draw(fleet.engines.len(), &self.injected.killed_engines.clone());
+        let router = self.draw(fleet.routers.len(), &self.injected.killed_routers.clone());
         if fault == Fault::KillEngine {
             self.note_work(engine).await;
         }
-        self.outcome.at.push(Instant::now());
+        self.injected.fault_times.push(Instant::now());
         match fault {
             Fault::KillEngine => {
-                self.outcome.killed_engines.push(engine);
+                self.injected.killed_engines.push(engine);
                 fleet.signal_engine(engine, Signal::KILL)?;
             }
             Fault::PauseEngine(pause) => {
@@ -65,7 +65,7 @@
             }
             Fault::SilenceEngine => fleet.inject(engine, ProxyFault::Silence).await?,
             Fault::KillRouter => {
-                self.outcome.killed_routers.push(router);
+                self.injected.killed_routers.push(router);
                 fleet.signal_router(router, Signal::KILL)?;
             }
             Fault::PauseRouter(pause) => {
@@ -84,7 +84,7 @@
                 }
             }
             Fault::DrainRouter => {
-                self.outcome.drained.push(router);
+                self.injected.drained_routers.push(router);
                 fleet.signal_router(router, Signal::TERM)?;
             }
             Fault::Poison => self.poison(POISON, true).await?,
@@ -92,7 +92,7 @@
             Fault::UnansweredPoison => self.poison(UNANSWERED_POISON, true).await?,
             Fault::PoisonAtTwoRouters => self.poison_at_two(router).await?,
             Fault::PoisonKillingRouter => {
-                self.outcome.killed_routers.push(router);
+                self.injected.killed_routers.push(router);
                 self.poison_at(router, Signal::KILL).await?;
             }
             Fault::PoisonPausingRouter(pause) => {
@@ -107,7 +107,7 @@
     async fn note_work(&mut self, engine: usize) {
         let load = self.fleet.engine_load(engine).await;
         let runs = self.fleet.engine_runs(engine).await;
-        self.outcome.dead.extend(load.zip(runs));
+        self.injected.killed_engine_stats.extend(load.zip(runs));
     }
 
     /// Sends a request that crashes its engine, then retries it once as its caller would.
@@ -165,7 +165,7 @@
         let prompt = format!("{prompt} {:x}", self.random.random::<u64>());
         let key = format!("poison-{:x}", self.random.random::<u64>());
         GenerationCall {
-            due: Duration::ZERO,
+            scheduled: Duration::ZERO,
             team: 0,
             prompt,
             seed: 1,
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -20,9 +20,9 @@
     child: Child,
     /// Write end of the child's standard input; the child exits when it closes. Kept out of `child`,
     /// because waiting for the child would close it and end the process during its shutdown.
-    _input: Option<ChildStdin>,
+    _stdin: Option<ChildStdin>,
     address: SocketAddr,
-    others: Vec<(String, SocketAddr)>,
+    other_addresses: Vec<(String, SocketAddr)>,
 }
 
 impl Process {
@@ -47,16 +47,16 @@
             .map_err(|source| Error::Process { role, source })?;
         let stdout = child.stdout.take().ok_or(Error::NotListening { role })?;
         let mut lines = BufReader::new(stdout).lines();
-        let (address, others) = listening_addresses(&mut lines)
+        let (address, other_addresses) = listening_addresses(&mut lines)
             .await
             .ok_or(Error::NotListening { role })?;
         tokio::spawn(read_on(lines));
         Ok(Self {
             role,
-            _input: child.stdin.take(),
+            _stdin: child.stdin.take(),
             child,
             address,
-            others,
+            other_addresses,
         })
     }
 
@@ -69,7 +69,7 @@
     /// Additional listening address with the given name, as printed by the process.
     #[must_use]
     pub fn other_address(&self, name: &str) -> Option<SocketAddr> {
-        let found = self.others.iter().find(|(other, _)| other == name);
+        let found = self.other_addresses.iter().find(|(other, _)| other == name);
         found.map(|(_, address)| *address)
     }
 
@@ -131,15 +131,15 @@
 async fn listening_addresses(
     lines: &mut Lines<BufReader<ChildStdout>>,
 ) -> Option<(SocketAddr, Vec<(String, SocketAddr)>)> {
-    let mut others = Vec::new();
+    let mut other_addresses = Vec::new();
     loop {
         let line = lines.next_line().await.ok()??;
         let (name, address) = line.split_once(' ')?;
         let address = address.parse().ok()?;
         if name == "listening" {
-            return Some((address, others));
+            return Some((address, other_addresses));
         }
-        others.push((name.to_owned(), address));
+        other_addresses.push((name.to_owned(), address));
     }
 }
 
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct QuickCall {
     /// Scheduled time, relative to the start of the run.
-    pub(crate) due: Duration,
+    pub(crate) scheduled: Duration,
     pub(crate) team: usize,
     /// Query string that identifies the item.
     pub(crate) query: String,
@@ -42,12 +42,12 @@
     pub(crate) call: QuickCall,
     pub(crate) end: QuickEnd,
     /// Time from the scheduled start to the end of the call.
-    pub(crate) took: Duration,
+    pub(crate) latency: Duration,
 }
 
 impl QuickResult {
-    pub(crate) fn in_deadline(&self) -> bool {
-        self.end == QuickEnd::Answered && self.took <= DEADLINE
+    pub(crate) fn met_deadline(&self) -> bool {
+        self.end == QuickEnd::Answered && self.latency <= DEADLINE
     }
 }
 
@@ -65,7 +65,7 @@
         through_router: bool,
         start: Instant,
     ) -> QuickResult {
-        let due = start + self.due;
+        let scheduled = start + self.scheduled;
         let call = self.http_call(address, through_router);
         let end = match connections.call_whole(call).await {
             Err(_) => QuickEnd::Lost,
@@ -85,7 +85,7 @@
         QuickResult {
             call: self,
             end,
-            took: due.elapsed(),
+            latency: scheduled.elapsed(),
         }
     }
 
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -54,14 +54,17 @@
 }
 
 impl QuickMeasures {
-    pub(crate) fn of(results: &[QuickResult], runs: &RunCounts, arrivals: Duration) -> Self {
+    pub(crate) fn of(results: &[QuickResult], runs: &RunCounts, arrival_window: Duration) -> Self {
         let count = |end| results.iter().filter(|result| result.end == end).count();
         let times = |end| {
             let ended = results.iter().filter(move |result| result.end == end);
-            Percentiles::of(ended.map(|result| result.took))
+            Percentiles::of(ended.map(|result| result.latency))
         };
-        let in_time = results.iter().filter(|result| result.in_deadline()).count();
-        let possible = to_f64(results.len()).min(CAPACITY * arrivals.as_secs_f64());
+        let in_time = results
+            .iter()
+            .filter(|result| result.met_deadline())
+            .count();
+        let possible = to_f64(results.len()).min(CAPACITY * arrival_window.as_secs_f64());
         let run: u64 = runs.runs.iter().map(|run| run.count).sum();
         let wanted: u64 = useful_runs(results, runs);
         Self {
@@ -83,7 +86,7 @@
 /// Number of runs that were answered within the deadline. For each digest, at most as many runs
 /// count as callers were answered.
 fn useful_runs(results: &[QuickResult], runs: &RunCounts) -> u64 {
-    let in_time = results.iter().filter(|result| result.in_deadline());
+    let in_time = results.iter().filter(|result| result.met_deadline());
     let mut digests: Vec<u64> = in_time.map(|result| result.call.digest()).collect();
     digests.sort_unstable();
     let callers = |digest: u64| {
@@ -105,7 +108,7 @@
         .filter_map(|team| {
             let own = || results.iter().filter(|result| result.call.team == team);
             let made = own().count();
-            let answered = own().filter(|result| result.in_deadline()).count();
+            let answered = own().filter(|result| result.met_deadline()).count();
             (made > 0).then(|| to_f64(answered) / to_f64(made))
         })
         .collect();
@@ -129,7 +132,7 @@
         self.false_not_run = own.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
         let others = others.filter(|result| result.end == QuickEnd::Answered);
-        self.others_quick_ms = Percentiles::of(others.map(|result| result.took));
+        self.others_quick_ms = Percentiles::of(others.map(|result| result.latency));
         let counts = [
             ("answers lost", self.measures.lost_answers),
             ("answers crossed", self.measures.crossed_answers),
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -31,7 +31,7 @@
     settings: &RunSettings,
 ) -> Result<QuickReport, LoadError> {
     let mut scenario = scenario.clone();
-    scenario.arrivals = settings.arrivals.unwrap_or(scenario.arrivals);
+    scenario.arrival_window = settings.arrival_window.unwrap_or(scenario.arrival_window);
     let size = settings.size.fleet();
     let bare = FleetSize {
         routers: 0,
@@ -43,8 +43,8 @@
     let mut report = QuickReport {
         scenario: scenario.name.to_owned(),
         seed: settings.seed,
-        measures: QuickMeasures::of(&results, &runs, scenario.arrivals),
-        baseline: QuickMeasures::of(&direct, &direct_runs, scenario.arrivals),
+        measures: QuickMeasures::of(&results, &runs, scenario.arrival_window),
+        baseline: QuickMeasures::of(&direct, &direct_runs, scenario.arrival_window),
         ..QuickReport::default()
     };
     report.judge(&results, &runs);
@@ -77,7 +77,7 @@
         generate(&fleet, scenario, size, random, start),
     )?;
     let mut runs = RunCounts::default();
-    for plain in &fleet.plains {
+    for plain in &fleet.plain_upstreams {
         runs.runs
             .extend(fleet.plain_runs(plain.address()).await?.runs);
     }
@@ -90,22 +90,22 @@
     random: &mut Xoshiro256PlusPlus,
 ) -> Vec<QuickCall> {
     let mut calls = Vec::new();
-    let mut due = Duration::ZERO;
+    let mut scheduled = Duration::ZERO;
     loop {
-        let share = due.div_duration_f64(scenario.arrivals);
+        let share = scheduled.div_duration_f64(scenario.arrival_window);
         let times = match scenario.burst {
             Some((from, to, times)) if (from..to).contains(&share) => times,
             _ => 1.0,
         };
         let uniform: f64 = random.random_range(1e-9..1.0);
-        due += Duration::from_secs_f64(-uniform.ln() / (scenario.load * times * CAPACITY));
-        if due > scenario.arrivals {
+        scheduled += Duration::from_secs_f64(-uniform.ln() / (scenario.load * times * CAPACITY));
+        if scheduled > scenario.arrival_window {
             return calls;
         }
         let write = random.random_bool(scenario.writes);
         let hot = !write && random.random_bool(scenario.hot_key);
         calls.push(QuickCall {
-            due,
+            scheduled,
             team: if random.random_bool(scenario.hot_team) {
                 0
             } else {
@@ -130,14 +130,14 @@
     let ways = if through_router {
         &fleet.routers
     } else {
-        &fleet.plains
+        &fleet.plain_upstreams
     };
     let connections = Connections::new()?;
     let calls = calls.into_iter().enumerate().map(|(i, call)| {
         let address = ways[i % ways.len()].address();
         let connections = &connections;
         async move {
-            tokio::time::sleep_until(start + call.due).await;
+            tokio::time::sleep_until(start + call.scheduled).await;
             call.make(connections, address, through_router, start).await
         }
     });
@@ -147,9 +147,14 @@
 
 async fn inject(fleet: &Fleet, scenario: &QuickScenario, start: Instant) -> Result<(), LoadError> {
     for (share, plain, fault) in scenario.faults {
-        tokio::time::sleep_until(start + scenario.arrivals.mul_f64(*share)).await;
+        tokio::time::sleep_until(start + scenario.arrival_window.mul_f64(*share)).await;
         let hit = |i: usize| plain.is_none_or(|plain| plain == i);
-        for (_, plain) in fleet.plains.iter().enumerate().filter(|(i, _)| hit(*i)) {
+        for (_, plain) in fleet
+            .plain_upstreams
+            .iter()
+            .enumerate()
+            .filter(|(i, _)| hit(*i))
+        {
             fleet.fail_plain(plain.address(), *fault).await?;
         }
     }
@@ -164,12 +169,12 @@
     mut random: Xoshiro256PlusPlus,
     start: Instant,
 ) -> Result<(), LoadError> {
-    if scenario.generations == 0.0 || fleet.routers.is_empty() {
+    if scenario.generation_rate == 0.0 || fleet.routers.is_empty() {
         return Ok(());
     }
     let beside = Scenario {
-        arrivals: scenario.arrivals,
-        generations: scenario.generations,
+        arrival_window: scenario.arrival_window,
+        generation_rate: scenario.generation_rate,
         ..Scenario::BASE
     };
     let calls = draw_calls(&beside, size, &mut random);
--- a/crates/load/src/quick_scenario.rs
+++ b/crates/load/src/quick_scenario.rs
@@ -6,12 +6,12 @@
     /// Name on the command line, in kebab case.
     pub name: &'static str,
     /// One-line description for `catkin-load list`.
-    pub about: &'static str,
+    pub description: &'static str,
     /// Time for which calls arrive.
-    pub arrivals: Duration,
+    pub arrival_window: Duration,
     /// Arrival rate, as a multiple of the upstreams' capacity.
     pub load: f64,
-    /// Start and end of a burst, as shares of the arrival time, and its factor on the arrival rate.
+    /// Start and end of a burst, as shares of the arrival window, and its factor on the arrival rate.
     pub burst: Option<(f64, f64, f64)>,
     /// Share of all calls that the hot team makes, which is team 0.
     pub hot_team: f64,
@@ -20,8 +20,8 @@
     /// Share of all calls that are non-idempotent writes.
     pub writes: f64,
     /// Concurrent generations, in arrivals per second for each engine.
-    pub generations: f64,
-    /// Faults of the plain upstreams: the share of the arrival time at which the fault starts, the
+    pub generation_rate: f64,
+    /// Faults of the plain upstreams: the share of the arrival window at which the fault starts, the
     /// index of the upstream (`None` for all), and the fault.
     pub faults: &'static [(f64, Option<usize>, PlainFault)],
 }
@@ -30,14 +30,14 @@
     /// Default scenario at half load, for use with struct update syntax.
     pub(crate) const BASE: Self = Self {
         name: "",
-        about: "",
-        arrivals: Duration::from_secs(5),
+        description: "",
+        arrival_window: Duration::from_secs(5),
         load: 0.5,
         burst: None,
         hot_team: 0.0,
         hot_key: 0.0,
         writes: 0.1,
-        generations: 0.0,
+        generation_rate: 0.0,
         faults: &[],
     };
 
@@ -55,56 +55,56 @@
 pub const QUICK_SCENARIOS: &[QuickScenario] = &[
     QuickScenario {
         name: "quick",
-        about: "plain calls at half of the upstreams' capacity",
+        description: "plain calls at half of the upstreams' capacity",
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "burst",
-        about: "three times the upstreams' capacity for a fifth of the time",
+        description: "three times the upstreams' capacity for a fifth of the time",
         burst: Some((0.4, 0.6, 6.0)),
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "hot-team",
-        about: "one team makes three quarters of all calls, at 1.5 times the upstreams' capacity",
+        description: "one team makes three quarters of all calls, at 1.5 times the upstreams' capacity",
         load: 1.5,
         hot_team: 0.75,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "hot-key",
-        about: "70 % of all reads read one item, at 1.5 times the upstreams' capacity",
+        description: "70 % of all reads read one item, at 1.5 times the upstreams' capacity",
         load: 1.5,
         hot_key: 0.7,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "slow-upstream",
-        about: "one of three upstreams becomes ten times slower",
+        description: "one of three upstreams becomes ten times slower",
         faults: &[(0.3, Some(0), PlainFault::Slow)],
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "mixed-lengths",
-        about: "generations run concurrently with the plain calls",
-        generations: 2.0,
+        description: "generations run concurrently with the plain calls",
+        generation_rate: 2.0,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "overload",
-        about: "twice the upstreams' capacity",
+        description: "twice the upstreams' capacity",
         load: 2.0,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "overload-5x",
-        about: "five times the upstreams' capacity",
+        description: "five times the upstreams' capacity",
         load: 5.0,
         ..QuickScenario::BASE
     },
     QuickScenario {
         name: "brownout",
-        about: "all upstreams refuse calls for a fifth of the time",
+        description: "all upstreams refuse calls for a fifth of the time",
         faults: &[
             (0.4, None, PlainFault::Refuse),
             (0.6, None, PlainFault::None),
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -115,7 +115,7 @@
         size: FleetSize {
             routers: settings.routers,
             engines: ENGINE_COUNT,
-            plains: 0,
+            plain_upstreams: 0,
             zones: 1,
             teams: 1,
         },
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -2,7 +2,7 @@
 use crate::{
     balancer::Balancer,
     generation_call::{GenerationCall, GenerationResult},
-    injector::{Injected, Injector},
+    injector::{InjectedFaults, Injector},
     tally::Tally,
 };
 
@@ -14,7 +14,7 @@
     /// Size of the fleet.
     pub size: Size,
     /// Time for which calls arrive; `None` for the scenario's default.
-    pub arrivals: Option<Duration>,
+    pub arrival_window: Option<Duration>,
     /// Additional command-line flags of the routers.
     pub router_flags: Vec<String>,
 }
@@ -24,7 +24,7 @@
         Self {
             seed: 1,
             size: Size::Small,
-            arrivals: None,
+            arrival_window: None,
             router_flags: Vec::new(),
         }
     }
@@ -46,7 +46,7 @@
     progress: impl Fn(usize, usize),
 ) -> Result<Report, LoadError> {
     let mut scenario = scenario.clone();
-    scenario.arrivals = settings.arrivals.unwrap_or(scenario.arrivals);
+    scenario.arrival_window = settings.arrival_window.unwrap_or(scenario.arrival_window);
     let fleet = Fleet::start(program, &fleet_settings(&scenario, settings)).await?;
     if !scenario.peer_delay.is_zero() {
         fleet.delay_peers(scenario.peer_delay).await?;
@@ -60,7 +60,7 @@
         balancer: &balancer,
         start,
         random,
-        outcome: Injected::default(),
+        injected: InjectedFaults::default(),
     };
     let load = async {
         tokio::try_join!(
@@ -83,8 +83,8 @@
         size: settings.size.fleet(),
         step: scenario.step,
         recovery: scenario.recovery,
-        linked: scenario.linked,
-        peers_linked: !scenario.peer_delay.is_zero(),
+        proxied: scenario.proxied,
+        peers_proxied: !scenario.peer_delay.is_zero(),
         router_flags: settings.router_flags.clone(),
         seed: settings.seed,
         ..FleetSettings::default()
@@ -98,18 +98,18 @@
     random: &mut Xoshiro256PlusPlus,
 ) -> Vec<GenerationCall> {
     let engines = u32::try_from(size.engines).unwrap_or(u32::MAX);
-    let rate = scenario.generations * f64::from(engines);
+    let rate = scenario.generation_rate * f64::from(engines);
     let mut calls = Vec::new();
-    let mut due = Duration::ZERO;
+    let mut scheduled = Duration::ZERO;
     loop {
         let uniform: f64 = random.random_range(1e-9..1.0);
-        due += Duration::from_secs_f64(-uniform.ln() / rate);
-        if due > scenario.arrivals {
+        scheduled += Duration::from_secs_f64(-uniform.ln() / rate);
+        if scheduled > scenario.arrival_window {
             return calls;
         }
         let id: u64 = random.random();
         calls.push(GenerationCall {
-            due,
+            scheduled,
             team: random.random_range(0..size.teams),
             prompt: format!("proofing note {id:016x}, folded twice, two colours, by Friday"),
             seed: random.random::<u64>() >> 1,
@@ -130,13 +130,13 @@
     let teams = calls.iter().map(|call| call.team + 1).max().unwrap_or(0);
     let clients = (0..teams).map(|team| fleet.clients(team));
     let clients = clients.collect::<Result<Vec<_>, _>>()?;
-    let deadline = start + scenario.arrivals + scenario.tail;
+    let deadline = start + scenario.arrival_window + scenario.max_tail;
     let (count, done) = (calls.len(), AtomicUsize::new(0));
     let calls = calls.into_iter().map(|call| async {
         let clients = &clients[call.team];
-        tokio::time::sleep_until(start + call.due).await;
+        tokio::time::sleep_until(start + call.scheduled).await;
         let result = call
-            .make(clients, balancer, scenario.patience, deadline)
+            .make(clients, balancer, scenario.token_timeout, deadline)
             .await;
         progress(done.fetch_add(1, Ordering::Relaxed) + 1, count);
         result
@@ -149,9 +149,9 @@
     scenario: &Scenario,
     mut fleet: Fleet,
     results: &[GenerationResult],
-    injected: &Injected,
+    injected: &InjectedFaults,
 ) -> Result<Report, LoadError> {
-    let mut engines = injected.dead.clone();
+    let mut engines = injected.killed_engine_stats.clone();
     let mut engines_lost = 0;
     for i in 0..fleet.engines.len() {
         let work = fleet.engine_load(i).await.zip(fleet.engine_runs(i).await);
@@ -159,10 +159,10 @@
         engines_lost += usize::from(fleet.engines[i].has_ended());
         engines.extend(work);
     }
-    let mut drained = Vec::new();
-    for router in &injected.drained {
+    let mut exit_codes = Vec::new();
+    for router in &injected.drained_routers {
         let ended = tokio::time::timeout(DRAIN_TIMEOUT, fleet.routers[*router].wait()).await;
-        drained.push(ended.ok().transpose()?.flatten());
+        exit_codes.push(ended.ok().transpose()?.flatten());
     }
     let tally = Tally {
         scenario,
@@ -170,7 +170,7 @@
         injected,
         engines,
         engines_lost,
-        drained,
+        exit_codes,
     };
     Ok(tally.report())
 }
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -6,27 +6,27 @@
     /// Name on the command line, in kebab case.
     pub name: &'static str,
     /// One-line description for `catkin-load list`.
-    pub about: &'static str,
+    pub description: &'static str,
     /// Time for which calls arrive.
-    pub arrivals: Duration,
+    pub arrival_window: Duration,
     /// Arrival rate of generations, per second for each engine.
-    pub generations: f64,
+    pub generation_rate: f64,
     /// Minimum and maximum number of tokens of a generation.
     pub tokens: (u32, u32),
     /// Duration of an engine's decode step.
     pub step: Duration,
-    /// Faults, each with the share of the arrival time at which it is injected.
+    /// Faults, each with the share of the arrival window at which it is injected.
     pub faults: &'static [(f64, Fault)],
     /// Recovery policy of the generation service.
     pub recovery: RecoveryPolicy,
     /// Whether routers reach engines through the fault-injecting proxy.
-    pub linked: bool,
+    pub proxied: bool,
     /// One-way delay added to messages between routers; zero for none.
     pub peer_delay: Duration,
     /// Time without a token after which a caller reconnects to another router.
-    pub patience: Duration,
+    pub token_timeout: Duration,
     /// Maximum time from the last arrival to the end of the run.
-    pub tail: Duration,
+    pub max_tail: Duration,
 }
 
 /// A fault of a scenario. The affected process is drawn from the seed.
@@ -66,17 +66,17 @@
     /// Default scenario without faults, for use with struct update syntax.
     pub(crate) const BASE: Self = Self {
         name: "",
-        about: "",
-        arrivals: Duration::from_secs(6),
-        generations: 2.0,
+        description: "",
+        arrival_window: Duration::from_secs(6),
+        generation_rate: 2.0,
         tokens: (50, 300),
         step: Duration::from_millis(10),
         faults: &[],
         recovery: RecoveryPolicy::LeastWait,
-        linked: false,
+        proxied: false,
         peer_delay: Duration::ZERO,
-        patience: Duration::from_secs(10),
-        tail: Duration::from_secs(12),
+        token_timeout: Duration::from_secs(10),
+        max_tail: Duration::from_secs(12),
     };
 
     /// Looks up a scenario by name.
--- a/crates/load/src/size.rs
+++ b/crates/load/src/size.rs
@@ -19,7 +19,7 @@
     /// Number of engine processes.
     pub engines: usize,
     /// Number of processes of the plain service.
-    pub plains: usize,
+    pub plain_upstreams: usize,
     /// Number of availability zones over which the processes are spread.
     pub zones: usize,
     /// Number of teams that make calls.
@@ -38,7 +38,7 @@
         FleetSize {
             routers,
             engines,
-            plains: 3,
+            plain_upstreams: 3,
             zones: 3,
             teams,
         }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     generation_call::{CallEnd, GenerationResult},
-    injector::Injected,
+    injector::InjectedFaults,
 };
 
 /// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the fault before
@@ -15,12 +15,12 @@
 pub(crate) struct Tally<'a> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) results: &'a [GenerationResult],
-    pub(crate) injected: &'a Injected,
+    pub(crate) injected: &'a InjectedFaults,
     /// Load reports and run counts of the engines; for killed ones, as read before the kill.
     pub(crate) engines: Vec<(engine::UpstreamLoad, RunCounts)>,
     pub(crate) engines_lost: usize,
     /// Exit codes of drained routers; `None` if a router did not exit in time.
-    pub(crate) drained: Vec<Option<i32>>,
+    pub(crate) exit_codes: Vec<Option<i32>>,
 }
 
 impl Tally<'_> {
@@ -33,7 +33,7 @@
             refused: self.ended(CallEnd::NotRun),
             failed: self.ended(CallEnd::Failed),
             failures: self.failures(),
-            returns: self.results.iter().map(|r| r.returns).sum(),
+            returns: self.results.iter().map(|r| r.reconnects).sum(),
             lost_answers: self.ended(CallEnd::Lost),
             false_not_run: self.results.iter().filter(|r| self.ran_anyway(r)).count(),
             resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.held_up(r))),
@@ -102,7 +102,8 @@
     fn held_up(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
-        let resumed = result.returns > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
+        let resumed =
+            result.reconnects > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
         let bound = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
         let wait = |fault: &Instant| {
             let fault = fault.checked_duration_since(started)?;
@@ -114,7 +115,7 @@
                 .checked_sub(answer.arrivals[before])?;
             (resumed || gap > bound).then(|| answer.arrivals[next].saturating_sub(fault))
         };
-        self.injected.at.iter().filter_map(wait).max()
+        self.injected.fault_times.iter().filter_map(wait).max()
     }
 
     fn violations(&self, report: &Report) -> Vec<String> {
@@ -143,7 +144,7 @@
                 "{lost} engines lost, {MAX_POISON_LOSSES} to one request at most"
             ));
         }
-        for code in self.drained.iter().filter(|code| **code != Some(0)) {
+        for code in self.exit_codes.iter().filter(|code| **code != Some(0)) {
             violations.push(format!("a drained router ended with code {code:?}"));
         }
         violations
--- a/crates/load/tests/quick_scenarios.rs
+++ b/crates/load/tests/quick_scenarios.rs
@@ -7,7 +7,7 @@
 async fn short_run(name: &str) -> QuickReport {
     let scenario = QuickScenario::find(name).expect("a known scenario");
     let settings = RunSettings {
-        arrivals: Some(Duration::from_secs(1)),
+        arrival_window: Some(Duration::from_secs(1)),
         ..RunSettings::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_catkin-load"));
--- a/crates/load/tests/scenarios.rs
+++ b/crates/load/tests/scenarios.rs
@@ -12,7 +12,7 @@
     };
     let settings = RunSettings {
         seed,
-        arrivals: Some(Duration::from_millis(1200)),
+        arrival_window: Some(Duration::from_millis(1200)),
         ..RunSettings::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_catkin-load"));
@@ -22,11 +22,11 @@
 }
 
 /// Runs a scenario with its own numbers of tokens and decode step.
-async fn run_as_it_is(name: &str, seed: u64, arrivals: Duration) -> Report {
+async fn run_as_it_is(name: &str, seed: u64, arrival_window: Duration) -> Report {
     let scenario = Scenario::find(name).expect("a known scenario");
     let settings = RunSettings {
         seed,
-        arrivals: Some(arrivals),
+        arrival_window: Some(arrival_window),
         ..RunSettings::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_catkin-load"));
@@ -184,8 +184,8 @@
 #[tokio::test]
 async fn poison_request_costs_two_engines_when_its_router_is_killed_and_peers_are_slow() {
     for seed in [106, 111, 112, 114, 127] {
-        let arrivals = Duration::from_millis(1200);
-        let report = run_as_it_is("poison-router-death-slow-peers", seed, arrivals).await;
+        let arrival_window = Duration::from_millis(1200);
+        let report = run_as_it_is("poison-router-death-slow-peers", seed, arrival_window).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -209,8 +209,8 @@
 #[tokio::test]
 async fn poison_request_that_arrives_at_two_routers_costs_two_engines() {
     for seed in [101, 104, 130] {
-        let arrivals = Duration::from_millis(1200);
-        let report = run_as_it_is("poison-at-two-routers", seed, arrivals).await;
+        let arrival_window = Duration::from_millis(1200);
+        let report = run_as_it_is("poison-at-two-routers", seed, arrival_window).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -222,8 +222,8 @@
 #[tokio::test]
 async fn request_is_not_blamed_for_an_engine_that_dies_before_its_order() {
     for seed in [104, 105, 118, 120, 129] {
-        let arrivals = Duration::from_millis(1200);
-        let report = run_as_it_is("engine-deaths-slow-peers", seed, arrivals).await;
+        let arrival_window = Duration::from_millis(1200);
+        let report = run_as_it_is("engine-deaths-slow-peers", seed, arrival_window).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
