--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -56,7 +56,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let places = u32::try_from(WORKERS * SLOTS_PER_WORKER)?;
     let capacity = f64::from(places) / SERVICE_TIME.as_secs_f64();
-    let calls = offer(&routers, capacity * load).await?;
+    let calls = offer_load(&routers, capacity * load).await?;
     report(capacity, &calls);
     Ok(())
 }
@@ -117,7 +117,7 @@
 }
 
 /// Makes `rate` calls per second, evenly spaced, and returns the outcome and latency of each.
-async fn offer(
+async fn offer_load(
     routers: &[SocketAddr],
     rate: f64,
 ) -> Result<Vec<(Received, Duration)>, Box<dyn Error>> {
@@ -131,7 +131,7 @@
         }
         tokio::time::sleep_until(start + at).await;
         let router = routers[i as usize % routers.len()];
-        let call = one_call(connections.clone(), router, i);
+        let call = make_call(connections.clone(), router, i);
         calls.push((at, tokio::spawn(call)));
     }
     let mut received = Vec::new();
@@ -144,7 +144,7 @@
     Ok(received)
 }
 
-async fn one_call(
+async fn make_call(
     connections: Arc<Connections>,
     address: SocketAddr,
     i: u32,
@@ -181,44 +181,44 @@
 }
 
 fn report(capacity: f64, calls: &[(Received, Duration)]) {
-    let of = |kind| {
-        let mut waits = calls
+    let latencies_of = |kind| {
+        let mut latencies = calls
             .iter()
             .filter(|(received, _)| *received == kind)
-            .map(|(_, wait)| *wait)
+            .map(|(_, latency)| *latency)
             .collect::<Vec<_>>();
-        waits.sort_unstable();
-        waits
+        latencies.sort_unstable();
+        latencies
     };
     let (answers, refusals, others) = (
-        of(Received::Answer),
-        of(Received::Refusal),
-        of(Received::Other),
+        latencies_of(Received::Answer),
+        latencies_of(Received::Refusal),
+        latencies_of(Received::Other),
     );
     let in_time = answers
         .iter()
-        .filter(|wait| **wait <= Duration::from_millis(DEADLINE_MS))
+        .filter(|latency| **latency <= Duration::from_millis(DEADLINE_MS))
         .count();
     let seconds = Duration::from_secs(RUN_SECONDS).saturating_sub(WARM_UP);
-    let could = capacity * seconds.as_secs_f64();
+    let possible = capacity * seconds.as_secs_f64();
     #[allow(clippy::cast_precision_loss)]
-    let part = in_time as f64 / could;
-    println!("calls {}, capacity {could:.0}", calls.len());
-    println!("answered in deadline {in_time} ({part:.2} of capacity)");
+    let share = in_time as f64 / possible;
+    println!("calls {}, capacity {possible:.0}", calls.len());
+    println!("answered in deadline {in_time} ({share:.2} of capacity)");
     println!("refused {}, other {}", refusals.len(), others.len());
     println!(
         "refusal wait p50 {:?} p99 {:?}",
-        at(&refusals, 50),
-        at(&refusals, 99)
+        percentile(&refusals, 50),
+        percentile(&refusals, 99)
     );
     println!(
         "answer wait p50 {:?} p99 {:?}",
-        at(&answers, 50),
-        at(&answers, 99)
+        percentile(&answers, 50),
+        percentile(&answers, 99)
     );
 }
 
-fn at(sorted: &[Duration], percent: usize) -> Duration {
+fn percentile(sorted: &[Duration], percent: usize) -> Duration {
     sorted
         .get(sorted.len() * percent / 100)
         .copied()
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -85,9 +85,9 @@
             );
             Ok(ExitCode::SUCCESS)
         }
-        Some("run") => with_flags(args, RUN_HELP, run),
-        Some("bench") => with_flags(args, BENCH_HELP, bench),
-        Some("compare") => with_flags(args, COMPARE_HELP, compare),
+        Some("run") => run_with_flags(args, RUN_HELP, run),
+        Some("bench") => run_with_flags(args, BENCH_HELP, bench),
+        Some("compare") => run_with_flags(args, COMPARE_HELP, compare),
         Some("help" | "--help") => {
             print!("{HELP}");
             Ok(ExitCode::SUCCESS)
@@ -97,7 +97,7 @@
 }
 
 /// Parses the flags and runs the command, or prints its help if `--help` is among them.
-fn with_flags(
+fn run_with_flags(
     args: impl Iterator<Item = OsString>,
     help: &str,
     run: fn(&Flags) -> Result<ExitCode, LoadError>,
@@ -182,7 +182,7 @@
 #[tokio::main]
 async fn run(flags: &Flags) -> Result<ExitCode, LoadError> {
     if flags.operand(0)? == RACING_OPERATORS {
-        return race(flags).await;
+        return run_racing_operators(flags).await;
     }
     if let Some(scenario) = QuickScenario::find(flags.operand(0)?) {
         let program = std::env::current_exe()?;
@@ -190,7 +190,7 @@
         return Ok(print_verdict(&report, &report.violations, flags.json));
     }
     let scenario = Scenario::find(flags.operand(0)?)?;
-    let report = run_with_bar(&scenario, flags, &flags.settings).await?;
+    let report = run_with_progress_bar(&scenario, flags, &flags.settings).await?;
     Ok(print_verdict(&report, &report.violations, flags.json))
 }
 
@@ -208,7 +208,7 @@
     }
 }
 
-async fn race(flags: &Flags) -> Result<ExitCode, LoadError> {
+async fn run_racing_operators(flags: &Flags) -> Result<ExitCode, LoadError> {
     let settings = OperatorsSettings {
         seed: flags.settings.seed,
         routers: flags.relay.routers,
@@ -219,7 +219,7 @@
     Ok(print_verdict(&report, &report.violations, flags.json))
 }
 
-async fn run_with_bar(
+async fn run_with_progress_bar(
     scenario: &Scenario,
     flags: &Flags,
     settings: &RunSettings,
@@ -252,7 +252,7 @@
                 router_flags: split_flags(flags.operand(side)?),
                 ..flags.settings.clone()
             };
-            reports.push(run_with_bar(&scenario, flags, &settings).await?);
+            reports.push(run_with_progress_bar(&scenario, flags, &settings).await?);
         }
     }
     let comparison = Comparison::of(&scenario, &sides[0], &sides[1]);
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -71,8 +71,8 @@
     /// If a process does not start, or the routers are not ready within 40 s.
     pub async fn start(program: &Path, settings: &FleetSettings) -> Result<Self, LoadError> {
         let size = settings.size;
-        let engine = |i: usize| standin(program, "engine", engine_flags(settings, i));
-        let plain = |i: usize| standin(program, "plain", plain_flags(settings, i));
+        let engine = |i: usize| start_mock(program, "engine", engine_flags(settings, i));
+        let plain = |i: usize| start_mock(program, "plain", plain_flags(settings, i));
         let engines = try_join_all((0..size.engines).map(engine)).await?;
         let plain_upstreams = try_join_all((0..size.plain_upstreams).map(plain)).await?;
         let connections = Arc::new(Connections::new()?);
@@ -85,7 +85,7 @@
             connections,
         };
         if settings.proxied || settings.peers_proxied {
-            fleet.proxy = Some(standin(program, "proxy", Vec::new()).await?);
+            fleet.proxy = Some(start_mock(program, "proxy", Vec::new()).await?);
         }
         let engines = fleet.engine_addresses(settings.proxied).await?;
         let plain_upstreams: Vec<_> = fleet.plain_upstreams.iter().map(Process::address).collect();
@@ -99,7 +99,7 @@
         let addresses = self.engines.iter().map(Process::address);
         for address in addresses.collect::<Vec<_>>() {
             engines.push(if proxied {
-                self.route(address).await?
+                self.add_proxy_route(address).await?
             } else {
                 address
             });
@@ -108,9 +108,9 @@
     }
 
     /// Adds a route through the proxy and returns its listening address.
-    async fn route(&mut self, to: SocketAddr) -> Result<SocketAddr, LoadError> {
+    async fn add_proxy_route(&mut self, to: SocketAddr) -> Result<SocketAddr, LoadError> {
         let path = format!("/route?to={to}");
-        let route = self.control(self.proxy()?, Method::POST, path).await?;
+        let route = self.call_control(self.proxy()?, Method::POST, path).await?;
         self.proxy_routes += 1;
         Ok(route)
     }
@@ -128,7 +128,7 @@
             return Ok(vec!["--peer-listen=127.0.0.1:0".to_owned()]);
         }
         let free = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let route = self.route(free).await?;
+        let route = self.add_proxy_route(free).await?;
         Ok(vec![
             flag("peer-listen", free),
             flag("peer-advertise", route),
@@ -270,12 +270,14 @@
 
     /// Load report of an engine; `None` if it does not respond.
     pub async fn engine_load(&self, engine: usize) -> Option<engine::UpstreamLoad> {
-        self.read(self.engines[engine].address(), "/v1/load").await
+        self.try_control(self.engines[engine].address(), "/v1/load")
+            .await
     }
 
     /// Run counts of an engine; `None` if it does not respond.
     pub async fn engine_runs(&self, engine: usize) -> Option<RunCounts> {
-        self.read(self.engines[engine].address(), "/stats").await
+        self.try_control(self.engines[engine].address(), "/stats")
+            .await
     }
 
     /// Run counts of a process of the plain service.
@@ -284,7 +286,8 @@
     ///
     /// If it does not respond.
     pub async fn plain_runs(&self, plain: SocketAddr) -> Result<RunCounts, LoadError> {
-        self.control(plain, Method::GET, "/stats".to_owned()).await
+        self.call_control(plain, Method::GET, "/stats".to_owned())
+            .await
     }
 
     /// Sets the fault that a process of the plain service injects from now on.
@@ -299,18 +302,24 @@
     }
 
     /// Opens a response stream of a process; `None` on an error or a status other than success.
-    pub(crate) async fn open(&self, address: SocketAddr, path: String) -> Option<Response> {
+    pub(crate) async fn open_response(
+        &self,
+        address: SocketAddr,
+        path: String,
+    ) -> Option<Response> {
         let call = control_call(address, Method::GET, path);
         let response = self.connections.call(call).await.ok()?;
         response.status().is_success().then_some(response)
     }
 
-    async fn read<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
-        let answer = self.control(address, Method::GET, path.to_owned()).await;
+    async fn try_control<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
+        let answer = self
+            .call_control(address, Method::GET, path.to_owned())
+            .await;
         answer.ok()
     }
 
-    async fn control<T: DeserializeOwned>(
+    async fn call_control<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         method: Method,
@@ -332,14 +341,14 @@
     }
 }
 
-async fn standin(program: &Path, kind: &str, flags: Vec<String>) -> Result<Process, LoadError> {
+async fn start_mock(program: &Path, kind: &str, flags: Vec<String>) -> Result<Process, LoadError> {
     let args: Vec<_> = std::iter::once(kind.to_owned()).chain(flags).collect();
     Process::start(program, Role::Standin, &args).await
 }
 
 fn engine_flags(settings: &FleetSettings, i: usize) -> Vec<String> {
     let mut flags = vec![
-        flag("seed", settings.seed.wrapping_add(n(i))),
+        flag("seed", settings.seed.wrapping_add(to_u64(i))),
         flag("step-us", settings.step.as_micros()),
     ];
     flags.extend(settings.engine_flags.iter().cloned());
@@ -347,7 +356,7 @@
 }
 
 fn plain_flags(settings: &FleetSettings, i: usize) -> Vec<String> {
-    let mut flags = vec![flag("seed", settings.seed.wrapping_add(n(i)))];
+    let mut flags = vec![flag("seed", settings.seed.wrapping_add(to_u64(i)))];
     flags.extend(settings.plain_flags.iter().cloned());
     flags
 }
@@ -356,6 +365,6 @@
     format!("--{name}={value}")
 }
 
-fn n(i: usize) -> u64 {
+fn to_u64(i: usize) -> u64 {
     u64::try_from(i).unwrap_or_default()
 }
--- a/crates/load/src/generation_call.rs
+++ b/crates/load/src/generation_call.rs
@@ -20,9 +20,9 @@
 
 /// Outcome of a call as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum CallEnd {
+pub(crate) enum CallOutcome {
     /// The complete response was received.
-    Whole,
+    Complete,
     /// A problem reported that the request did not run.
     NotRun,
     /// Another typed problem was received.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationResult {
     pub(crate) call: GenerationCall,
-    pub(crate) end: CallEnd,
+    pub(crate) end: CallOutcome,
     pub(crate) answer: Answer,
     /// Number of times that the caller reconnected after its request had been accepted.
     pub(crate) reconnects: u32,
@@ -71,9 +71,9 @@
         let mut reconnects = 0;
         let mut router = balancer.pick(None);
         let end = loop {
-            let reading = self.read(&clients[router], &mut answer, token_timeout);
+            let reading = self.read_stream(&clients[router], &mut answer, token_timeout);
             match tokio::time::timeout_at(deadline, reading).await {
-                Err(_) => break CallEnd::Lost,
+                Err(_) => break CallOutcome::Lost,
                 Ok(Some(end)) => break end,
                 Ok(None) => {}
             }
@@ -90,29 +90,31 @@
     }
 
     /// Reads the stream from one router; `None` if the caller has to reconnect to another.
-    async fn read(
+    async fn read_stream(
         &self,
         client: &CallerClient,
         answer: &mut Answer,
         token_timeout: Duration,
-    ) -> Option<CallEnd> {
+    ) -> Option<CallOutcome> {
         let (progress_tx, mut progress) = tokio::sync::watch::channel(());
         let request = self.request();
         let reading = client.stream(&request, self.key.as_deref(), answer, |_| {
             progress_tx.send_replace(());
         });
-        let impatience = async {
+        let stalled = async {
             while let Ok(Ok(())) = tokio::time::timeout(token_timeout, progress.changed()).await {}
         };
         tokio::select! {
-            read = reading => read.ok()?,
-            () = impatience => return None,
+            result = reading => result.ok()?,
+            () = stalled => return None,
         }
         match answer.problem.as_ref() {
-            None => Some(CallEnd::Whole),
-            Some(problem) if problem.outcome != caller::Outcome::NotRun => Some(CallEnd::Failed),
+            None => Some(CallOutcome::Complete),
+            Some(problem) if problem.outcome != caller::Outcome::NotRun => {
+                Some(CallOutcome::Failed)
+            }
             Some(problem) if problem.retry_after_ms.is_some() => None,
-            Some(_) => Some(CallEnd::NotRun),
+            Some(_) => Some(CallOutcome::NotRun),
         }
     }
 }
--- a/crates/load/src/injector.rs
+++ b/crates/load/src/injector.rs
@@ -16,7 +16,7 @@
     pub(crate) fleet: &'a Fleet,
     pub(crate) balancer: &'a Balancer,
     pub(crate) start: Instant,
-    pub(crate) random: Xoshiro256PlusPlus,
+    pub(crate) rng: Xoshiro256PlusPlus,
     pub(crate) injected: InjectedFaults,
 }
 
@@ -47,10 +47,10 @@
 
     async fn inject(&mut self, fault: Fault) -> Result<(), LoadError> {
         let fleet = self.fleet;
-        let engine = self.draw(fleet.engines.len(), &self.injected.killed_engines.clone());
-        let router = self.draw(fleet.routers.len(), &self.injected.killed_routers.clone());
+        let engine = self.pick_target(fleet.engines.len(), &self.injected.killed_engines.clone());
+        let router = self.pick_target(fleet.routers.len(), &self.injected.killed_routers.clone());
         if fault == Fault::KillEngine {
-            self.note_work(engine).await;
+            self.record_engine_work(engine).await;
         }
         self.injected.fault_times.push(Instant::now());
         match fault {
@@ -90,13 +90,13 @@
             Fault::Poison => self.poison(POISON, true).await?,
             Fault::KeylessPoison => self.poison(POISON, false).await?,
             Fault::UnansweredPoison => self.poison(UNANSWERED_POISON, true).await?,
-            Fault::PoisonAtTwoRouters => self.poison_at_two(router).await?,
+            Fault::PoisonAtTwoRouters => self.poison_two_routers(router).await?,
             Fault::PoisonKillingRouter => {
                 self.injected.killed_routers.push(router);
-                self.poison_at(router, Signal::KILL).await?;
+                self.poison_and_signal_router(router, Signal::KILL).await?;
             }
             Fault::PoisonPausingRouter(pause) => {
-                self.poison_at(router, Signal::STOP).await?;
+                self.poison_and_signal_router(router, Signal::STOP).await?;
                 tokio::time::sleep(pause).await;
                 fleet.signal_router(router, Signal::CONT)?;
             }
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    async fn note_work(&mut self, engine: usize) {
+    async fn record_engine_work(&mut self, engine: usize) {
         let load = self.fleet.engine_load(engine).await;
         let runs = self.fleet.engine_runs(engine).await;
         self.injected.killed_engine_stats.extend(load.zip(runs));
@@ -129,11 +129,15 @@
 
     /// Sends a request that crashes its engine to one router, which is sent a signal when the second
     /// engine is lost. The caller immediately retries at the next router.
-    async fn poison_at(&mut self, router: usize, signal: Signal) -> Result<(), LoadError> {
+    async fn poison_and_signal_router(
+        &mut self,
+        router: usize,
+        signal: Signal,
+    ) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(POISON, false);
         let engines = self.fleet.live_engines().await;
-        let send = |router: usize| send_to(&clients[router], &call);
+        let send = |router: usize| call_router(&clients[router], &call);
         let lost = async {
             while self.fleet.live_engines().await + 2 > engines {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -150,20 +154,20 @@
     }
 
     /// Sends a request that crashes its engine to two routers concurrently.
-    async fn poison_at_two(&mut self, router: usize) -> Result<(), LoadError> {
+    async fn poison_two_routers(&mut self, router: usize) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(POISON, false);
         let other = (router + 1) % clients.len();
         tokio::join!(
-            send_to(&clients[router], &call),
-            send_to(&clients[other], &call)
+            call_router(&clients[router], &call),
+            call_router(&clients[other], &call)
         );
         Ok(())
     }
 
     fn poison_call(&mut self, prompt: &str, keyed: bool) -> GenerationCall {
-        let prompt = format!("{prompt} {:x}", self.random.random::<u64>());
-        let key = format!("poison-{:x}", self.random.random::<u64>());
+        let prompt = format!("{prompt} {:x}", self.rng.random::<u64>());
+        let key = format!("poison-{:x}", self.rng.random::<u64>());
         GenerationCall {
             scheduled: Duration::ZERO,
             team: 0,
@@ -174,14 +178,14 @@
         }
     }
 
-    fn draw(&mut self, count: usize, except: &[usize]) -> usize {
-        let left: Vec<_> = (0..count).filter(|i| !except.contains(i)).collect();
-        left[self.random.random_range(0..left.len())]
+    fn pick_target(&mut self, count: usize, excluded: &[usize]) -> usize {
+        let left: Vec<_> = (0..count).filter(|i| !excluded.contains(i)).collect();
+        left[self.rng.random_range(0..left.len())]
     }
 }
 
 /// Makes a call at a single router and discards the result.
-async fn send_to(client: &CallerClient, call: &GenerationCall) {
+async fn call_router(client: &CallerClient, call: &GenerationCall) {
     let balancer = Balancer::new(1);
     let deadline = Instant::now() + POISON_CALL_TIMEOUT;
     let clients = std::slice::from_ref(client);
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -50,7 +50,7 @@
         let (address, other_addresses) = listening_addresses(&mut lines)
             .await
             .ok_or(Error::NotListening { role })?;
-        tokio::spawn(read_on(lines));
+        tokio::spawn(discard_output(lines));
         Ok(Self {
             role,
             _stdin: child.stdin.take(),
@@ -145,7 +145,7 @@
 
 /// Reads and discards the output of a process until it ends; otherwise the pipe would close and the
 /// process's writes to it would fail.
-async fn read_on(mut lines: Lines<BufReader<ChildStdout>>) {
+async fn discard_output(mut lines: Lines<BufReader<ChildStdout>>) {
     while let Ok(Some(_)) = lines.next_line().await {}
 }
 
@@ -177,7 +177,7 @@
 /// Runs this process in the given role until it ends.
 #[must_use]
 pub fn run_process(role: Role, args: Vec<OsString>) -> ExitCode {
-    std::thread::spawn(end_with_parent);
+    std::thread::spawn(exit_with_parent);
     match role {
         Role::Router => catkinward::run_daemon(args),
         Role::Standin => catkin_standins::run_standin(args),
@@ -187,7 +187,7 @@
 /// Exits this process when its standard input closes, whose other end the experiment holds. Without
 /// this, a killed experiment would leave its processes behind, which keep their ports and the
 /// output of the test open.
-fn end_with_parent() {
+fn exit_with_parent() {
     let mut input = std::io::stdin().lock();
     if let Err(error) = std::io::copy(&mut input, &mut std::io::sink()) {
         eprintln!("failed to read standard input: {error}");
--- a/crates/load/src/process_usage.rs
+++ b/crates/load/src/process_usage.rs
@@ -21,15 +21,15 @@
     #[must_use]
     pub fn read(pid: u32) -> Option<Self> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        let (_, words) = stat.rsplit_once(") ")?;
-        let words: Vec<&str> = words.split(' ').collect();
-        let word = |i: usize| words.get(i)?.parse::<u64>().ok();
-        let ticks = word(USER_TIME_FIELD)? + word(USER_TIME_FIELD + 1)?;
+        let (_, fields) = stat.rsplit_once(") ")?;
+        let fields: Vec<&str> = fields.split(' ').collect();
+        let field = |i: usize| fields.get(i)?.parse::<u64>().ok();
+        let ticks = field(USER_TIME_FIELD)? + field(USER_TIME_FIELD + 1)?;
         let nanos = 1_000_000_000 / rustix::param::clock_ticks_per_second();
         let page = u64::try_from(rustix::param::page_size()).ok()?;
         Some(Self {
             cpu: Duration::from_nanos(ticks * nanos),
-            resident: word(RESIDENT_PAGES_FIELD)? * page,
+            resident: field(RESIDENT_PAGES_FIELD)? * page,
         })
     }
 }
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -23,7 +23,7 @@
 
 /// Outcome of a plain call as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum QuickEnd {
+pub(crate) enum QuickOutcome {
     /// The response to the caller's own request was received.
     Answered,
     /// A response to another request, or an unreadable one, was received.
@@ -40,14 +40,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct QuickResult {
     pub(crate) call: QuickCall,
-    pub(crate) end: QuickEnd,
+    pub(crate) end: QuickOutcome,
     /// Time from the scheduled start to the end of the call.
     pub(crate) latency: Duration,
 }
 
 impl QuickResult {
     pub(crate) fn met_deadline(&self) -> bool {
-        self.end == QuickEnd::Answered && self.latency <= DEADLINE
+        self.end == QuickOutcome::Answered && self.latency <= DEADLINE
     }
 }
 
@@ -68,18 +68,18 @@
         let scheduled = start + self.scheduled;
         let call = self.http_call(address, through_router);
         let end = match connections.call_whole(call).await {
-            Err(_) => QuickEnd::Lost,
+            Err(_) => QuickOutcome::Lost,
             Ok((status, body)) if status.is_success() => {
                 match serde_json::from_slice::<PlainResponse>(&body) {
-                    Ok(answer) if answer.digest == self.digest() => QuickEnd::Answered,
-                    _ => QuickEnd::Crossed,
+                    Ok(answer) if answer.digest == self.digest() => QuickOutcome::Answered,
+                    _ => QuickOutcome::Crossed,
                 }
             }
             Ok((_, body)) => match serde_json::from_slice::<caller::Problem>(&body) {
-                Ok(problem) if problem.outcome == caller::Outcome::NotRun => QuickEnd::NotRun,
-                Ok(_) => QuickEnd::Failed,
+                Ok(problem) if problem.outcome == caller::Outcome::NotRun => QuickOutcome::NotRun,
+                Ok(_) => QuickOutcome::Failed,
                 // The upstream itself refused the call, so it did not run.
-                Err(_) => QuickEnd::NotRun,
+                Err(_) => QuickOutcome::NotRun,
             },
         };
         QuickResult {
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    quick_call::{QuickEnd, QuickResult},
+    quick_call::{QuickOutcome, QuickResult},
     quick_run::CAPACITY,
 };
 
@@ -66,19 +66,19 @@
             .count();
         let possible = to_f64(results.len()).min(CAPACITY * arrival_window.as_secs_f64());
         let run: u64 = runs.runs.iter().map(|run| run.count).sum();
-        let wanted: u64 = useful_runs(results, runs);
+        let useful_run_count: u64 = useful_runs(results, runs);
         Self {
             calls: results.len(),
-            completed: count(QuickEnd::Answered),
+            completed: count(QuickOutcome::Answered),
             answered_in_deadline: to_f64(in_time) / possible,
-            refused: count(QuickEnd::NotRun),
-            failed: count(QuickEnd::Failed),
-            lost_answers: count(QuickEnd::Lost),
-            crossed_answers: count(QuickEnd::Crossed),
-            refused_ms: times(QuickEnd::NotRun),
-            quick_ms: times(QuickEnd::Answered),
+            refused: count(QuickOutcome::NotRun),
+            failed: count(QuickOutcome::Failed),
+            lost_answers: count(QuickOutcome::Lost),
+            crossed_answers: count(QuickOutcome::Crossed),
+            refused_ms: times(QuickOutcome::NotRun),
+            quick_ms: times(QuickOutcome::Answered),
             fairness: fairness(results),
-            wasted_work_ratio: 1.0 - to_f64(wanted) / to_f64(run.max(1)),
+            wasted_work_ratio: 1.0 - to_f64(useful_run_count) / to_f64(run.max(1)),
         }
     }
 }
@@ -106,9 +106,11 @@
     let teams = results.iter().map(|result| result.call.team + 1).max();
     let shares: Vec<f64> = (0..teams.unwrap_or(0))
         .filter_map(|team| {
-            let own = || results.iter().filter(|result| result.call.team == team);
-            let made = own().count();
-            let answered = own().filter(|result| result.met_deadline()).count();
+            let team_results = || results.iter().filter(|result| result.call.team == team);
+            let made = team_results().count();
+            let answered = team_results()
+                .filter(|result| result.met_deadline())
+                .count();
             (made > 0).then(|| to_f64(answered) / to_f64(made))
         })
         .collect();
@@ -125,13 +127,13 @@
         let writes = || results.iter().filter(|result| result.call.write);
         let refused = results
             .iter()
-            .filter(|result| result.end == QuickEnd::NotRun);
+            .filter(|result| result.end == QuickOutcome::NotRun);
         self.double_runs = writes().filter(|result| ran(result) > 1).count();
         // A read of the hot item may have run for another caller of the same item.
-        let own = refused.filter(|result| !result.call.query.starts_with(HOT_ITEM_QUERY));
-        self.false_not_run = own.filter(|result| ran(result) > 0).count();
+        let distinct = refused.filter(|result| !result.call.query.starts_with(HOT_ITEM_QUERY));
+        self.false_not_run = distinct.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
-        let others = others.filter(|result| result.end == QuickEnd::Answered);
+        let others = others.filter(|result| result.end == QuickOutcome::Answered);
         self.others_quick_ms = Percentiles::of(others.map(|result| result.latency));
         let counts = [
             ("answers lost", self.measures.lost_answers),
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -33,13 +33,14 @@
     let mut scenario = scenario.clone();
     scenario.arrival_window = settings.arrival_window.unwrap_or(scenario.arrival_window);
     let size = settings.size.fleet();
-    let bare = FleetSize {
+    let size_without_routers = FleetSize {
         routers: 0,
         engines: 0,
         ..size
     };
-    let (results, runs) = run_way(program, &scenario, settings, size).await?;
-    let (direct, direct_runs) = run_way(program, &scenario, settings, bare).await?;
+    let (results, runs) = run_calls(program, &scenario, settings, size).await?;
+    let (direct, direct_runs) =
+        run_calls(program, &scenario, settings, size_without_routers).await?;
     let mut report = QuickReport {
         scenario: scenario.name.to_owned(),
         seed: settings.seed,
@@ -51,7 +52,7 @@
     Ok(report)
 }
 
-async fn run_way(
+async fn run_calls(
     program: &Path,
     scenario: &QuickScenario,
     settings: &RunSettings,
@@ -68,13 +69,13 @@
         ..FleetSettings::default()
     };
     let fleet = Fleet::start(program, &fleet_settings).await?;
-    let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
-    let calls = draw_quick(scenario, size, &mut random);
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
+    let calls = draw_quick_calls(scenario, size, &mut rng);
     let start = Instant::now();
     let (results, (), ()) = tokio::try_join!(
-        make_quick(&fleet, calls, start),
-        inject(&fleet, scenario, start),
-        generate(&fleet, scenario, size, random, start),
+        make_quick_calls(&fleet, calls, start),
+        inject_faults(&fleet, scenario, start),
+        run_generations(&fleet, scenario, size, rng, start),
     )?;
     let mut runs = RunCounts::default();
     for plain in &fleet.plain_upstreams {
@@ -84,57 +85,57 @@
     Ok((results, runs))
 }
 
-fn draw_quick(
+fn draw_quick_calls(
     scenario: &QuickScenario,
     size: FleetSize,
-    random: &mut Xoshiro256PlusPlus,
+    rng: &mut Xoshiro256PlusPlus,
 ) -> Vec<QuickCall> {
     let mut calls = Vec::new();
     let mut scheduled = Duration::ZERO;
     loop {
         let share = scheduled.div_duration_f64(scenario.arrival_window);
-        let times = match scenario.burst {
-            Some((from, to, times)) if (from..to).contains(&share) => times,
+        let factor = match scenario.burst {
+            Some((from, to, factor)) if (from..to).contains(&share) => factor,
             _ => 1.0,
         };
-        let uniform: f64 = random.random_range(1e-9..1.0);
-        scheduled += Duration::from_secs_f64(-uniform.ln() / (scenario.load * times * CAPACITY));
+        let uniform: f64 = rng.random_range(1e-9..1.0);
+        scheduled += Duration::from_secs_f64(-uniform.ln() / (scenario.load * factor * CAPACITY));
         if scheduled > scenario.arrival_window {
             return calls;
         }
-        let write = random.random_bool(scenario.writes);
-        let hot = !write && random.random_bool(scenario.hot_key);
+        let write = rng.random_bool(scenario.writes);
+        let hot = !write && rng.random_bool(scenario.hot_key);
         calls.push(QuickCall {
             scheduled,
-            team: if random.random_bool(scenario.hot_team) {
+            team: if rng.random_bool(scenario.hot_team) {
                 0
             } else {
-                random.random_range(1..size.teams)
+                rng.random_range(1..size.teams)
             },
             query: if hot {
                 format!("{HOT_ITEM_QUERY}1")
             } else {
-                format!("n={:016x}", random.random::<u64>())
+                format!("n={:016x}", rng.random::<u64>())
             },
             write,
         });
     }
 }
 
-async fn make_quick(
+async fn make_quick_calls(
     fleet: &Fleet,
     calls: Vec<QuickCall>,
     start: Instant,
 ) -> Result<Vec<QuickResult>, LoadError> {
     let through_router = !fleet.routers.is_empty();
-    let ways = if through_router {
+    let entry_points = if through_router {
         &fleet.routers
     } else {
         &fleet.plain_upstreams
     };
     let connections = Connections::new()?;
     let calls = calls.into_iter().enumerate().map(|(i, call)| {
-        let address = ways[i % ways.len()].address();
+        let address = entry_points[i % entry_points.len()].address();
         let connections = &connections;
         async move {
             tokio::time::sleep_until(start + call.scheduled).await;
@@ -145,15 +146,19 @@
     Ok(futures::StreamExt::collect(calls).await)
 }
 
-async fn inject(fleet: &Fleet, scenario: &QuickScenario, start: Instant) -> Result<(), LoadError> {
+async fn inject_faults(
+    fleet: &Fleet,
+    scenario: &QuickScenario,
+    start: Instant,
+) -> Result<(), LoadError> {
     for (share, plain, fault) in scenario.faults {
         tokio::time::sleep_until(start + scenario.arrival_window.mul_f64(*share)).await;
-        let hit = |i: usize| plain.is_none_or(|plain| plain == i);
+        let is_target = |i: usize| plain.is_none_or(|plain| plain == i);
         for (_, plain) in fleet
             .plain_upstreams
             .iter()
             .enumerate()
-            .filter(|(i, _)| hit(*i))
+            .filter(|(i, _)| is_target(*i))
         {
             fleet.fail_plain(plain.address(), *fault).await?;
         }
@@ -162,23 +167,23 @@
 }
 
 /// Runs generations concurrently with the plain calls; does nothing without routers.
-async fn generate(
+async fn run_generations(
     fleet: &Fleet,
     scenario: &QuickScenario,
     size: FleetSize,
-    mut random: Xoshiro256PlusPlus,
+    mut rng: Xoshiro256PlusPlus,
     start: Instant,
 ) -> Result<(), LoadError> {
     if scenario.generation_rate == 0.0 || fleet.routers.is_empty() {
         return Ok(());
     }
-    let beside = Scenario {
+    let background = Scenario {
         arrival_window: scenario.arrival_window,
         generation_rate: scenario.generation_rate,
         ..Scenario::BASE
     };
-    let calls = draw_calls(&beside, size, &mut random);
+    let calls = draw_calls(&background, size, &mut rng);
     let balancer = Balancer::new(fleet.routers.len());
-    make_calls(&beside, fleet, &balancer, calls, start, |_, _| {}).await?;
+    make_calls(&background, fleet, &balancer, calls, start, |_, _| {}).await?;
     Ok(())
 }
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -80,13 +80,13 @@
     let mut rolled_out = Vec::new();
     for version in 1..=cfg.races {
         let lost = rng.random_range(0..3);
-        rolled_out.push(race(&store, &platform, version, lost, &mut report).await?);
+        rolled_out.push(race_operators(&store, &platform, version, lost, &mut report).await?);
         // Matches the interval between the routers' store reads, with random phase.
         tokio::time::sleep(Duration::from_millis(rng.random_range(1_000..2_000))).await;
     }
     let timelines = timelines(&routers, cfg.races).await?;
-    report.count_platform(&before, &platform.stats(), start.elapsed());
-    report.count_in_force(&rolled_out, &timelines);
+    report.record_platform_load(&before, &platform.stats(), start.elapsed());
+    report.record_bundle_times(&rolled_out, &timelines);
     Ok(report)
 }
 
@@ -96,7 +96,7 @@
     count: usize,
 ) -> Result<Vec<Process>, LoadError> {
     let mut routers = Vec::new();
-    let mut known = Vec::new();
+    let mut seed_peers = Vec::new();
     for i in 0..count {
         let args = [
             "--listen=127.0.0.1:0".to_owned(),
@@ -105,14 +105,14 @@
             format!("--platform={platform}"),
             "--peer-listen=127.0.0.1:0".to_owned(),
             "--peer-key=secret".to_owned(),
-            format!("--peers={}", known.join(",")),
+            format!("--peers={}", seed_peers.join(",")),
             format!("--vm=vm-{i}"),
             format!("--zone=zone-{}", i % 3),
             "--log=error".to_owned(),
         ];
         let router = Process::start(program, Role::Router, &args).await?;
         if let Some(address) = router.other_address("peers").filter(|_| i < MAX_SEED_PEERS) {
-            known.push(format!("vm-{i}={address}@zone-{}", i % 3));
+            seed_peers.push(format!("vm-{i}={address}@zone-{}", i % 3));
         }
         routers.push(router);
     }
@@ -131,23 +131,23 @@
 
 /// Rolls out two drafts based on one version concurrently, while `lost` responses are dropped.
 /// Returns the wall-clock time at which the calls began.
-async fn race(
+async fn race_operators(
     store: &BundleStore,
     platform: &PlatformServer,
     version: u64,
     lost: u32,
     report: &mut OperatorsReport,
 ) -> Result<Duration, LoadError> {
-    let one = signed_off(store, version * 2, "ada", "bea").await?;
-    let two = signed_off(store, version * 2 + 1, "bea", "ada").await?;
+    let first = signed_off(store, version * 2, "ada", "bea").await?;
+    let second = signed_off(store, version * 2 + 1, "bea", "ada").await?;
     platform.fault(&PlatformFaults {
         lose_answers: Some(lost),
         ..PlatformFaults::default()
     });
-    let began = wall();
+    let began = wall_clock();
     let outcomes = tokio::join!(
-        store.roll_out(&one, author("ada")),
-        store.roll_out(&two, author("bea")),
+        store.roll_out(&first, author("ada")),
+        store.roll_out(&second, author("bea")),
     );
     let winner = match outcomes {
         (Ok(won), Err(lost)) => Some(("ada", won.value, lost)),
@@ -161,10 +161,11 @@
                 version: value,
             };
             if refused.to_string() != expected.to_string() {
-                report.violate(format!("version {version}: the loser was told `{refused}`"));
+                report
+                    .record_violation(format!("version {version}: the loser was told `{refused}`"));
             }
         }
-        _ => report.violate(format!(
+        _ => report.record_violation(format!(
             "version {version}: not exactly one operator won it"
         )),
     }
@@ -194,11 +195,11 @@
         change: change
             .parse()
             .expect("hexadecimal digits are visible ASCII"),
-        at: wall().as_secs(),
+        at: wall_clock().as_secs(),
     }
 }
 
-fn wall() -> Duration {
+fn wall_clock() -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default()
 }
@@ -223,8 +224,8 @@
                 ..HttpCall::default()
             };
             let reply: TimelineReply = connections.call_json(call).await?;
-            let there = reply.events.iter().any(|event| event.bundle == Some(last));
-            if there || Instant::now() > end {
+            let in_force = reply.events.iter().any(|event| event.bundle == Some(last));
+            if in_force || Instant::now() > end {
                 replies.push(reply);
                 break;
             }
@@ -235,11 +236,16 @@
 }
 
 impl OperatorsReport {
-    fn violate(&mut self, violation: String) {
+    fn record_violation(&mut self, violation: String) {
         self.violations.push(violation);
     }
 
-    fn count_platform(&mut self, before: &PlatformStats, after: &PlatformStats, time: Duration) {
+    fn record_platform_load(
+        &mut self,
+        before: &PlatformStats,
+        after: &PlatformStats,
+        time: Duration,
+    ) {
         let per_second = |calls: u64| {
             let calls = u32::try_from(calls).unwrap_or(u32::MAX);
             f64::from(calls) / time.as_secs_f64()
@@ -249,7 +255,7 @@
         self.platform_writes_per_s = per_second(after.writes - before.writes);
     }
 
-    fn count_in_force(&mut self, rolled_out: &[Duration], timelines: &[TimelineReply]) {
+    fn record_bundle_times(&mut self, rolled_out: &[Duration], timelines: &[TimelineReply]) {
         let mut times = Vec::new();
         for timeline in timelines {
             let mut last = 0;
@@ -268,14 +274,14 @@
                 }
             }
             if last != self.races {
-                self.violate(format!(
+                self.record_violation(format!(
                     "{}: version {last} is in force at the end",
                     timeline.vm
                 ));
             }
         }
         if self.bundle_reverts > 0 {
-            self.violate("a router went back to an older bundle".to_owned());
+            self.record_violation("a router went back to an older bundle".to_owned());
         }
         self.bundle_in_force_ms = Percentiles::of(times);
     }
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -60,7 +60,7 @@
 
 /// Engine id and token arrival times of a stream that is read through the router.
 #[derive(Default)]
-pub(crate) struct Stream {
+pub(crate) struct RelayedStream {
     engine_id: Mutex<Option<String>>,
     arrivals: Mutex<Vec<Instant>>,
 }
@@ -90,11 +90,11 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let observers = streams.iter().take(OBSERVED_STREAMS);
-    let observers = observers.map(|stream| observe(&fleet, stream, settings.window));
+    let measurements = streams.iter().take(OBSERVED_STREAMS);
+    let measurements = measurements.map(|stream| measure_overhead(&fleet, stream, settings.window));
     let (start, before) = (Instant::now(), usage());
     let tokens_before = received();
-    let (observed, ()) = tokio::join!(join_all(observers), tokio::time::sleep(settings.window));
+    let (overheads, ()) = tokio::join!(join_all(measurements), tokio::time::sleep(settings.window));
     let (elapsed, after) = (start.elapsed(), usage());
     let tokens = f64::from(u32::try_from(received() - tokens_before).unwrap_or(u32::MAX));
     let cpu = after.cpu.saturating_sub(before.cpu);
@@ -106,7 +106,7 @@
         tokens_per_cpu_s: tokens / cpu.as_secs_f64(),
         memory_per_stream: after.resident.saturating_sub(idle.resident)
             / u64::try_from(settings.streams.max(1)).unwrap_or(1),
-        overhead_ms: Percentiles::of(observed.into_iter().flatten()),
+        overhead_ms: Percentiles::of(overheads.into_iter().flatten()),
     })
 }
 
@@ -129,14 +129,17 @@
 }
 
 /// Opens streams of unlimited length at the first router.
-pub(crate) fn open_streams(fleet: &Fleet, count: usize) -> Result<Vec<Arc<Stream>>, LoadError> {
+pub(crate) fn open_streams(
+    fleet: &Fleet,
+    count: usize,
+) -> Result<Vec<Arc<RelayedStream>>, LoadError> {
     let clients = fleet.clients(0)?;
     let streams = (0..count).map(|i| {
-        let stream = Arc::new(Stream::default());
+        let stream = Arc::new(RelayedStream::default());
         let (client, seen) = (clients[0].clone(), stream.clone());
         tokio::spawn(async move {
             let mut answer = Answer::default();
-            let (request, key) = (endless(i), format!("stream-{i}"));
+            let (request, key) = (endless_request(i), format!("stream-{i}"));
             let reading = client.stream(&request, Some(&key), &mut answer, |answer| {
                 seen.arrivals.lock().push(Instant::now());
                 seen.engine_id
@@ -159,7 +162,7 @@
     Some(format!("{}.{chain}", answer.request_id.as_ref()?))
 }
 
-fn endless(i: usize) -> caller::CompletionRequest {
+fn endless_request(i: usize) -> caller::CompletionRequest {
     caller::CompletionRequest {
         max_tokens: NonZeroU32::MAX,
         model: GENERATION_SERVICE.to_owned(),
@@ -173,14 +176,18 @@
 
 /// Reads a running stream directly from its engine and returns by how much each token arrived later
 /// through the router.
-async fn observe(fleet: &Fleet, stream: &Stream, window: Duration) -> Vec<Duration> {
+async fn measure_overhead(
+    fleet: &Fleet,
+    stream: &RelayedStream,
+    window: Duration,
+) -> Vec<Duration> {
     let id = stream.engine_id.lock().clone().unwrap_or_default();
     let from = stream.arrivals.lock().len();
     let mut direct = Vec::new();
     let mut reader = None;
     for engine in &fleet.engines {
         let path = format!("/v1/streams/{id}?attempt=1&from={from}");
-        reader = reader.or(fleet.open(engine.address(), path).await);
+        reader = reader.or(fleet.open_response(engine.address(), path).await);
     }
     let reading = async {
         let mut reader = SseReader::into_sse(reader?).ok()?;
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -51,15 +51,15 @@
     if !scenario.peer_delay.is_zero() {
         fleet.delay_peers(scenario.peer_delay).await?;
     }
-    let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
-    let calls = draw_calls(&scenario, settings.size.fleet(), &mut random);
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
+    let calls = draw_calls(&scenario, settings.size.fleet(), &mut rng);
     let balancer = Balancer::new(fleet.routers.len());
     let start = Instant::now();
     let injector = Injector {
         fleet: &fleet,
         balancer: &balancer,
         start,
-        random,
+        rng,
         injected: InjectedFaults::default(),
     };
     let load = async {
@@ -72,7 +72,7 @@
         done = load => done?,
         () = balancer.check(&fleet) => unreachable!("the balancer polls without end"),
     };
-    let mut report = settle(&scenario, fleet, &results, &injected).await?;
+    let mut report = collect_report(&scenario, fleet, &results, &injected).await?;
     report.seed = settings.seed;
     report.size = settings.size.to_string();
     Ok(report)
@@ -95,25 +95,25 @@
 pub(crate) fn draw_calls(
     scenario: &Scenario,
     size: FleetSize,
-    random: &mut Xoshiro256PlusPlus,
+    rng: &mut Xoshiro256PlusPlus,
 ) -> Vec<GenerationCall> {
     let engines = u32::try_from(size.engines).unwrap_or(u32::MAX);
     let rate = scenario.generation_rate * f64::from(engines);
     let mut calls = Vec::new();
     let mut scheduled = Duration::ZERO;
     loop {
-        let uniform: f64 = random.random_range(1e-9..1.0);
+        let uniform: f64 = rng.random_range(1e-9..1.0);
         scheduled += Duration::from_secs_f64(-uniform.ln() / rate);
         if scheduled > scenario.arrival_window {
             return calls;
         }
-        let id: u64 = random.random();
+        let id: u64 = rng.random();
         calls.push(GenerationCall {
             scheduled,
-            team: random.random_range(0..size.teams),
+            team: rng.random_range(0..size.teams),
             prompt: format!("proofing note {id:016x}, folded twice, two colours, by Friday"),
-            seed: random.random::<u64>() >> 1,
-            tokens: random.random_range(scenario.tokens.0..=scenario.tokens.1),
+            seed: rng.random::<u64>() >> 1,
+            tokens: rng.random_range(scenario.tokens.0..=scenario.tokens.1),
             key: Some(format!("call-{id:016x}")),
         });
     }
@@ -145,7 +145,7 @@
 }
 
 /// Collects the engines' counts and the exit codes of drained routers, and builds the report.
-async fn settle(
+async fn collect_report(
     scenario: &Scenario,
     mut fleet: Fleet,
     results: &[GenerationResult],
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::{
-    generation_call::{CallEnd, GenerationResult},
+    generation_call::{CallOutcome, GenerationResult},
     injector::InjectedFaults,
 };
 
@@ -29,31 +29,35 @@
         let mut report = Report {
             scenario: self.scenario.name.to_owned(),
             accepted: self.results.iter().filter(|r| r.answer.accepted).count(),
-            completed: self.ended(CallEnd::Whole),
-            refused: self.ended(CallEnd::NotRun),
-            failed: self.ended(CallEnd::Failed),
+            completed: self.ended(CallOutcome::Complete),
+            refused: self.ended(CallOutcome::NotRun),
+            failed: self.ended(CallOutcome::Failed),
             failures: self.failures(),
             returns: self.results.iter().map(|r| r.reconnects).sum(),
-            lost_answers: self.ended(CallEnd::Lost),
-            false_not_run: self.results.iter().filter(|r| self.ran_anyway(r)).count(),
-            resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.held_up(r))),
+            lost_answers: self.ended(CallOutcome::Lost),
+            false_not_run: self
+                .results
+                .iter()
+                .filter(|r| self.ran_despite_not_run(r))
+                .count(),
+            resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.fault_delay(r))),
             first_token_ms: Percentiles::of(self.results.iter().filter_map(first_token)),
             token_gap_ms: Percentiles::of(self.results.iter().flat_map(gaps)),
             engines_lost: self.engines_lost,
             ..Report::default()
         };
-        self.count_faults(&mut report);
+        self.count_token_errors(&mut report);
         self.count_work(&mut report);
         report.violations = self.violations(&report);
         report
     }
 
-    fn ended(&self, end: CallEnd) -> usize {
+    fn ended(&self, end: CallOutcome) -> usize {
         self.results.iter().filter(|r| r.end == end).count()
     }
 
     fn failures(&self) -> Vec<(String, usize)> {
-        let failed = self.results.iter().filter(|r| r.end == CallEnd::Failed);
+        let failed = self.results.iter().filter(|r| r.end == CallOutcome::Failed);
         let mut types: Vec<_> = failed
             .filter_map(|r| Some(r.answer.problem.as_ref()?.type_.clone()))
             .collect();
@@ -62,10 +66,10 @@
         runs.map(|run| (run[0].clone(), run.len())).collect()
     }
 
-    fn count_faults(&self, report: &mut Report) {
+    fn count_token_errors(&self, report: &mut Report) {
         for result in self.results {
             let call = &result.call;
-            let verdict = result.answer.verdict(call.chain(), length(call.tokens));
+            let verdict = result.answer.verdict(call.chain(), to_usize(call.tokens));
             report.missing_tokens += verdict.missing;
             report.repeated_tokens += verdict.repeated;
             report.mixed_answers += usize::from(verdict.mixed > 0);
@@ -73,14 +77,14 @@
         }
     }
 
-    fn ran_anyway(&self, result: &GenerationResult) -> bool {
+    fn ran_despite_not_run(&self, result: &GenerationResult) -> bool {
         let digest = request_digest("", result.call.prompt.as_bytes());
         let ran = || {
             self.engines
                 .iter()
                 .any(|(_, runs)| runs.of_digest(digest) > 0)
         };
-        result.end == CallEnd::NotRun && ran()
+        result.end == CallOutcome::NotRun && ran()
     }
 
     /// Compares the tokens that engines computed with those that callers requested and received.
@@ -99,7 +103,7 @@
     }
 
     /// Longest time from a fault to the next token, over the faults that delayed this response.
-    fn held_up(&self, result: &GenerationResult) -> Option<Duration> {
+    fn fault_delay(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
         let resumed =
@@ -163,7 +167,7 @@
     pairs.map(|pair| pair[1].saturating_sub(pair[0]))
 }
 
-fn length(tokens: u32) -> usize {
+fn to_usize(tokens: u32) -> usize {
     usize::try_from(tokens).unwrap_or(usize::MAX)
 }
 
