--- a/crates/load/tests/admission.rs
+++ b/crates/load/tests/admission.rs
@@ -37,7 +37,7 @@
     TokenChain::new("catkin", "1", "menu reprint", 3)
 }
 
-async fn whole(caller: &CallerClient, request: &CompletionRequest) -> Answer {
+async fn complete_response(caller: &CallerClient, request: &CompletionRequest) -> Answer {
     let mut answer = Answer::default();
     caller
         .stream(request, None, &mut answer, |_| {})
@@ -51,21 +51,21 @@
 /// until one of them ends.
 #[gtest]
 #[tokio::test]
-async fn quick_generation_finds_a_place_beside_long_ones() {
+async fn quick_generation_gets_a_slot_beside_long_ones() {
     let engine = engine(5).await;
     let router = Router::start(&[engine.address()], &[]).await;
     let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client is created");
-    whole(&caller, &request(4)).await;
+    complete_response(&caller, &request(4)).await;
     let started = Arc::new(Notify::new());
     let long = (0..20).map(|_| {
         let (caller, started) = (caller.clone(), started.clone());
         tokio::spawn(async move {
             let mut answer = Answer::default();
             let on_token = |_: &Answer| started.notify_one();
-            let ended = caller
+            let finished = caller
                 .stream(&request(100_000), None, &mut answer, on_token)
                 .await;
-            ended.map(|()| answer)
+            finished.map(|()| answer)
         })
     });
     let long = long.collect::<Vec<_>>();
@@ -75,7 +75,7 @@
         tokio::task::yield_now().await;
     }
 
-    let quick = whole(&caller, &request(8)).await;
+    let quick = complete_response(&caller, &request(8)).await;
 
     expect_that!(quick.check(chain(), 8), ok(eq(&())));
     expect_that!(long.iter().any(JoinHandle::is_finished), eq(false));
@@ -93,7 +93,7 @@
     let engine = engine(1).await;
     let router = Router::start(&[engine.address()], &[]).await;
     let caller = CallerClient::new(router.address, DEMO_KEY).expect("a client is created");
-    whole(&caller, &request(100)).await;
+    complete_response(&caller, &request(100)).await;
     let started = Arc::new(Notify::new());
     let long = tokio::spawn({
         let (caller, started) = (caller.clone(), started.clone());
@@ -144,7 +144,7 @@
     let poison = request(500);
     let queued = tokio::spawn({
         let (caller, poison) = (caller.clone(), poison.clone());
-        async move { whole(&caller, &poison).await }
+        async move { complete_response(&caller, &poison).await }
     });
     while router.node.admission.queued_count(&service) < 1 {
         tokio::task::yield_now().await;
@@ -154,7 +154,7 @@
     router
         .node
         .upstreams
-        .merge_poison(&two_deaths(&poison), &peer);
+        .merge_poison(&two_crashes(&poison), &peer);
 
     // Without the refusal the request would wait for an hour.
     let answer = tokio::time::timeout(Duration::from_secs(20), queued).await;
@@ -168,7 +168,7 @@
     long.abort();
 }
 
-fn two_deaths(request: &CompletionRequest) -> [PoisonRecord; 2] {
+fn two_crashes(request: &CompletionRequest) -> [PoisonRecord; 2] {
     let team = "counter".parse().expect("a valid name");
     let body = serde_json::to_vec(request).expect("JSON");
     ["engine-8", "engine-9"].map(|upstream| PoisonRecord {
--- a/crates/load/tests/drain.rs
+++ b/crates/load/tests/drain.rs
@@ -12,12 +12,12 @@
     Path::new(env!("CARGO_BIN_EXE_catkin-load"))
 }
 
-struct System {
+struct TestSystem {
     _engine: Process,
     router: Process,
 }
 
-async fn system() -> System {
+async fn system() -> TestSystem {
     let engine = Process::start(program(), Role::Standin, &["engine", "--step-us", "5000"])
         .await
         .expect("an engine starts");
@@ -40,14 +40,17 @@
         .await
         .expect("a router starts");
     std::fs::remove_file(&file).expect("the file exists");
-    System {
+    TestSystem {
         _engine: engine,
         router,
     }
 }
 
 /// Starts to read a response and returns after its first token.
-async fn reading(router: &Process, tokens: u32) -> JoinHandle<(Result<(), CallError>, Answer)> {
+async fn start_reading(
+    router: &Process,
+    tokens: u32,
+) -> JoinHandle<(Result<(), CallError>, Answer)> {
     let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client is created");
     let request = CompletionRequest {
         max_tokens: NonZeroU32::new(tokens).expect("not zero"),
@@ -76,9 +79,9 @@
     kill_process(id, Signal::TERM).expect("a signal");
 }
 
-async fn whole_after_termination(tokens: u32) {
+async fn expect_complete_response_after_termination(tokens: u32) {
     let mut system = system().await;
-    let reading = reading(&system.router, tokens).await;
+    let reading = start_reading(&system.router, tokens).await;
 
     terminate(&system.router);
     let (outcome, answer) = reading.await.expect("the task does not panic");
@@ -95,8 +98,8 @@
 /// and only then does the process exit, with code 0.
 #[gtest]
 #[tokio::test]
-async fn shutdown_waits_for_a_running_answer() {
-    whole_after_termination(100).await;
+async fn shutdown_waits_for_a_running_response() {
+    expect_complete_response_after_termination(100).await;
 }
 
 /// Guards against the shutdown limit of the HTTP library, which ends a server about 30 s after a
@@ -104,17 +107,17 @@
 #[gtest]
 #[tokio::test]
 #[ignore = "takes 50 s"]
-async fn shutdown_waits_for_an_answer_longer_than_the_librarys_limit() {
-    whole_after_termination(9000).await;
+async fn shutdown_waits_for_a_response_longer_than_the_http_library_limit() {
+    expect_complete_response_after_termination(9000).await;
 }
 
 /// A second SIGTERM ends the process at once with exit code 1, and its caller can tell that the
 /// response is truncated.
 #[gtest]
 #[tokio::test]
-async fn second_signal_ends_at_once() {
+async fn second_signal_ends_the_process_at_once() {
     let mut system = system().await;
-    let reading = reading(&system.router, 9000).await;
+    let reading = start_reading(&system.router, 9000).await;
 
     terminate(&system.router);
     // A signal that arrives before the first one is handled merges with it, so send it repeatedly.
--- a/crates/load/tests/operator_drain.rs
+++ b/crates/load/tests/operator_drain.rs
@@ -12,7 +12,7 @@
 
 const TOKENS: u32 = 400;
 /// Timeout of the test, so that it fails rather than hangs if one of its processes dies.
-const WATCHDOG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const OPERATOR_KEY: &str = "operator-key";
 
 fn program() -> &'static Path {
@@ -82,13 +82,13 @@
 /// meanwhile.
 #[gtest]
 #[tokio::test]
-async fn drain_cuts_no_generation_and_keeps_operators_served() {
-    let drained = tokio::time::timeout(WATCHDOG, drain_under_a_generation());
+async fn drain_interrupts_no_generation_and_keeps_the_operator_api_available() {
+    let drained = tokio::time::timeout(TEST_TIMEOUT, drain_during_a_generation());
 
     drained.await.expect("the test finishes in time");
 }
 
-async fn drain_under_a_generation() {
+async fn drain_during_a_generation() {
     let engine = engine().await;
     let mut router = router(engine.address()).await;
     let operators = router
--- a/crates/load/tests/plain_calls.rs
+++ b/crates/load/tests/plain_calls.rs
@@ -14,7 +14,7 @@
 }
 
 /// Servers that all inject this fault.
-async fn failing(count: usize, fault: PlainFault) -> Vec<PlainServer> {
+async fn failing_servers(count: usize, fault: PlainFault) -> Vec<PlainServer> {
     let servers = servers(count).await;
     for server in &servers {
         server.fail(fault);
@@ -51,8 +51,8 @@
 /// order twice, and the outcome "not run" would make the caller retry.
 #[gtest]
 #[tokio::test]
-async fn order_whose_answer_breaks_off_is_unknown_and_not_sent_again() {
-    let servers = failing(3, PlainFault::BreakOff).await;
+async fn order_with_truncated_response_is_unknown_and_not_retried() {
+    let servers = failing_servers(3, PlainFault::BreakOff).await;
     let router = router(&servers).await;
     let order = order("menu");
 
@@ -66,8 +66,8 @@
 /// may have run.
 #[gtest]
 #[tokio::test]
-async fn order_that_is_never_answered_is_unknown_at_its_deadline() {
-    let servers = failing(2, PlainFault::LoseAnswer).await;
+async fn order_without_response_is_unknown_at_its_deadline() {
+    let servers = failing_servers(2, PlainFault::LoseAnswer).await;
     let router = router(&servers).await;
     let order = order("menu").with("catkin-deadline-ms", "1500");
 
@@ -99,7 +99,7 @@
 /// The connection is reset while the response to an order is returned, so the order has run.
 #[gtest]
 #[tokio::test]
-async fn order_whose_connection_is_reset_is_unknown_and_not_sent_again() {
+async fn order_with_reset_connection_is_unknown_and_not_retried() {
     let order = order("menu").with("catkin-deadline-ms", "1500");
 
     let (outcome, runs) = reply_through_proxy(ProxyFault::LoseAnswers, &order).await;
@@ -126,7 +126,7 @@
 /// sent, so the caller may retry.
 #[gtest]
 #[tokio::test]
-async fn order_that_reaches_no_connection_is_not_run() {
+async fn order_without_connection_is_not_run() {
     let server = plain_server(PlainSettings::default()).await;
     let router = Router::start(&[], &[server.address()]).await;
     let warm_up = router.call(&order("warm-up")).await;
@@ -147,7 +147,7 @@
 #[gtest]
 #[tokio::test]
 async fn order_that_an_upstream_refuses_is_not_run() {
-    let servers = failing(1, PlainFault::Refuse).await;
+    let servers = failing_servers(1, PlainFault::Refuse).await;
     let router = router(&servers).await;
     let order = order("menu");
 
@@ -162,7 +162,7 @@
 /// the caller does not see the failure.
 #[gtest]
 #[tokio::test]
-async fn lookup_is_sent_again_to_another_upstream() {
+async fn lookup_is_retried_at_another_upstream() {
     let servers = servers(2).await;
     servers[0].fail(PlainFault::BreakOff);
     let router = router(&servers).await;
@@ -181,8 +181,8 @@
 /// that an upstream could normalize to a different one is never retried either.
 #[gtest]
 #[tokio::test]
-async fn lookup_is_not_sent_again_against_its_callers_word() {
-    let servers = failing(3, PlainFault::BreakOff).await;
+async fn lookup_is_not_retried_if_its_caller_forbids_it() {
+    let servers = failing_servers(3, PlainFault::BreakOff).await;
     let router = router(&servers).await;
     let forbidden = lookup("one").with("catkin-idempotent", "false");
     let disguised = Call {
@@ -205,8 +205,8 @@
 /// duplicate order prints 2,000 leaflets too many.
 #[gtest]
 #[tokio::test]
-async fn order_is_not_sent_again_at_its_callers_word() {
-    let servers = failing(3, PlainFault::BreakOff).await;
+async fn order_is_not_retried_even_if_its_caller_allows_it() {
+    let servers = failing_servers(3, PlainFault::BreakOff).await;
     let router = router(&servers).await;
     let order = order("menu").with("catkin-idempotent", "true");
 
@@ -258,7 +258,7 @@
 /// response.
 #[gtest]
 #[tokio::test]
-async fn order_of_a_caller_that_left_the_queue_does_not_run() {
+async fn queued_order_of_a_disconnected_caller_does_not_run() {
     let server = plain_server(PlainSettings {
         service_time: Duration::from_millis(400),
         spread: 0.0,
@@ -306,7 +306,7 @@
 /// coalesced, and no team receives a response to the other's lookup.
 #[gtest]
 #[tokio::test]
-async fn identical_lookups_are_merged_within_a_team() {
+async fn identical_lookups_are_coalesced_within_a_team() {
     let server = plain_server(PlainSettings {
         service_time: Duration::from_millis(300),
         spread: 0.0,
@@ -339,7 +339,7 @@
 /// answered.
 #[gtest]
 #[tokio::test]
-async fn failed_lookup_does_not_fail_those_merged_with_it() {
+async fn failed_lookup_does_not_fail_those_coalesced_with_it() {
     let server = plain_server(PlainSettings {
         service_time: Duration::from_millis(200),
         spread: 0.0,
@@ -378,8 +378,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn metrics_tell_of_refusals_and_queues() {
-    let servers = failing(1, PlainFault::Refuse).await;
+async fn metrics_include_refusals_and_queues() {
+    let servers = failing_servers(1, PlainFault::Refuse).await;
     let router = router(&servers).await;
     router.call(&order("menu")).await;
 
--- a/crates/load/tests/plain_claims.rs
+++ b/crates/load/tests/plain_claims.rs
@@ -10,13 +10,13 @@
 use std::{sync::Arc, time::Duration};
 
 /// Two routers with one plain upstream and a mock platform.
-struct System {
+struct TestSystem {
     server: PlainServer,
     platform: PlatformServer,
     routers: [Arc<Router>; 2],
 }
 
-async fn system(service_time: Duration) -> System {
+async fn system(service_time: Duration) -> TestSystem {
     let server = plain_server(PlainSettings {
         service_time,
         spread: 0.0,
@@ -36,7 +36,7 @@
         Router::start_with(settings, &[], &plain)
     };
     let (one, two) = (router("vm-1").await, router("vm-2").await);
-    System {
+    TestSystem {
         routers: [Arc::new(one), Arc::new(two)],
         server,
         platform,
@@ -47,14 +47,14 @@
     order(item).with("idempotency-key", "order-7")
 }
 
-fn runs(system: &System, call: &Call) -> u64 {
+fn runs(system: &TestSystem, call: &Call) -> u64 {
     system.server.counts().of_digest(call.digest())
 }
 
 /// The response to an order is lost between router and caller, and the caller retries at another VM.
 #[gtest]
 #[tokio::test]
-async fn order_sent_again_gets_the_answer_of_its_one_run() {
+async fn retried_order_gets_the_response_of_its_only_run() {
     let system = system(Duration::from_millis(5)).await;
     let order = keyed("menu");
 
@@ -101,7 +101,7 @@
 /// "unknown" again, and the order must not run a second time.
 #[gtest]
 #[tokio::test]
-async fn order_whose_answer_was_lost_stays_unknown() {
+async fn order_with_lost_response_stays_unknown() {
     let system = system(Duration::from_millis(5)).await;
     system.server.fail(PlainFault::BreakOff);
     let order = keyed("menu");
@@ -119,7 +119,7 @@
 /// not be taken for a duplicate.
 #[gtest]
 #[tokio::test]
-async fn order_that_was_refused_may_be_sent_again() {
+async fn refused_order_can_be_retried() {
     let system = system(Duration::from_millis(5)).await;
     system.server.fail(PlainFault::Refuse);
     let order = keyed("menu");
@@ -156,7 +156,7 @@
 /// and not take it for that of another VM.
 #[gtest]
 #[tokio::test]
-async fn order_runs_once_though_the_answer_to_its_claim_is_lost() {
+async fn order_runs_once_if_the_response_to_its_claim_is_lost() {
     let system = system(Duration::from_millis(5)).await;
     system.platform.fault(&PlatformFaults {
         lose_answers: Some(1),
@@ -173,7 +173,7 @@
 /// A caller disconnects while its order runs, and retries at another VM with the same key.
 #[gtest]
 #[tokio::test]
-async fn order_of_a_caller_that_hung_up_is_found_by_its_key() {
+async fn order_of_a_disconnected_caller_is_found_by_its_key() {
     let system = system(Duration::from_millis(300)).await;
     let order = keyed("menu");
     let calling = tokio::spawn({
--- a/crates/load/tests/plain_headers.rs
+++ b/crates/load/tests/plain_headers.rs
@@ -48,7 +48,7 @@
     address
 }
 
-async fn seen(call: &Call) -> (router_support::Reply, String) {
+async fn received_request(call: &Call) -> (router_support::Reply, String) {
     let router = Router::start(&[], &[echo().await]).await;
     let reply = router.call(call).await;
     let text = String::from_utf8_lossy(&reply.body).into_owned();
@@ -57,10 +57,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn path_query_and_headers_are_passed_on() {
+async fn path_query_and_headers_are_forwarded() {
     let call = lookup("menu").with("accept-language", "gd");
 
-    let (_, text) = seen(&call).await;
+    let (_, text) = received_request(&call).await;
 
     expect_that!(text, starts_with("GET /items?item=menu\n"));
     expect_that!(text, contains_substring("accept-language: gd"));
@@ -68,8 +68,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn status_and_headers_of_the_answer_are_passed_back() {
-    let (reply, _) = seen(&lookup("menu")).await;
+async fn status_and_headers_of_the_response_are_returned() {
+    let (reply, _) = received_request(&lookup("menu")).await;
 
     expect_that!(reply.status, eq(http::StatusCode::IM_A_TEAPOT));
     expect_that!(reply.headers.contains_key("x-answer"), eq(true));
@@ -80,14 +80,14 @@
 /// one to the service, and the bearer key, with which the service could call in its team's name.
 #[gtest]
 #[tokio::test]
-async fn headers_of_one_connection_and_the_bearer_key_stay_here() {
+async fn hop_by_hop_headers_and_bearer_key_are_not_forwarded() {
     let call = lookup("menu")
         .with("te", "trailers")
         .with("x-hop", "secret")
         .with("connection", "x-hop")
         .with("catkin-idempotent", "false");
 
-    let (_, text) = seen(&call).await;
+    let (_, text) = received_request(&call).await;
 
     for absent in ["te: ", "x-hop", "authorization", "catkin-idempotent"] {
         expect_that!(text, not(contains_substring(absent)));
@@ -96,10 +96,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_is_left_of_the_deadline_is_passed_on() {
+async fn remaining_deadline_is_forwarded() {
     let call = lookup("menu").with("catkin-deadline-ms", "9000");
 
-    let (_, text) = seen(&call).await;
+    let (_, text) = received_request(&call).await;
 
     let left = text
         .lines()
--- a/crates/load/tests/process.rs
+++ b/crates/load/tests/process.rs
@@ -10,7 +10,7 @@
 /// Guards against processes that outlive a killed experiment, for example after the time limit of a
 /// test run: they kept the output of the test open, so its reader waited forever.
 #[gtest]
-fn processes_end_with_their_experiment() {
+fn processes_exit_with_their_experiment() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_catkin-load"))
         .args(["process", "standin", "engine"])
         .stdin(Stdio::piped())
--- a/crates/load/tests/racing_operators.rs
+++ b/crates/load/tests/racing_operators.rs
@@ -9,7 +9,7 @@
 /// older one.
 #[gtest]
 #[tokio::test]
-async fn one_operator_wins_and_no_router_goes_back() {
+async fn one_operator_wins_and_no_router_returns_to_an_older_bundle() {
     let settings = OperatorsSettings {
         seed: 1,
         routers: 3,
--- a/crates/load/tests/rollout.rs
+++ b/crates/load/tests/rollout.rs
@@ -67,12 +67,12 @@
     ["1", "2"].into_iter().find(is_of)
 }
 
-fn holding(engines: &[EngineServer], version: &str) -> usize {
-    let holds = |engine: &&EngineServer| {
+fn engines_with_version(engines: &[EngineServer], version: &str) -> usize {
+    let has_version = |engine: &&EngineServer| {
         let models = engine.loaded_models();
         models.iter().any(|model| model.version == version)
     };
-    engines.iter().filter(holds).count()
+    engines.iter().filter(has_version).count()
 }
 
 /// A bundle with a new model version comes into force, and engines load it one after another.
@@ -99,19 +99,19 @@
             .put_bundle_in_force(2, &bundle(&engines, "2"))
             .expect("a valid bundle");
         let mut versions = Vec::new();
-        while holding(&engines, "2") < ENGINES {
+        while engines_with_version(&engines, "2") < ENGINES {
             versions.push(version_of(&generate(&router, 5).await, 5));
         }
         versions
     });
     // The router learns that the last engine has loaded the model from that engine's next report.
-    let moved_over = async { while version_of(&generate(&router, 5).await, 5) != Some("2") {} };
-    let moved_over = tokio::time::timeout(Duration::from_secs(30), moved_over).await;
+    let switched = async { while version_of(&generate(&router, 5).await, 5) != Some("2") {} };
+    let switched = tokio::time::timeout(Duration::from_secs(30), switched).await;
 
     expect_that!(version_of(&first, 5), some(eq("1")));
     expect_that!(version_of(&long, 300), some(eq("1")));
     expect_that!(versions, each(some(anything())));
     expect_that!(versions, contains(some(eq(&"1"))));
-    expect_that!(moved_over, ok(anything()));
+    expect_that!(switched, ok(anything()));
     expect_that!(weight_store.most_at_once(), eq(1));
 }
--- a/crates/load/tests/router_death.rs
+++ b/crates/load/tests/router_death.rs
@@ -18,7 +18,7 @@
     Path::new(env!("CARGO_BIN_EXE_catkin-load"))
 }
 
-struct System {
+struct TestSystem {
     engines: Vec<Process>,
     routers: Vec<Process>,
 }
@@ -55,7 +55,7 @@
         .expect("a router starts")
 }
 
-async fn system(routers: usize) -> System {
+async fn system(routers: usize) -> TestSystem {
     let engines = vec![engine("1").await, engine("2").await];
     let addresses = engines.iter().map(Process::address).collect::<Vec<_>>();
     let bundle = demo_bundle(&addresses, RecoveryPolicy::LeastWait);
@@ -63,7 +63,7 @@
     std::fs::write(&file, serde_json::to_string(&bundle).expect("JSON"))
         .expect("a temporary file is written");
     let path = file.to_str().expect("a UTF-8 path");
-    let mut system = System {
+    let mut system = TestSystem {
         engines,
         routers: Vec::new(),
     };
@@ -76,7 +76,7 @@
     system
 }
 
-impl System {
+impl TestSystem {
     fn peers(&self) -> String {
         let entry = |(i, router): (usize, &Process)| {
             let address = router.other_address("peers").expect("a peer address");
@@ -115,7 +115,10 @@
 
 /// Reads the first tokens of a response from the first router, then runs `fault`, which must interrupt
 /// the stream.
-async fn read_until_fault(system: &mut System, fault: impl AsyncFnOnce(&mut System)) -> Answer {
+async fn read_until_fault(
+    system: &mut TestSystem,
+    fault: impl AsyncFnOnce(&mut TestSystem),
+) -> Answer {
     let caller = caller(&system.routers[0]);
     let midway = Arc::new(Notify::new());
     let reached = midway.clone();
@@ -137,7 +140,7 @@
     answer
 }
 
-async fn go_on(router: &Process, mut answer: Answer) -> Answer {
+async fn resume(router: &Process, mut answer: Answer) -> Answer {
     let outcome = caller(router)
         .stream(&request("menu"), Some("key-1"), &mut answer, |_| {})
         .await;
@@ -145,7 +148,7 @@
     answer
 }
 
-fn is_whole(answer: &Answer) -> bool {
+fn is_complete(answer: &Answer) -> bool {
     let chain = TokenChain::new("catkin", "1", "menu", SEED);
     let tokens = usize::try_from(TOKENS).expect("small");
     answer.check(chain, tokens).is_ok()
@@ -155,7 +158,7 @@
 /// VM with its key and last event id and must resume where it was. Each other VM is tried.
 #[gtest]
 #[tokio::test]
-async fn answer_goes_on_at_any_other_vm() {
+async fn stream_resumes_at_any_other_vm() {
     for survivor in 1..3 {
         let mut system = system(3).await;
         let answer = read_until_fault(&mut system, async |system| {
@@ -166,9 +169,13 @@
         })
         .await;
 
-        let answer = go_on(&system.routers[survivor], answer).await;
+        let answer = resume(&system.routers[survivor], answer).await;
 
-        expect_that!(is_whole(&answer), eq(true), "at vm-{survivor}: {answer:?}");
+        expect_that!(
+            is_complete(&answer),
+            eq(true),
+            "at vm-{survivor}: {answer:?}"
+        );
     }
 }
 
@@ -177,7 +184,7 @@
 /// after them.
 #[gtest]
 #[tokio::test]
-async fn answer_goes_on_after_router_and_engine_die_together() {
+async fn stream_resumes_after_router_and_engine_are_killed_together() {
     let mut system = system(3).await;
     let answer = read_until_fault(&mut system, async |system| {
         let addresses = system.engines.iter().map(Process::address);
@@ -196,9 +203,9 @@
     })
     .await;
 
-    let answer = go_on(&system.routers[1], answer).await;
+    let answer = resume(&system.routers[1], answer).await;
 
-    expect_that!(is_whole(&answer), eq(true), "{answer:?}");
+    expect_that!(is_complete(&answer), eq(true), "{answer:?}");
     expect_that!(answer.usage.expect("a usage record").attempts, gt(1));
 }
 
@@ -234,7 +241,7 @@
 /// generation to those that the caller has, so the loss must be reported instead.
 #[gtest]
 #[tokio::test]
-async fn lost_progress_is_told() {
+async fn lost_progress_is_reported() {
     let mut system = system(2).await;
     let answer = read_until_fault(&mut system, async |system| {
         system.routers[0]
--- a/crates/load/tests/scenarios.rs
+++ b/crates/load/tests/scenarios.rs
@@ -22,7 +22,7 @@
 }
 
 /// Runs a scenario with its own numbers of tokens and decode step.
-async fn run_as_it_is(name: &str, seed: u64, arrival_window: Duration) -> Report {
+async fn run_unmodified(name: &str, seed: u64, arrival_window: Duration) -> Report {
     let scenario = Scenario::find(name).expect("a known scenario");
     let settings = RunSettings {
         seed,
@@ -102,10 +102,10 @@
 /// Guards against reporting progress as lost while its replica is still in flight to the peer.
 #[gtest]
 #[tokio::test]
-async fn router_that_dies_while_copies_are_in_flight_loses_no_answer() {
+async fn router_killed_while_replicas_are_in_flight_loses_no_response() {
     for seed in [102, 107, 111] {
         let report =
-            run_as_it_is("router-death-slow-peers", seed, Duration::from_millis(1200)).await;
+            run_unmodified("router-death-slow-peers", seed, Duration::from_millis(1200)).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -114,7 +114,7 @@
 /// Guards against progress replicas that are abandoned because a busy VM sent them late.
 #[gtest]
 #[tokio::test]
-async fn router_that_dies_after_it_waited_for_a_processor_loses_no_answer() {
+async fn router_killed_after_cpu_stalls_loses_no_response() {
     let runs = [1, 2, 3].map(|seed| short_run("router-death-after-stutter", seed));
 
     for report in futures::future::join_all(runs).await {
@@ -150,7 +150,7 @@
 /// them were refused at times.
 #[gtest]
 #[tokio::test]
-async fn poison_request_is_refused_where_news_of_it_is_slow() {
+async fn poison_request_is_refused_while_peer_updates_are_slow() {
     let report = short_run("poison-slow-peers", 2).await;
 
     expect_that!(report.violations, is_empty());
@@ -160,9 +160,9 @@
 /// but still serves callers.
 #[gtest]
 #[tokio::test]
-async fn poison_request_is_refused_by_a_router_that_was_slow_to_answer() {
+async fn poison_request_is_refused_by_a_router_that_was_slow_to_respond() {
     for seed in [107, 112, 125, 126, 129] {
-        let report = run_as_it_is("poison-slow-peers", seed, Duration::from_secs(2)).await;
+        let report = run_unmodified("poison-slow-peers", seed, Duration::from_secs(2)).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -185,7 +185,7 @@
 async fn poison_request_costs_two_engines_when_its_router_is_killed_and_peers_are_slow() {
     for seed in [106, 111, 112, 114, 127] {
         let arrival_window = Duration::from_millis(1200);
-        let report = run_as_it_is("poison-router-death-slow-peers", seed, arrival_window).await;
+        let report = run_unmodified("poison-router-death-slow-peers", seed, arrival_window).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -197,7 +197,7 @@
 #[tokio::test]
 async fn poison_request_costs_two_engines_when_its_router_is_paused_at_the_second() {
     for seed in [3, 4, 5, 6] {
-        let report = run_as_it_is("poison-router-pause", seed, Duration::from_secs(1)).await;
+        let report = run_unmodified("poison-router-pause", seed, Duration::from_secs(1)).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -210,7 +210,7 @@
 async fn poison_request_that_arrives_at_two_routers_costs_two_engines() {
     for seed in [101, 104, 130] {
         let arrival_window = Duration::from_millis(1200);
-        let report = run_as_it_is("poison-at-two-routers", seed, arrival_window).await;
+        let report = run_unmodified("poison-at-two-routers", seed, arrival_window).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -220,10 +220,10 @@
 /// sent.
 #[gtest]
 #[tokio::test]
-async fn request_is_not_blamed_for_an_engine_that_dies_before_its_order() {
+async fn engine_crash_before_dispatch_is_not_attributed_to_the_request() {
     for seed in [104, 105, 118, 120, 129] {
         let arrival_window = Duration::from_millis(1200);
-        let report = run_as_it_is("engine-deaths-slow-peers", seed, arrival_window).await;
+        let report = run_unmodified("engine-deaths-slow-peers", seed, arrival_window).await;
 
         expect_that!(report.violations, is_empty(), "seed {seed}");
     }
@@ -234,7 +234,7 @@
 /// engines before it was refused.
 #[gtest]
 #[tokio::test]
-async fn poison_request_without_an_answer_costs_two_engines_at_most() {
+async fn poison_request_without_a_response_costs_at_most_two_engines() {
     let report = short_run("poison-unanswered", 2).await;
 
     expect_that!(report.violations, is_empty());
--- a/crates/load/tests/thin_path.rs
+++ b/crates/load/tests/thin_path.rs
@@ -57,7 +57,7 @@
     TokenChain::new("catkin", "1", "menu reprint", 3)
 }
 
-async fn killed_engine_answer(recovery: RecoveryPolicy) -> Answer {
+async fn answer_after_engine_kill(recovery: RecoveryPolicy) -> Answer {
     let mut engines = vec![engine("1").await, engine("2").await];
     let router = router(&engines, recovery).await;
     let caller = CallerClient::new(router.address(), DEMO_KEY).expect("a client is created");
@@ -91,8 +91,8 @@
 /// exactly once, all of one chain.
 #[gtest]
 #[tokio::test]
-async fn killed_engine_costs_a_pause_only_with_least_wait() {
-    let answer = killed_engine_answer(RecoveryPolicy::LeastWait).await;
+async fn killed_engine_only_delays_the_stream_with_least_wait() {
+    let answer = answer_after_engine_kill(RecoveryPolicy::LeastWait).await;
 
     expect_that!(answer.check(chain(), 120), ok(eq(&())));
     expect_that!(answer.usage.expect("a usage record").attempts, eq(2));
@@ -101,8 +101,8 @@
 /// As above, with the policy that probes the old engine before it starts on another.
 #[gtest]
 #[tokio::test]
-async fn killed_engine_costs_a_pause_only_with_least_work() {
-    let answer = killed_engine_answer(RecoveryPolicy::LeastWork).await;
+async fn killed_engine_only_delays_the_stream_with_least_work() {
+    let answer = answer_after_engine_kill(RecoveryPolicy::LeastWork).await;
 
     expect_that!(answer.check(chain(), 120), ok(eq(&())));
     expect_that!(answer.usage.expect("a usage record").attempts, eq(2));
