--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -28,7 +28,7 @@
     }
 
     /// Polls the readiness of all routers until the future is dropped.
-    pub(crate) async fn check(&self, fleet: &Fleet) {
+    pub(crate) async fn poll_readiness(&self, fleet: &Fleet) {
         loop {
             let checks = fleet.routers.iter().zip(&self.ready);
             join_all(checks.map(|(router, ready)| async {
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -102,7 +102,7 @@
     help: &str,
     run: fn(&Flags) -> Result<ExitCode, LoadError>,
 ) -> Result<ExitCode, LoadError> {
-    let flags = Flags::read(args)?;
+    let flags = Flags::parse(args)?;
     if flags.help {
         print!("{help}");
         return Ok(ExitCode::SUCCESS);
@@ -121,7 +121,7 @@
 }
 
 impl Flags {
-    fn read(args: impl Iterator<Item = OsString>) -> Result<Self, LoadError> {
+    fn parse(args: impl Iterator<Item = OsString>) -> Result<Self, LoadError> {
         let mut flags = Self {
             operands: Vec::new(),
             settings: RunSettings::default(),
@@ -224,8 +224,8 @@
     flags: &Flags,
     settings: &RunSettings,
 ) -> Result<Report, LoadError> {
-    let shown = !flags.json && std::io::stderr().is_terminal();
-    let bar = if shown {
+    let interactive = !flags.json && std::io::stderr().is_terminal();
+    let bar = if interactive {
         indicatif::ProgressBar::new(0)
     } else {
         indicatif::ProgressBar::hidden()
@@ -244,9 +244,9 @@
 #[tokio::main]
 async fn compare(flags: &Flags) -> Result<ExitCode, LoadError> {
     let scenario = Scenario::find(flags.operand(2)?)?;
-    let mut sides = [Vec::new(), Vec::new()];
+    let mut reports_by_side = [Vec::new(), Vec::new()];
     for round in 0..flags.rounds {
-        for (side, reports) in sides.iter_mut().enumerate() {
+        for (side, reports) in reports_by_side.iter_mut().enumerate() {
             let settings = RunSettings {
                 seed: flags.settings.seed + u64::try_from(round).unwrap_or_default(),
                 router_flags: split_flags(flags.operand(side)?),
@@ -255,7 +255,7 @@
             reports.push(run_with_progress_bar(&scenario, flags, &settings).await?);
         }
     }
-    let comparison = Comparison::of(&scenario, &sides[0], &sides[1]);
+    let comparison = Comparison::of(&scenario, &reports_by_side[0], &reports_by_side[1]);
     println!("{}", to_json(&comparison));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/load/src/injector.rs
+++ b/crates/load/src/injector.rs
@@ -179,8 +179,8 @@
     }
 
     fn pick_target(&mut self, count: usize, excluded: &[usize]) -> usize {
-        let left: Vec<_> = (0..count).filter(|i| !excluded.contains(i)).collect();
-        left[self.rng.random_range(0..left.len())]
+        let remaining: Vec<_> = (0..count).filter(|i| !excluded.contains(i)).collect();
+        remaining[self.rng.random_range(0..remaining.len())]
     }
 }
 
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -153,11 +153,11 @@
 /// if the variable is unset.
 fn log_output(role: Role) -> Result<Stdio, Error> {
     static PROCESSES: AtomicUsize = AtomicUsize::new(0);
-    let Some(folder) = std::env::var_os(LOG_DIR_VARIABLE) else {
+    let Some(directory) = std::env::var_os(LOG_DIR_VARIABLE) else {
         return Ok(Stdio::inherit());
     };
     let number = PROCESSES.fetch_add(1, Ordering::Relaxed);
-    let file = Path::new(&folder).join(format!("{role}-{number}.log"));
+    let file = Path::new(&directory).join(format!("{role}-{number}.log"));
     let file = std::fs::File::create(file).map_err(|source| Error::Process { role, source })?;
     Ok(Stdio::from(file))
 }
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -138,13 +138,13 @@
     lost: u32,
     report: &mut OperatorsReport,
 ) -> Result<Duration, LoadError> {
-    let first = signed_off(store, version * 2, "ada", "bea").await?;
-    let second = signed_off(store, version * 2 + 1, "bea", "ada").await?;
+    let first = propose_and_sign_off(store, version * 2, "ada", "bea").await?;
+    let second = propose_and_sign_off(store, version * 2 + 1, "bea", "ada").await?;
     platform.fault(&PlatformFaults {
         lose_answers: Some(lost),
         ..PlatformFaults::default()
     });
-    let began = wall_clock();
+    let started_at = wall_clock();
     let outcomes = tokio::join!(
         store.roll_out(&first, author("ada")),
         store.roll_out(&second, author("bea")),
@@ -169,10 +169,10 @@
             "version {version}: not exactly one operator won it"
         )),
     }
-    Ok(began)
+    Ok(started_at)
 }
 
-async fn signed_off(
+async fn propose_and_sign_off(
     store: &BundleStore,
     weight: u64,
     proposer: &str,
@@ -267,10 +267,11 @@
                     self.bundle_reverts += 1;
                 }
                 last = version;
-                let began = usize::try_from(version - 1).ok();
-                let began = began.and_then(|i| rolled_out.get(i));
-                if let (Some(began), Ok(time)) = (began, event.time.parse::<HybridTime>()) {
-                    times.push(Duration::from_micros(time.micros).saturating_sub(*began));
+                let index = usize::try_from(version - 1).ok();
+                let started_at = index.and_then(|i| rolled_out.get(i));
+                if let (Some(started_at), Ok(time)) = (started_at, event.time.parse::<HybridTime>())
+                {
+                    times.push(Duration::from_micros(time.micros).saturating_sub(*started_at));
                 }
             }
             if last != self.races {
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -136,13 +136,14 @@
     let clients = fleet.clients(0)?;
     let streams = (0..count).map(|i| {
         let stream = Arc::new(RelayedStream::default());
-        let (client, seen) = (clients[0].clone(), stream.clone());
+        let (client, stream_state) = (clients[0].clone(), stream.clone());
         tokio::spawn(async move {
             let mut answer = Answer::default();
             let (request, key) = (endless_request(i), format!("stream-{i}"));
             let reading = client.stream(&request, Some(&key), &mut answer, |answer| {
-                seen.arrivals.lock().push(Instant::now());
-                seen.engine_id
+                stream_state.arrivals.lock().push(Instant::now());
+                stream_state
+                    .engine_id
                     .lock()
                     .get_or_insert_with(|| engine_id(answer).unwrap_or_default());
             });
@@ -199,12 +200,12 @@
         }
     };
     let _: Result<Option<()>, _> = tokio::time::timeout(window, reading).await;
-    let routed = stream.arrivals.lock();
-    let routed = routed.get(from..).unwrap_or_default();
-    let pairs = direct.iter().zip(routed);
+    let through_router = stream.arrivals.lock();
+    let through_router = through_router.get(from..).unwrap_or_default();
+    let pairs = direct.iter().zip(through_router);
     // The new connection receives the first events in one batch, which says nothing about latency.
     let pairs = pairs.skip(WARM_UP_TOKENS);
     pairs
-        .map(|(direct, routed)| routed.saturating_duration_since(*direct))
+        .map(|(direct, through_router)| through_router.saturating_duration_since(*direct))
         .collect()
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -70,7 +70,7 @@
     };
     let (results, injected) = tokio::select! {
         done = load => done?,
-        () = balancer.check(&fleet) => unreachable!("the balancer polls without end"),
+        () = balancer.poll_readiness(&fleet) => unreachable!("the balancer polls without end"),
     };
     let mut report = collect_report(&scenario, fleet, &results, &injected).await?;
     report.seed = settings.seed;
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -42,7 +42,7 @@
                 .count(),
             resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.fault_delay(r))),
             first_token_ms: Percentiles::of(self.results.iter().filter_map(first_token)),
-            token_gap_ms: Percentiles::of(self.results.iter().flat_map(gaps)),
+            token_gap_ms: Percentiles::of(self.results.iter().flat_map(token_gaps)),
             engines_lost: self.engines_lost,
             ..Report::default()
         };
@@ -162,7 +162,7 @@
     result.answer.arrivals.first().copied()
 }
 
-fn gaps(result: &GenerationResult) -> impl Iterator<Item = Duration> {
+fn token_gaps(result: &GenerationResult) -> impl Iterator<Item = Duration> {
     let pairs = result.answer.arrivals.windows(2);
     pairs.map(|pair| pair[1].saturating_sub(pair[0]))
 }
