--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -1,6 +1,6 @@
-//! Plain calls through two routers before three workers, at a part of what these can serve:
-//! `cargo run --release -p catkin-load --example plain_overload -- 2.0`. Routers, workers and
-//! callers share this process; the callers' own delays are in the figures.
+//! Measures plain calls through two routers to three workers, at a multiple of the workers' capacity:
+//! `cargo run --release -p catkin-load --example plain_overload -- 2.0`. Routers, workers and callers
+//! share this process, so the reported latencies include delays of the callers.
 
 use bytes::Bytes;
 use catkin_border::{bundle, caller::Problem};
@@ -19,13 +19,13 @@
 
 const WORKERS: usize = 3;
 const ROUTERS: usize = 2;
-const PLACES: usize = 4;
+const SLOTS_PER_WORKER: usize = 4;
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 const DEADLINE_MS: u64 = 1000;
 const TEAMS: usize = 5;
-const SECONDS: u64 = 8;
+const RUN_SECONDS: u64 = 8;
 
-/// Calls of the first part of a run, in which the routers find their limits.
+/// Initial part of a run, in which the routers' concurrency limits adapt. Its calls are not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,7 +43,7 @@
     for seed in 0..WORKERS as u64 {
         let settings = PlainSettings {
             service_time: SERVICE_TIME,
-            capacity: PLACES,
+            capacity: SLOTS_PER_WORKER,
             seed,
             ..PlainSettings::default()
         };
@@ -54,9 +54,9 @@
         routers.push(start_router(&workers).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let places = u32::try_from(WORKERS * PLACES)?;
+    let places = u32::try_from(WORKERS * SLOTS_PER_WORKER)?;
     let capacity = f64::from(places) / SERVICE_TIME.as_secs_f64();
-    let calls = offer(&routers, capacity * load).await?;
+    let calls = offer_load(&routers, capacity * load).await?;
     report(capacity, &calls);
     Ok(())
 }
@@ -116,8 +116,8 @@
     format!("key-{team}")
 }
 
-/// Makes `rate` calls a second, evenly spaced, and returns what each received and when.
-async fn offer(
+/// Makes `rate` calls per second, evenly spaced, and returns the outcome and latency of each.
+async fn offer_load(
     routers: &[SocketAddr],
     rate: f64,
 ) -> Result<Vec<(Received, Duration)>, Box<dyn Error>> {
@@ -126,12 +126,12 @@
     let mut calls = Vec::new();
     for i in 0_u32.. {
         let at = Duration::from_secs_f64(f64::from(i) / rate);
-        if at >= Duration::from_secs(SECONDS) {
+        if at >= Duration::from_secs(RUN_SECONDS) {
             break;
         }
         tokio::time::sleep_until(start + at).await;
         let router = routers[i as usize % routers.len()];
-        let call = one_call(connections.clone(), router, i);
+        let call = make_call(connections.clone(), router, i);
         calls.push((at, tokio::spawn(call)));
     }
     let mut received = Vec::new();
@@ -144,7 +144,7 @@
     Ok(received)
 }
 
-async fn one_call(
+async fn make_call(
     connections: Arc<Connections>,
     address: SocketAddr,
     i: u32,
@@ -153,7 +153,7 @@
     let bearer = format!("Bearer {}", key(i as usize % TEAMS));
     headers.insert(
         http::header::AUTHORIZATION,
-        bearer.parse().expect("a header"),
+        bearer.parse().expect("a valid header value"),
     );
     headers.insert("catkin-deadline-ms", DEADLINE_MS.into());
     let call = HttpCall {
@@ -181,44 +181,44 @@
 }
 
 fn report(capacity: f64, calls: &[(Received, Duration)]) {
-    let of = |kind| {
-        let mut waits = calls
+    let latencies_of = |kind| {
+        let mut latencies = calls
             .iter()
             .filter(|(received, _)| *received == kind)
-            .map(|(_, wait)| *wait)
+            .map(|(_, latency)| *latency)
             .collect::<Vec<_>>();
-        waits.sort_unstable();
-        waits
+        latencies.sort_unstable();
+        latencies
     };
     let (answers, refusals, others) = (
-        of(Received::Answer),
-        of(Received::Refusal),
-        of(Received::Other),
+        latencies_of(Received::Answer),
+        latencies_of(Received::Refusal),
+        latencies_of(Received::Other),
     );
     let in_time = answers
         .iter()
-        .filter(|wait| **wait <= Duration::from_millis(DEADLINE_MS))
+        .filter(|latency| **latency <= Duration::from_millis(DEADLINE_MS))
         .count();
-    let seconds = Duration::from_secs(SECONDS).saturating_sub(WARM_UP);
-    let could = capacity * seconds.as_secs_f64();
+    let seconds = Duration::from_secs(RUN_SECONDS).saturating_sub(WARM_UP);
+    let possible = capacity * seconds.as_secs_f64();
     #[allow(clippy::cast_precision_loss)]
-    let part = in_time as f64 / could;
-    println!("calls {}, capacity {could:.0}", calls.len());
-    println!("answered in deadline {in_time} ({part:.2} of capacity)");
+    let share = in_time as f64 / possible;
+    println!("calls {}, capacity {possible:.0}", calls.len());
+    println!("answered in deadline {in_time} ({share:.2} of capacity)");
     println!("refused {}, other {}", refusals.len(), others.len());
     println!(
         "refusal wait p50 {:?} p99 {:?}",
-        at(&refusals, 50),
-        at(&refusals, 99)
+        percentile(&refusals, 50),
+        percentile(&refusals, 99)
     );
     println!(
         "answer wait p50 {:?} p99 {:?}",
-        at(&answers, 50),
-        at(&answers, 99)
+        percentile(&answers, 50),
+        percentile(&answers, 99)
     );
 }
 
-fn at(sorted: &[Duration], percent: usize) -> Duration {
+fn percentile(sorted: &[Duration], percent: usize) -> Duration {
     sorted
         .get(sorted.len() * percent / 100)
         .copied()
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -5,10 +5,10 @@
 const HELP: &str = "\
 Usage: catkin-load COMMAND
 
-  list                                      name the scenarios
+  list                                      list the scenarios
   run SCENARIO [FLAGS]                      run one; exit code 1 if an invariant is broken
-  compare A B SCENARIO [FLAGS]              run it with router flags A and B, by turns
-  bench relay [FLAGS]                       what one router costs that relays streams
+  compare A B SCENARIO [FLAGS]              run it alternately with router flags A and B
+  bench relay [FLAGS]                       measure CPU and memory of a router that relays streams
   help                                      print this text
 
 `catkin-load COMMAND --help` lists the flags of a command.
@@ -18,23 +18,23 @@
 const RUN_HELP: &str = "\
 Usage: catkin-load run SCENARIO [FLAGS]
 
-  --seed N         seed of all that is drawn [1]
+  --seed N         seed of the random number generator [1]
   --size SIZE      small, cobalt or thistlegate [small]
   --seconds N      time for which calls arrive [the scenario's own]
-  --router-flags F flags of the routers, separated by commas
-  --routers N      routers before which operators race [1]
-  --json           print nothing but the report, as one line of JSON
+  --router-flags F extra flags of the routers, separated by commas
+  --routers N      number of routers in `racing-operators` [1]
+  --json           print only the report, as one line of JSON
 ";
 
 /// Text of `catkin-load compare --help`.
 const COMPARE_HELP: &str = "\
 Usage: catkin-load compare A B SCENARIO [FLAGS]
 
-  --rounds N       runs of each side [3]
+  --rounds N       runs with each set of flags [3]
   --seed N         seed of the first round [1]
   --size SIZE      small, cobalt or thistlegate [small]
   --seconds N      time for which calls arrive [the scenario's own]
-  --json           print nothing but the comparison, as one line of JSON
+  --json           print only the comparison, as one line of JSON
 ";
 
 /// Text of `catkin-load bench --help`.
@@ -42,17 +42,17 @@
 Usage: catkin-load bench relay [FLAGS]
 
   --streams N      open streams [500]
-  --routers N      routers that know each other [1]
-  --seconds N      time that is measured
+  --routers N      routers, connected as peers [1]
+  --seconds N      length of the measurement [5]
 ";
 
-/// Name under which [`racing_operators`] is run; it has no load.
+/// Scenario name of [`racing_operators`], which makes no caller requests.
 const RACING_OPERATORS: &str = "racing-operators";
 
-/// Races of a run of [`racing_operators`].
-const RACES: u64 = 20;
+/// Number of concurrent roll-out pairs in a run of [`racing_operators`].
+const RACE_COUNT: u64 = 20;
 
-/// Runs the command line of `catkin-load`, without the program's name.
+/// Runs `catkin-load` with the given arguments, which exclude the program name.
 #[must_use]
 pub fn run_command(args: Vec<OsString>) -> ExitCode {
     match command(args) {
@@ -75,17 +75,19 @@
         }
         Some("list") => {
             for scenario in SCENARIOS {
-                println!("{:28} {}", scenario.name, scenario.about);
+                println!("{:28} {}", scenario.name, scenario.description);
             }
             for scenario in QUICK_SCENARIOS {
-                println!("{:28} {}", scenario.name, scenario.about);
+                println!("{:28} {}", scenario.name, scenario.description);
             }
-            println!("{RACING_OPERATORS:28} two operators roll out at once, answers are lost");
+            println!(
+                "{RACING_OPERATORS:28} two operators roll out concurrently while responses are lost"
+            );
             Ok(ExitCode::SUCCESS)
         }
-        Some("run") => with_flags(args, RUN_HELP, run),
-        Some("bench") => with_flags(args, BENCH_HELP, bench),
-        Some("compare") => with_flags(args, COMPARE_HELP, compare),
+        Some("run") => run_with_flags(args, RUN_HELP, run),
+        Some("bench") => run_with_flags(args, BENCH_HELP, bench),
+        Some("compare") => run_with_flags(args, COMPARE_HELP, compare),
         Some("help" | "--help") => {
             print!("{HELP}");
             Ok(ExitCode::SUCCESS)
@@ -94,13 +96,13 @@
     }
 }
 
-/// Runs a command with its flags, or prints its help if they ask for it.
-fn with_flags(
+/// Parses the flags and runs the command, or prints its help if `--help` is among them.
+fn run_with_flags(
     args: impl Iterator<Item = OsString>,
     help: &str,
     run: fn(&Flags) -> Result<ExitCode, LoadError>,
 ) -> Result<ExitCode, LoadError> {
-    let flags = Flags::read(args)?;
+    let flags = Flags::parse(args)?;
     if flags.help {
         print!("{help}");
         return Ok(ExitCode::SUCCESS);
@@ -108,7 +110,7 @@
     run(&flags)
 }
 
-/// Flags and operands behind a command.
+/// Flags and operands that follow the command name.
 struct Flags {
     operands: Vec<String>,
     settings: RunSettings,
@@ -119,7 +121,7 @@
 }
 
 impl Flags {
-    fn read(args: impl Iterator<Item = OsString>) -> Result<Self, LoadError> {
+    fn parse(args: impl Iterator<Item = OsString>) -> Result<Self, LoadError> {
         let mut flags = Self {
             operands: Vec::new(),
             settings: RunSettings::default(),
@@ -142,8 +144,8 @@
                 lexopt::Arg::Long("rounds") => flags.rounds = value("rounds", &mut parser)?,
                 lexopt::Arg::Long("seconds") => {
                     let seconds: f64 = value("seconds", &mut parser)?;
-                    settings.arrivals = Duration::try_from_secs_f64(seconds).ok();
-                    flags.relay.window = settings.arrivals.unwrap_or(flags.relay.window);
+                    settings.arrival_window = Duration::try_from_secs_f64(seconds).ok();
+                    flags.relay.window = settings.arrival_window.unwrap_or(flags.relay.window);
                 }
                 lexopt::Arg::Long("streams") => {
                     flags.relay.streams = value("streams", &mut parser)?;
@@ -180,7 +182,7 @@
 #[tokio::main]
 async fn run(flags: &Flags) -> Result<ExitCode, LoadError> {
     if flags.operand(0)? == RACING_OPERATORS {
-        return race(flags).await;
+        return run_racing_operators(flags).await;
     }
     if let Some(scenario) = QuickScenario::find(flags.operand(0)?) {
         let program = std::env::current_exe()?;
@@ -188,7 +190,7 @@
         return Ok(print_verdict(&report, &report.violations, flags.json));
     }
     let scenario = Scenario::find(flags.operand(0)?)?;
-    let report = run_with_bar(&scenario, flags, &flags.settings).await?;
+    let report = run_with_progress_bar(&scenario, flags, &flags.settings).await?;
     Ok(print_verdict(&report, &report.violations, flags.json))
 }
 
@@ -206,24 +208,24 @@
     }
 }
 
-async fn race(flags: &Flags) -> Result<ExitCode, LoadError> {
+async fn run_racing_operators(flags: &Flags) -> Result<ExitCode, LoadError> {
     let settings = OperatorsSettings {
         seed: flags.settings.seed,
         routers: flags.relay.routers,
-        races: RACES,
+        races: RACE_COUNT,
     };
     let program = std::env::current_exe()?;
     let report = racing_operators(&program, &settings).await?;
     Ok(print_verdict(&report, &report.violations, flags.json))
 }
 
-async fn run_with_bar(
+async fn run_with_progress_bar(
     scenario: &Scenario,
     flags: &Flags,
     settings: &RunSettings,
 ) -> Result<Report, LoadError> {
-    let shown = !flags.json && std::io::stderr().is_terminal();
-    let bar = if shown {
+    let interactive = !flags.json && std::io::stderr().is_terminal();
+    let bar = if interactive {
         indicatif::ProgressBar::new(0)
     } else {
         indicatif::ProgressBar::hidden()
@@ -238,22 +240,22 @@
     report
 }
 
-/// Runs a scenario with two sets of router flags by turns, and prints each measure as a ratio.
+/// Runs a scenario alternately with two sets of router flags and prints each metric as a ratio.
 #[tokio::main]
 async fn compare(flags: &Flags) -> Result<ExitCode, LoadError> {
     let scenario = Scenario::find(flags.operand(2)?)?;
-    let mut sides = [Vec::new(), Vec::new()];
+    let mut reports_by_side = [Vec::new(), Vec::new()];
     for round in 0..flags.rounds {
-        for (side, reports) in sides.iter_mut().enumerate() {
+        for (side, reports) in reports_by_side.iter_mut().enumerate() {
             let settings = RunSettings {
                 seed: flags.settings.seed + u64::try_from(round).unwrap_or_default(),
                 router_flags: split_flags(flags.operand(side)?),
                 ..flags.settings.clone()
             };
-            reports.push(run_with_bar(&scenario, flags, &settings).await?);
+            reports.push(run_with_progress_bar(&scenario, flags, &settings).await?);
         }
     }
-    let comparison = Comparison::of(&scenario, &sides[0], &sides[1]);
+    let comparison = Comparison::of(&scenario, &reports_by_side[0], &reports_by_side[1]);
     println!("{}", to_json(&comparison));
     Ok(ExitCode::SUCCESS)
 }
@@ -269,5 +271,5 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("reports have text keys only")
+    serde_json::to_string(value).expect("reports serialize with string keys only")
 }
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -4,40 +4,40 @@
 use rustix::process::Signal;
 use serde::de::DeserializeOwned;
 
-/// The processes of one run.
+/// The processes of one experiment.
 pub struct Fleet {
-    /// Routers.
+    /// Router processes; the index is the number in the VM's name.
     pub routers: Vec<Process>,
-    /// Engines.
+    /// Mock engine processes.
     pub engines: Vec<Process>,
-    /// Processes of the plain service.
-    pub plains: Vec<Process>,
+    /// Mock processes of the plain service.
+    pub plain_upstreams: Vec<Process>,
     proxy: Option<Process>,
-    /// Routes opened through the proxy: those to engines, then those to routers.
-    routes: usize,
+    /// Number of routes through the proxy: first those to engines, then those to routers.
+    proxy_routes: usize,
     connections: Arc<Connections>,
 }
 
-/// How the processes of a run are started.
+/// Settings of the processes of an experiment.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// How many there are.
+    /// Numbers of processes, zones and teams.
     pub size: FleetSize,
-    /// Time of a decode step.
+    /// Duration of an engine's decode step.
     pub step: Duration,
-    /// How services meet losses.
+    /// Recovery policy of the generation service.
     pub recovery: RecoveryPolicy,
-    /// Whether engines are reached through the fault-injecting proxy.
-    pub linked: bool,
-    /// Whether routers reach each other through it.
-    pub peers_linked: bool,
-    /// Further flags of the routers.
+    /// Whether routers reach engines through the fault-injecting proxy.
+    pub proxied: bool,
+    /// Whether routers reach each other through the fault-injecting proxy.
+    pub peers_proxied: bool,
+    /// Additional command-line flags of the routers.
     pub router_flags: Vec<String>,
-    /// Further flags of the engines.
+    /// Additional command-line flags of the engines.
     pub engine_flags: Vec<String>,
-    /// Further flags of the plain service.
+    /// Additional command-line flags of the plain service.
     pub plain_flags: Vec<String>,
-    /// Seed of all that is drawn.
+    /// Base seed; each mock upstream adds its index.
     pub seed: u64,
 }
 
@@ -47,8 +47,8 @@
             size: Size::Small.fleet(),
             step: Duration::from_millis(10),
             recovery: RecoveryPolicy::LeastWait,
-            linked: false,
-            peers_linked: false,
+            proxied: false,
+            peers_proxied: false,
             router_flags: Vec::new(),
             engine_flags: Vec::new(),
             plain_flags: Vec::new(),
@@ -57,49 +57,49 @@
     }
 }
 
-/// Bound of a control call.
-const CONTROL_BOUND: Duration = Duration::from_secs(2);
+/// Timeout of a control request.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long routers may take to become ready and to know each other.
-const READY_BOUND: Duration = Duration::from_secs(40);
+/// Timeout until all routers are ready and have discovered each other.
+const READY_TIMEOUT: Duration = Duration::from_secs(40);
 
 impl Fleet {
     /// Starts all processes and waits until the routers are ready.
     ///
     /// # Errors
     ///
-    /// If one of them does not start.
+    /// If a process does not start, or the routers are not ready within 40 s.
     pub async fn start(program: &Path, settings: &FleetSettings) -> Result<Self, LoadError> {
         let size = settings.size;
-        let engine = |i: usize| standin(program, "engine", engine_flags(settings, i));
-        let plain = |i: usize| standin(program, "plain", plain_flags(settings, i));
+        let engine = |i: usize| start_mock(program, "engine", engine_flags(settings, i));
+        let plain = |i: usize| start_mock(program, "plain", plain_flags(settings, i));
         let engines = try_join_all((0..size.engines).map(engine)).await?;
-        let plains = try_join_all((0..size.plains).map(plain)).await?;
+        let plain_upstreams = try_join_all((0..size.plain_upstreams).map(plain)).await?;
         let connections = Arc::new(Connections::new()?);
         let mut fleet = Self {
             routers: Vec::new(),
             engines,
-            plains,
+            plain_upstreams,
             proxy: None,
-            routes: 0,
+            proxy_routes: 0,
             connections,
         };
-        if settings.linked || settings.peers_linked {
-            fleet.proxy = Some(standin(program, "proxy", Vec::new()).await?);
+        if settings.proxied || settings.peers_proxied {
+            fleet.proxy = Some(start_mock(program, "proxy", Vec::new()).await?);
         }
-        let engines = fleet.engine_addresses(settings.linked).await?;
-        let plains: Vec<_> = fleet.plains.iter().map(Process::address).collect();
-        let bundle = fleet_bundle(size, settings.recovery, &engines, &plains);
+        let engines = fleet.engine_addresses(settings.proxied).await?;
+        let plain_upstreams: Vec<_> = fleet.plain_upstreams.iter().map(Process::address).collect();
+        let bundle = fleet_bundle(size, settings.recovery, &engines, &plain_upstreams);
         fleet.start_routers(program, settings, &bundle).await?;
         Ok(fleet)
     }
 
-    async fn engine_addresses(&mut self, linked: bool) -> Result<Vec<SocketAddr>, LoadError> {
+    async fn engine_addresses(&mut self, proxied: bool) -> Result<Vec<SocketAddr>, LoadError> {
         let mut engines = Vec::new();
         let addresses = self.engines.iter().map(Process::address);
         for address in addresses.collect::<Vec<_>>() {
-            engines.push(if linked {
-                self.route(address).await?
+            engines.push(if proxied {
+                self.add_proxy_route(address).await?
             } else {
                 address
             });
@@ -107,11 +107,11 @@
         Ok(engines)
     }
 
-    /// Opens a route through the proxy.
-    async fn route(&mut self, to: SocketAddr) -> Result<SocketAddr, LoadError> {
+    /// Adds a route through the proxy and returns its listening address.
+    async fn add_proxy_route(&mut self, to: SocketAddr) -> Result<SocketAddr, LoadError> {
         let path = format!("/route?to={to}");
-        let route = self.control(self.proxy()?, Method::POST, path).await?;
-        self.routes += 1;
+        let route = self.call_control(self.proxy()?, Method::POST, path).await?;
+        self.proxy_routes += 1;
         Ok(route)
     }
 
@@ -121,14 +121,14 @@
         Ok(proxy.address())
     }
 
-    /// Flags of a router for its peers. Behind the proxy its address must be known before it
-    /// starts, so a free one is taken and given back.
-    async fn peer_flags(&mut self, linked: bool) -> Result<Vec<String>, LoadError> {
-        if !linked {
+    /// Peer flags of a router. A proxied router needs its port before it starts, because the route
+    /// is set up first, so a free port is bound and released.
+    async fn peer_flags(&mut self, proxied: bool) -> Result<Vec<String>, LoadError> {
+        if !proxied {
             return Ok(vec!["--peer-listen=127.0.0.1:0".to_owned()]);
         }
         let free = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let route = self.route(free).await?;
+        let route = self.add_proxy_route(free).await?;
         Ok(vec![
             flag("peer-listen", free),
             flag("peer-advertise", route),
@@ -161,19 +161,19 @@
         let mut peers = Vec::new();
         for i in 0..settings.size.routers {
             let mut flags = flags(i, &peers.join(","));
-            flags.extend(self.peer_flags(settings.peers_linked).await?);
+            flags.extend(self.peer_flags(settings.peers_proxied).await?);
             let router = Process::start(program, Role::Router, &flags).await?;
             if let Some(address) = router.other_address("peers") {
                 peers.push(format!("vm-{i}={address}@zone-{}", i % settings.size.zones));
             }
             self.routers.push(router);
         }
-        let ready = tokio::time::timeout(READY_BOUND, self.wait_until_ready()).await;
+        let ready = tokio::time::timeout(READY_TIMEOUT, self.wait_until_ready()).await;
         std::fs::remove_file(&file)?;
         ready.map_err(|_| LoadError::NotReady)?
     }
 
-    /// Waits until each router is ready and knows all others.
+    /// Waits until each router answers and has discovered all others.
     async fn wait_until_ready(&self) -> Result<(), LoadError> {
         for client in self.clients(0)? {
             while !client
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Whether a router says that it may be sent calls.
+    /// Whether a router reports that it accepts calls.
     pub async fn is_ready(&self, router: SocketAddr) -> bool {
         let call = HttpCall {
             address: router,
@@ -200,11 +200,11 @@
         answer.is_ok_and(|(status, _)| status.is_success())
     }
 
-    /// A client of one team for each router.
+    /// Creates one client per router with the key of a team.
     ///
     /// # Errors
     ///
-    /// If no client can be made.
+    /// If a client cannot be created.
     pub fn clients(&self, team: usize) -> Result<Vec<CallerClient>, LoadError> {
         let key = team_key(team);
         let client = |router: &Process| CallerClient::new(router.address(), &key);
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     ///
-    /// If it has ended.
+    /// If the process has exited.
     pub fn signal_router(&self, router: usize, signal: Signal) -> Result<(), LoadError> {
         self.routers[router].signal(signal)
     }
@@ -224,16 +224,16 @@
     ///
     /// # Errors
     ///
-    /// If it has ended.
+    /// If the process has exited.
     pub fn signal_engine(&self, engine: usize, signal: Signal) -> Result<(), LoadError> {
         self.engines[engine].signal(signal)
     }
 
-    /// Injects a fault on the way to an engine; only for linked fleets.
+    /// Injects a fault on the proxy route to an engine; only if engines are proxied.
     ///
     /// # Errors
     ///
-    /// If there is no proxy, or it does not answer.
+    /// If there is no proxy, or it does not respond.
     pub async fn inject(&self, engine: usize, fault: ProxyFault) -> Result<(), LoadError> {
         let path = format!("/fault?route={engine}&kind={fault}");
         let call = control_call(self.proxy()?, Method::POST, path);
@@ -241,14 +241,14 @@
         Ok(())
     }
 
-    /// Delays every message between routers so long; only for fleets whose routers are linked.
+    /// Delays every message between routers by `delay`; only if peers are proxied.
     ///
     /// # Errors
     ///
-    /// If there is no proxy, or it does not answer.
+    /// If there is no proxy, or it does not respond.
     pub async fn delay_peers(&self, delay: Duration) -> Result<(), LoadError> {
         let ms = delay.as_millis();
-        for route in self.routes - self.routers.len()..self.routes {
+        for route in self.proxy_routes - self.routers.len()..self.proxy_routes {
             let kind = ProxyFault::Delay;
             let path = format!("/fault?route={route}&kind={kind}&ms={ms}");
             let call = control_call(self.proxy()?, Method::POST, path);
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    /// How many engines take connections.
+    /// Number of engines that accept connections.
     pub(crate) async fn live_engines(&self) -> usize {
         let connects = self.engines.iter().map(|engine| async {
             tokio::net::TcpStream::connect(engine.address())
@@ -268,49 +268,58 @@
         live.into_iter().filter(|live| *live).count()
     }
 
-    /// Work of an engine so far, unless it is dead.
+    /// Load report of an engine; `None` if it does not respond.
     pub async fn engine_load(&self, engine: usize) -> Option<engine::UpstreamLoad> {
-        self.read(self.engines[engine].address(), "/v1/load").await
+        self.try_control(self.engines[engine].address(), "/v1/load")
+            .await
     }
 
-    /// Runs that an engine counted, unless it is dead.
+    /// Run counts of an engine; `None` if it does not respond.
     pub async fn engine_runs(&self, engine: usize) -> Option<RunCounts> {
-        self.read(self.engines[engine].address(), "/stats").await
+        self.try_control(self.engines[engine].address(), "/stats")
+            .await
     }
 
-    /// Runs that a process of the plain service counted.
+    /// Run counts of a process of the plain service.
     ///
     /// # Errors
     ///
-    /// If it does not answer.
+    /// If it does not respond.
     pub async fn plain_runs(&self, plain: SocketAddr) -> Result<RunCounts, LoadError> {
-        self.control(plain, Method::GET, "/stats".to_owned()).await
+        self.call_control(plain, Method::GET, "/stats".to_owned())
+            .await
     }
 
-    /// Makes a process of the plain service fail from now on.
+    /// Sets the fault that a process of the plain service injects from now on.
     ///
     /// # Errors
     ///
-    /// If it does not answer.
+    /// If it does not respond.
     pub async fn fail_plain(&self, plain: SocketAddr, fault: PlainFault) -> Result<(), LoadError> {
         let call = control_call(plain, Method::POST, format!("/fault?kind={fault}"));
         self.connections.call_complete(call).await?;
         Ok(())
     }
 
-    /// Opens a stream of a process; `None` if it refuses.
-    pub(crate) async fn open(&self, address: SocketAddr, path: String) -> Option<Response> {
+    /// Opens a response stream of a process; `None` on an error or a status other than success.
+    pub(crate) async fn open_response(
+        &self,
+        address: SocketAddr,
+        path: String,
+    ) -> Option<Response> {
         let call = control_call(address, Method::GET, path);
         let response = self.connections.call(call).await.ok()?;
         response.status().is_success().then_some(response)
     }
 
-    async fn read<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
-        let answer = self.control(address, Method::GET, path.to_owned()).await;
+    async fn try_control<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Option<T> {
+        let answer = self
+            .call_control(address, Method::GET, path.to_owned())
+            .await;
         answer.ok()
     }
 
-    async fn control<T: DeserializeOwned>(
+    async fn call_control<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         method: Method,
@@ -326,20 +335,20 @@
         address,
         method,
         path,
-        timeout: CONTROL_BOUND,
+        timeout: CONTROL_TIMEOUT,
         new_connection: true,
         ..HttpCall::default()
     }
 }
 
-async fn standin(program: &Path, kind: &str, flags: Vec<String>) -> Result<Process, LoadError> {
+async fn start_mock(program: &Path, kind: &str, flags: Vec<String>) -> Result<Process, LoadError> {
     let args: Vec<_> = std::iter::once(kind.to_owned()).chain(flags).collect();
     Process::start(program, Role::Standin, &args).await
 }
 
 fn engine_flags(settings: &FleetSettings, i: usize) -> Vec<String> {
     let mut flags = vec![
-        flag("seed", settings.seed.wrapping_add(n(i))),
+        flag("seed", settings.seed.wrapping_add(to_u64(i))),
         flag("step-us", settings.step.as_micros()),
     ];
     flags.extend(settings.engine_flags.iter().cloned());
@@ -347,7 +356,7 @@
 }
 
 fn plain_flags(settings: &FleetSettings, i: usize) -> Vec<String> {
-    let mut flags = vec![flag("seed", settings.seed.wrapping_add(n(i)))];
+    let mut flags = vec![flag("seed", settings.seed.wrapping_add(to_u64(i)))];
     flags.extend(settings.plain_flags.iter().cloned());
     flags
 }
@@ -356,6 +365,6 @@
     format!("--{name}={value}")
 }
 
-fn n(i: usize) -> u64 {
+fn to_u64(i: usize) -> u64 {
     u64::try_from(i).unwrap_or_default()
 }
--- a/crates/load/src/generation_call.rs
+++ b/crates/load/src/generation_call.rs
@@ -2,43 +2,43 @@
 use crate::{balancer::Balancer, fleet_bundle::GENERATION_SERVICE};
 use std::num::NonZeroU32;
 
-/// Pause before a caller whose answer broke off turns to another router.
-const RETURN_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a caller whose stream was interrupted reconnects to another router.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// One generation that a caller asks for.
+/// A generation request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationCall {
-    /// When it is due, from the start of the run.
-    pub(crate) due: Duration,
+    /// Scheduled time, relative to the start of the run.
+    pub(crate) scheduled: Duration,
     pub(crate) team: usize,
     pub(crate) prompt: String,
     pub(crate) seed: u64,
     pub(crate) tokens: u32,
-    /// None for a caller who cannot come back to its answer, and asks anew.
+    /// Idempotency key; `None` for a caller that cannot resume a stream and starts a new request.
     pub(crate) key: Option<String>,
 }
 
-/// How a call ended, as its caller sees it.
+/// Outcome of a call as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum CallEnd {
-    /// With the whole answer.
-    Whole,
-    /// With the word that nothing ran.
+pub(crate) enum CallOutcome {
+    /// The complete response was received.
+    Complete,
+    /// A problem reported that the request did not run.
     NotRun,
-    /// With another typed error.
+    /// Another typed problem was received.
     Failed,
-    /// With neither.
+    /// Neither a complete response nor a typed problem arrived before the deadline.
     Lost,
 }
 
-/// A call and what came of it.
+/// A call with its outcome and response.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationResult {
     pub(crate) call: GenerationCall,
-    pub(crate) end: CallEnd,
+    pub(crate) end: CallOutcome,
     pub(crate) answer: Answer,
-    /// How often the caller had to turn to another router.
-    pub(crate) returns: u32,
+    /// Number of times that the caller reconnected after its request had been accepted.
+    pub(crate) reconnects: u32,
 }
 
 impl GenerationCall {
@@ -58,61 +58,63 @@
         }
     }
 
-    /// Makes the call, and comes back to another router with what it has until the answer is whole,
-    /// an error is final, or `deadline` is over.
+    /// Makes the call. Reconnects to another router and resumes there until the response is complete,
+    /// a problem is final, or `deadline` has passed.
     pub(crate) async fn make(
         self,
         clients: &[CallerClient],
         balancer: &Balancer,
-        patience: Duration,
+        token_timeout: Duration,
         deadline: Instant,
     ) -> GenerationResult {
         let mut answer = Answer::default();
-        let mut returns = 0;
+        let mut reconnects = 0;
         let mut router = balancer.pick(None);
         let end = loop {
-            let reading = self.read(&clients[router], &mut answer, patience);
+            let reading = self.read_stream(&clients[router], &mut answer, token_timeout);
             match tokio::time::timeout_at(deadline, reading).await {
-                Err(_) => break CallEnd::Lost,
+                Err(_) => break CallOutcome::Lost,
                 Ok(Some(end)) => break end,
                 Ok(None) => {}
             }
-            returns += u32::from(answer.accepted);
-            tokio::time::sleep(RETURN_PAUSE).await;
+            reconnects += u32::from(answer.accepted);
+            tokio::time::sleep(RECONNECT_DELAY).await;
             router = balancer.pick(Some(router));
         };
         GenerationResult {
             call: self,
             end,
             answer,
-            returns,
+            reconnects,
         }
     }
 
-    /// Reads from one router; `None` if the caller has to turn to another.
-    async fn read(
+    /// Reads the stream from one router; `None` if the caller has to reconnect to another.
+    async fn read_stream(
         &self,
         client: &CallerClient,
         answer: &mut Answer,
-        patience: Duration,
-    ) -> Option<CallEnd> {
+        token_timeout: Duration,
+    ) -> Option<CallOutcome> {
         let (progress_tx, mut progress) = tokio::sync::watch::channel(());
         let request = self.request();
         let reading = client.stream(&request, self.key.as_deref(), answer, |_| {
             progress_tx.send_replace(());
         });
-        let impatience = async {
-            while let Ok(Ok(())) = tokio::time::timeout(patience, progress.changed()).await {}
+        let stalled = async {
+            while let Ok(Ok(())) = tokio::time::timeout(token_timeout, progress.changed()).await {}
         };
         tokio::select! {
-            read = reading => read.ok()?,
-            () = impatience => return None,
+            result = reading => result.ok()?,
+            () = stalled => return None,
         }
         match answer.problem.as_ref() {
-            None => Some(CallEnd::Whole),
-            Some(problem) if problem.outcome != caller::Outcome::NotRun => Some(CallEnd::Failed),
+            None => Some(CallOutcome::Complete),
+            Some(problem) if problem.outcome != caller::Outcome::NotRun => {
+                Some(CallOutcome::Failed)
+            }
             Some(problem) if problem.retry_after_ms.is_some() => None,
-            Some(_) => Some(CallEnd::NotRun),
+            Some(_) => Some(CallOutcome::NotRun),
         }
     }
 }
--- a/crates/load/src/injector.rs
+++ b/crates/load/src/injector.rs
@@ -2,59 +2,60 @@
 use crate::{balancer::Balancer, generation_call::GenerationCall};
 use rustix::process::Signal;
 
-/// How long routers that stutter stand still and run by turns.
-const STUTTER: Duration = Duration::from_millis(80);
+/// Length of each stop and of each run phase of stuttering routers.
+const STUTTER_INTERVAL: Duration = Duration::from_millis(80);
 
-/// How often they stand still.
-const STUTTERS: u32 = 8;
+/// Number of stops of stuttering routers.
+const STUTTER_COUNT: u32 = 8;
 
-/// How long a caller of a request that crashes engines waits.
-const POISON_BOUND: Duration = Duration::from_secs(4);
+/// Timeout of a caller whose request crashes engines.
+const POISON_CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Carries out the faults of a scenario, and notes what a killed engine had done.
+/// Injects the faults of a scenario and records the work of engines before they are killed.
 pub(crate) struct Injector<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) balancer: &'a Balancer,
     pub(crate) start: Instant,
-    pub(crate) random: Xoshiro256PlusPlus,
-    pub(crate) outcome: Injected,
+    pub(crate) rng: Xoshiro256PlusPlus,
+    pub(crate) injected: InjectedFaults,
 }
 
-/// What the faults of a run were and left behind.
+/// Faults injected in a run, and the state of the processes that they ended.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Injected {
-    /// When each fault began.
-    pub(crate) at: Vec<Instant>,
-    /// Work and runs of engines that are dead now.
-    pub(crate) dead: Vec<(engine::UpstreamLoad, RunCounts)>,
-    /// Engines and routers that were killed.
+pub(crate) struct InjectedFaults {
+    /// Start time of each fault.
+    pub(crate) fault_times: Vec<Instant>,
+    /// Load reports and run counts of killed engines, read before the kill.
+    pub(crate) killed_engine_stats: Vec<(engine::UpstreamLoad, RunCounts)>,
+    /// Indexes of killed engines.
     pub(crate) killed_engines: Vec<usize>,
+    /// Indexes of killed routers.
     pub(crate) killed_routers: Vec<usize>,
-    /// Routers that were asked to end.
-    pub(crate) drained: Vec<usize>,
+    /// Indexes of routers that were sent SIGTERM.
+    pub(crate) drained_routers: Vec<usize>,
 }
 
 impl Injector<'_> {
-    /// Injects the faults of a scenario, each at its time.
-    pub(crate) async fn run(mut self, scenario: &Scenario) -> Result<Injected, LoadError> {
+    /// Injects the faults of a scenario at their scheduled times.
+    pub(crate) async fn run(mut self, scenario: &Scenario) -> Result<InjectedFaults, LoadError> {
         for (share, fault) in scenario.faults {
-            tokio::time::sleep_until(self.start + scenario.arrivals.mul_f64(*share)).await;
+            tokio::time::sleep_until(self.start + scenario.arrival_window.mul_f64(*share)).await;
             self.inject(*fault).await?;
         }
-        Ok(self.outcome)
+        Ok(self.injected)
     }
 
     async fn inject(&mut self, fault: Fault) -> Result<(), LoadError> {
         let fleet = self.fleet;
-        let engine = self.draw(fleet.engines.len(), &self.outcome.killed_engines.clone());
-        let router = self.draw(fleet.routers.len(), &self.outcome.killed_routers.clone());
+        let engine = self.pick_target(fleet.engines.len(), &self.injected.killed_engines.clone());
+        let router = self.pick_target(fleet.routers.len(), &self.injected.killed_routers.clone());
         if fault == Fault::KillEngine {
-            self.note_work(engine).await;
+            self.record_engine_work(engine).await;
         }
-        self.outcome.at.push(Instant::now());
+        self.injected.fault_times.push(Instant::now());
         match fault {
             Fault::KillEngine => {
-                self.outcome.killed_engines.push(engine);
+                self.injected.killed_engines.push(engine);
                 fleet.signal_engine(engine, Signal::KILL)?;
             }
             Fault::PauseEngine(pause) => {
@@ -64,7 +65,7 @@
             }
             Fault::SilenceEngine => fleet.inject(engine, ProxyFault::Silence).await?,
             Fault::KillRouter => {
-                self.outcome.killed_routers.push(router);
+                self.injected.killed_routers.push(router);
                 fleet.signal_router(router, Signal::KILL)?;
             }
             Fault::PauseRouter(pause) => {
@@ -73,29 +74,29 @@
                 fleet.signal_router(router, Signal::CONT)?;
             }
             Fault::StutterRouters => {
-                for _ in 0..STUTTERS {
+                for _ in 0..STUTTER_COUNT {
                     for signal in [Signal::STOP, Signal::CONT] {
                         for router in 0..fleet.routers.len() {
                             fleet.signal_router(router, signal)?;
                         }
-                        tokio::time::sleep(STUTTER).await;
+                        tokio::time::sleep(STUTTER_INTERVAL).await;
                     }
                 }
             }
             Fault::DrainRouter => {
-                self.outcome.drained.push(router);
+                self.injected.drained_routers.push(router);
                 fleet.signal_router(router, Signal::TERM)?;
             }
             Fault::Poison => self.poison(POISON, true).await?,
             Fault::KeylessPoison => self.poison(POISON, false).await?,
             Fault::UnansweredPoison => self.poison(UNANSWERED_POISON, true).await?,
-            Fault::PoisonAtTwoRouters => self.poison_at_two(router).await?,
+            Fault::PoisonAtTwoRouters => self.poison_two_routers(router).await?,
             Fault::PoisonKillingRouter => {
-                self.outcome.killed_routers.push(router);
-                self.poison_at(router, Signal::KILL).await?;
+                self.injected.killed_routers.push(router);
+                self.poison_and_signal_router(router, Signal::KILL).await?;
             }
             Fault::PoisonPausingRouter(pause) => {
-                self.poison_at(router, Signal::STOP).await?;
+                self.poison_and_signal_router(router, Signal::STOP).await?;
                 tokio::time::sleep(pause).await;
                 fleet.signal_router(router, Signal::CONT)?;
             }
@@ -103,13 +104,13 @@
         Ok(())
     }
 
-    async fn note_work(&mut self, engine: usize) {
+    async fn record_engine_work(&mut self, engine: usize) {
         let load = self.fleet.engine_load(engine).await;
         let runs = self.fleet.engine_runs(engine).await;
-        self.outcome.dead.extend(load.zip(runs));
+        self.injected.killed_engine_stats.extend(load.zip(runs));
     }
 
-    /// Sends a request that crashes its engine, and sends it again as its caller would.
+    /// Sends a request that crashes its engine, then retries it once as its caller would.
     async fn poison(&mut self, prompt: &str, keyed: bool) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(prompt, keyed);
@@ -118,21 +119,25 @@
             call.make(
                 &clients,
                 self.balancer,
-                POISON_BOUND,
-                Instant::now() + POISON_BOUND,
+                POISON_CALL_TIMEOUT,
+                Instant::now() + POISON_CALL_TIMEOUT,
             )
             .await;
         }
         Ok(())
     }
 
-    /// Sends a request that crashes its engine to one router, which gets a signal at the loss of the second engine; its
-    /// caller sends it again at once to another.
-    async fn poison_at(&mut self, router: usize, signal: Signal) -> Result<(), LoadError> {
+    /// Sends a request that crashes its engine to one router, which is sent a signal when the second
+    /// engine is lost. The caller immediately retries at the next router.
+    async fn poison_and_signal_router(
+        &mut self,
+        router: usize,
+        signal: Signal,
+    ) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(POISON, false);
         let engines = self.fleet.live_engines().await;
-        let send = |router: usize| send_to(&clients[router], &call);
+        let send = |router: usize| call_router(&clients[router], &call);
         let lost = async {
             while self.fleet.live_engines().await + 2 > engines {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -148,23 +153,23 @@
         Ok(())
     }
 
-    /// Sends a request that crashes its engine to a router and to the next one at the same time.
-    async fn poison_at_two(&mut self, router: usize) -> Result<(), LoadError> {
+    /// Sends a request that crashes its engine to two routers concurrently.
+    async fn poison_two_routers(&mut self, router: usize) -> Result<(), LoadError> {
         let clients = self.fleet.clients(0)?;
         let call = self.poison_call(POISON, false);
         let other = (router + 1) % clients.len();
         tokio::join!(
-            send_to(&clients[router], &call),
-            send_to(&clients[other], &call)
+            call_router(&clients[router], &call),
+            call_router(&clients[other], &call)
         );
         Ok(())
     }
 
     fn poison_call(&mut self, prompt: &str, keyed: bool) -> GenerationCall {
-        let prompt = format!("{prompt} {:x}", self.random.random::<u64>());
-        let key = format!("poison-{:x}", self.random.random::<u64>());
+        let prompt = format!("{prompt} {:x}", self.rng.random::<u64>());
+        let key = format!("poison-{:x}", self.rng.random::<u64>());
         GenerationCall {
-            due: Duration::ZERO,
+            scheduled: Duration::ZERO,
             team: 0,
             prompt,
             seed: 1,
@@ -173,18 +178,18 @@
         }
     }
 
-    fn draw(&mut self, count: usize, except: &[usize]) -> usize {
-        let left: Vec<_> = (0..count).filter(|i| !except.contains(i)).collect();
-        left[self.random.random_range(0..left.len())]
+    fn pick_target(&mut self, count: usize, excluded: &[usize]) -> usize {
+        let remaining: Vec<_> = (0..count).filter(|i| !excluded.contains(i)).collect();
+        remaining[self.rng.random_range(0..remaining.len())]
     }
 }
 
-/// Makes a call at one router.
-async fn send_to(client: &CallerClient, call: &GenerationCall) {
+/// Makes a call at a single router and discards the result.
+async fn call_router(client: &CallerClient, call: &GenerationCall) {
     let balancer = Balancer::new(1);
-    let deadline = Instant::now() + POISON_BOUND;
+    let deadline = Instant::now() + POISON_CALL_TIMEOUT;
     let clients = std::slice::from_ref(client);
     call.clone()
-        .make(clients, &balancer, POISON_BOUND, deadline)
+        .make(clients, &balancer, POISON_CALL_TIMEOUT, deadline)
         .await;
 }
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -2,27 +2,27 @@
 use crate::error::Error;
 use rustix::process::{Pid, Signal};
 
-/// What a process of an experiment is.
+/// Role of a process of an experiment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// A router, as the daemon `catkinward`.
+    /// A router, the same as the daemon `catkinward`.
     Router,
-    /// A stand-in, as the daemon `catkin-standins`.
+    /// A mock server, the same as the daemon `catkin-standins`.
     Standin,
 }
 
-/// A process of an experiment: this program again, as a router or stand-in. It is killed when it is
-/// dropped.
+/// A child process of an experiment: this program, run as a router or mock server. It is killed on
+/// drop.
 #[derive(Debug)]
 pub struct Process {
     role: Role,
     child: Child,
-    /// Held so that it ends with this one. Kept apart from `child`, which would close it when it is waited
-    /// for, and the process would end in the middle of its shutdown.
-    _input: Option<ChildStdin>,
+    /// Write end of the child's standard input; the child exits when it closes. Kept out of `child`,
+    /// because waiting for the child would close it and end the process during its shutdown.
+    _stdin: Option<ChildStdin>,
     address: SocketAddr,
-    others: Vec<(String, SocketAddr)>,
+    other_addresses: Vec<(String, SocketAddr)>,
 }
 
 impl Process {
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// If it does not start, or does not say where it listens.
+    /// If it does not start, or does not print its listening address.
     pub async fn start(
         program: &std::path::Path,
         role: Role,
@@ -47,37 +47,37 @@
             .map_err(|source| Error::Process { role, source })?;
         let stdout = child.stdout.take().ok_or(Error::NotListening { role })?;
         let mut lines = BufReader::new(stdout).lines();
-        let (address, others) = listening_addresses(&mut lines)
+        let (address, other_addresses) = listening_addresses(&mut lines)
             .await
             .ok_or(Error::NotListening { role })?;
-        tokio::spawn(read_on(lines));
+        tokio::spawn(discard_output(lines));
         Ok(Self {
             role,
-            _input: child.stdin.take(),
+            _stdin: child.stdin.take(),
             child,
             address,
-            others,
+            other_addresses,
         })
     }
 
-    /// Where it listens.
+    /// Main listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Another address that it listens on, by the name that it prints.
+    /// Additional listening address with the given name, as printed by the process.
     #[must_use]
     pub fn other_address(&self, name: &str) -> Option<SocketAddr> {
-        let found = self.others.iter().find(|(other, _)| other == name);
+        let found = self.other_addresses.iter().find(|(other, _)| other == name);
         found.map(|(_, address)| *address)
     }
 
-    /// Kills it without notice.
+    /// Kills the process with SIGKILL and waits for it.
     ///
     /// # Errors
     ///
-    /// If it cannot be killed.
+    /// If the process cannot be killed or waited for.
     pub async fn kill(&mut self) -> Result<(), Error> {
         let role = self.role;
         self.child
@@ -86,11 +86,11 @@
             .map_err(|source| Error::Process { role, source })
     }
 
-    /// Sends it a signal: kills, pauses or resumes it, or asks it to end.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// If it has been waited for already.
+    /// If the process has already been waited for, or the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         let role = self.role;
         let pid = self.child.id().and_then(|id| i32::try_from(id).ok());
@@ -103,11 +103,11 @@
         })
     }
 
-    /// Waits for its end and returns its exit code.
+    /// Waits until the process exits and returns its exit code; `None` if a signal ended it.
     ///
     /// # Errors
     ///
-    /// If it cannot be waited for.
+    /// If the process cannot be waited for.
     pub async fn wait(&mut self) -> Result<Option<i32>, Error> {
         let role = self.role;
         let status = self.child.wait().await;
@@ -115,79 +115,82 @@
         Ok(status.code())
     }
 
-    /// Whether it has ended by itself or was killed.
+    /// Whether the process has exited or was killed.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Its process id, while it runs.
+    /// Process id; `None` once the process has been waited for.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 }
 
-/// Reads lines of a name and an address until the one that says `listening`.
+/// Reads lines of the form `NAME ADDRESS` until the one named `listening`, the main address.
 async fn listening_addresses(
     lines: &mut Lines<BufReader<ChildStdout>>,
 ) -> Option<(SocketAddr, Vec<(String, SocketAddr)>)> {
-    let mut others = Vec::new();
+    let mut other_addresses = Vec::new();
     loop {
         let line = lines.next_line().await.ok()??;
         let (name, address) = line.split_once(' ')?;
         let address = address.parse().ok()?;
         if name == "listening" {
-            return Some((address, others));
+            return Some((address, other_addresses));
         }
-        others.push((name.to_owned(), address));
+        other_addresses.push((name.to_owned(), address));
     }
 }
 
-/// Reads what a process writes until its end. Were it not read, the process would find its output closed.
-async fn read_on(mut lines: Lines<BufReader<ChildStdout>>) {
+/// Reads and discards the output of a process until it ends; otherwise the pipe would close and the
+/// process's writes to it would fail.
+async fn discard_output(mut lines: Lines<BufReader<ChildStdout>>) {
     while let Ok(Some(_)) = lines.next_line().await {}
 }
 
-/// Where the log of a process goes: into a file of the folder that [`LOG_VARIABLE`] names, or where that of
-/// the experiment goes.
+/// Standard error of a process: a file in the directory that [`LOG_DIR_VARIABLE`] names, or inherited
+/// if the variable is unset.
 fn log_output(role: Role) -> Result<Stdio, Error> {
     static PROCESSES: AtomicUsize = AtomicUsize::new(0);
-    let Some(folder) = std::env::var_os(LOG_VARIABLE) else {
+    let Some(directory) = std::env::var_os(LOG_DIR_VARIABLE) else {
         return Ok(Stdio::inherit());
     };
     let number = PROCESSES.fetch_add(1, Ordering::Relaxed);
-    let file = Path::new(&folder).join(format!("{role}-{number}.log"));
+    let file = Path::new(&directory).join(format!("{role}-{number}.log"));
     let file = std::fs::File::create(file).map_err(|source| Error::Process { role, source })?;
     Ok(Stdio::from(file))
 }
 
-/// What routers log: all, where their logs are kept, and else what ends a run.
+/// Log level of routers: `info` if logs are kept in files, otherwise `error`.
 pub(crate) fn log_filter() -> &'static str {
-    match std::env::var_os(LOG_VARIABLE) {
+    match std::env::var_os(LOG_DIR_VARIABLE) {
         Some(_) => "info",
         None => "error",
     }
 }
 
-/// Variable that names the folder for the logs of an experiment's processes; without it none is kept.
-const LOG_VARIABLE: &str = "CATKIN_LOAD_LOGS";
+/// Environment variable with the directory for the log files of an experiment's processes. If it is
+/// unset, no log files are written.
+const LOG_DIR_VARIABLE: &str = "CATKIN_LOAD_LOGS";
 
-/// Runs this process as `role`.
+/// Runs this process in the given role until it ends.
 #[must_use]
 pub fn run_process(role: Role, args: Vec<OsString>) -> ExitCode {
-    std::thread::spawn(end_with_parent);
+    std::thread::spawn(exit_with_parent);
     match role {
         Role::Router => catkinward::run_daemon(args),
         Role::Standin => catkin_standins::run_standin(args),
     }
 }
 
-/// Ends this process once its input does: the experiment that started it holds the other end. One that is
-/// killed would leave its processes behind, which hold their ports and the output of the test.
-fn end_with_parent() {
+/// Exits this process when its standard input closes, whose other end the experiment holds. Without
+/// this, a killed experiment would leave its processes behind, which keep their ports and the
+/// output of the test open.
+fn exit_with_parent() {
     let mut input = std::io::stdin().lock();
     if let Err(error) = std::io::copy(&mut input, &mut std::io::sink()) {
-        eprintln!("the input cannot be read: {error}");
+        eprintln!("failed to read standard input: {error}");
     }
     std::process::exit(1);
 }
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -1,88 +1,92 @@
 use super::*;
 use crate::{
-    quick_call::{QuickEnd, QuickResult},
+    quick_call::{QuickOutcome, QuickResult},
     quick_run::CAPACITY,
 };
 
-/// Measures and verdict of a run of plain calls.
+/// Metrics and invariant violations of a run of plain calls.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QuickReport {
-    /// Scenario that was run.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed it was drawn from.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Measures through the routers.
+    /// Metrics of the calls through the routers.
     #[serde(flatten)]
     pub measures: QuickMeasures,
-    /// The same calls round robin to the upstreams.
+    /// Metrics of the same calls sent directly to the upstreams, round robin.
     pub baseline: QuickMeasures,
-    /// Latency of the teams other than the hot one.
+    /// Latency of answered calls of all teams except the hot one.
     pub others_quick_ms: Percentiles,
-    /// Requests that were told that they did not run, and did.
+    /// Requests that were reported as not run although an upstream ran them.
     pub false_not_run: usize,
     /// Non-idempotent requests that ran more than once.
     pub double_runs: usize,
-    /// Invariants that were broken; empty in a good run.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<String>,
 }
 
-/// Measures of plain calls over one way.
+/// Metrics of plain calls, either through routers or sent directly.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QuickMeasures {
-    /// Calls made.
+    /// Number of calls made.
     pub calls: usize,
-    /// Calls answered, in time or late.
+    /// Calls answered, before or after the deadline.
     pub completed: usize,
-    /// Calls answered within their deadline, as a share of those that could have been.
+    /// Calls answered within the deadline, as a share of those that the upstreams' capacity allows.
     pub answered_in_deadline: f64,
-    /// Calls that were told that they did not run.
+    /// Calls that were reported as not run.
     pub refused: usize,
-    /// Calls that ended in another typed error.
+    /// Calls that ended with another typed problem.
     pub failed: usize,
-    /// Calls that got neither.
+    /// Calls that received neither a response nor a typed problem.
     pub lost_answers: usize,
-    /// Calls that got the answer to another one.
+    /// Calls that received a mismatched response.
     pub crossed_answers: usize,
-    /// Time until a refusal.
+    /// Latency of refusals.
     pub refused_ms: Percentiles,
-    /// Time until an answer.
+    /// Latency of answered calls.
     pub quick_ms: Percentiles,
-    /// Jain's index over the teams' shares of calls answered in time.
+    /// Jain's fairness index of the teams' shares of calls answered within the deadline.
     pub fairness: f64,
-    /// Runs whose answer no caller had in time, as a share of all runs.
+    /// Runs whose response reached no caller within the deadline, as a share of all runs.
     pub wasted_work_ratio: f64,
 }
 
 impl QuickMeasures {
-    pub(crate) fn of(results: &[QuickResult], runs: &RunCounts, arrivals: Duration) -> Self {
+    pub(crate) fn of(results: &[QuickResult], runs: &RunCounts, arrival_window: Duration) -> Self {
         let count = |end| results.iter().filter(|result| result.end == end).count();
         let times = |end| {
             let ended = results.iter().filter(move |result| result.end == end);
-            Percentiles::of(ended.map(|result| result.took))
+            Percentiles::of(ended.map(|result| result.latency))
         };
-        let in_time = results.iter().filter(|result| result.in_deadline()).count();
-        let possible = to_f64(results.len()).min(CAPACITY * arrivals.as_secs_f64());
+        let in_time = results
+            .iter()
+            .filter(|result| result.met_deadline())
+            .count();
+        let possible = to_f64(results.len()).min(CAPACITY * arrival_window.as_secs_f64());
         let run: u64 = runs.runs.iter().map(|run| run.count).sum();
-        let wanted: u64 = useful_runs(results, runs);
+        let useful_run_count: u64 = useful_runs(results, runs);
         Self {
             calls: results.len(),
-            completed: count(QuickEnd::Answered),
+            completed: count(QuickOutcome::Answered),
             answered_in_deadline: to_f64(in_time) / possible,
-            refused: count(QuickEnd::NotRun),
-            failed: count(QuickEnd::Failed),
-            lost_answers: count(QuickEnd::Lost),
-            crossed_answers: count(QuickEnd::Crossed),
-            refused_ms: times(QuickEnd::NotRun),
-            quick_ms: times(QuickEnd::Answered),
+            refused: count(QuickOutcome::NotRun),
+            failed: count(QuickOutcome::Failed),
+            lost_answers: count(QuickOutcome::Lost),
+            crossed_answers: count(QuickOutcome::Crossed),
+            refused_ms: times(QuickOutcome::NotRun),
+            quick_ms: times(QuickOutcome::Answered),
             fairness: fairness(results),
-            wasted_work_ratio: 1.0 - to_f64(wanted) / to_f64(run.max(1)),
+            wasted_work_ratio: 1.0 - to_f64(useful_run_count) / to_f64(run.max(1)),
         }
     }
 }
 
-/// Runs of requests that some caller had answered in time, each no oftener than such callers.
+/// Number of runs that were answered within the deadline. For each digest, at most as many runs
+/// count as callers were answered.
 fn useful_runs(results: &[QuickResult], runs: &RunCounts) -> u64 {
-    let in_time = results.iter().filter(|result| result.in_deadline());
+    let in_time = results.iter().filter(|result| result.met_deadline());
     let mut digests: Vec<u64> = in_time.map(|result| result.call.digest()).collect();
     digests.sort_unstable();
     let callers = |digest: u64| {
@@ -97,14 +101,16 @@
     useful.sum()
 }
 
-/// Jain's index: 1 if each team has the same share of its calls answered in time.
+/// Jain's fairness index: 1 if each team has the same share of its calls answered within the deadline.
 fn fairness(results: &[QuickResult]) -> f64 {
     let teams = results.iter().map(|result| result.call.team + 1).max();
     let shares: Vec<f64> = (0..teams.unwrap_or(0))
         .filter_map(|team| {
-            let own = || results.iter().filter(|result| result.call.team == team);
-            let made = own().count();
-            let answered = own().filter(|result| result.in_deadline()).count();
+            let team_results = || results.iter().filter(|result| result.call.team == team);
+            let made = team_results().count();
+            let answered = team_results()
+                .filter(|result| result.met_deadline())
+                .count();
             (made > 0).then(|| to_f64(answered) / to_f64(made))
         })
         .collect();
@@ -114,20 +120,21 @@
 }
 
 impl QuickReport {
-    /// Judges the calls through the routers by what their callers received and what ran.
+    /// Checks the invariants of the calls through the routers: compares the responses that callers
+    /// received with the runs that upstreams counted.
     pub(crate) fn judge(&mut self, results: &[QuickResult], runs: &RunCounts) {
         let ran = |result: &QuickResult| runs.of_digest(result.call.digest());
         let writes = || results.iter().filter(|result| result.call.write);
         let refused = results
             .iter()
-            .filter(|result| result.end == QuickEnd::NotRun);
+            .filter(|result| result.end == QuickOutcome::NotRun);
         self.double_runs = writes().filter(|result| ran(result) > 1).count();
-        // A read of an item that others read too may have run for them.
-        let own = refused.filter(|result| !result.call.query.starts_with(HOT));
-        self.false_not_run = own.filter(|result| ran(result) > 0).count();
+        // A read of the hot item may have run for another caller of the same item.
+        let distinct = refused.filter(|result| !result.call.query.starts_with(HOT_ITEM_QUERY));
+        self.false_not_run = distinct.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
-        let others = others.filter(|result| result.end == QuickEnd::Answered);
-        self.others_quick_ms = Percentiles::of(others.map(|result| result.took));
+        let others = others.filter(|result| result.end == QuickOutcome::Answered);
+        self.others_quick_ms = Percentiles::of(others.map(|result| result.latency));
         let counts = [
             ("answers lost", self.measures.lost_answers),
             ("answers crossed", self.measures.crossed_answers),
@@ -145,8 +152,8 @@
     }
 }
 
-/// Beginning of the query of a read of the hot item.
-pub(crate) const HOT: &str = "hot=";
+/// Prefix of the query string of reads of the hot item.
+pub(crate) const HOT_ITEM_QUERY: &str = "hot=";
 
 #[expect(
     clippy::cast_precision_loss,
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -2,55 +2,57 @@
 use crate::{
     balancer::Balancer,
     quick_call::{QuickCall, QuickResult},
-    quick_report::HOT,
+    quick_report::HOT_ITEM_QUERY,
     run::{draw_calls, make_calls},
 };
 use catkinward::http_client::Connections;
 
-/// Places of one plain upstream.
-const PLACES: f64 = 8.0;
+/// Concurrency slots of each plain upstream.
+const SLOTS_PER_UPSTREAM: f64 = 8.0;
 
-/// Mean time that it takes for a call.
+/// Mean service time of a call.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
 
-/// Plain upstreams.
-const PLAINS: f64 = 3.0;
+/// Number of plain upstreams in each [`FleetSize`].
+const PLAIN_UPSTREAMS: f64 = 3.0;
 
-/// Calls a second that all of them serve.
-pub(crate) const CAPACITY: f64 = PLAINS * PLACES * 25.0;
+/// Calls per second that all plain upstreams together serve; each slot serves 25 at 40 ms a call.
+pub(crate) const CAPACITY: f64 = PLAIN_UPSTREAMS * SLOTS_PER_UPSTREAM * 25.0;
 
-/// Runs a scenario of plain calls through routers, then round robin to upstreams of their own.
+/// Runs a scenario of plain calls through routers, then as a baseline with new upstreams that are
+/// called directly, round robin.
 ///
 /// # Errors
 ///
-/// If the experiment itself cannot be run. Broken invariants stand in the report.
+/// If the experiment itself cannot be run. Violated invariants are listed in the report.
 pub async fn run_quick(
     program: &Path,
     scenario: &QuickScenario,
     settings: &RunSettings,
 ) -> Result<QuickReport, LoadError> {
     let mut scenario = scenario.clone();
-    scenario.arrivals = settings.arrivals.unwrap_or(scenario.arrivals);
+    scenario.arrival_window = settings.arrival_window.unwrap_or(scenario.arrival_window);
     let size = settings.size.fleet();
-    let bare = FleetSize {
+    let size_without_routers = FleetSize {
         routers: 0,
         engines: 0,
         ..size
     };
-    let (results, runs) = run_way(program, &scenario, settings, size).await?;
-    let (direct, direct_runs) = run_way(program, &scenario, settings, bare).await?;
+    let (results, runs) = run_calls(program, &scenario, settings, size).await?;
+    let (direct, direct_runs) =
+        run_calls(program, &scenario, settings, size_without_routers).await?;
     let mut report = QuickReport {
         scenario: scenario.name.to_owned(),
         seed: settings.seed,
-        measures: QuickMeasures::of(&results, &runs, scenario.arrivals),
-        baseline: QuickMeasures::of(&direct, &direct_runs, scenario.arrivals),
+        measures: QuickMeasures::of(&results, &runs, scenario.arrival_window),
+        baseline: QuickMeasures::of(&direct, &direct_runs, scenario.arrival_window),
         ..QuickReport::default()
     };
     report.judge(&results, &runs);
     Ok(report)
 }
 
-async fn run_way(
+async fn run_calls(
     program: &Path,
     scenario: &QuickScenario,
     settings: &RunSettings,
@@ -61,82 +63,82 @@
         router_flags: settings.router_flags.clone(),
         plain_flags: vec![
             format!("--service-us={}", SERVICE_TIME.as_micros()),
-            format!("--capacity={PLACES}"),
+            format!("--capacity={SLOTS_PER_UPSTREAM}"),
         ],
         seed: settings.seed,
         ..FleetSettings::default()
     };
     let fleet = Fleet::start(program, &fleet_settings).await?;
-    let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
-    let calls = draw_quick(scenario, size, &mut random);
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
+    let calls = draw_quick_calls(scenario, size, &mut rng);
     let start = Instant::now();
     let (results, (), ()) = tokio::try_join!(
-        make_quick(&fleet, calls, start),
-        inject(&fleet, scenario, start),
-        generate(&fleet, scenario, size, random, start),
+        make_quick_calls(&fleet, calls, start),
+        inject_faults(&fleet, scenario, start),
+        run_generations(&fleet, scenario, size, rng, start),
     )?;
     let mut runs = RunCounts::default();
-    for plain in &fleet.plains {
+    for plain in &fleet.plain_upstreams {
         runs.runs
             .extend(fleet.plain_runs(plain.address()).await?.runs);
     }
     Ok((results, runs))
 }
 
-fn draw_quick(
+fn draw_quick_calls(
     scenario: &QuickScenario,
     size: FleetSize,
-    random: &mut Xoshiro256PlusPlus,
+    rng: &mut Xoshiro256PlusPlus,
 ) -> Vec<QuickCall> {
     let mut calls = Vec::new();
-    let mut due = Duration::ZERO;
+    let mut scheduled = Duration::ZERO;
     loop {
-        let share = due.div_duration_f64(scenario.arrivals);
-        let times = match scenario.burst {
-            Some((from, to, times)) if (from..to).contains(&share) => times,
+        let share = scheduled.div_duration_f64(scenario.arrival_window);
+        let factor = match scenario.burst {
+            Some((from, to, factor)) if (from..to).contains(&share) => factor,
             _ => 1.0,
         };
-        let uniform: f64 = random.random_range(1e-9..1.0);
-        due += Duration::from_secs_f64(-uniform.ln() / (scenario.load * times * CAPACITY));
-        if due > scenario.arrivals {
+        let uniform: f64 = rng.random_range(1e-9..1.0);
+        scheduled += Duration::from_secs_f64(-uniform.ln() / (scenario.load * factor * CAPACITY));
+        if scheduled > scenario.arrival_window {
             return calls;
         }
-        let write = random.random_bool(scenario.writes);
-        let hot = !write && random.random_bool(scenario.hot_key);
+        let write = rng.random_bool(scenario.writes);
+        let hot = !write && rng.random_bool(scenario.hot_key);
         calls.push(QuickCall {
-            due,
-            team: if random.random_bool(scenario.hot_team) {
+            scheduled,
+            team: if rng.random_bool(scenario.hot_team) {
                 0
             } else {
-                random.random_range(1..size.teams)
+                rng.random_range(1..size.teams)
             },
             query: if hot {
-                format!("{HOT}1")
+                format!("{HOT_ITEM_QUERY}1")
             } else {
-                format!("n={:016x}", random.random::<u64>())
+                format!("n={:016x}", rng.random::<u64>())
             },
             write,
         });
     }
 }
 
-async fn make_quick(
+async fn make_quick_calls(
     fleet: &Fleet,
     calls: Vec<QuickCall>,
     start: Instant,
 ) -> Result<Vec<QuickResult>, LoadError> {
     let through_router = !fleet.routers.is_empty();
-    let ways = if through_router {
+    let entry_points = if through_router {
         &fleet.routers
     } else {
-        &fleet.plains
+        &fleet.plain_upstreams
     };
     let connections = Connections::new()?;
     let calls = calls.into_iter().enumerate().map(|(i, call)| {
-        let address = ways[i % ways.len()].address();
+        let address = entry_points[i % entry_points.len()].address();
         let connections = &connections;
         async move {
-            tokio::time::sleep_until(start + call.due).await;
+            tokio::time::sleep_until(start + call.scheduled).await;
             call.make(connections, address, through_router, start).await
         }
     });
@@ -144,35 +146,44 @@
     Ok(futures::StreamExt::collect(calls).await)
 }
 
-async fn inject(fleet: &Fleet, scenario: &QuickScenario, start: Instant) -> Result<(), LoadError> {
+async fn inject_faults(
+    fleet: &Fleet,
+    scenario: &QuickScenario,
+    start: Instant,
+) -> Result<(), LoadError> {
     for (share, plain, fault) in scenario.faults {
-        tokio::time::sleep_until(start + scenario.arrivals.mul_f64(*share)).await;
-        let hit = |i: usize| plain.is_none_or(|plain| plain == i);
-        for (_, plain) in fleet.plains.iter().enumerate().filter(|(i, _)| hit(*i)) {
+        tokio::time::sleep_until(start + scenario.arrival_window.mul_f64(*share)).await;
+        let is_target = |i: usize| plain.is_none_or(|plain| plain == i);
+        for (_, plain) in fleet
+            .plain_upstreams
+            .iter()
+            .enumerate()
+            .filter(|(i, _)| is_target(*i))
+        {
             fleet.fail_plain(plain.address(), *fault).await?;
         }
     }
     Ok(())
 }
 
-/// Runs generations beside the plain calls.
-async fn generate(
+/// Runs generations concurrently with the plain calls; does nothing without routers.
+async fn run_generations(
     fleet: &Fleet,
     scenario: &QuickScenario,
     size: FleetSize,
-    mut random: Xoshiro256PlusPlus,
+    mut rng: Xoshiro256PlusPlus,
     start: Instant,
 ) -> Result<(), LoadError> {
-    if scenario.generations == 0.0 || fleet.routers.is_empty() {
+    if scenario.generation_rate == 0.0 || fleet.routers.is_empty() {
         return Ok(());
     }
-    let beside = Scenario {
-        arrivals: scenario.arrivals,
-        generations: scenario.generations,
+    let background = Scenario {
+        arrival_window: scenario.arrival_window,
+        generation_rate: scenario.generation_rate,
         ..Scenario::BASE
     };
-    let calls = draw_calls(&beside, size, &mut random);
+    let calls = draw_calls(&background, size, &mut rng);
     let balancer = Balancer::new(fleet.routers.len());
-    make_calls(&beside, fleet, &balancer, calls, start, |_, _| {}).await?;
+    make_calls(&background, fleet, &balancer, calls, start, |_, _| {}).await?;
     Ok(())
 }
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -12,54 +12,54 @@
 use http::{HeaderMap, header};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What a run of racing operators showed.
+/// Metrics and invariant violations of a run of [`racing_operators`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OperatorsReport {
-    /// Seed of the run.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Routers, which know each other.
+    /// Number of routers, connected as peers.
     pub routers: usize,
-    /// Pairs of operators that rolled out at the same moment.
+    /// Number of pairs of concurrent roll-outs.
     pub races: u64,
-    /// Answers of the table service that were lost.
+    /// Responses of the table service that were dropped.
     pub answers_lost: u64,
-    /// From the call that rolled a bundle out until a router had it in force.
+    /// Time from the roll-out call until a router had the bundle in force.
     pub bundle_in_force_ms: Percentiles,
-    /// Times that a router went back to an older bundle.
+    /// Number of times that a router returned to an older bundle.
     pub bundle_reverts: usize,
-    /// Reads of the table service a second, over all routers and operators.
+    /// Reads of the table service per second by all routers and operators.
     pub platform_reads_per_s: f64,
-    /// Transactions a second.
+    /// Transactions of the table service per second by all routers and operators.
     pub platform_writes_per_s: f64,
-    /// What must hold and did not.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<String>,
 }
 
-/// Settings of the run.
+/// Settings of [`racing_operators`].
 #[derive(Clone, Debug)]
 pub struct OperatorsSettings {
-    /// Seed of faults and pauses.
+    /// Seed of the number of lost responses and of the delays between roll-outs.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Races.
+    /// Number of pairs of concurrent roll-outs.
     pub races: u64,
 }
 
-const KEY: &str = "operator-key";
+const OPERATOR_KEY: &str = "operator-key";
 
-/// Routers that all others are told of at their start.
-const FIRST_KNOWN: usize = 3;
+/// Number of routers that later ones get as peers at startup; they discover the rest by gossip.
+const MAX_SEED_PEERS: usize = 3;
 
-/// Longest wait until the last router has the last bundle in force.
-const LAST_BOUND: Duration = Duration::from_secs(10);
+/// Timeout until all routers have the last bundle in force.
+const LAST_BUNDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Two operators roll out at the same moment, again and again, while answers of the table service
-/// are lost; routers are watched through their time lines.
+/// Repeatedly lets two operators roll out concurrently while responses of the table service are
+/// lost, and checks the result through the routers' timelines.
 ///
 /// # Errors
 ///
-/// If the processes do not start, or the platform does not answer.
+/// If the processes do not start, or the platform does not respond.
 pub async fn racing_operators(
     program: &Path,
     cfg: &OperatorsSettings,
@@ -80,13 +80,13 @@
     let mut rolled_out = Vec::new();
     for version in 1..=cfg.races {
         let lost = rng.random_range(0..3);
-        rolled_out.push(race(&store, &platform, version, lost, &mut report).await?);
-        // Releases as far apart as the routers' reads, at no fixed phase to them.
+        rolled_out.push(race_operators(&store, &platform, version, lost, &mut report).await?);
+        // Matches the interval between the routers' store reads, with random phase.
         tokio::time::sleep(Duration::from_millis(rng.random_range(1_000..2_000))).await;
     }
     let timelines = timelines(&routers, cfg.races).await?;
-    report.count_platform(&before, &platform.stats(), start.elapsed());
-    report.count_in_force(&rolled_out, &timelines);
+    report.record_platform_load(&before, &platform.stats(), start.elapsed());
+    report.record_bundle_times(&rolled_out, &timelines);
     Ok(report)
 }
 
@@ -96,23 +96,23 @@
     count: usize,
 ) -> Result<Vec<Process>, LoadError> {
     let mut routers = Vec::new();
-    let mut known = Vec::new();
+    let mut seed_peers = Vec::new();
     for i in 0..count {
         let args = [
             "--listen=127.0.0.1:0".to_owned(),
             "--operator-listen=127.0.0.1:0".to_owned(),
-            format!("--operator-key-sha256={}", KeyHash::of(KEY)),
+            format!("--operator-key-sha256={}", KeyHash::of(OPERATOR_KEY)),
             format!("--platform={platform}"),
             "--peer-listen=127.0.0.1:0".to_owned(),
             "--peer-key=secret".to_owned(),
-            format!("--peers={}", known.join(",")),
+            format!("--peers={}", seed_peers.join(",")),
             format!("--vm=vm-{i}"),
             format!("--zone=zone-{}", i % 3),
             "--log=error".to_owned(),
         ];
         let router = Process::start(program, Role::Router, &args).await?;
-        if let Some(address) = router.other_address("peers").filter(|_| i < FIRST_KNOWN) {
-            known.push(format!("vm-{i}={address}@zone-{}", i % 3));
+        if let Some(address) = router.other_address("peers").filter(|_| i < MAX_SEED_PEERS) {
+            seed_peers.push(format!("vm-{i}={address}@zone-{}", i % 3));
         }
         routers.push(router);
     }
@@ -129,25 +129,25 @@
     ))
 }
 
-/// Two drafts over one version are rolled out at once; `lost` answers are lost meanwhile. Returns
-/// when the calls began.
-async fn race(
+/// Rolls out two drafts based on one version concurrently, while `lost` responses are dropped.
+/// Returns the wall-clock time at which the calls began.
+async fn race_operators(
     store: &BundleStore,
     platform: &PlatformServer,
     version: u64,
     lost: u32,
     report: &mut OperatorsReport,
 ) -> Result<Duration, LoadError> {
-    let one = signed_off(store, version * 2, "ada", "bea").await?;
-    let two = signed_off(store, version * 2 + 1, "bea", "ada").await?;
+    let first = propose_and_sign_off(store, version * 2, "ada", "bea").await?;
+    let second = propose_and_sign_off(store, version * 2 + 1, "bea", "ada").await?;
     platform.change_faults(&PlatformFaults {
         lose_answers: Some(lost),
         ..PlatformFaults::default()
     });
-    let began = wall();
+    let started_at = wall_clock();
     let outcomes = tokio::join!(
-        store.roll_out(&one, author("ada")),
-        store.roll_out(&two, author("bea")),
+        store.roll_out(&first, author("ada")),
+        store.roll_out(&second, author("bea")),
     );
     let winner = match outcomes {
         (Ok(won), Err(lost)) => Some(("ada", won.value, lost)),
@@ -161,17 +161,18 @@
                 version: value,
             };
             if refused.to_string() != expected.to_string() {
-                report.violate(format!("version {version}: the loser was told `{refused}`"));
+                report
+                    .record_violation(format!("version {version}: the loser was told `{refused}`"));
             }
         }
-        _ => report.violate(format!(
+        _ => report.record_violation(format!(
             "version {version}: not exactly one operator won it"
         )),
     }
-    Ok(began)
+    Ok(started_at)
 }
 
-async fn signed_off(
+async fn propose_and_sign_off(
     store: &BundleStore,
     weight: u64,
     proposer: &str,
@@ -191,23 +192,25 @@
     let change = format!("{:08x}", rand::random::<u32>());
     BundleAuthor {
         operator: operator.parse().expect("a valid name"),
-        change: change.parse().expect("digits are visible ASCII"),
-        at: wall().as_secs(),
+        change: change
+            .parse()
+            .expect("hexadecimal digits are visible ASCII"),
+        at: wall_clock().as_secs(),
     }
 }
 
-fn wall() -> Duration {
+fn wall_clock() -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default()
 }
 
-/// The routers' time lines, once each has the last version in force.
+/// Reads the routers' timelines after each has the last version in force, or after the timeout.
 async fn timelines(routers: &[Process], last: u64) -> Result<Vec<TimelineReply>, LoadError> {
     let connections = Connections::new()?;
     let mut headers = HeaderMap::new();
     let bearer = header::HeaderValue::from_static("Bearer operator-key");
     headers.insert(header::AUTHORIZATION, bearer);
-    let end = Instant::now() + LAST_BOUND;
+    let end = Instant::now() + LAST_BUNDLE_TIMEOUT;
     let mut replies = Vec::new();
     for router in routers {
         let role = Role::Router;
@@ -221,8 +224,8 @@
                 ..HttpCall::default()
             };
             let reply: TimelineReply = connections.call_json(call).await?;
-            let there = reply.events.iter().any(|event| event.bundle == Some(last));
-            if there || Instant::now() > end {
+            let in_force = reply.events.iter().any(|event| event.bundle == Some(last));
+            if in_force || Instant::now() > end {
                 replies.push(reply);
                 break;
             }
@@ -233,11 +236,16 @@
 }
 
 impl OperatorsReport {
-    fn violate(&mut self, violation: String) {
+    fn record_violation(&mut self, violation: String) {
         self.violations.push(violation);
     }
 
-    fn count_platform(&mut self, before: &PlatformStats, after: &PlatformStats, time: Duration) {
+    fn record_platform_load(
+        &mut self,
+        before: &PlatformStats,
+        after: &PlatformStats,
+        time: Duration,
+    ) {
         let per_second = |calls: u64| {
             let calls = u32::try_from(calls).unwrap_or(u32::MAX);
             f64::from(calls) / time.as_secs_f64()
@@ -247,7 +255,7 @@
         self.platform_writes_per_s = per_second(after.writes - before.writes);
     }
 
-    fn count_in_force(&mut self, rolled_out: &[Duration], timelines: &[TimelineReply]) {
+    fn record_bundle_times(&mut self, rolled_out: &[Duration], timelines: &[TimelineReply]) {
         let mut times = Vec::new();
         for timeline in timelines {
             let mut last = 0;
@@ -259,21 +267,22 @@
                     self.bundle_reverts += 1;
                 }
                 last = version;
-                let began = usize::try_from(version - 1).ok();
-                let began = began.and_then(|i| rolled_out.get(i));
-                if let (Some(began), Ok(time)) = (began, event.time.parse::<HybridTime>()) {
-                    times.push(Duration::from_micros(time.micros).saturating_sub(*began));
+                let index = usize::try_from(version - 1).ok();
+                let started_at = index.and_then(|i| rolled_out.get(i));
+                if let (Some(started_at), Ok(time)) = (started_at, event.time.parse::<HybridTime>())
+                {
+                    times.push(Duration::from_micros(time.micros).saturating_sub(*started_at));
                 }
             }
             if last != self.races {
-                self.violate(format!(
+                self.record_violation(format!(
                     "{}: version {last} is in force at the end",
                     timeline.vm
                 ));
             }
         }
         if self.bundle_reverts > 0 {
-            self.violate("a router went back to an older bundle".to_owned());
+            self.record_violation("a router went back to an older bundle".to_owned());
         }
         self.bundle_in_force_ms = Percentiles::of(times);
     }
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -5,35 +5,36 @@
 use std::num::NonZeroU32;
 use volo_http::client::sse::SseReader;
 
-/// What is measured of a router that relays streams.
+/// Cost of relaying streams through a router.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RelayReport {
-    /// Open streams.
+    /// Number of open streams.
     pub streams: usize,
-    /// Routers that know each other; callers use one of them.
+    /// Number of routers, connected as peers; callers use one of them.
     pub routers: usize,
-    /// Tokens that callers received a second.
+    /// Tokens that callers received per second.
     pub tokens_per_s: f64,
-    /// Processor time that the router took, in cores.
+    /// CPU time of the router per second, in cores.
     pub router_cores: f64,
-    /// Tokens relayed for a second of the router's processor time.
+    /// Tokens relayed per second of the router's CPU time.
     pub tokens_per_cpu_s: f64,
-    /// Growth of the router's resident memory for each open stream, in bytes.
+    /// Growth of the router's resident set size per open stream, in bytes.
     pub memory_per_stream: u64,
-    /// How much later a token came through the router than on a direct connection to its engine.
+    /// Additional latency of a token through the router, compared with a direct connection to its
+    /// engine.
     pub overhead_ms: Percentiles,
 }
 
-/// Settings of the measurement.
+/// Settings of [`bench_relay`].
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
-    /// Open streams.
+    /// Number of open streams.
     pub streams: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Time of a decode step.
+    /// Duration of an engine's decode step.
     pub step: Duration,
-    /// How long is measured.
+    /// Length of the measurement.
     pub window: Duration,
 }
 
@@ -48,23 +49,23 @@
     }
 }
 
-/// Engines before the router.
-const ENGINES: usize = 4;
+/// Number of engines.
+const ENGINE_COUNT: usize = 4;
 
-/// Streams that are read directly beside.
-const OBSERVED: usize = 25;
+/// Number of streams that are also read directly from their engine.
+const OBSERVED_STREAMS: usize = 25;
 
-/// Tokens that each stream has before the measurement begins.
-const WARM: usize = 50;
+/// Tokens that each stream receives before the measurement begins.
+const WARM_UP_TOKENS: usize = 50;
 
-/// A stream's arrivals through the router.
+/// Engine id and token arrival times of a stream that is read through the router.
 #[derive(Default)]
-pub(crate) struct Stream {
+pub(crate) struct RelayedStream {
     engine_id: Mutex<Option<String>>,
     arrivals: Mutex<Vec<Instant>>,
 }
 
-/// Measures what one router costs that relays streams without any fault.
+/// Measures the cost of relaying streams through one router, without faults.
 ///
 /// # Errors
 ///
@@ -85,15 +86,15 @@
             .sum::<usize>()
     };
     for stream in &streams {
-        while stream.arrivals.lock().len() < WARM {
+        while stream.arrivals.lock().len() < WARM_UP_TOKENS {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let observers = streams.iter().take(OBSERVED);
-    let observers = observers.map(|stream| observe(&fleet, stream, settings.window));
+    let measurements = streams.iter().take(OBSERVED_STREAMS);
+    let measurements = measurements.map(|stream| measure_overhead(&fleet, stream, settings.window));
     let (start, before) = (Instant::now(), usage());
     let tokens_before = received();
-    let (observed, ()) = tokio::join!(join_all(observers), tokio::time::sleep(settings.window));
+    let (overheads, ()) = tokio::join!(join_all(measurements), tokio::time::sleep(settings.window));
     let (elapsed, after) = (start.elapsed(), usage());
     let tokens = f64::from(u32::try_from(received() - tokens_before).unwrap_or(u32::MAX));
     let cpu = after.cpu.saturating_sub(before.cpu);
@@ -105,7 +106,7 @@
         tokens_per_cpu_s: tokens / cpu.as_secs_f64(),
         memory_per_stream: after.resident.saturating_sub(idle.resident)
             / u64::try_from(settings.streams.max(1)).unwrap_or(1),
-        overhead_ms: Percentiles::of(observed.into_iter().flatten()),
+        overhead_ms: Percentiles::of(overheads.into_iter().flatten()),
     })
 }
 
@@ -113,8 +114,8 @@
     FleetSettings {
         size: FleetSize {
             routers: settings.routers,
-            engines: ENGINES,
-            plains: 0,
+            engines: ENGINE_COUNT,
+            plain_upstreams: 0,
             zones: 1,
             teams: 1,
         },
@@ -127,18 +128,22 @@
     }
 }
 
-/// Opens endless streams at the first router.
-pub(crate) fn open_streams(fleet: &Fleet, count: usize) -> Result<Vec<Arc<Stream>>, LoadError> {
+/// Opens streams of unlimited length at the first router.
+pub(crate) fn open_streams(
+    fleet: &Fleet,
+    count: usize,
+) -> Result<Vec<Arc<RelayedStream>>, LoadError> {
     let clients = fleet.clients(0)?;
     let streams = (0..count).map(|i| {
-        let stream = Arc::new(Stream::default());
-        let (client, seen) = (clients[0].clone(), stream.clone());
+        let stream = Arc::new(RelayedStream::default());
+        let (client, stream_state) = (clients[0].clone(), stream.clone());
         tokio::spawn(async move {
             let mut answer = Answer::default();
-            let (request, key) = (endless(i), format!("stream-{i}"));
+            let (request, key) = (endless_request(i), format!("stream-{i}"));
             let reading = client.stream(&request, Some(&key), &mut answer, |answer| {
-                seen.arrivals.lock().push(Instant::now());
-                seen.engine_id
+                stream_state.arrivals.lock().push(Instant::now());
+                stream_state
+                    .engine_id
                     .lock()
                     .get_or_insert_with(|| engine_id(answer).unwrap_or_default());
             });
@@ -151,14 +156,14 @@
     Ok(streams.collect())
 }
 
-/// Id under which the engine knows a generation: that of the request, and its chain.
+/// Id of a generation at its engine: the request id followed by the chain id.
 fn engine_id(answer: &Answer) -> Option<String> {
     let point: ResumePoint = answer.last_event_id.as_ref()?.parse().ok()?;
     let (_, chain) = point.origin?;
     Some(format!("{}.{chain}", answer.request_id.as_ref()?))
 }
 
-fn endless(i: usize) -> caller::CompletionRequest {
+fn endless_request(i: usize) -> caller::CompletionRequest {
     caller::CompletionRequest {
         max_tokens: NonZeroU32::MAX,
         model: GENERATION_SERVICE.to_owned(),
@@ -170,15 +175,20 @@
     }
 }
 
-/// Reads a running stream from its engine directly, and compares the arrivals.
-async fn observe(fleet: &Fleet, stream: &Stream, window: Duration) -> Vec<Duration> {
+/// Reads a running stream directly from its engine and returns by how much each token arrived later
+/// through the router.
+async fn measure_overhead(
+    fleet: &Fleet,
+    stream: &RelayedStream,
+    window: Duration,
+) -> Vec<Duration> {
     let id = stream.engine_id.lock().clone().unwrap_or_default();
     let from = stream.arrivals.lock().len();
     let mut direct = Vec::new();
     let mut reader = None;
     for engine in &fleet.engines {
         let path = format!("/v1/streams/{id}?attempt=1&from={from}");
-        reader = reader.or(fleet.open(engine.address(), path).await);
+        reader = reader.or(fleet.open_response(engine.address(), path).await);
     }
     let reading = async {
         let mut reader = SseReader::into_sse(reader?).ok()?;
@@ -190,12 +200,12 @@
         }
     };
     let _: Result<Option<()>, _> = tokio::time::timeout(window, reading).await;
-    let routed = stream.arrivals.lock();
-    let routed = routed.get(from..).unwrap_or_default();
-    let pairs = direct.iter().zip(routed);
-    // The first events come together, as fast as the new connection takes them.
-    let pairs = pairs.skip(WARM);
+    let through_router = stream.arrivals.lock();
+    let through_router = through_router.get(from..).unwrap_or_default();
+    let pairs = direct.iter().zip(through_router);
+    // The new connection receives the first events in one batch, which says nothing about latency.
+    let pairs = pairs.skip(WARM_UP_TOKENS);
     pairs
-        .map(|(direct, routed)| routed.saturating_duration_since(*direct))
+        .map(|(direct, through_router)| through_router.saturating_duration_since(*direct))
         .collect()
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -2,20 +2,20 @@
 use crate::{
     balancer::Balancer,
     generation_call::{GenerationCall, GenerationResult},
-    injector::{Injected, Injector},
+    injector::{InjectedFaults, Injector},
     tally::Tally,
 };
 
-/// How one scenario is run.
+/// Settings of a run of a scenario.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
-    /// Seed of all that is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Size of the fleet.
     pub size: Size,
-    /// Time for which calls arrive, in place of the scenario's own.
-    pub arrivals: Option<Duration>,
-    /// Further flags of the routers.
+    /// Time for which calls arrive; `None` for the scenario's default.
+    pub arrival_window: Option<Duration>,
+    /// Additional command-line flags of the routers.
     pub router_flags: Vec<String>,
 }
 
@@ -24,20 +24,21 @@
         Self {
             seed: 1,
             size: Size::Small,
-            arrivals: None,
+            arrival_window: None,
             router_flags: Vec::new(),
         }
     }
 }
 
-/// How long a router that was asked to end may take after its last stream.
-const DRAIN_BOUND: Duration = Duration::from_secs(10);
+/// Timeout for a draining router to exit after the load has ended.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a scenario with real processes of `program`; `progress` is told of each call that ended.
+/// Runs a scenario with real processes of `program`. After each call, `progress` is called with the
+/// number of finished calls and of all calls.
 ///
 /// # Errors
 ///
-/// If the experiment itself cannot be run. Broken invariants stand in the report.
+/// If the experiment itself cannot be run. Violated invariants are listed in the report.
 pub async fn run_scenario(
     program: &Path,
     scenario: &Scenario,
@@ -45,21 +46,21 @@
     progress: impl Fn(usize, usize),
 ) -> Result<Report, LoadError> {
     let mut scenario = scenario.clone();
-    scenario.arrivals = settings.arrivals.unwrap_or(scenario.arrivals);
+    scenario.arrival_window = settings.arrival_window.unwrap_or(scenario.arrival_window);
     let fleet = Fleet::start(program, &fleet_settings(&scenario, settings)).await?;
     if !scenario.peer_delay.is_zero() {
         fleet.delay_peers(scenario.peer_delay).await?;
     }
-    let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
-    let calls = draw_calls(&scenario, settings.size.fleet(), &mut random);
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
+    let calls = draw_calls(&scenario, settings.size.fleet(), &mut rng);
     let balancer = Balancer::new(fleet.routers.len());
     let start = Instant::now();
     let injector = Injector {
         fleet: &fleet,
         balancer: &balancer,
         start,
-        random,
-        outcome: Injected::default(),
+        rng,
+        injected: InjectedFaults::default(),
     };
     let load = async {
         tokio::try_join!(
@@ -69,9 +70,9 @@
     };
     let (results, injected) = tokio::select! {
         done = load => done?,
-        () = balancer.check(&fleet) => unreachable!("the balancer checks for ever"),
+        () = balancer.poll_readiness(&fleet) => unreachable!("the balancer polls without end"),
     };
-    let mut report = settle(&scenario, fleet, &results, &injected).await?;
+    let mut report = collect_report(&scenario, fleet, &results, &injected).await?;
     report.seed = settings.seed;
     report.size = settings.size.to_string();
     Ok(report)
@@ -82,37 +83,37 @@
         size: settings.size.fleet(),
         step: scenario.step,
         recovery: scenario.recovery,
-        linked: scenario.linked,
-        peers_linked: !scenario.peer_delay.is_zero(),
+        proxied: scenario.proxied,
+        peers_proxied: !scenario.peer_delay.is_zero(),
         router_flags: settings.router_flags.clone(),
         seed: settings.seed,
         ..FleetSettings::default()
     }
 }
 
-/// Draws arrivals at random times, whatever becomes of earlier calls.
+/// Draws calls with Poisson arrivals, independent of the progress of earlier calls (open loop).
 pub(crate) fn draw_calls(
     scenario: &Scenario,
     size: FleetSize,
-    random: &mut Xoshiro256PlusPlus,
+    rng: &mut Xoshiro256PlusPlus,
 ) -> Vec<GenerationCall> {
     let engines = u32::try_from(size.engines).unwrap_or(u32::MAX);
-    let rate = scenario.generations * f64::from(engines);
+    let rate = scenario.generation_rate * f64::from(engines);
     let mut calls = Vec::new();
-    let mut due = Duration::ZERO;
+    let mut scheduled = Duration::ZERO;
     loop {
-        let uniform: f64 = random.random_range(1e-9..1.0);
-        due += Duration::from_secs_f64(-uniform.ln() / rate);
-        if due > scenario.arrivals {
+        let uniform: f64 = rng.random_range(1e-9..1.0);
+        scheduled += Duration::from_secs_f64(-uniform.ln() / rate);
+        if scheduled > scenario.arrival_window {
             return calls;
         }
-        let id: u64 = random.random();
+        let id: u64 = rng.random();
         calls.push(GenerationCall {
-            due,
-            team: random.random_range(0..size.teams),
+            scheduled,
+            team: rng.random_range(0..size.teams),
             prompt: format!("proofing note {id:016x}, folded twice, two colours, by Friday"),
-            seed: random.random::<u64>() >> 1,
-            tokens: random.random_range(scenario.tokens.0..=scenario.tokens.1),
+            seed: rng.random::<u64>() >> 1,
+            tokens: rng.random_range(scenario.tokens.0..=scenario.tokens.1),
             key: Some(format!("call-{id:016x}")),
         });
     }
@@ -129,13 +130,13 @@
     let teams = calls.iter().map(|call| call.team + 1).max().unwrap_or(0);
     let clients = (0..teams).map(|team| fleet.clients(team));
     let clients = clients.collect::<Result<Vec<_>, _>>()?;
-    let deadline = start + scenario.arrivals + scenario.tail;
+    let deadline = start + scenario.arrival_window + scenario.max_tail;
     let (count, done) = (calls.len(), AtomicUsize::new(0));
     let calls = calls.into_iter().map(|call| async {
         let clients = &clients[call.team];
-        tokio::time::sleep_until(start + call.due).await;
+        tokio::time::sleep_until(start + call.scheduled).await;
         let result = call
-            .make(clients, balancer, scenario.patience, deadline)
+            .make(clients, balancer, scenario.token_timeout, deadline)
             .await;
         progress(done.fetch_add(1, Ordering::Relaxed) + 1, count);
         result
@@ -143,25 +144,25 @@
     Ok(join_all(calls).await)
 }
 
-/// Collects what the processes know after the load, and judges.
-async fn settle(
+/// Collects the engines' counts and the exit codes of drained routers, and builds the report.
+async fn collect_report(
     scenario: &Scenario,
     mut fleet: Fleet,
     results: &[GenerationResult],
-    injected: &Injected,
+    injected: &InjectedFaults,
 ) -> Result<Report, LoadError> {
-    let mut engines = injected.dead.clone();
+    let mut engines = injected.killed_engine_stats.clone();
     let mut engines_lost = 0;
     for i in 0..fleet.engines.len() {
         let work = fleet.engine_load(i).await.zip(fleet.engine_runs(i).await);
-        // A busy machine may leave a live engine's answer late; only its end counts as a loss.
+        // An engine on a busy machine may respond too late, so only its exit counts as a loss.
         engines_lost += usize::from(fleet.engines[i].has_ended());
         engines.extend(work);
     }
-    let mut drained = Vec::new();
-    for router in &injected.drained {
-        let ended = tokio::time::timeout(DRAIN_BOUND, fleet.routers[*router].wait()).await;
-        drained.push(ended.ok().transpose()?.flatten());
+    let mut exit_codes = Vec::new();
+    for router in &injected.drained_routers {
+        let ended = tokio::time::timeout(DRAIN_TIMEOUT, fleet.routers[*router].wait()).await;
+        exit_codes.push(ended.ok().transpose()?.flatten());
     }
     let tally = Tally {
         scenario,
@@ -169,7 +170,7 @@
         injected,
         engines,
         engines_lost,
-        drained,
+        exit_codes,
     };
     Ok(tally.report())
 }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,58 +1,63 @@
 use super::*;
 use crate::{
-    generation_call::{CallEnd, GenerationResult},
-    injector::Injected,
+    generation_call::{CallOutcome, GenerationResult},
+    injector::InjectedFaults,
 };
 
-/// A wait that is longer than so many steps, and [`NOISE`], was caused by the fault before it.
-const HELD_UP_STEPS: u32 = 3;
+/// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the fault before
+/// it.
+const DELAYED_STEPS: u32 = 3;
 
-/// Waits that the scheduling of a busy machine causes.
-const NOISE: Duration = Duration::from_millis(20);
+/// Gap between tokens that process scheduling on a busy machine can cause.
+const SCHEDULING_JITTER: Duration = Duration::from_millis(20);
 
-/// All that a run left behind.
+/// Data of a finished run, from which the report is computed.
 pub(crate) struct Tally<'a> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) results: &'a [GenerationResult],
-    pub(crate) injected: &'a Injected,
-    /// Work and runs of the engines, dead ones as of their death.
+    pub(crate) injected: &'a InjectedFaults,
+    /// Load reports and run counts of the engines; for killed ones, as read before the kill.
     pub(crate) engines: Vec<(engine::UpstreamLoad, RunCounts)>,
     pub(crate) engines_lost: usize,
-    /// Exit codes of routers that were asked to end.
-    pub(crate) drained: Vec<Option<i32>>,
+    /// Exit codes of drained routers; `None` if a router did not exit in time.
+    pub(crate) exit_codes: Vec<Option<i32>>,
 }
 
 impl Tally<'_> {
-    /// Works out measures and verdict.
+    /// Computes the metrics and checks the invariants.
     pub(crate) fn report(&self) -> Report {
         let mut report = Report {
             scenario: self.scenario.name.to_owned(),
             accepted: self.results.iter().filter(|r| r.answer.accepted).count(),
-            completed: self.ended(CallEnd::Whole),
-            refused: self.ended(CallEnd::NotRun),
-            failed: self.ended(CallEnd::Failed),
+            completed: self.ended(CallOutcome::Complete),
+            refused: self.ended(CallOutcome::NotRun),
+            failed: self.ended(CallOutcome::Failed),
             failures: self.failures(),
-            returns: self.results.iter().map(|r| r.returns).sum(),
-            lost_answers: self.ended(CallEnd::Lost),
-            false_not_run: self.results.iter().filter(|r| self.ran_anyway(r)).count(),
-            resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.held_up(r))),
+            returns: self.results.iter().map(|r| r.reconnects).sum(),
+            lost_answers: self.ended(CallOutcome::Lost),
+            false_not_run: self
+                .results
+                .iter()
+                .filter(|r| self.ran_despite_not_run(r))
+                .count(),
+            resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.fault_delay(r))),
             first_token_ms: Percentiles::of(self.results.iter().filter_map(first_token)),
-            token_gap_ms: Percentiles::of(self.results.iter().flat_map(gaps)),
+            token_gap_ms: Percentiles::of(self.results.iter().flat_map(token_gaps)),
             engines_lost: self.engines_lost,
             ..Report::default()
         };
-        self.count_faults(&mut report);
+        self.count_token_errors(&mut report);
         self.count_work(&mut report);
         report.violations = self.violations(&report);
         report
     }
 
-    fn ended(&self, end: CallEnd) -> usize {
+    fn ended(&self, end: CallOutcome) -> usize {
         self.results.iter().filter(|r| r.end == end).count()
     }
 
     fn failures(&self) -> Vec<(String, usize)> {
-        let failed = self.results.iter().filter(|r| r.end == CallEnd::Failed);
+        let failed = self.results.iter().filter(|r| r.end == CallOutcome::Failed);
         let mut types: Vec<_> = failed
             .filter_map(|r| Some(r.answer.problem.as_ref()?.type_.clone()))
             .collect();
@@ -61,10 +66,10 @@
         runs.map(|run| (run[0].clone(), run.len())).collect()
     }
 
-    fn count_faults(&self, report: &mut Report) {
+    fn count_token_errors(&self, report: &mut Report) {
         for result in self.results {
             let call = &result.call;
-            let verdict = result.answer.verdict(call.chain(), length(call.tokens));
+            let verdict = result.answer.verdict(call.chain(), to_usize(call.tokens));
             report.missing_tokens += verdict.missing;
             report.repeated_tokens += verdict.repeated;
             report.mixed_answers += usize::from(verdict.mixed > 0);
@@ -72,17 +77,17 @@
         }
     }
 
-    fn ran_anyway(&self, result: &GenerationResult) -> bool {
+    fn ran_despite_not_run(&self, result: &GenerationResult) -> bool {
         let digest = request_digest("", result.call.prompt.as_bytes());
         let ran = || {
             self.engines
                 .iter()
                 .any(|(_, runs)| runs.of_digest(digest) > 0)
         };
-        result.end == CallEnd::NotRun && ran()
+        result.end == CallOutcome::NotRun && ran()
     }
 
-    /// Compares what engines computed with what callers asked for and received.
+    /// Compares the tokens that engines computed with those that callers requested and received.
     fn count_work(&self, report: &mut Report) {
         let sum = |tokens: fn(&engine::UpstreamLoad) -> Option<u64>| {
             let tokens = self.engines.iter().filter_map(|(load, _)| tokens(load));
@@ -97,12 +102,13 @@
         report.extra_engine_tokens_ratio = ratio(decoded + prefilled, received + prompts) - 1.0;
     }
 
-    /// How long the fault that held an answer up most did so.
-    fn held_up(&self, result: &GenerationResult) -> Option<Duration> {
+    /// Longest time from a fault to the next token, over the faults that delayed this response.
+    fn fault_delay(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
-        let resumed = result.returns > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
-        let bound = self.scenario.step * HELD_UP_STEPS + NOISE;
+        let resumed =
+            result.reconnects > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
+        let bound = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
         let wait = |fault: &Instant| {
             let fault = fault.checked_duration_since(started)?;
             let next = answer.arrivals.partition_point(|arrival| *arrival < fault);
@@ -113,7 +119,7 @@
                 .checked_sub(answer.arrivals[before])?;
             (resumed || gap > bound).then(|| answer.arrivals[next].saturating_sub(fault))
         };
-        self.injected.at.iter().filter_map(wait).max()
+        self.injected.fault_times.iter().filter_map(wait).max()
     }
 
     fn violations(&self, report: &Report) -> Vec<String> {
@@ -136,32 +142,32 @@
         if self.results.is_empty() {
             violations.push("no request was made".to_owned());
         }
-        if self.engines_lost > self.injected.killed_engines.len() + POISON_LOSSES {
+        if self.engines_lost > self.injected.killed_engines.len() + MAX_POISON_LOSSES {
             let lost = self.engines_lost;
             violations.push(format!(
-                "{lost} engines lost, {POISON_LOSSES} to one request at most"
+                "{lost} engines lost, {MAX_POISON_LOSSES} to one request at most"
             ));
         }
-        for code in self.drained.iter().filter(|code| **code != Some(0)) {
+        for code in self.exit_codes.iter().filter(|code| **code != Some(0)) {
             violations.push(format!("a drained router ended with code {code:?}"));
         }
         violations
     }
 }
 
-/// Engines that one poison request may cost.
-const POISON_LOSSES: usize = 2;
+/// Maximum number of engines that one poison request may crash.
+const MAX_POISON_LOSSES: usize = 2;
 
 fn first_token(result: &GenerationResult) -> Option<Duration> {
     result.answer.arrivals.first().copied()
 }
 
-fn gaps(result: &GenerationResult) -> impl Iterator<Item = Duration> {
+fn token_gaps(result: &GenerationResult) -> impl Iterator<Item = Duration> {
     let pairs = result.answer.arrivals.windows(2);
     pairs.map(|pair| pair[1].saturating_sub(pair[0]))
 }
 
-fn length(tokens: u32) -> usize {
+fn to_usize(tokens: u32) -> usize {
     usize::try_from(tokens).unwrap_or(usize::MAX)
 }
 
