--- a/crates/catkinward/tests/encodings.rs
+++ b/crates/catkinward/tests/encodings.rs
@@ -316,7 +316,7 @@
         let fresh = leases(platform(&writes, None, None));
         let handle = fresh.compete("engine-1");
         wait_until_held(&handle).await;
-        fresh.give_back().await;
+        fresh.release_all().await;
         let mut rows = lines("LeaseRow/").map(|(_, row)| row);
         (rows.next().expect("a row"), rows.next().expect("a row"))
     };
