--- a/crates/catkinward/src/ctl_vms.rs
+++ b/crates/catkinward/src/ctl_vms.rs
@@ -107,7 +107,7 @@
         let Some(address) = vm.address else {
             return Err(MissingVm {
                 vm: vm.name,
-                reason: "the platform lists no operator address for this VM".to_owned(),
+                reason: "the platform's list has no operator address of it".to_owned(),
             });
         };
         let call = HttpCall {
--- a/crates/catkinward/src/http_client.rs
+++ b/crates/catkinward/src/http_client.rs
@@ -13,7 +13,7 @@
         source: volo_http::error::ClientError,
     },
     /// The call failed before the response headers arrived.
-    #[display("no response from {address}: {source}")]
+    #[display("no answer from {address}: {source}")]
     Call {
         /// Address of the server.
         address: SocketAddr,
@@ -21,7 +21,7 @@
         source: volo_http::error::ClientError,
     },
     /// The call timed out.
-    #[display("no response from {address} within {} ms", timeout.as_millis())]
+    #[display("no answer from {address} within {} ms", timeout.as_millis())]
     Timeout {
         /// Address of the server.
         address: SocketAddr,
@@ -29,13 +29,13 @@
         timeout: Duration,
     },
     /// The connection ended before the response body was complete.
-    #[display("the response of {address} was truncated")]
+    #[display("the answer of {address} broke off")]
     TruncatedBody {
         /// Address of the server.
         address: SocketAddr,
     },
     /// The response body cannot be parsed as the expected type.
-    #[display("the response of {address} cannot be parsed: {source}")]
+    #[display("the answer of {address} cannot be read: {source}")]
     Form {
         /// Address of the server.
         address: SocketAddr,
@@ -43,7 +43,7 @@
         source: serde_json::Error,
     },
     /// The response status is not a success.
-    #[display("{address} responded with status {status}")]
+    #[display("{address} answered with status {status}")]
     Status {
         /// Address of the server.
         address: SocketAddr,
--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -397,7 +397,7 @@
                     TIME vm-2 leith-hall new_attempt request r-1 attempt 2\n\
                     TIME vm-1 govan-hall whole request r-1 attempt 2\n";
     expect_that!(events, eq(expected));
-    let expected = format!("missing: vm-3: no response from {unreachable_address}");
+    let expected = format!("missing: vm-3: no answer from {unreachable_address}");
     expect_that!(missing, starts_with(expected));
     expect_that!(output.code, some(eq(0)));
 }
