--- a/crates/catkinward/src/bundle_store.rs
+++ b/crates/catkinward/src/bundle_store.rs
@@ -51,8 +51,7 @@
         Self { platform, cfg }
     }
 
-    /// Proposes a bundle based on the release in force. Its content is stored first, so that no
-    /// draft refers to missing content.
+    /// Proposes a bundle based on the release in force.
     ///
     /// # Errors
     ///
@@ -63,6 +62,7 @@
         let current = self.current().await?;
         let change = BundleChange::propose(current.as_ref(), digest, author)?;
         let body = Bytes::copy_from_slice(read.body.as_bytes());
+        // The content is stored first, so that no draft refers to missing content.
         self.retry(|| (self.platform.put_object)((content_object_name(digest), body.clone())))
             .await?;
         let confirmed_by_read = self.apply(&change).await?;
@@ -120,8 +120,7 @@
     ///
     /// # Errors
     ///
-    /// If there is no such version or its content is in force, another operator was first, or the
-    /// platform does not respond.
+    /// If the version is absent or in force, another operator was first, or the platform is silent.
     pub async fn roll_back(
         &self,
         version: BundleVersion,
--- a/crates/catkinward/src/claims.rs
+++ b/crates/catkinward/src/claims.rs
@@ -153,8 +153,7 @@
         self.committer.end(held.end(ClaimStage::Released, expires));
     }
 
-    /// Reads the body of a recorded response; `Ok(None)` if it was too large to store or no longer
-    /// exists.
+    /// Reads the body of a recorded response; `None` if it was too large to store or is deleted.
     ///
     /// # Errors
     ///
@@ -167,8 +166,7 @@
         }
     }
 
-    /// Deletes the expired claims of one page of the expiry table; returns whether the page was
-    /// full, in which case there may be more.
+    /// Deletes one page of expired claims; returns whether it was full, so that there may be more.
     ///
     /// # Errors
     ///
--- a/crates/catkinward/src/engine_event.rs
+++ b/crates/catkinward/src/engine_event.rs
@@ -48,7 +48,7 @@
         finish: match event.finish_reason {
             engine::FinishReason::Length => Finish::Length,
             engine::FinishReason::Stop => Finish::Stop,
-            // A cancelled response is incomplete, whoever cancelled it.
+            // A cancelled response is incomplete, whichever side cancelled it.
             engine::FinishReason::Cancelled => return Err(AttemptError::Cancelled),
         },
     }))
--- a/crates/catkinward/src/gateway/accepted_call.rs
+++ b/crates/catkinward/src/gateway/accepted_call.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether the caller has tried before: it already has events, or less time left than a first
+    /// Whether this is not the caller's first attempt: it already has events, or less time left than a first
     /// attempt has.
     pub(crate) fn is_reconnect(&self) -> bool {
         let allowed = self.deadline.since(self.call.arrived);
--- a/crates/catkinward/src/gateway/call_log.rs
+++ b/crates/catkinward/src/gateway/call_log.rs
@@ -6,9 +6,8 @@
 
 use super::*;
 
-/// Maximum number of lines of one kind per second. At 100 bytes a token and some 300 bytes a
-/// line this limits a kind to
-/// 60 kB/s; a VM currently serves some 20 calls per second.
+/// Maximum number of lines of one kind per second. At 100 bytes a token and some 300 bytes a line
+/// this limits a kind to 60 kB/s; a VM currently serves some 20 calls per second.
 const LINES_PER_SECOND: u32 = 200;
 
 /// Kind of a rate-limited line.
--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -10,7 +10,7 @@
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long a request for changes of the configuration waits at the store while another VM of a
-/// small zone advertises the configuration in force there. If that one is newer, or nobody
+/// small zone advertises the configuration in force there. If that one is newer, or no VM
 /// advertises any more, a new request is sent over another connection.
 const SHARED_CONFIG_WAIT: Duration = Duration::from_secs(8);
 
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -1,5 +1,5 @@
 //! Heartbeats between the VMs, sent as datagrams and not over the connections between VMs: the next
-//! heartbeat makes up for a lost one, and a peer that hangs blocks nobody.
+//! heartbeat makes up for a lost one, and a peer that hangs delays no other.
 
 use super::*;
 use tokio::{net::UdpSocket, sync::mpsc};
--- a/crates/catkinward/src/gateway/retries.rs
+++ b/crates/catkinward/src/gateway/retries.rs
@@ -32,7 +32,7 @@
 const SLOW_WAIT: Duration = Duration::from_millis(150);
 
 /// How long a stream waits for retry budget before it fails. Engines keep the copy of its KV cache
-/// for some four seconds, and after a failure the retry of its caller repeats the whole prefill.
+/// for some four seconds, and after a failure the retry of its caller needs the whole prefill again.
 pub(crate) const STREAM_RETRY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long a plain call waits for retry budget: about the time in which its response is of full
--- a/crates/catkinward/src/gateway/zone_config.rs
+++ b/crates/catkinward/src/gateway/zone_config.rs
@@ -5,11 +5,11 @@
 //! only the reader does so. Its gossip advertises the version in force there and the time since the
 //! store last answered; the other VMs read a newer version from the VM that advertised it. A reader
 //! whose own request hangs, or that the store rejects, advertises a growing age, and is not relied
-//! on for longer than [`CONFIG_GOSSIP_MAX_AGE`].
+//! on for longer than [`catkin_decisions::CONFIG_GOSSIP_MAX_AGE`].
 
 use super::*;
 
-/// How long the zone may have a newer configuration before this VM repeats its own request, which
+/// How long the zone may have a newer configuration before this VM retries its own request, which
 /// should have been answered: far longer than a response in transit takes.
 const ZONE_LEAD_TIMEOUT: Duration = Duration::from_millis(150);
 
@@ -99,7 +99,7 @@
     }
 
     /// Waits until another VM of the zone has had a newer configuration in force for longer than
-    /// its transfer takes, and returns `true`; returns `false` once nobody advertises a
+    /// its transfer takes, and returns `true`; returns `false` once no VM advertises a
     /// configuration any more.
     pub(crate) async fn wait_for_newer_config(&self) -> bool {
         let mut newest = self.zone_config.subscribe();
--- a/crates/catkinward/src/generation.rs
+++ b/crates/catkinward/src/generation.rs
@@ -19,7 +19,7 @@
     /// been sent.
     released: TokenIndex,
     upstream: Option<UpstreamId>,
-    /// Upstream and number of another VM's attempt that may still run, until this VM has tried to
+    /// Upstream and number of another VM's attempt that may still run, until this VM attempts to
     /// reattach to it.
     orphaned_attempt: Option<(UpstreamId, Attempt)>,
     outcome: Option<GenerationOutcome>,
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -13,8 +13,7 @@
 ///
 /// # Errors
 ///
-/// Fails immediately if upstreams crashed under the same request before, its team's limit is
-/// reached, or it could not start in time.
+/// If upstreams crashed under it before, its team's limit is reached, or it would start too late.
 pub(crate) fn offer(
     node: &Node,
     request: &GenerationRequest,
--- a/crates/catkinward/src/generation_lookup.rs
+++ b/crates/catkinward/src/generation_lookup.rs
@@ -15,13 +15,11 @@
 /// Delay before the second search for a progress replica that may be in transit; doubles each time.
 const INITIAL_SEARCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Finds the generation of a caller that sent an idempotency key: resumes the one with a progress
-/// replica here or on a peer, or creates a new one.
+/// Resumes the generation of an idempotency key from a replica of any VM, or creates a new one.
 ///
 /// # Errors
 ///
-/// Returns an error if the key belongs to another request, or if no progress replica includes the
-/// resume point: a new generation would continue the response with different tokens.
+/// If the key belongs to another request, or if no replica includes the resume point.
 pub(crate) async fn find_or_create(
     node: &Node,
     request: GenerationRequest,
@@ -31,6 +29,7 @@
         if point.next == TokenIndex(0) {
             return Ok(Generation::new(request));
         }
+        // A new generation would continue the response with different tokens.
         return Err(progress_lost(&request));
     };
     if record.head.digest != request.body {
@@ -42,7 +41,7 @@
     Ok(take_over(node, request, point, &record))
 }
 
-/// Searches for a progress replica that includes the resume point, and repeats the search while one may
+/// Searches for a progress replica that includes the resume point, and retries the search while one may
 /// be in transit: a caller can reconnect before the last messages of the crashed VM arrive.
 async fn search_replica(
     node: &Node,
--- a/crates/catkinward/src/http_client.rs
+++ b/crates/catkinward/src/http_client.rs
@@ -125,8 +125,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Connections {
-    /// Builds both clients. Each request carries a reading of `clock`, and `clock` observes the readings
-    /// in the responses.
+    /// Builds both clients. Requests carry a reading of `clock`, which observes those in responses.
     ///
     /// # Errors
     ///
@@ -227,8 +226,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the call fails or times out, the status is not a success or the body cannot
-    /// be parsed.
+    /// If the call fails or times out, the status is no success, or the body cannot be parsed.
     pub async fn call_json<T: serde::de::DeserializeOwned>(
         &self,
         call: HttpCall,
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -143,8 +143,7 @@
         }))
     }
 
-    /// Parses a bundle and puts it in force as `version` if that is larger than the version in force.
-    /// Returns whether the bundle was put in force.
+    /// Puts a bundle in force if `version` is larger than that in force; returns whether it did.
     ///
     /// # Errors
     ///
@@ -156,10 +155,6 @@
 
     /// Serves callers until a signal arrives, then drains.
     ///
-    /// About 30 s after a signal the HTTP library stops even if connections are still open, which
-    /// would interrupt generations that take minutes. It runs its shutdown hook first and keeps
-    /// accepting connections meanwhile, so the hook waits until nothing is in flight.
-    ///
     /// # Errors
     ///
     /// If the server fails.
@@ -167,6 +162,9 @@
         let address = listener.address()?;
         tracing::info!(%address, vm = %self.settings.vm, "serving callers");
         let node = self.clone();
+        // About 30 s after a signal the HTTP library stops even if connections are still open, which
+        // would interrupt generations that take minutes. It runs its shutdown hook first and keeps
+        // accepting connections meanwhile, so the hook waits until nothing is in flight.
         Server::new(CallerApi::new(self.clone()))
             .register_shutdown_hook(move || Box::pin(async move { node.run_drain().await }))
             .run(listener)
@@ -178,9 +176,6 @@
 
     /// Serves operators until the callers' server has drained, so that they can observe the drain.
     ///
-    /// Each server of a process handles signals independently. The shutdown hook of this one waits
-    /// for the end of the drain; otherwise it would close while generations are still running.
-    ///
     /// # Errors
     ///
     /// If no operator key is set, or the server fails.
@@ -188,6 +183,8 @@
         let address = listener.address()?;
         let key = self.settings.operator_key()?;
         let node = self.clone();
+        // Each server of a process handles signals independently. The shutdown hook of this one waits
+        // for the end of the drain; otherwise it would close while generations are still running.
         Server::new(OperatorApi::new(self.clone(), key))
             .register_shutdown_hook(move || {
                 Box::pin(async move { node.drain.wait_until_closed().await })
--- a/crates/catkinward/src/problem.rs
+++ b/crates/catkinward/src/problem.rs
@@ -24,7 +24,7 @@
     Draining,
     /// Too many calls for one item are in flight.
     HotKey,
-    /// A caller tried to resume a generation without the idempotency key of its request.
+    /// A caller requested to resume a generation without the idempotency key of its request.
     KeyAbsent,
     /// The idempotency key belongs to another request.
     KeyConflict,
--- a/crates/catkinward/src/progress_replicator.rs
+++ b/crates/catkinward/src/progress_replicator.rs
@@ -2,10 +2,9 @@
 
 /// Sends the progress of one generation to its replicas before releasing the tokens to the caller.
 ///
-/// If a router crashed between releasing a token and sending its replica, the caller would
-/// reconnect with an index that no other VM has reached, and the response could not be resumed if
-/// the engine is gone too. Writing the update to the socket first suffices; waiting for an
-/// acknowledgement would cost a round trip for each token, which is more than it saves.
+/// If a router crashed in between, no other VM would have the caller's resume point, and the response
+/// would be lost if the engine is gone too. Writing to the socket first suffices: an acknowledgement
+/// would cost a round trip for each token, which is more than it saves.
 pub(crate) struct ProgressReplicator {
     node: Arc<Node>,
     generation: Arc<Generation>,
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -22,8 +22,7 @@
     Ok(ReadBundle { bundle, body })
 }
 
-/// Parses and validates the canonical form of a release. The digest is that of `body` as it is, since
-/// another version of this program may have written it in a different canonical form.
+/// Parses and validates the canonical form of a release.
 ///
 /// # Errors
 ///
@@ -33,6 +32,8 @@
     digest: BundleDigest,
     body: &[u8],
 ) -> Result<ReadBundle> {
+    // The digest is that of `body` as it is, since another version of this program may have written
+    // it in a different canonical form.
     let found = BundleDigest::of(body);
     if found != digest {
         return Err(Error::BundleDigest {
--- a/crates/catkinward/src/recovery.rs
+++ b/crates/catkinward/src/recovery.rs
@@ -11,13 +11,13 @@
     slot_guard::SlotGuard,
 };
 
-/// Timeout of re-attaching to a running attempt.
+/// Timeout of reattaching to a running attempt.
 const REATTACH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Timeout until a second attempt delivers its first token or reports that it is queued.
 const SECOND_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Head start of re-attaching to the running attempt over a second attempt. A live engine answers
+/// Head start of reattaching to the running attempt over a second attempt. A live engine answers
 /// within a round trip of a few milliseconds, and the second attempt would only be cancelled.
 const REATTACH_HEAD_START: Duration = Duration::from_millis(25);
 
@@ -67,7 +67,7 @@
     }
 
     /// Handles an order that returned no stream. The engine may be running the attempt nevertheless;
-    /// under the least-work policy this re-attaches to it.
+    /// under the least-work policy this reattaches to it.
     pub(crate) async fn reattach_after_order(
         &self,
         upstream: &SlotGuard,
@@ -91,7 +91,7 @@
 
     /// Resumes after the loss of a stream: with the same attempt if its engine is still running it,
     /// otherwise with a new attempt on another upstream. The service's recovery policy decides whether
-    /// the new attempt waits until re-attaching has failed.
+    /// the new attempt waits until reattaching has failed.
     pub(crate) async fn recover(
         &mut self,
         attempt: RunningAttempt,
@@ -132,7 +132,7 @@
         found
     }
 
-    /// Re-attaches to an attempt over a new connection.
+    /// Reattaches to an attempt over a new connection.
     async fn reattach(
         &self,
         upstream: &SlotGuard,
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -3,9 +3,8 @@
 /// Enforces this VM's slices of the teams' limits, and allocates slices of limits to other VMs.
 ///
 /// Until a slice is granted, a VM admits an even share: the limit divided by the number of VMs in
-/// the settings. [`TeamLimits::slice_requests`] returns the requests to send to peers,
-/// [`TeamLimits::grant`] answers them as the allocator, [`TeamLimits::apply_grant`] applies the
-/// grants.
+/// the settings. Requests go from [`TeamLimits::slice_requests`] to the allocator's
+/// [`TeamLimits::grant`], and the grants to [`TeamLimits::apply_grant`].
 pub struct TeamLimits {
     timer: Arc<Timer>,
     bundle: Arc<BundleInForce>,
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -178,12 +178,7 @@
         }
     }
 
-    /// Probes whether the upstream is alive if the request is a suspect; called immediately before
-    /// the order is sent.
-    ///
-    /// A request may crash its upstream before any response is read, which looks the same as a
-    /// request sent to an upstream that was already dead. Only this probe distinguishes the two
-    /// cases.
+    /// Probes the upstream of a suspect request immediately before the order is sent.
     ///
     /// # Errors
     ///
@@ -195,6 +190,9 @@
         if !self.observer.poison.lock().needs_liveness_check(run) {
             return Ok(());
         }
+        // A request may crash its upstream before any response is read, which looks the same as a
+        // request sent to an upstream that was already dead. Only this probe distinguishes the two
+        // cases.
         let requested = self
             .state
             .record
@@ -229,8 +227,7 @@
     ///
     /// # Errors
     ///
-    /// If a crash under the request, or a run of it on another VM, has become known since the
-    /// upstream was selected.
+    /// If a crash under the request or its run on another VM was recorded since the selection.
     pub(crate) fn commit(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -47,8 +47,7 @@
         })
     }
 
-    /// Requests a streamed generation and reads it into `answer`, calling `on_token` after each
-    /// event. An answer that already contains tokens is resumed after its last event.
+    /// Streams a generation into `answer`, from its last event on if it has any, and calls `on_token`.
     ///
     /// # Errors
     ///
