--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -312,10 +312,10 @@
     }
 
     /// Records whether the platform responds.
-    pub fn set_platform_reachable(&self, answers: bool) {
+    pub fn set_platform_reachable(&self, responds: bool) {
         let now = self.timer.now();
         let mut state = self.state.lock();
-        if answers {
+        if responds {
             state.directory.record_platform_response(now);
         } else {
             state.directory.record_platform_outage();
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -84,13 +84,13 @@
 
     async fn take_retry(&mut self) -> bool {
         let time_left = self.accepted.time_left(self.gateway.timer.now());
-        let patience = if self.gateway.settings.policy.repeat_wait {
+        let max_wait = if self.gateway.settings.policy.repeat_wait {
             STREAM_RETRY_TIMEOUT.min(time_left)
         } else {
             CALL_RETRY_TIMEOUT
         };
         self.gateway
-            .take_retry(&self.accepted.service, patience)
+            .take_retry(&self.accepted.service, max_wait)
             .await
     }
 
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -20,7 +20,7 @@
     team: QueueTeam,
 ) -> Result<QueuedRequest, Refusal> {
     let pool = node.admission.pool(&request.service);
-    if node.upstreams.refuses(request.body) {
+    if node.upstreams.is_refused(request.body) {
         pool.count_refusal(RefusalReason::Poisoned);
         return Err(Refusal {
             reason: RefusalReason::Poisoned,
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -157,7 +157,7 @@
         let (upstreams, body) = (&self.node.upstreams, self.generation.request.body);
         loop {
             upstreams.check_suspect(body).await;
-            if upstreams.refuses(body) {
+            if upstreams.is_refused(body) {
                 return;
             }
             let delay = if upstreams.is_suspect(body) {
@@ -198,7 +198,7 @@
     async fn is_poisoned(&self) -> bool {
         let body = self.generation.request.body;
         let upstreams = &self.node.upstreams;
-        if !upstreams.refuses(body) {
+        if !upstreams.is_refused(body) {
             return false;
         }
         // Peers receive the records first: the caller retries a refused request at once, which would
@@ -214,7 +214,10 @@
         let ExchangeResult {
             asked, answered, ..
         } = peers.query_crash_records(records).await;
-        let (refused, took) = (upstreams.refuses(body), self.node.timer.now().since(start));
+        let (refused, took) = (
+            upstreams.is_refused(body),
+            self.node.timer.now().since(start),
+        );
         tracing::info!(id = %self.generation.request.id, %body, deaths = crashes, asked, answered,
             refused, took_ms = %took.as_millis(), "peers were asked about deaths under a request");
         refused
@@ -288,7 +291,7 @@
         let started = async {
             self.announce_run(&upstream).await;
             upstream.commit()?;
-            upstream.prove_alive().await?;
+            upstream.probe_liveness().await?;
             engine_client::start_attempt(connections, &upstream, order, START_TIMEOUT).await
         };
         let stream = match started.await {
--- a/crates/catkinward/src/timer.rs
+++ b/crates/catkinward/src/timer.rs
@@ -11,7 +11,7 @@
 }
 
 struct Subscription {
-    period: Duration,
+    interval: Duration,
     due: tokio::time::Instant,
     tx: mpsc::Sender<Instant>,
 }
@@ -38,12 +38,12 @@
         Instant(self.start.elapsed())
     }
 
-    /// Returns a receiver of ticks every `period`, the first after one period.
-    pub fn subscribe(&self, period: Duration) -> mpsc::Receiver<Instant> {
+    /// Returns a receiver of ticks every `interval`, the first after one interval.
+    pub fn subscribe(&self, interval: Duration) -> mpsc::Receiver<Instant> {
         let (tx, rx) = mpsc::channel(1);
         self.subscriptions.lock().push(Subscription {
-            period,
-            due: tokio::time::Instant::now() + period,
+            interval,
+            due: tokio::time::Instant::now() + interval,
             tx,
         });
         self.changed.notify_one();
@@ -57,7 +57,7 @@
         for subscription in subscriptions.iter_mut().filter(|s| s.due <= now) {
             // A full channel still contains the previous tick, which is enough.
             let _ = subscription.tx.try_send(Instant(now - self.start));
-            subscription.due = now + subscription.period;
+            subscription.due = now + subscription.interval;
         }
         subscriptions
             .iter()
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -183,7 +183,7 @@
     /// # Errors
     ///
     /// If the upstream does not answer, or a different process answers.
-    pub(crate) async fn prove_alive(&self) -> Result<(), AttemptError> {
+    pub(crate) async fn probe_liveness(&self) -> Result<(), AttemptError> {
         let Some(run) = self.run else {
             return Ok(());
         };
--- a/crates/catkinward/src/upstreams.rs
+++ b/crates/catkinward/src/upstreams.rs
@@ -83,7 +83,7 @@
 
     /// Returns whether a request is refused for now because upstreams crashed while running it.
     #[must_use]
-    pub fn refuses(&self, digest: RequestDigest) -> bool {
+    pub fn is_refused(&self, digest: RequestDigest) -> bool {
         self.observer
             .poison
             .lock()
--- a/crates/catkinward/tests/gateway_calls.rs
+++ b/crates/catkinward/tests/gateway_calls.rs
@@ -145,9 +145,9 @@
         running.handle("/quick/1").await;
     }
 
-    let repeats = running.sent_to().len() - 100;
+    let retries = running.sent_to().len() - 100;
 
-    expect_that!(repeats, all![ge(20), le(30)]);
+    expect_that!(retries, all![ge(20), le(30)]);
 }
 
 /// An upstream never responds. The caller gets a reply at the route's timeout, and the upstream is given no
