--- a/crates/catkinward/src/gateway/call.rs
+++ b/crates/catkinward/src/gateway/call.rs
@@ -19,7 +19,7 @@
     pub body: Bytes,
     /// API key that the caller presented.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits for the response, if it says so.
+    /// Timeout of the caller for the response, if it sent one.
     pub timeout: Option<Duration>,
     /// Number of the last event that the caller received in an earlier attempt.
     pub last_event: Option<u64>,
--- a/crates/catkinward/src/gateway/kv_copy.rs
+++ b/crates/catkinward/src/gateway/kv_copy.rs
@@ -7,7 +7,7 @@
     pub(crate) holder: Arc<UpstreamEntry>,
     /// Address and handle under which the copy can be fetched.
     pub(crate) source: CopySource,
-    /// Whether the holder must be told to free the copy when it is dropped.
+    /// Whether to request that the holder frees the copy when it is dropped.
     free_on_drop: bool,
 }
 
--- a/crates/catkinward/src/gateway/run_guard.rs
+++ b/crates/catkinward/src/gateway/run_guard.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Guard of a run of a call on an upstream: the run counts as in flight there until the guard is
-/// dropped. Placement uses the counts, so a count that leaked would make the upstream look busy for ever.
+/// dropped. Placement uses the counts, so a leaked count would make the upstream appear busy for ever.
 pub(crate) struct RunGuard {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) entry: Arc<UpstreamEntry>,
--- a/crates/catkinward/src/gateway/zone_table.rs
+++ b/crates/catkinward/src/gateway/zone_table.rs
@@ -224,7 +224,7 @@
         let now = self.timer.now();
         let state = self.state.lock();
         if state.directory_is_stale {
-            // Datagrams sent before this process was suspended still arrive and look recent.
+            // Datagrams sent before this process was suspended still arrive and appear recent.
             return GossipState::Silent;
         }
         state.gossip.state(age, now)
--- a/crates/catkinward/src/service_name.rs
+++ b/crates/catkinward/src/service_name.rs
@@ -28,7 +28,7 @@
     Peers,
     /// Leases that this VM competes for.
     Leases,
-    /// Orders that tell engines which models to load.
+    /// Orders to engines to load models.
     Orders,
     /// This VM's slices of the rate limits of teams.
     TeamLimits,
--- a/crates/catkinward/tests/gateway_zone.rs
+++ b/crates/catkinward/tests/gateway_zone.rs
@@ -206,7 +206,7 @@
     expect_that!(table.take_calls(), ge(1));
 }
 
-/// A VM was suspended, and the datagrams that waited in its socket look recent. Guards against
+/// A VM was suspended, and the datagrams that waited in its socket appear recent. Guards against
 /// relying on them: an upstream that had left in the meantime got calls.
 #[gtest]
 #[tokio::test(start_paused = true)]
