--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -20,7 +20,7 @@
 /// cheap compared with a resume that finds no free slot.
 const MAX_SENDS: u32 = 12;
 
-/// Delay before upstreams are tried again after all of them refused.
+/// Delay before the next send after all upstreams have refused.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 impl StreamRun {
@@ -84,13 +84,13 @@
 
     async fn take_retry(&mut self) -> bool {
         let time_left = self.accepted.time_left(self.gateway.timer.now());
-        let patience = if self.gateway.settings.policy.repeat_wait {
+        let max_wait = if self.gateway.settings.policy.repeat_wait {
             STREAM_RETRY_TIMEOUT.min(time_left)
         } else {
             CALL_RETRY_TIMEOUT
         };
         self.gateway
-            .take_retry(&self.accepted.service, patience)
+            .take_retry(&self.accepted.service, max_wait)
             .await
     }
 
--- a/crates/catkinward/src/generation_admission.rs
+++ b/crates/catkinward/src/generation_admission.rs
@@ -13,15 +13,14 @@
 ///
 /// # Errors
 ///
-/// Fails immediately if upstreams crashed under the same request before, its team's limit is
-/// reached, or it could not start in time.
+/// If upstreams crashed under it before, its team's limit is reached, or it would start too late.
 pub(crate) fn offer(
     node: &Node,
     request: &GenerationRequest,
     team: QueueTeam,
 ) -> Result<QueuedRequest, Refusal> {
     let pool = node.admission.pool(&request.service);
-    if node.upstreams.refuses(request.body) {
+    if node.upstreams.is_refused(request.body) {
         pool.count_refusal(RefusalReason::Poisoned);
         return Err(Refusal {
             reason: RefusalReason::Poisoned,
