--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -16,7 +16,7 @@
 
 use super::*;
 
-/// Number of teams whose first request is tried in one pass over the queue. A request that no
+/// Number of teams whose first request is considered in one pass over the queue. A request that no
 /// upstream can take while others can be dispatched is rare: its model is not loaded yet, or its
 /// digest is suspected of crashing upstreams.
 const MAX_TEAMS_TRIED: usize = 4;
--- a/crates/decisions/src/bundle_refusal.rs
+++ b/crates/decisions/src/bundle_refusal.rs
@@ -60,7 +60,7 @@
     SelfSignOff {
         /// Id of the draft.
         draft: DraftId,
-        /// Operator who proposed the draft and tried to sign it off.
+        /// Operator who proposed the draft and attempted to sign it off.
         operator: OperatorName,
     },
     /// Another operator signed off the draft first.
--- a/crates/decisions/src/choice.rs
+++ b/crates/decisions/src/choice.rs
@@ -17,7 +17,7 @@
 
 use super::*;
 
-/// Maximum load of the upstream chosen by prefix, as a multiple of the average load.
+/// Maximum load of an upstream selected by prefix, as a multiple of the average load.
 const AFFINITY_BOUND: f64 = 1.25;
 
 /// Number of upstreams with the highest affinity that are considered before load alone decides.
--- a/crates/decisions/src/fair_queue.rs
+++ b/crates/decisions/src/fair_queue.rs
@@ -35,9 +35,9 @@
 /// Limits which requests [`FairQueue::pop_where`] tries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PopOptions {
-    /// Number of teams whose first request is tried.
+    /// Number of teams whose first request is considered.
     pub teams: usize,
-    /// Tries only requests of teams that have received less than their fair share.
+    /// Considers only requests of teams that have received less than their fair share.
     pub below_share_only: bool,
 }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The VM and the call for which an upstream is chosen.
+/// The VM and the call for which an upstream is selected.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementContext<'a> {
     /// Availability zone of this VM.
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -1,4 +1,4 @@
-//! Switches and costs of the decision mechanisms, so that the effect of each can be measured.
+//! Switches and costs of the decision mechanisms, so that the effect of each can be evaluated.
 //!
 //! By default every switch is on and every cost has its normal value. Test runs set other values as a
 //! comma-separated list of `field=value`; `docs/DECISIONS.md` shows the effect of each field.
--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Number of times that each candidate is chosen in 1000 choices.
+/// Number of times that each candidate is selected in 1000 choices.
 fn choice_counts(candidates: &[Candidate], by_prefix: bool) -> Vec<u32> {
     let mut rng = seeded(7);
     let mut counts = vec![0; candidates.len()];
--- a/crates/decisions/tests/peer_table.rs
+++ b/crates/decisions/tests/peer_table.rs
@@ -176,7 +176,7 @@
 }
 
 /// A VM has been removed permanently, but the others keep advertising it to each other. If that kept it in
-/// their tables, it would be chosen as a holder of replicas forever.
+/// their tables, it would be selected as a holder of replicas forever.
 #[gtest]
 fn advertisements_of_a_vm_do_not_keep_it_alive() {
     let (mut one, mut other) = (table(0, 8), table(1, 8));
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -46,10 +46,10 @@
   --seconds N      length of the measurement [5]
 ";
 
-/// Scenario name of [`racing_operators`], which makes no caller requests.
+/// Scenario name of [`racing_operators()`], which makes no caller requests.
 const RACING_OPERATORS: &str = "racing-operators";
 
-/// Number of concurrent roll-out pairs in a run of [`racing_operators`].
+/// Number of concurrent roll-out pairs in a run of [`racing_operators()`].
 const RACE_COUNT: u64 = 20;
 
 /// Runs `catkin-load` with the given arguments, which exclude the program name.
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -19,8 +19,7 @@
 /// Calls per second that all plain upstreams together serve; each slot serves 25 at 40 ms a call.
 pub(crate) const CAPACITY: f64 = PLAIN_UPSTREAMS * SLOTS_PER_UPSTREAM * 25.0;
 
-/// Runs a scenario of plain calls through routers, then as a baseline with new upstreams that are
-/// called directly, round robin.
+/// Runs a scenario through routers, then as a baseline with new upstreams called round robin.
 ///
 /// # Errors
 ///
--- a/crates/load/src/quick_scenario.rs
+++ b/crates/load/src/quick_scenario.rs
@@ -41,7 +41,7 @@
         faults: &[],
     };
 
-    /// Looks up a scenario by name.
+    /// Returns the scenario of this name.
     #[must_use]
     pub fn find(name: &str) -> Option<Self> {
         let found = QUICK_SCENARIOS
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, header};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Metrics and invariant violations of a run of [`racing_operators`].
+/// Metrics and invariant violations of a run of [`racing_operators()`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OperatorsReport {
     /// Seed of the random number generator.
@@ -35,7 +35,7 @@
     pub violations: Vec<String>,
 }
 
-/// Settings of [`racing_operators`].
+/// Settings of [`racing_operators()`].
 #[derive(Clone, Debug)]
 pub struct OperatorsSettings {
     /// Seed of the number of lost responses and of the delays between roll-outs.
@@ -54,8 +54,7 @@
 /// Timeout until all routers have the last bundle in force.
 const LAST_BUNDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Repeatedly lets two operators roll out concurrently while responses of the table service are
-/// lost, and checks the result through the routers' timelines.
+/// Lets two operators repeatedly roll out at once, loses responses, checks the routers' timelines.
 ///
 /// # Errors
 ///
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -33,8 +33,7 @@
 /// Timeout for a draining router to exit after the load has ended.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a scenario with real processes of `program`. After each call, `progress` is called with the
-/// number of finished calls and of all calls.
+/// Runs a scenario with real processes; `progress` receives the numbers of finished and all calls.
 ///
 /// # Errors
 ///
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -79,7 +79,7 @@
         max_tail: Duration::from_secs(12),
     };
 
-    /// Looks up a scenario by name.
+    /// Returns the scenario of this name.
     ///
     /// # Errors
     ///
--- a/crates/load/tests/drain.rs
+++ b/crates/load/tests/drain.rs
@@ -111,7 +111,7 @@
     expect_complete_response_after_termination(9000).await;
 }
 
-/// A second SIGTERM ends the process at once with exit code 1, and its caller can tell that the
+/// A second SIGTERM ends the process at once with exit code 1, and its caller can detect that the
 /// response is truncated.
 #[gtest]
 #[tokio::test]
--- a/crates/load/tests/plain_calls.rs
+++ b/crates/load/tests/plain_calls.rs
@@ -254,7 +254,7 @@
     expect_that!(refused, gt(0));
 }
 
-/// A caller disconnects while its order is queued. The order must not run, since nobody reads the
+/// A caller disconnects while its order is queued. The order must not run, since no caller reads the
 /// response.
 #[gtest]
 #[tokio::test]
--- a/crates/load/tests/router_death.rs
+++ b/crates/load/tests/router_death.rs
@@ -155,7 +155,7 @@
 }
 
 /// The router that relays a response is killed, and its engine is not. The caller reconnects to another
-/// VM with its key and last event id and must resume where it was. Each other VM is tried.
+/// VM with its key and last event id and must resume where it was. The test covers each other VM.
 #[gtest]
 #[tokio::test]
 async fn stream_resumes_at_any_other_vm() {
@@ -237,7 +237,7 @@
     expect_that!(problem.outcome, eq(Outcome::NotRun));
 }
 
-/// No VM has the progress of a response any more. Starting anew would append tokens of another
+/// No VM has the progress of a response any more. A restart from the first token would append tokens of another
 /// generation to those that the caller has, so the loss must be reported instead.
 #[gtest]
 #[tokio::test]
--- a/crates/load/tests/scenarios.rs
+++ b/crates/load/tests/scenarios.rs
@@ -229,7 +229,7 @@
     }
 }
 
-/// A request crashes each engine before the engine responds, so its attempts look like attempts on an
+/// A request crashes each engine before the engine responds, so its attempts resemble attempts on an
 /// engine that had already ended. Guards against not counting such crashes, with which it crashed four
 /// engines before it was refused.
 #[gtest]
--- a/crates/standins/src/answer_verdict.rs
+++ b/crates/standins/src/answer_verdict.rs
@@ -16,7 +16,7 @@
 impl AnswerVerdict {
     /// Compares a received answer with its request, without any other source of information.
     ///
-    /// The text of each token contains its index, which exposes gaps and repeats. Without these, the
+    /// The text of each token contains its index, which exposes gaps and duplicates. Without these, the
     /// text must match the received ids: a token of another generation of the same request, or of
     /// another request, does not match the hash of the chain.
     #[must_use]
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -47,12 +47,11 @@
         })
     }
 
-    /// Requests a streamed generation and reads it into `answer`, calling `on_token` after each
-    /// event. An answer that already contains tokens is resumed after its last event.
+    /// Streams a generation into `answer`, after its last event if it already contains tokens.
     ///
     /// # Errors
     ///
-    /// If the stream is interrupted before its end; `answer` then contains the received part.
+    /// If the stream is interrupted; `answer` then contains the received part.
     pub async fn stream(
         &self,
         request: &caller::CompletionRequest,
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -228,8 +228,7 @@
         self.inner.models.counts()
     }
 
-    /// Applies an order regardless of injected faults, for example one that was delayed in the
-    /// network.
+    /// Applies an order despite injected faults, for example one that the network delayed.
     ///
     /// # Errors
     ///
--- a/crates/standins/src/run_counts.rs
+++ b/crates/standins/src/run_counts.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns the digest of a request's query and body, by which a caller looks up its runs.
+/// Returns the digest of a request's query and body, by which a caller finds its runs.
 #[must_use]
 pub fn request_digest(query: &str, body: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(body, xxhash_rust::xxh3::xxh3_64(query.as_bytes()))
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -196,7 +196,7 @@
     }
 }
 
-/// An upstream refuses the request before running it. The caller is told so, and its retry must run.
+/// An upstream refuses the request before running it. The response says so, and the caller's retry must run.
 #[gtest]
 #[tokio::test]
 async fn a_released_claim_frees_the_key() {
