--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -121,7 +121,7 @@
         Ok(proxy.address())
     }
 
-    /// Peer flags of a router. A proxied router needs its port before it starts, because the route
+    /// Returns the peer flags of a router. A proxied router needs its port before it starts, because the route
     /// is set up first, so a free port is bound and released.
     async fn peer_flags(&mut self, proxied: bool) -> Result<Vec<String>, LoadError> {
         if !proxied {
@@ -187,7 +187,7 @@
         Ok(())
     }
 
-    /// Whether a router reports that it accepts calls.
+    /// Returns whether a router reports that it accepts calls.
     pub async fn is_ready(&self, router: SocketAddr) -> bool {
         let call = HttpCall {
             address: router,
@@ -257,7 +257,7 @@
         Ok(())
     }
 
-    /// Number of engines that accept connections.
+    /// Returns the number of engines that accept connections.
     pub(crate) async fn live_engines(&self) -> usize {
         let connects = self.engines.iter().map(|engine| async {
             tokio::net::TcpStream::connect(engine.address())
@@ -268,19 +268,19 @@
         live.into_iter().filter(|live| *live).count()
     }
 
-    /// Load report of an engine; `None` if it does not respond.
+    /// Returns the load report of an engine; `None` if it does not respond.
     pub async fn engine_load(&self, engine: usize) -> Option<engine::UpstreamLoad> {
         self.try_control(self.engines[engine].address(), "/v1/load")
             .await
     }
 
-    /// Run counts of an engine; `None` if it does not respond.
+    /// Returns the run counts of an engine; `None` if it does not respond.
     pub async fn engine_runs(&self, engine: usize) -> Option<RunCounts> {
         self.try_control(self.engines[engine].address(), "/stats")
             .await
     }
 
-    /// Run counts of a process of the plain service.
+    /// Returns the run counts of a process of the plain service.
     ///
     /// # Errors
     ///
@@ -301,7 +301,7 @@
         Ok(())
     }
 
-    /// Opens a response stream of a process; `None` on an error or a status other than success.
+    /// Opens a response stream of a process; returns `None` on an error or a status other than success.
     pub(crate) async fn open_response(
         &self,
         address: SocketAddr,
--- a/crates/load/src/fleet_bundle.rs
+++ b/crates/load/src/fleet_bundle.rs
@@ -7,13 +7,13 @@
 /// Name of the plain service of a fleet.
 pub const PLAIN_SERVICE: &str = "shopfront";
 
-/// Bearer key of a team.
+/// Returns the bearer key of a team.
 #[must_use]
 pub fn team_key(team: usize) -> String {
     format!("key-of-team-{team}")
 }
 
-/// Bundle of a fleet: one generation service, one plain service and teams of equal weight.
+/// Returns the bundle of a fleet: one generation service, one plain service and teams of equal weight.
 #[must_use]
 pub fn fleet_bundle(
     size: FleetSize,
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -60,13 +60,13 @@
         })
     }
 
-    /// Main listening address.
+    /// Returns the main listening address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Additional listening address with the given name, as printed by the process.
+    /// Returns the additional listening address with the given name, as printed by the process.
     #[must_use]
     pub fn other_address(&self, name: &str) -> Option<SocketAddr> {
         let found = self.other_addresses.iter().find(|(other, _)| other == name);
@@ -115,12 +115,12 @@
         Ok(status.code())
     }
 
-    /// Whether the process has exited or was killed.
+    /// Returns whether the process has exited or was killed.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Process id; `None` once the process has been waited for.
+    /// Returns the process id; `None` once the process has been waited for.
     #[must_use]
     pub fn id(&self) -> Option<u32> {
         self.child.id()
@@ -149,8 +149,8 @@
     while let Ok(Some(_)) = lines.next_line().await {}
 }
 
-/// Standard error of a process: a file in the directory that [`LOG_DIR_VARIABLE`] names, or inherited
-/// if the variable is unset.
+/// Returns the standard error of a process: a file in the directory that [`LOG_DIR_VARIABLE`] names,
+/// or inherited if the variable is unset.
 fn log_output(role: Role) -> Result<Stdio, Error> {
     static PROCESSES: AtomicUsize = AtomicUsize::new(0);
     let Some(directory) = std::env::var_os(LOG_DIR_VARIABLE) else {
@@ -162,7 +162,7 @@
     Ok(Stdio::from(file))
 }
 
-/// Log level of routers: `info` if logs are kept in files, otherwise `error`.
+/// Returns the log level of routers: `info` if logs are kept in files, otherwise `error`.
 pub(crate) fn log_filter() -> &'static str {
     match std::env::var_os(LOG_DIR_VARIABLE) {
         Some(_) => "info",
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -52,7 +52,7 @@
 }
 
 impl QuickCall {
-    /// Request digest under which the upstream counts the runs.
+    /// Returns the request digest under which the upstream counts the runs.
     pub(crate) fn digest(&self) -> u64 {
         request_digest(&self.query, b"")
     }
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Number of runs that were answered within the deadline. For each digest, at most as many runs
+/// Returns the number of runs that were answered within the deadline. For each digest, at most as many runs
 /// count as callers were answered.
 fn useful_runs(results: &[QuickResult], runs: &RunCounts) -> u64 {
     let in_time = results.iter().filter(|result| result.met_deadline());
@@ -101,7 +101,8 @@
     useful.sum()
 }
 
-/// Jain's fairness index: 1 if each team has the same share of its calls answered within the deadline.
+/// Returns Jain's fairness index: 1 if each team has the same share of its calls answered within the
+/// deadline.
 fn fairness(results: &[QuickResult]) -> f64 {
     let teams = results.iter().map(|result| result.call.team + 1).max();
     let shares: Vec<f64> = (0..teams.unwrap_or(0))
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -156,7 +156,7 @@
     Ok(streams.collect())
 }
 
-/// Id of a generation at its engine: the request id followed by the chain id.
+/// Returns the id of a generation at its engine: the request id followed by the chain id.
 fn engine_id(answer: &Answer) -> Option<String> {
     let point: ResumePoint = answer.last_event_id.as_ref()?.parse().ok()?;
     let (_, chain) = point.origin?;
--- a/crates/load/src/size.rs
+++ b/crates/load/src/size.rs
@@ -27,7 +27,7 @@
 }
 
 impl Size {
-    /// Numbers of processes, zones and teams of this size.
+    /// Returns the numbers of processes, zones and teams of this size.
     #[must_use]
     pub fn fleet(self) -> FleetSize {
         let (routers, engines, teams) = match self {
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -4,8 +4,8 @@
     injector::InjectedFaults,
 };
 
-/// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the fault before
-/// it.
+/// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the
+/// fault before it.
 const DELAYED_STEPS: u32 = 3;
 
 /// Gap between tokens that process scheduling on a busy machine can cause.
@@ -102,7 +102,7 @@
         report.extra_engine_tokens_ratio = ratio(decoded + prefilled, received + prompts) - 1.0;
     }
 
-    /// Longest time from a fault to the next token, over the faults that delayed this response.
+    /// Returns the longest time from a fault to the next token, over the faults that delayed this response.
     fn fault_delay(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
--- a/crates/load/tests/router_death.rs
+++ b/crates/load/tests/router_death.rs
@@ -237,8 +237,8 @@
     expect_that!(problem.outcome, eq(Outcome::NotRun));
 }
 
-/// No VM has the progress of a response any more. A restart from the first token would append tokens of another
-/// generation to those that the caller has, so the loss must be reported instead.
+/// No VM has the progress of a response any more. A restart from the first token would append tokens
+/// of another generation to those that the caller has, so the loss must be reported instead.
 #[gtest]
 #[tokio::test]
 async fn lost_progress_is_reported() {
--- a/crates/standins/src/engine_fault.rs
+++ b/crates/standins/src/engine_fault.rs
@@ -1,4 +1,4 @@
-/// Fault of a mock engine, or the end of one.
+/// Fault to inject into a mock engine, or the end of an earlier fault.
 #[derive(Clone, Copy, Debug, PartialEq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum EngineFault {
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -109,7 +109,7 @@
         self.inner.epoch.send_modify(|epoch| *epoch += 1);
     }
 
-    /// Sets whether the engine is leaving: it then says so in its load reports and refuses new
+    /// Sets whether the engine is leaving: it then reports that in its load reports and refuses new
     /// requests.
     pub fn leave(&self, leaving: bool) {
         self.inner.leaving.store(leaving, Ordering::Relaxed);
