--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -295,7 +295,11 @@
     /// # Errors
     ///
     /// If it does not respond.
-    pub async fn fail_plain(&self, plain: SocketAddr, fault: PlainFault) -> Result<(), LoadError> {
+    pub async fn inject_plain_fault(
+        &self,
+        plain: SocketAddr,
+        fault: PlainFault,
+    ) -> Result<(), LoadError> {
         let call = control_call(plain, Method::POST, format!("/fault?kind={fault}"));
         self.connections.call_complete(call).await?;
         Ok(())
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -123,7 +123,7 @@
 impl QuickReport {
     /// Checks the invariants of the calls through the routers: compares the responses that callers
     /// received with the runs that upstreams counted.
-    pub(crate) fn judge(&mut self, results: &[QuickResult], runs: &RunCounts) {
+    pub(crate) fn check_invariants(&mut self, results: &[QuickResult], runs: &RunCounts) {
         let ran = |result: &QuickResult| runs.of_digest(result.call.digest());
         let writes = || results.iter().filter(|result| result.call.write);
         let refused = results
@@ -145,8 +145,8 @@
             ),
             ("requests ran twice", self.double_runs),
         ];
-        let broken = counts.into_iter().filter(|(_, count)| *count > 0);
-        self.violations = broken.map(|(what, n)| format!("{n} {what}")).collect();
+        let violated = counts.into_iter().filter(|(_, count)| *count > 0);
+        self.violations = violated.map(|(what, n)| format!("{n} {what}")).collect();
         if results.is_empty() {
             self.violations.push("no request was made".to_owned());
         }
--- a/crates/load/src/quick_run.rs
+++ b/crates/load/src/quick_run.rs
@@ -47,7 +47,7 @@
         baseline: QuickMeasures::of(&direct, &direct_runs, scenario.arrival_window),
         ..QuickReport::default()
     };
-    report.judge(&results, &runs);
+    report.check_invariants(&results, &runs);
     Ok(report)
 }
 
@@ -159,7 +159,7 @@
             .enumerate()
             .filter(|(i, _)| is_target(*i))
         {
-            fleet.fail_plain(plain.address(), *fault).await?;
+            fleet.inject_plain_fault(plain.address(), *fault).await?;
         }
     }
     Ok(())
--- a/crates/load/src/racing_operators.rs
+++ b/crates/load/src/racing_operators.rs
@@ -209,7 +209,7 @@
     let mut headers = HeaderMap::new();
     let bearer = header::HeaderValue::from_static("Bearer operator-key");
     headers.insert(header::AUTHORIZATION, bearer);
-    let end = Instant::now() + LAST_BUNDLE_TIMEOUT;
+    let deadline = Instant::now() + LAST_BUNDLE_TIMEOUT;
     let mut replies = Vec::new();
     for router in routers {
         let role = Role::Router;
@@ -224,7 +224,7 @@
             };
             let reply: TimelineReply = connections.call_json(call).await?;
             let in_force = reply.events.iter().any(|event| event.bundle == Some(last));
-            if in_force || Instant::now() > end {
+            if in_force || Instant::now() > deadline {
                 replies.push(reply);
                 break;
             }
--- a/crates/load/src/relay_bench.rs
+++ b/crates/load/src/relay_bench.rs
@@ -147,8 +147,8 @@
                     .lock()
                     .get_or_insert_with(|| engine_id(answer).unwrap_or_default());
             });
-            if let Err(fault) = reading.await {
-                tracing::debug!(%fault, "stream ended");
+            if let Err(error) = reading.await {
+                tracing::debug!(fault = %error, "stream ended");
             }
         });
         stream
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -29,12 +29,12 @@
         let mut report = Report {
             scenario: self.scenario.name.to_owned(),
             accepted: self.results.iter().filter(|r| r.answer.accepted).count(),
-            completed: self.ended(CallOutcome::Complete),
-            refused: self.ended(CallOutcome::NotRun),
-            failed: self.ended(CallOutcome::Failed),
+            completed: self.count_outcomes(CallOutcome::Complete),
+            refused: self.count_outcomes(CallOutcome::NotRun),
+            failed: self.count_outcomes(CallOutcome::Failed),
             failures: self.failures(),
             returns: self.results.iter().map(|r| r.reconnects).sum(),
-            lost_answers: self.ended(CallOutcome::Lost),
+            lost_answers: self.count_outcomes(CallOutcome::Lost),
             false_not_run: self
                 .results
                 .iter()
@@ -52,7 +52,7 @@
         report
     }
 
-    fn ended(&self, end: CallOutcome) -> usize {
+    fn count_outcomes(&self, end: CallOutcome) -> usize {
         self.results.iter().filter(|r| r.end == end).count()
     }
 
@@ -108,7 +108,7 @@
         let started = answer.started?;
         let resumed =
             result.reconnects > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
-        let bound = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
+        let threshold = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
         let wait = |fault: &Instant| {
             let fault = fault.checked_duration_since(started)?;
             let next = answer.arrivals.partition_point(|arrival| *arrival < fault);
@@ -117,7 +117,7 @@
                 .arrivals
                 .get(next)?
                 .checked_sub(answer.arrivals[before])?;
-            (resumed || gap > bound).then(|| answer.arrivals[next].saturating_sub(fault))
+            (resumed || gap > threshold).then(|| answer.arrivals[next].saturating_sub(fault))
         };
         self.injected.fault_times.iter().filter_map(wait).max()
     }
--- a/crates/standins/src/engine_models.rs
+++ b/crates/standins/src/engine_models.rs
@@ -22,7 +22,7 @@
     model: engine::LoadedModel,
     ready: Instant,
     /// Counts the load in the weight store; dropped once the model is found to be ready.
-    load_guard: Option<WeightStoreLocation>,
+    load_guard: Option<LoadGuard>,
 }
 
 impl EngineModels {
--- a/crates/standins/src/engine_server.rs
+++ b/crates/standins/src/engine_server.rs
@@ -10,7 +10,7 @@
 use volo_http::server::Server;
 
 /// Interval of heartbeat events on a stream that has no new token.
-const HEARTBEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Running mock engine.
 #[derive(Clone)]
@@ -304,15 +304,15 @@
             (&Method::POST, "/v1/orders") => self.handle_order(req).await,
             (&Method::GET, "/orders") => Response::new(json_bytes(&self.order_counts()).into()),
             (&Method::GET, "/stats") => Response::new(json_bytes(&self.inner.batch.runs()).into()),
-            (&Method::GET, path) if path.starts_with(STREAMS) => self.reattach(&req),
-            (&Method::DELETE, path) if path.starts_with(STREAMS) => self.cancel(&req),
+            (&Method::GET, path) if path.starts_with(STREAMS_PATH) => self.reattach(&req),
+            (&Method::DELETE, path) if path.starts_with(STREAMS_PATH) => self.cancel(&req),
             _ => refusal(engine::EngineRefusalKind::Malformed),
         })
     }
 }
 
 /// Path prefix of running streams, followed by the request id.
-const STREAMS: &str = "/v1/streams/";
+const STREAMS_PATH: &str = "/v1/streams/";
 
 impl Reader {
     async fn read(&mut self) -> Option<Result<String, volo_http::error::BoxError>> {
@@ -338,7 +338,7 @@
                 () = killed.cancelled() => {
                     return Some(Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset).into()));
                 }
-                () = tokio::time::sleep(HEARTBEAT) => {
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {
                     if !*self.server.inner.batch.paused.borrow() {
                         let mut text = String::new();
                         write_event(&mut text, "heartbeat", &());
@@ -375,7 +375,10 @@
 }
 
 fn stream_id(req: &Request) -> &str {
-    req.uri().path().strip_prefix(STREAMS).unwrap_or_default()
+    req.uri()
+        .path()
+        .strip_prefix(STREAMS_PATH)
+        .unwrap_or_default()
 }
 
 fn to_u32(n: usize) -> u32 {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,7 +5,7 @@
 //! faults on request, and generate responses whose correctness the caller can verify.
 
 pub(crate) use {
-    crate::weight_store::WeightStoreLocation,
+    crate::weight_store::LoadGuard,
     bytes::Bytes,
     catkin_border::{caller, engine},
     catkin_decisions::to_hex,
--- a/crates/standins/src/plain_server.rs
+++ b/crates/standins/src/plain_server.rs
@@ -27,7 +27,7 @@
     waiting: AtomicU64,
     run_counts: Mutex<RunCounts>,
     fault: Mutex<PlainFault>,
-    random: Mutex<Xoshiro256PlusPlus>,
+    rng: Mutex<Xoshiro256PlusPlus>,
     killed: CancellationToken,
 }
 
@@ -74,7 +74,7 @@
                 waiting: AtomicU64::new(0),
                 run_counts: Mutex::default(),
                 fault: Mutex::default(),
-                random: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(settings.seed)),
+                rng: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(settings.seed)),
                 killed: killed.clone(),
                 settings,
             }),
@@ -137,7 +137,7 @@
 
     fn service_time(&self, fault: PlainFault) -> Duration {
         let settings = &self.inner.settings;
-        let uniform: f64 = self.inner.random.lock().random_range(1e-9..1.0);
+        let uniform: f64 = self.inner.rng.lock().random_range(1e-9..1.0);
         let mean = match fault {
             PlainFault::Slow => settings.service_time * SLOW_FACTOR,
             _ => settings.service_time,
--- a/crates/standins/src/platform_server.rs
+++ b/crates/standins/src/platform_server.rs
@@ -8,7 +8,7 @@
 use volo_http::server::Server;
 
 /// Path prefix of stored objects, followed by the object name.
-const OBJECTS: &str = "/v1/objects/";
+const OBJECTS_PATH: &str = "/v1/objects/";
 
 /// Running mock platform: table service, object store and VM list over HTTP.
 #[derive(Clone)]
@@ -175,8 +175,8 @@
                 self.inner.store.lock().set_vms(self.now(), list.vms);
                 status(200)
             }),
-            (&Method::GET | &Method::PUT, path) if path.starts_with(OBJECTS) => {
-                self.object(method, &path[OBJECTS.len()..], body)
+            (&Method::GET | &Method::PUT, path) if path.starts_with(OBJECTS_PATH) => {
+                self.object(method, &path[OBJECTS_PATH.len()..], body)
             }
             _ => status(404),
         }
--- a/crates/standins/src/weight_store.rs
+++ b/crates/standins/src/weight_store.rs
@@ -15,7 +15,7 @@
 
 /// Guard that counts one load until it is dropped.
 #[derive(Debug)]
-pub(crate) struct WeightStoreLocation {
+pub(crate) struct LoadGuard {
     counts: Arc<Counts>,
 }
 
@@ -26,18 +26,18 @@
         self.counts.max_loading.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn begin_load(&self) -> WeightStoreLocation {
+    pub(crate) fn begin_load(&self) -> LoadGuard {
         let loading = self.counts.loading.fetch_add(1, Ordering::Relaxed) + 1;
         self.counts
             .max_loading
             .fetch_max(loading, Ordering::Relaxed);
-        WeightStoreLocation {
+        LoadGuard {
             counts: self.counts.clone(),
         }
     }
 }
 
-impl Drop for WeightStoreLocation {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.counts.loading.fetch_sub(1, Ordering::Relaxed);
     }
