--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -1,5 +1,5 @@
-//! Measures plain calls through two routers to three workers, at a multiple of the workers' capacity:
-//! `cargo run --release -p catkin-load --example plain_overload -- 2.0`. Routers, workers and callers
+//! Measures plain calls through two routers to three upstreams, at a multiple of their capacity:
+//! `cargo run --release -p catkin-load --example plain_overload -- 2.0`. Routers, upstreams and callers
 //! share this process, so the reported latencies include delays of the callers.
 
 use bytes::Bytes;
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -121,8 +121,8 @@
         Ok(proxy.address())
     }
 
-    /// Returns the peer flags of a router. A proxied router needs its port before it starts, because the route
-    /// is set up first, so a free port is bound and released.
+    /// Returns the peer flags of a router. A proxied router needs its port before it starts, because
+    /// the route is set up first, so a free port is bound and released.
     async fn peer_flags(&mut self, proxied: bool) -> Result<Vec<String>, LoadError> {
         if !proxied {
             return Ok(vec!["--peer-listen=127.0.0.1:0".to_owned()]);
@@ -305,7 +305,8 @@
         Ok(())
     }
 
-    /// Opens a response stream of a process; returns `None` on an error or a status other than success.
+    /// Opens a response stream of a process; returns `None` on an error or a status other than
+    /// success.
     pub(crate) async fn open_response(
         &self,
         address: SocketAddr,
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -83,8 +83,8 @@
     }
 }
 
-/// Returns the number of runs that were answered within the deadline. For each digest, at most as many runs
-/// count as callers were answered.
+/// Returns the number of runs that were answered within the deadline. For each digest, at most as
+/// many runs count as callers were answered.
 fn useful_runs(results: &[QuickResult], runs: &RunCounts) -> u64 {
     let in_time = results.iter().filter(|result| result.met_deadline());
     let mut digests: Vec<u64> = in_time.map(|result| result.call.digest()).collect();
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -102,7 +102,8 @@
         report.extra_engine_tokens_ratio = ratio(decoded + prefilled, received + prompts) - 1.0;
     }
 
-    /// Returns the longest time from a fault to the next token, over the faults that delayed this response.
+    /// Returns the longest time from a fault to the next token, over the faults that delayed this
+    /// response.
     fn fault_delay(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
--- a/crates/standins/tests/claims.rs
+++ b/crates/standins/tests/claims.rs
@@ -77,8 +77,8 @@
     response
 }
 
-/// The caller's connection breaks right before the response, and the caller retries at another VM. It
-/// must get the recorded response; the request must not run twice.
+/// The caller's connection is interrupted right before the response, and the caller retries at another
+/// VM. It must get the recorded response; the request must not run twice.
 #[gtest]
 #[tokio::test]
 async fn retry_at_another_vm_returns_the_recorded_response() {
@@ -196,7 +196,8 @@
     }
 }
 
-/// An upstream refuses the request before running it. The response says so, and the caller's retry must run.
+/// An upstream refuses the request before running it. The response says so, and the caller's retry
+/// must run.
 #[gtest]
 #[tokio::test]
 async fn a_released_claim_frees_the_key() {
