--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -17,9 +17,9 @@
 use tokio::time::Instant;
 use volo_http::body::BodyConversion;
 
-const WORKERS: usize = 3;
+const UPSTREAM_COUNT: usize = 3;
 const ROUTERS: usize = 2;
-const SLOTS_PER_WORKER: usize = 4;
+const SLOTS_PER_UPSTREAM: usize = 4;
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 const DEADLINE_MS: u64 = 1000;
 const TEAMS: usize = 5;
@@ -39,23 +39,23 @@
 async fn main() -> Result<(), Box<dyn Error>> {
     start_logging("error");
     let load: f64 = std::env::args().nth(1).unwrap_or("2.0".into()).parse()?;
-    let mut workers = Vec::new();
-    for seed in 0..WORKERS as u64 {
+    let mut servers = Vec::new();
+    for seed in 0..UPSTREAM_COUNT as u64 {
         let settings = PlainSettings {
             service_time: SERVICE_TIME,
-            capacity: SLOTS_PER_WORKER,
+            capacity: SLOTS_PER_UPSTREAM,
             seed,
             ..PlainSettings::default()
         };
-        workers.push(PlainServer::start(free_address(), settings).await?);
+        servers.push(PlainServer::start(free_address(), settings).await?);
     }
     let mut routers = Vec::new();
     for _ in 0..ROUTERS {
-        routers.push(start_router(&workers).await?);
+        routers.push(start_router(&servers).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let places = u32::try_from(WORKERS * SLOTS_PER_WORKER)?;
-    let capacity = f64::from(places) / SERVICE_TIME.as_secs_f64();
+    let slots = u32::try_from(UPSTREAM_COUNT * SLOTS_PER_UPSTREAM)?;
+    let capacity = f64::from(slots) / SERVICE_TIME.as_secs_f64();
     let calls = offer_load(&routers, capacity * load).await?;
     report(capacity, &calls);
     Ok(())
@@ -65,7 +65,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-async fn start_router(workers: &[PlainServer]) -> Result<SocketAddr, Box<dyn Error>> {
+async fn start_router(servers: &[PlainServer]) -> Result<SocketAddr, Box<dyn Error>> {
     let listener = Listener::bind(free_address()).await?;
     let address = listener.address()?;
     let settings = Settings {
@@ -73,13 +73,13 @@
         ..Settings::default()
     };
     let node = Node::start(settings)?;
-    node.put_bundle_in_force(1, &serde_json::to_string(&bundle_of(workers))?)?;
+    node.put_bundle_in_force(1, &serde_json::to_string(&bundle_of(servers))?)?;
     tokio::spawn(async move { node.serve(listener).await });
     Ok(address)
 }
 
-fn bundle_of(workers: &[PlainServer]) -> bundle::Bundle {
-    let upstreams = workers.iter().enumerate();
+fn bundle_of(servers: &[PlainServer]) -> bundle::Bundle {
+    let upstreams = servers.iter().enumerate();
     bundle::Bundle {
         services: vec![bundle::ServiceEntry {
             deadline_ms: None,
@@ -100,8 +100,8 @@
             })
             .collect(),
         upstreams: upstreams
-            .map(|(i, worker)| bundle::UpstreamEntry {
-                address: worker.address().to_string(),
+            .map(|(i, server)| bundle::UpstreamEntry {
+                address: server.address().to_string(),
                 availability_zone: "zone-1".to_owned(),
                 checks_orderer: false,
                 enforces_fencing: false,
--- a/crates/load/src/generation_call.rs
+++ b/crates/load/src/generation_call.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationResult {
     pub(crate) call: GenerationCall,
-    pub(crate) end: CallOutcome,
+    pub(crate) outcome: CallOutcome,
     pub(crate) answer: Answer,
     /// Number of times that the caller reconnected after its request had been accepted.
     pub(crate) reconnects: u32,
@@ -70,11 +70,11 @@
         let mut answer = Answer::default();
         let mut reconnects = 0;
         let mut router = balancer.pick(None);
-        let end = loop {
+        let outcome = loop {
             let reading = self.read_stream(&clients[router], &mut answer, token_timeout);
             match tokio::time::timeout_at(deadline, reading).await {
                 Err(_) => break CallOutcome::Lost,
-                Ok(Some(end)) => break end,
+                Ok(Some(outcome)) => break outcome,
                 Ok(None) => {}
             }
             reconnects += u32::from(answer.accepted);
@@ -83,7 +83,7 @@
         };
         GenerationResult {
             call: self,
-            end,
+            outcome,
             answer,
             reconnects,
         }
--- a/crates/load/src/quick_call.rs
+++ b/crates/load/src/quick_call.rs
@@ -40,14 +40,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct QuickResult {
     pub(crate) call: QuickCall,
-    pub(crate) end: QuickOutcome,
+    pub(crate) outcome: QuickOutcome,
     /// Time from the scheduled start to the end of the call.
     pub(crate) latency: Duration,
 }
 
 impl QuickResult {
     pub(crate) fn met_deadline(&self) -> bool {
-        self.end == QuickOutcome::Answered && self.latency <= DEADLINE
+        self.outcome == QuickOutcome::Answered && self.latency <= DEADLINE
     }
 }
 
@@ -67,7 +67,7 @@
     ) -> QuickResult {
         let scheduled = start + self.scheduled;
         let call = self.http_call(address, through_router);
-        let end = match connections.call_complete(call).await {
+        let outcome = match connections.call_complete(call).await {
             Err(_) => QuickOutcome::Lost,
             Ok((status, body)) if status.is_success() => {
                 match serde_json::from_slice::<PlainResponse>(&body) {
@@ -84,7 +84,7 @@
         };
         QuickResult {
             call: self,
-            end,
+            outcome,
             latency: scheduled.elapsed(),
         }
     }
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -55,9 +55,16 @@
 
 impl QuickMeasures {
     pub(crate) fn of(results: &[QuickResult], runs: &RunCounts, arrival_window: Duration) -> Self {
-        let count = |end| results.iter().filter(|result| result.end == end).count();
-        let times = |end| {
-            let ended = results.iter().filter(move |result| result.end == end);
+        let count = |outcome| {
+            results
+                .iter()
+                .filter(|result| result.outcome == outcome)
+                .count()
+        };
+        let times = |outcome| {
+            let ended = results
+                .iter()
+                .filter(move |result| result.outcome == outcome);
             Percentiles::of(ended.map(|result| result.latency))
         };
         let in_time = results
@@ -128,13 +135,13 @@
         let writes = || results.iter().filter(|result| result.call.write);
         let refused = results
             .iter()
-            .filter(|result| result.end == QuickOutcome::NotRun);
+            .filter(|result| result.outcome == QuickOutcome::NotRun);
         self.double_runs = writes().filter(|result| ran(result) > 1).count();
         // A read of the hot item may have run for another caller of the same item.
         let distinct = refused.filter(|result| !result.call.query.starts_with(HOT_ITEM_QUERY));
         self.false_not_run = distinct.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
-        let others = others.filter(|result| result.end == QuickOutcome::Answered);
+        let others = others.filter(|result| result.outcome == QuickOutcome::Answered);
         self.others_quick_ms = Percentiles::of(others.map(|result| result.latency));
         let counts = [
             ("answers lost", self.measures.lost_answers),
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -52,12 +52,15 @@
         report
     }
 
-    fn count_outcomes(&self, end: CallOutcome) -> usize {
-        self.results.iter().filter(|r| r.end == end).count()
+    fn count_outcomes(&self, outcome: CallOutcome) -> usize {
+        self.results.iter().filter(|r| r.outcome == outcome).count()
     }
 
     fn failures(&self) -> Vec<(String, usize)> {
-        let failed = self.results.iter().filter(|r| r.end == CallOutcome::Failed);
+        let failed = self
+            .results
+            .iter()
+            .filter(|r| r.outcome == CallOutcome::Failed);
         let mut types: Vec<_> = failed
             .filter_map(|r| Some(r.answer.problem.as_ref()?.type_.clone()))
             .collect();
@@ -84,7 +87,7 @@
                 .iter()
                 .any(|(_, runs)| runs.of_digest(digest) > 0)
         };
-        result.end == CallOutcome::NotRun && ran()
+        result.outcome == CallOutcome::NotRun && ran()
     }
 
     /// Compares the tokens that engines computed with those that callers requested and received.
--- a/crates/standins/tests/routing.rs
+++ b/crates/standins/tests/routing.rs
@@ -24,7 +24,7 @@
 /// Timeout of an answer, which ends a test whose callers would otherwise wait forever.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-struct Site {
+struct TestSystem {
     engines: Vec<EngineServer>,
     node: Arc<Node>,
     router: SocketAddr,
@@ -34,9 +34,9 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-async fn site(engines: usize, recovery: RecoveryPolicy, load_lag: Duration) -> Site {
+async fn system(engines: usize, recovery: RecoveryPolicy, load_lag: Duration) -> TestSystem {
     let servers = engine_servers(engines, load_lag).await;
-    start_site(servers, recovery, Settings::default()).await
+    start_system(servers, recovery, Settings::default()).await
 }
 
 async fn engine_servers(engines: usize, load_lag: Duration) -> Vec<EngineServer> {
@@ -54,11 +54,11 @@
     servers
 }
 
-async fn start_site(
+async fn start_system(
     servers: Vec<EngineServer>,
     recovery: RecoveryPolicy,
     settings: Settings,
-) -> Site {
+) -> TestSystem {
     let addresses = servers.iter().map(EngineServer::address);
     let bundle = demo_bundle(&addresses.collect::<Vec<_>>(), recovery);
     let listener = Listener::bind(free_address())
@@ -70,7 +70,7 @@
     node.put_bundle_in_force(1, &json).expect("a valid bundle");
     let serving = node.clone();
     tokio::spawn(async move { serving.serve(listener).await });
-    Site {
+    TestSystem {
         engines: servers,
         node,
         router,
@@ -89,7 +89,7 @@
     }
 }
 
-impl Site {
+impl TestSystem {
     async fn answer(&self, prompt: &str) -> Answer {
         let caller = CallerClient::new(self.router, DEMO_KEY).expect("a client");
         let mut answer = Answer::default();
@@ -123,11 +123,11 @@
 }
 
 async fn poison_costs_two_engines(recovery: RecoveryPolicy) {
-    let site = site(5, recovery, Duration::ZERO).await;
+    let system = system(5, recovery, Duration::ZERO).await;
     let poison = format!("{POISON} artwork");
 
-    let (poison_answer, menus) = futures::join!(site.answer(&poison), site.menus(12));
-    let retried = site.answer(&poison).await;
+    let (poison_answer, menus) = futures::join!(system.answer(&poison), system.menus(12));
+    let retried = system.answer(&poison).await;
 
     let outcome = |answer: &Answer| {
         answer
@@ -136,7 +136,7 @@
             .map(|p| (p.type_.clone(), p.outcome))
     };
     expect_that!(complete_menus(&menus), eq(12));
-    expect_that!(site.dead_engines(), eq(2));
+    expect_that!(system.dead_engines(), eq(2));
     expect_that!(
         outcome(&poison_answer),
         some(eq(&("catkinward:poisoned".into(), Outcome::Failed)))
@@ -168,17 +168,17 @@
 #[gtest]
 #[tokio::test]
 async fn refusal_of_a_leaving_engine_stops_new_work() {
-    let site = site(2, RecoveryPolicy::LeastWait, Duration::from_secs(60)).await;
-    let before = site.menus(1).await;
-    let work = site.engines[0].token_counts();
+    let system = system(2, RecoveryPolicy::LeastWait, Duration::from_secs(60)).await;
+    let before = system.menus(1).await;
+    let work = system.engines[0].token_counts();
 
-    site.engines[0].leave(true);
-    let answers = site.menus(16).await;
+    system.engines[0].leave(true);
+    let answers = system.menus(16).await;
 
     expect_that!(complete_menus(&before), eq(1));
     expect_that!(complete_menus(&answers), eq(16));
-    expect_that!(site.engines[0].token_counts(), eq(work));
-    let deltas = site.node.upstreams.leaving_deltas();
+    expect_that!(system.engines[0].token_counts(), eq(work));
+    let deltas = system.node.upstreams.leaving_deltas();
     expect_that!(
         deltas.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(),
         elements_are![eq(&"engine-0")]
@@ -189,22 +189,25 @@
 #[gtest]
 #[tokio::test]
 async fn leaving_update_from_a_peer_stops_new_work() {
-    let site = site(2, RecoveryPolicy::LeastWait, Duration::ZERO).await;
-    site.menus(1).await;
-    let work = site.engines[1].token_counts();
+    let system = system(2, RecoveryPolicy::LeastWait, Duration::ZERO).await;
+    system.menus(1).await;
+    let work = system.engines[1].token_counts();
     let id = "engine-1".parse().expect("a name");
-    let incarnation = site
+    let incarnation = system
         .node
         .upstreams
         .incarnation(&id)
         .expect("the engine has reported");
 
     let source = catkin_decisions::LeavingSource::Peer;
-    site.node.upstreams.record_leaving(&id, incarnation, source);
-    let answers = site.menus(12).await;
+    system
+        .node
+        .upstreams
+        .record_leaving(&id, incarnation, source);
+    let answers = system.menus(12).await;
 
     expect_that!(complete_menus(&answers), eq(12));
-    expect_that!(site.engines[1].token_counts(), eq(work));
+    expect_that!(system.engines[1].token_counts(), eq(work));
 }
 
 /// Only the platform's VM list shows that an engine is leaving. A router that ignores the list would
@@ -219,23 +222,23 @@
         ..Settings::default()
     };
     let servers = engine_servers(2, Duration::ZERO).await;
-    let site = start_site(servers, RecoveryPolicy::LeastWait, settings).await;
-    site.menus(1).await;
+    let system = start_system(servers, RecoveryPolicy::LeastWait, settings).await;
+    system.menus(1).await;
 
-    list_as_leaving(&platform, "engine-1", site.engines[1].address()).await;
+    list_as_leaving(&platform, "engine-1", system.engines[1].address()).await;
     let marked_leaving = async {
-        while site.node.upstreams.leaving().is_empty() {
+        while system.node.upstreams.leaving().is_empty() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
     tokio::time::timeout(ANSWER_TIMEOUT, marked_leaving)
         .await
         .expect("the list is read");
-    let work = site.engines[1].token_counts();
-    let answers = site.menus(12).await;
+    let work = system.engines[1].token_counts();
+    let answers = system.menus(12).await;
 
     expect_that!(complete_menus(&answers), eq(12));
-    expect_that!(site.engines[1].token_counts(), eq(work));
+    expect_that!(system.engines[1].token_counts(), eq(work));
 }
 
 async fn list_as_leaving(platform: &PlatformServer, id: &str, address: SocketAddr) {
@@ -267,9 +270,9 @@
 #[tokio::test]
 async fn poison_request_is_refused_by_another_vm() {
     let servers = engine_servers(5, Duration::ZERO).await;
-    let first = start_site(servers.clone(), RecoveryPolicy::LeastWait, peer(1, vec![])).await;
+    let first = start_system(servers.clone(), RecoveryPolicy::LeastWait, peer(1, vec![])).await;
     let initial_peers = vec![first.peers().own().clone()];
-    let second = start_site(servers, RecoveryPolicy::LeastWait, peer(2, initial_peers)).await;
+    let second = start_system(servers, RecoveryPolicy::LeastWait, peer(2, initial_peers)).await;
     let poison = format!("{POISON} artwork");
 
     first.answer(&poison).await;
@@ -295,15 +298,15 @@
     }
 }
 
-impl Site {
+impl TestSystem {
     fn peers(&self) -> &Arc<Peers> {
         self.node.peers.as_ref().expect("it has peers")
     }
 
     /// Waits until this VM has all poison records of the other.
     async fn wait_for_poison_records(&self, other: &Self) {
-        let digests = |site: &Self| {
-            let records = site.node.upstreams.poison_records();
+        let digests = |system: &Self| {
+            let records = system.node.upstreams.poison_records();
             records
                 .iter()
                 .map(|record| (record.digest, record.crash))
--- a/crates/standins/tests/team_limits.rs
+++ b/crates/standins/tests/team_limits.rs
@@ -18,7 +18,7 @@
 const TOKENS: u32 = 10;
 const LIMIT: u32 = 4;
 
-struct Site {
+struct TestSystem {
     engine: EngineServer,
     node: Arc<Node>,
     router: SocketAddr,
@@ -28,15 +28,15 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-async fn site(entry_vms: u32) -> Site {
+async fn system(entry_vms: u32) -> TestSystem {
     let settings = Settings {
         entry_vms,
         ..Settings::default()
     };
-    site_with(settings).await
+    system_with(settings).await
 }
 
-async fn site_with(settings: Settings) -> Site {
+async fn system_with(settings: Settings) -> TestSystem {
     let engine = EngineServer::start(free_address(), EngineSettings::default())
         .await
         .expect("a free address");
@@ -51,14 +51,14 @@
     node.put_bundle_in_force(1, &json).expect("a valid bundle");
     let serving = node.clone();
     tokio::spawn(async move { serving.serve(listener).await });
-    Site {
+    TestSystem {
         engine,
         node,
         router,
     }
 }
 
-impl Site {
+impl TestSystem {
     async fn answer(&self) -> Answer {
         let request = CompletionRequest {
             max_tokens: NonZeroU32::new(TOKENS).expect("not zero"),
@@ -89,10 +89,10 @@
 #[gtest]
 #[tokio::test]
 async fn team_gets_its_share_and_refusals_with_a_retry_delay() {
-    let site = site(2).await;
+    let system = system(2).await;
     let start = Instant::now();
 
-    let answers = futures::future::join_all((0..40).map(|_| site.answer())).await;
+    let answers = futures::future::join_all((0..40).map(|_| system.answer())).await;
 
     let (refused, complete): (Vec<_>, Vec<_>) = answers.iter().partition(|a| a.problem.is_some());
     let refused = refused.iter().filter_map(|a| a.problem.as_ref());
@@ -103,7 +103,7 @@
     let complete = u64::try_from(complete.len()).expect("few");
     expect_that!(complete, all![ge(share), le(max_complete)]);
     expect_that!(
-        site.engine.token_counts().0,
+        system.engine.token_counts().0,
         eq(complete * u64::from(TOKENS))
     );
     expect_that!(
@@ -123,30 +123,32 @@
 #[gtest]
 #[tokio::test]
 async fn only_the_allocator_grants_slices() {
-    let site = site(2).await;
+    let system = system(2).await;
     let request = |team: &str, vm: &str| SliceRequest {
         team: team.parse().expect("a name"),
         kind: LimitKind::Requests,
         vm: vm.parse().expect("a name"),
         demand: 3.0,
     };
-    site.answer().await;
+    system.answer().await;
 
-    let allocator = site.node.limits.slice_requests(&vms())[0].allocator.clone();
+    let allocator = system.node.limits.slice_requests(&vms())[0]
+        .allocator
+        .clone();
     let only_vm = &vms()[..1];
-    let granted = site
+    let granted = system
         .node
         .limits
         .grant(&request("counter", "vm-1"), only_vm, 1.0);
-    let for_unlisted_vm = site
+    let for_unlisted_vm = system
         .node
         .limits
         .grant(&request("counter", "vm-9"), only_vm, 1.0);
-    let for_unknown_team = site
+    let for_unknown_team = system
         .node
         .limits
         .grant(&request("nobody", "vm-1"), only_vm, 1.0);
-    let from_other_vm = site
+    let from_other_vm = system
         .node
         .limits
         .grant(&request("counter", "vm-1"), &vms()[1..], 1.0);
@@ -164,9 +166,9 @@
 #[gtest]
 #[tokio::test]
 async fn slice_follows_the_demand() {
-    let first = site_with(peer(1, vec![])).await;
+    let first = system_with(peer(1, vec![])).await;
     let initial_peers = vec![first.node.peers.as_ref().expect("peers").own().clone()];
-    let second = site_with(peer(2, initial_peers)).await;
+    let second = system_with(peer(2, initial_peers)).await;
     let team = "counter".parse().expect("a name");
 
     let slice_grows = async {
