--- a/crates/standins/src/demo_bundle.rs
+++ b/crates/standins/src/demo_bundle.rs
@@ -2,7 +2,7 @@
 use catkin_border::bundle;
 use catkin_decisions::KeyHash;
 
-/// Bearer key of the only team in [`demo_bundle`].
+/// Bearer key of the only team in [`demo_bundle()`].
 pub const DEMO_KEY: &str = "demo-key";
 
 /// Returns a bundle with one team, and one generation service on the given engines.
