--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -55,9 +55,16 @@
 
 impl QuickMeasures {
     pub(crate) fn of(results: &[QuickResult], runs: &RunCounts, arrival_window: Duration) -> Self {
-        let count = |end| results.iter().filter(|result| result.end == end).count();
-        let times = |end| {
-            let ended = results.iter().filter(move |result| result.end == end);
+        let count = |outcome| {
+            results
+                .iter()
+                .filter(|result| result.outcome == outcome)
+                .count()
+        };
+        let times = |outcome| {
+            let ended = results
+                .iter()
+                .filter(move |result| result.outcome == outcome);
             Percentiles::of(ended.map(|result| result.latency))
         };
         let in_time = results
@@ -83,8 +90,8 @@
     }
 }
 
-/// Number of runs that were answered within the deadline. For each digest, at most as many runs
-/// count as callers were answered.
+/// Returns the number of runs that were answered within the deadline. For each digest, at most as
+/// many runs count as callers were answered.
 fn useful_runs(results: &[QuickResult], runs: &RunCounts) -> u64 {
     let in_time = results.iter().filter(|result| result.met_deadline());
     let mut digests: Vec<u64> = in_time.map(|result| result.call.digest()).collect();
@@ -101,7 +108,8 @@
     useful.sum()
 }
 
-/// Jain's fairness index: 1 if each team has the same share of its calls answered within the deadline.
+/// Returns Jain's fairness index: 1 if each team has the same share of its calls answered within the
+/// deadline.
 fn fairness(results: &[QuickResult]) -> f64 {
     let teams = results.iter().map(|result| result.call.team + 1).max();
     let shares: Vec<f64> = (0..teams.unwrap_or(0))
@@ -122,18 +130,18 @@
 impl QuickReport {
     /// Checks the invariants of the calls through the routers: compares the responses that callers
     /// received with the runs that upstreams counted.
-    pub(crate) fn judge(&mut self, results: &[QuickResult], runs: &RunCounts) {
+    pub(crate) fn check_invariants(&mut self, results: &[QuickResult], runs: &RunCounts) {
         let ran = |result: &QuickResult| runs.of_digest(result.call.digest());
         let writes = || results.iter().filter(|result| result.call.write);
         let refused = results
             .iter()
-            .filter(|result| result.end == QuickOutcome::NotRun);
+            .filter(|result| result.outcome == QuickOutcome::NotRun);
         self.double_runs = writes().filter(|result| ran(result) > 1).count();
         // A read of the hot item may have run for another caller of the same item.
         let distinct = refused.filter(|result| !result.call.query.starts_with(HOT_ITEM_QUERY));
         self.false_not_run = distinct.filter(|result| ran(result) > 0).count();
         let others = results.iter().filter(|result| result.call.team > 0);
-        let others = others.filter(|result| result.end == QuickOutcome::Answered);
+        let others = others.filter(|result| result.outcome == QuickOutcome::Answered);
         self.others_quick_ms = Percentiles::of(others.map(|result| result.latency));
         let counts = [
             ("answers lost", self.measures.lost_answers),
@@ -144,8 +152,8 @@
             ),
             ("requests ran twice", self.double_runs),
         ];
-        let broken = counts.into_iter().filter(|(_, count)| *count > 0);
-        self.violations = broken.map(|(what, n)| format!("{n} {what}")).collect();
+        let violated = counts.into_iter().filter(|(_, count)| *count > 0);
+        self.violations = violated.map(|(what, n)| format!("{n} {what}")).collect();
         if results.is_empty() {
             self.violations.push("no request was made".to_owned());
         }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -4,8 +4,8 @@
     injector::InjectedFaults,
 };
 
-/// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the fault before
-/// it.
+/// A gap between tokens of more than this many steps plus [`SCHEDULING_JITTER`] is attributed to the
+/// fault before it.
 const DELAYED_STEPS: u32 = 3;
 
 /// Gap between tokens that process scheduling on a busy machine can cause.
@@ -29,12 +29,12 @@
         let mut report = Report {
             scenario: self.scenario.name.to_owned(),
             accepted: self.results.iter().filter(|r| r.answer.accepted).count(),
-            completed: self.ended(CallOutcome::Complete),
-            refused: self.ended(CallOutcome::NotRun),
-            failed: self.ended(CallOutcome::Failed),
+            completed: self.count_outcomes(CallOutcome::Complete),
+            refused: self.count_outcomes(CallOutcome::NotRun),
+            failed: self.count_outcomes(CallOutcome::Failed),
             failures: self.failures(),
             returns: self.results.iter().map(|r| r.reconnects).sum(),
-            lost_answers: self.ended(CallOutcome::Lost),
+            lost_answers: self.count_outcomes(CallOutcome::Lost),
             false_not_run: self
                 .results
                 .iter()
@@ -52,12 +52,15 @@
         report
     }
 
-    fn ended(&self, end: CallOutcome) -> usize {
-        self.results.iter().filter(|r| r.end == end).count()
+    fn count_outcomes(&self, outcome: CallOutcome) -> usize {
+        self.results.iter().filter(|r| r.outcome == outcome).count()
     }
 
     fn failures(&self) -> Vec<(String, usize)> {
-        let failed = self.results.iter().filter(|r| r.end == CallOutcome::Failed);
+        let failed = self
+            .results
+            .iter()
+            .filter(|r| r.outcome == CallOutcome::Failed);
         let mut types: Vec<_> = failed
             .filter_map(|r| Some(r.answer.problem.as_ref()?.type_.clone()))
             .collect();
@@ -84,7 +87,7 @@
                 .iter()
                 .any(|(_, runs)| runs.of_digest(digest) > 0)
         };
-        result.end == CallOutcome::NotRun && ran()
+        result.outcome == CallOutcome::NotRun && ran()
     }
 
     /// Compares the tokens that engines computed with those that callers requested and received.
@@ -102,13 +105,14 @@
         report.extra_engine_tokens_ratio = ratio(decoded + prefilled, received + prompts) - 1.0;
     }
 
-    /// Longest time from a fault to the next token, over the faults that delayed this response.
+    /// Returns the longest time from a fault to the next token, over the faults that delayed this
+    /// response.
     fn fault_delay(&self, result: &GenerationResult) -> Option<Duration> {
         let answer = &result.answer;
         let started = answer.started?;
         let resumed =
             result.reconnects > 0 || answer.usage.as_ref().is_some_and(|u| u.attempts > 1);
-        let bound = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
+        let threshold = self.scenario.step * DELAYED_STEPS + SCHEDULING_JITTER;
         let wait = |fault: &Instant| {
             let fault = fault.checked_duration_since(started)?;
             let next = answer.arrivals.partition_point(|arrival| *arrival < fault);
@@ -117,7 +121,7 @@
                 .arrivals
                 .get(next)?
                 .checked_sub(answer.arrivals[before])?;
-            (resumed || gap > bound).then(|| answer.arrivals[next].saturating_sub(fault))
+            (resumed || gap > threshold).then(|| answer.arrivals[next].saturating_sub(fault))
         };
         self.injected.fault_times.iter().filter_map(wait).max()
     }
--- a/crates/standins/src/caller_client.rs
+++ b/crates/standins/src/caller_client.rs
@@ -47,11 +47,11 @@
         })
     }
 
-    /// Streams a generation into `answer`, from its last event on if it has any, and calls `on_token`.
+    /// Streams a generation into `answer`, after its last event if it already contains tokens.
     ///
     /// # Errors
     ///
-    /// If the stream is interrupted before its end; `answer` then contains the received part.
+    /// If the stream is interrupted; `answer` then contains the received part.
     pub async fn stream(
         &self,
         request: &caller::CompletionRequest,
