--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,7 +5,7 @@
 //! faults on request, and generate responses whose correctness the caller can verify.
 
 pub(crate) use {
-    crate::weight_store::,WeightLoadGuard, LoadGuard, ,
+    crate::weight_store::WeightLoadGuard,
     bytes::Bytes,
     catkin_border::{caller, engine},
     catkin_decisions::to_hex,
