--- a/crates/catkinward/src/event.rs
+++ b/crates/catkinward/src/event.rs
@@ -75,7 +75,8 @@
     pub bundle: Option<BundleVersion>,
     /// Fencing term of the lease or order.
     pub term: Option<Term>,
-    /// Human-readable reason or object of the event.
+    /// Human-readable detail: the reason, or the service, VM, scope or engine state that the event
+    /// concerns.
     pub detail: Option<Arc<str>>,
 }
 
--- a/crates/catkinward/src/gateway/rollout_store.rs
+++ b/crates/catkinward/src/gateway/rollout_store.rs
@@ -4,7 +4,8 @@
 pub struct RolloutStore {
     /// Reads the rollout record of a service.
     pub read: ReadRecord,
-    /// Writes a record together with the status that operators read, in one transaction.
+    /// Writes a record together with the status that operators read, in one transaction, if the row and
+    /// the order have the expected versions.
     pub write: WriteRecord,
 }
 
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -59,7 +59,7 @@
 struct RolloutTask {
     gateway: Arc<Gateway>,
     store: RolloutStore,
-    /// Time of the next report.
+    /// Time of the next report to the owners of the running rollouts.
     next_report_at: Instant,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Rollouts whose end is not stored, and those that this VM owns.
+    /// Returns the rollouts whose end is not stored yet, and those that this VM owns.
     fn running(&self) -> Vec<Rollout> {
         let mut state = self.gateway.state.lock();
         let mut rollouts = state
@@ -109,7 +109,8 @@
         rollouts
     }
 
-    /// Sends reports if they are due; returns whether it did.
+    /// Sends this VM's counts of requests and responses to the owners of the running rollouts if a
+    /// report is due; returns whether one was due.
     fn report(&mut self, running: &[Rollout]) -> bool {
         let now = self.gateway.timer.now();
         if now < self.next_report_at || running.is_empty() {
--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -47,8 +47,8 @@
     pub(super) head: Option<(StatusCode, HeaderMap)>,
     /// Time when the previous run was lost.
     pub(super) lost_at: Option<Instant>,
-    /// Time when the run was sent, until its first event. `None` if the time to its first event does not measure
-    /// the speed of its upstream.
+    /// Time when the run was sent, to judge a rollout by the latency of its first event. `None` after that
+    /// event, and for a resumed run.
     pub(super) sample_sent_at: Option<Instant>,
     /// Whether the stream is complete or cut.
     pub(super) ended: bool,
@@ -286,7 +286,9 @@
         }
     }
 
-    /// Records the duration of a stream that was generated from its first event on.
+    /// Records the time from the first event until now, for estimates of stream durations. Does nothing
+    /// if the caller resumed the stream, since its earlier events were not timed, or if no event was
+    /// relayed.
     fn record_duration(&self) {
         let (Some(first), Some(last), None) = (
             self.first_event_at,
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -175,7 +175,8 @@
         let copy = gateway.select_holder(&self.accepted, &entry);
         let now = gateway.timer.now();
         let time_left = self.accepted.time_left(now);
-        // A resumed run produces its first event sooner than a new one, so it is no sample for the rollout.
+        // A resumed run produces its first event sooner than a new one, so it is not counted when a
+        // rollout is judged.
         self.sample_sent_at = (!from_copy && self.relay.last().is_none()).then_some(now);
         let call = UpstreamCall {
             call: self.accepted.call.clone(),
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -10,7 +10,8 @@
     pub copy: CopyKvCache,
     /// Requests that an engine frees a KV copy that will not be used.
     pub free: FreeKvCopy,
-    /// Queries which prompt parts an engine has cached; the latest report of a part comes last.
+    /// Queries which prompt parts an engine has cached. The result is ordered oldest first; if a part
+    /// occurs twice, the later entry is valid.
     pub cached: QueryCachedPrompts,
     /// Queries the health and load of an upstream over a separate connection.
     pub probe: ProbeUpstream,
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -14,19 +14,19 @@
     pub writes: CallLimiterSettings,
 }
 
-/// Transactions per second of all VMs together; the platform executes several hundred.
+/// Limit of the transactions per second of all VMs together; the platform executes several hundred.
 ///
-/// Above its rate the platform refuses transactions, of random VMs. With 40 VMs that each took an
-/// eighth of the rate instead of a fortieth, and a platform limit of 300, 290 claims were refused at
-/// their deadline; with a fortieth none was (example `claim_rate`).
+/// The platform refuses transactions beyond its own limit, whichever VM sends them. With 40 VMs and
+/// a platform limit of 300 per second, 290 claims were refused at their deadline if each VM was
+/// allowed an eighth of the 300; none was if each was allowed a fortieth (example `claim_rate`).
 const WRITES_PER_SECOND: u32 = 300;
 
-/// Reads per second of all VMs together: half of the 2,000 that the platform executes. The other half
+/// Limit of the reads per second of all VMs together: half of the 2,000 that the platform executes. The other half
 /// is reserved for operators and for many VMs that start at the same time.
 const READS_PER_SECOND: u32 = 1000;
 
-/// Minimum number of reads per second of a VM, regardless of the number of VMs: one for the bundle's
-/// row, and the rest for a lease and a claim.
+/// Lower bound on the read limit of one VM, per second, however many VMs there are: one read for the
+/// bundle's row, and the rest for a lease and a claim.
 const MIN_READS_PER_SECOND: u32 = 3;
 
 impl PlatformSettings {
--- a/crates/catkinward/src/team_limits.rs
+++ b/crates/catkinward/src/team_limits.rs
@@ -9,7 +9,7 @@
     timer: Arc<Timer>,
     bundle: Arc<BundleInForce>,
     vm: VmId,
-    /// Number of VMs that share a limit as long as no slice is granted.
+    /// Number of VMs among which a limit is divided evenly as long as no slice is granted.
     sharers: u32,
     /// Sorted by team and kind.
     slices: Mutex<Vec<LimitSlice>>,
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns the rate per second that this VM currently admits of a limit; `None` if the limit has
-    /// not been used on this VM.
+    /// Returns this VM's current share of a team's limit, per second; `None` if this VM has not used the
+    /// limit.
     #[must_use]
     pub fn rate(&self, team: &TeamId, kind: LimitKind) -> Option<f64> {
         let slices = self.slices.lock();
--- a/crates/decisions/src/claim_queue.rs
+++ b/crates/decisions/src/claim_queue.rs
@@ -33,7 +33,8 @@
     change: ClaimChange,
     /// Receives the result; `None` for the final record of a claim.
     waiter: Option<W>,
-    /// When the claim is abandoned.
+    /// Time at which a claim that is still pending is abandoned. Changes that end a claim have no
+    /// deadline, which is `Duration::MAX`.
     deadline: Instant,
     /// Whether a transaction that contains this change may have been committed.
     may_have_committed: bool,
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Old models in use, each with the engines that keep it.
+    /// Returns the old models that were used within `idle_before_unload`, each with the engines that
+    /// should keep it loaded.
     fn retained_models(&self, now: Instant, views: &[EngineView]) -> Vec<(Model, Vec<UpstreamId>)> {
         self.old_models
             .iter()
@@ -168,8 +169,8 @@
             .collect()
     }
 
-    /// Next target state of an engine; `None` if the engine is unreachable or already in that
-    /// state.
+    /// Returns the next target state of an engine; `None` if the engine is unreachable or already in
+    /// that state.
     fn target_state(
         &self,
         i: usize,
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -24,10 +24,11 @@
     /// An update of a rollout, sent as soon as its state changes.
     #[serde(rename = "o")]
     Rollout(RolloutNotice),
-    /// The sender's counts for the owner of a rollout.
+    /// The sender's counts of requests, used grants and responses of both versions, for the owner of a
+    /// rollout.
     #[serde(rename = "p")]
     RolloutReport(RolloutReport),
-    /// The owner's reply to such counts.
+    /// The owner's reply to a rollout report: how many canary requests the VM may send.
     #[serde(rename = "g")]
     RolloutGrant(RolloutGrant),
 }
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -247,11 +247,12 @@
         run.on_probation.then(|| run.as_suspect())
     }
 
-    /// Commits a run whose request is sent next.
+    /// Marks a run as sent, right before its request is sent.
     ///
     /// # Errors
     ///
-    /// Fails if another VM has since reported crashes of the request or a run with precedence.
+    /// Fails if another VM has since reported that the request crashed upstreams, or has announced a
+    /// conflicting run that takes precedence.
     pub fn commit(&mut self, run: TrackedRunId, now: Instant) -> Result<(), PoisonBlock> {
         if self.is_refused(run.digest, now) {
             return Err(PoisonBlock::Refused);
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -24,12 +24,13 @@
 /// Latency up to which no response is slow, whatever the median.
 const MIN_SLOW_LATENCY: Duration = Duration::from_millis(20);
 
-/// Minimum number of responses of the old versions in one report for them to show the current
-/// condition of the VM and its links.
+/// Minimum number of responses of the old versions in a report for judging the new version by that
+/// report. Fewer do not show the current condition of the VM and its links, so the responses of the
+/// new version are then compared only with the baseline of all reports.
 const MIN_REPORT_SAMPLES: u32 = 4;
 
 /// Minimum number of responses of the old versions on a route before the new version is judged on
-/// it.
+/// it. Until then the responses of the new version are kept and not judged.
 const MIN_BASELINE_SAMPLES: u32 = 20;
 
 /// Minimum number of responses of the new version on each route before it can be judged good.
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -17,11 +17,11 @@
 /// Reason for a rollback.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RollbackReason {
-    /// The version responds worse than the old one.
+    /// The new version responds worse than the old one.
     Bad(RolloutVerdict),
-    /// There was too little evidence at the deadline.
+    /// At the deadline, there was too little evidence to judge the new version.
     Undecided,
-    /// The version had too few upstream slots at the deadline.
+    /// At the deadline, the upstreams of the new version had too few slots in total to take over.
     TooFewUpstreams,
     /// The order is invalid.
     Fault(RolloutOrderError),
--- a/crates/decisions/src/suspect_run.rs
+++ b/crates/decisions/src/suspect_run.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// A run of a suspect, announced to the other VMs before the request is sent. If the VM fails
-/// together with the upstream, the other VMs know which request was in flight.
+/// A run of a suspect request, which is one that may have crashed an upstream. The run is announced
+/// to the other VMs before the request is sent: if the VM fails together with the upstream, the other
+/// VMs know which request was in flight.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct SuspectRun {
-    /// Digest of the suspect.
+    /// Digest of the suspect request.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
     /// Upstream to which the request is sent.
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -26,8 +26,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamEvidence {
     current: Option<Incarnation>,
+    /// Time at which the first report of the current incarnation was requested.
     since: Instant,
+    /// Latest time at which a request was sent that the current incarnation has answered.
     last_seen: Instant,
+    /// Incarnations that have ended, or that another one has replaced.
     replaced: Vec<Incarnation>,
     leaving: Vec<(Incarnation, LeavingSource)>,
     listed: ListedState,
--- a/crates/decisions/src/zone_gossip.rs
+++ b/crates/decisions/src/zone_gossip.rs
@@ -62,9 +62,9 @@
 /// Freshness of the gossip that this VM has received from its zone.
 #[derive(Clone, Debug, Default)]
 pub struct GossipView {
-    /// Last response of the store to any of the senders.
+    /// Time of the store's last response to any VM whose gossip this VM has received.
     store_last_seen: Option<Instant>,
-    /// Last successful poll of the configuration by any of the senders.
+    /// Time of the last successful configuration poll by any VM whose gossip this VM has received.
     config_last_seen: Option<Instant>,
     /// Time since which the local table is known to miss changes.
     behind_since: Option<Instant>,
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -402,7 +402,8 @@
         };
     }
 
-    /// Delivers all calls and their results until nothing is pending.
+    /// Completes all pending calls. Then, for 20 rounds, reports the result of each VM's awaited call as
+    /// `Unknown`, lets the VM send its next group and delivers that call.
     fn run_to_completion(&mut self) {
         while self.calls.iter().any(|call| !call.done) {
             self.deliver(0, true);
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -116,7 +116,7 @@
         (0..count).for_each(|_| self.run_second());
     }
 
-    /// Indices of the engines that hold a version.
+    /// Returns the indices of the engines that report a model version as loaded.
     fn holders(&self, version: &str) -> Vec<usize> {
         let held = |i: &usize| self.engines[*i].report.is_loaded(&model(version));
         (0..self.engines.len()).filter(held).collect()
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -52,7 +52,8 @@
     usable.map(|entry| entry.id.to_string()).collect()
 }
 
-/// A VM reads nothing of an upstream but its removal.
+/// A VM has read the removal of an upstream, but never its entry. A late restart report must not add the
+/// upstream.
 #[gtest]
 fn report_of_an_upstream_removed_unseen_is_ignored() {
     let mut directory = UpstreamDirectory::default();
--- a/crates/decisions/tests/upstream_directory.rs
+++ b/crates/decisions/tests/upstream_directory.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// An upstream drains, ends, and restarts under its id. If it still counted as leaving, it would get no
-/// calls for as long as this process lives.
+/// An upstream drains, exits and restarts under the same id. If the directory still counted the id as
+/// leaving, the new upstream process would never get a call.
 #[gtest]
 fn upstream_that_drained_and_started_again_is_usable() {
     let mut directory = UpstreamDirectory::default();
@@ -145,8 +145,8 @@
     expect_that!(usable(&directory, at(0)), eq(&["u1@5000"]));
 }
 
-/// An upstream has restarted and is leaving; then an entry of its earlier process is read late. The entry
-/// must not bring it back.
+/// An upstream has restarted and is leaving; then an entry of its earlier process is read late. This
+/// entry must not make the upstream usable again.
 #[gtest]
 fn late_entry_of_an_earlier_process_is_ignored() {
     let mut directory = UpstreamDirectory::default();
--- a/crates/decisions/tests/zone_gossip.rs
+++ b/crates/decisions/tests/zone_gossip.rs
@@ -317,8 +317,9 @@
 }
 
 proptest! {
-    /// Three VMs read the store, up to date or not, and receive each other's changes reordered, incomplete or
-    /// duplicated. A VM that has read up to the newest version must have exactly the entries of the store.
+    /// Three VMs read the store at its newest or an older version, and receive each other's changes
+    /// reordered, incomplete or duplicated. A VM that has read up to the newest version must have exactly
+    /// the entries of the store.
     #[test]
     fn tables_read_up_to_the_newest_version_match_the_store(
         steps in prop::collection::vec(step(), 1..80),
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -229,7 +229,8 @@
         self.engines[engine].signal(signal)
     }
 
-    /// Injects a fault on the proxy route to an engine; only if engines are proxied.
+    /// Injects a fault on the proxy route to an engine. The fleet must have been started with proxied
+    /// engines.
     ///
     /// # Errors
     ///
@@ -241,7 +242,8 @@
         Ok(())
     }
 
-    /// Delays every message between routers by `delay`; only if peers are proxied.
+    /// Delays every message between routers by `delay`. The fleet must have been started with proxied
+    /// peers.
     ///
     /// # Errors
     ///
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -16,7 +16,8 @@
     pub measures: QuickMeasures,
     /// Metrics of the same calls sent directly to the upstreams, round robin.
     pub baseline: QuickMeasures,
-    /// Latency of answered calls of all teams except the hot one.
+    /// Latency of answered calls of all teams except team 0, which makes three quarters of the calls in
+    /// the scenario `hot-team`.
     pub others_quick_ms: Percentiles,
     /// Requests that were reported as not run although an upstream ran them.
     pub false_not_run: usize,
--- a/crates/standins/src/proxy_fault.rs
+++ b/crates/standins/src/proxy_fault.rs
@@ -5,8 +5,8 @@
     /// No fault: forwards everything.
     #[default]
     Pass,
-    /// While it lasts, accepts new connections without reading from them and forwards nothing on
-    /// open ones.
+    /// Until the fault is changed, accepts new connections without reading from them and forwards
+    /// nothing on open ones.
     BlackHole,
     /// Forwards nothing from the caller to the upstream, as in a one-way partition.
     CutUp,
--- a/crates/standins/src/run_counts.rs
+++ b/crates/standins/src/run_counts.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde::{Deserialize, Serialize};
 
-/// Number of runs of each request on a mock, sorted by key and digest.
+/// Number of runs of each request on a mock upstream, sorted by key and digest.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RunCounts {
     /// Entries, one for each key and digest.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns the digest of a request's query and body, by which a caller finds its runs.
+/// Returns the digest of a request's query and body, which identifies its runs in [`RunCounts`].
 #[must_use]
 pub fn request_digest(query: &str, body: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(body, xxhash_rust::xxh3::xxh3_64(query.as_bytes()))
