--- a/crates/decisions/tests/choice.rs
+++ b/crates/decisions/tests/choice.rs
@@ -12,7 +12,7 @@
 
 const CAPACITY: u32 = 16;
 
-fn ms(ms: u64) -> Instant {
+fn at_ms(ms: u64) -> Instant {
     Instant(Duration::from_millis(ms))
 }
 
@@ -38,7 +38,7 @@
 /// An upstream that has been running long enough to have full weight, and has just reported `load`.
 fn record(load: u32) -> UpstreamRecord {
     let mut record = UpstreamRecord::default();
-    let pending = record.report_requested(ms(0));
+    let pending = record.report_requested(at_ms(0));
     record.record_report(pending, report(load));
     let pending = record.report_requested(NOW);
     record.record_report(pending, report(load));
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -16,7 +16,7 @@
 /// Maximum time until a dispatched request has reached its upstream or failed.
 const DISPATCH_BOUND: Duration = Duration::from_secs(1);
 
-fn ms(ms: u64) -> Instant {
+fn at_ms(ms: u64) -> Instant {
     Instant(Duration::from_millis(ms))
 }
 
@@ -54,13 +54,13 @@
         LeavingSource::Refusal,
         LeavingSource::Peer,
     ] {
-        let mut evidence = reported_at(ms(0));
+        let mut evidence = reported_at(at_ms(0));
 
-        report_leaving(&mut evidence, source, ms(100));
+        report_leaving(&mut evidence, source, at_ms(100));
         let verdicts = (2..200)
             .map(|n| {
-                record_lagging_reports(&mut evidence, ms(n * 100));
-                evidence.eligible(ms(n * 100))
+                record_lagging_reports(&mut evidence, at_ms(n * 100));
+                evidence.eligible(at_ms(n * 100))
             })
             .collect::<Vec<_>>();
 
@@ -75,52 +75,55 @@
 /// missing reports show it.
 #[gtest]
 fn missing_reports_stop_new_work_in_time() {
-    let evidence = reported_at(ms(1000));
+    let evidence = reported_at(at_ms(1000));
 
     let last = (0..10_000)
-        .filter(|n| evidence.eligible(ms(*n)).is_ok())
+        .filter(|n| evidence.eligible(at_ms(*n)).is_ok())
         .max()
         .expect("eligible at first");
 
     expect_that!(
-        ms(last).since(ms(1000)) + DISPATCH_BOUND,
+        at_ms(last).since(at_ms(1000)) + DISPATCH_BOUND,
         le(MAX_LEAVING_DELAY)
     );
-    expect_that!(evidence.eligible(ms(9000)), err(eq(&Ineligible::Stale)));
+    expect_that!(evidence.eligible(at_ms(9000)), err(eq(&Ineligible::Stale)));
 }
 
 /// An upstream is paused for 10 s and then responds to a report request sent before the pause. The response is
 /// evidence only for the time of that request.
 #[gtest]
 fn a_late_report_dates_from_its_request() {
-    let mut evidence = reported_at(ms(0));
+    let mut evidence = reported_at(at_ms(0));
 
-    evidence.record_report(FIRST, false, ms(500));
+    evidence.record_report(FIRST, false, at_ms(500));
 
-    expect_that!(evidence.eligible(ms(10_500)), err(eq(&Ineligible::Stale)));
+    expect_that!(
+        evidence.eligible(at_ms(10_500)),
+        err(eq(&Ineligible::Stale))
+    );
 }
 
 /// An upstream restarts. Reports that the former process was leaving must not keep the new one from getting
 /// work.
 #[gtest]
 fn a_restarted_upstream_gets_work_again() {
-    let mut evidence = reported_at(ms(0));
+    let mut evidence = reported_at(at_ms(0));
     evidence.record_listed(true);
 
-    let former = evidence.record_report(SECOND, false, ms(500));
+    let former = evidence.record_report(SECOND, false, at_ms(500));
     evidence.record_listed(true);
 
     expect_that!(former, some(eq(FIRST)));
-    expect_that!(evidence.eligible(ms(600)), ok(anything()));
+    expect_that!(evidence.eligible(at_ms(600)), ok(anything()));
 }
 
 /// A report of the process before a restart arrives out of order, after one of the new process.
 #[gtest]
 fn a_late_report_does_not_restore_a_replaced_process() {
-    let mut evidence = reported_at(ms(0));
-    evidence.record_report(SECOND, false, ms(500));
+    let mut evidence = reported_at(at_ms(0));
+    evidence.record_report(SECOND, false, at_ms(500));
 
-    let former = evidence.record_report(FIRST, false, ms(600));
+    let former = evidence.record_report(FIRST, false, at_ms(600));
 
     expect_that!(former, none());
     expect_that!(evidence.incarnation(), some(eq(SECOND)));
@@ -132,11 +135,11 @@
 fn a_listing_received_first_holds_until_it_changes() {
     let mut evidence = UpstreamEvidence::default();
     evidence.record_listed(true);
-    evidence.record_report(FIRST, false, ms(0));
+    evidence.record_report(FIRST, false, at_ms(0));
 
-    let before = evidence.eligible(ms(1)).is_ok();
+    let before = evidence.eligible(at_ms(1)).is_ok();
     evidence.record_listed(false);
-    let after = evidence.eligible(ms(2)).is_ok();
+    let after = evidence.eligible(at_ms(2)).is_ok();
 
     expect_that!((before, after), eq((false, true)));
 }
@@ -145,25 +148,25 @@
 /// the entry of the current process, or the leaving upstream would get work again.
 #[gtest]
 fn reports_on_other_processes_do_not_evict_the_current_one() {
-    let mut evidence = reported_at(ms(0));
+    let mut evidence = reported_at(at_ms(0));
     evidence.record_leaving(FIRST, LeavingSource::Peer);
 
     for n in 100..200 {
         evidence.record_leaving(Incarnation(n), LeavingSource::Peer);
     }
 
-    expect_that!(evidence.eligible(ms(1)), err(anything()));
+    expect_that!(evidence.eligible(at_ms(1)), err(anything()));
     expect_that!(evidence.leaving().len(), le(16));
 }
 
 #[gtest]
 fn an_ended_process_gets_no_work() {
-    let mut evidence = reported_at(ms(0));
+    let mut evidence = reported_at(at_ms(0));
 
     evidence.record_ended(FIRST);
-    evidence.record_report(FIRST, false, ms(10));
+    evidence.record_report(FIRST, false, at_ms(10));
 
-    expect_that!(evidence.eligible(ms(20)), err(eq(&Ineligible::NoReport)));
+    expect_that!(evidence.eligible(at_ms(20)), err(eq(&Ineligible::NoReport)));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -190,19 +193,19 @@
     fn eligible_only_with_fresh_evidence_and_never_after_leaving(
         observations in prop::collection::vec((0..900_u64, observation()), 1..80)
     ) {
-        let mut evidence = reported_at(ms(0));
+        let mut evidence = reported_at(at_ms(0));
         let (mut now, mut last_heard, mut left) = (0, 0, false);
 
         for (wait, observation) in observations {
             now += wait;
             match observation {
                 Observation::Report(leaving) => {
-                    evidence.record_report(FIRST, leaving, ms(now));
+                    evidence.record_report(FIRST, leaving, at_ms(now));
                     left |= leaving;
                     last_heard = now;
                 }
                 Observation::Reply => {
-                    evidence.record_response(FIRST, ms(now));
+                    evidence.record_response(FIRST, at_ms(now));
                     last_heard = now;
                 }
                 Observation::Listed(leaving) => {
@@ -220,8 +223,8 @@
             }
 
             let later = now + wait;
-            let fresh = ms(later).since(ms(last_heard)) <= EVIDENCE_MAX_AGE;
-            prop_assert_eq!(evidence.eligible(ms(later)).is_ok(), fresh && !left);
+            let fresh = at_ms(later).since(at_ms(last_heard)) <= EVIDENCE_MAX_AGE;
+            prop_assert_eq!(evidence.eligible(at_ms(later)).is_ok(), fresh && !left);
         }
     }
 }
--- a/crates/decisions/tests/load.rs
+++ b/crates/decisions/tests/load.rs
@@ -86,7 +86,7 @@
 /// Guards against a queue that grows until every response is late when twice as many calls arrive as
 /// three plain workers can serve.
 #[gtest]
-fn overload_2x_serves_what_fits_and_refuses_the_rest_at_once() {
+fn overload_2x_uses_full_capacity_and_refuses_the_rest_at_once() {
     let (admission, baseline) = overload(&plain_site(), 2.0);
 
     expect_that!(admission.of_capacity, ge(0.95));
@@ -97,7 +97,7 @@
 
 /// Guards against the same failure when five times as many calls arrive as can be served.
 #[gtest]
-fn overload_5x_serves_what_fits_and_refuses_the_rest_at_once() {
+fn overload_5x_uses_full_capacity_and_refuses_the_rest_at_once() {
     let (admission, baseline) = overload(&plain_site(), 5.0);
 
     expect_that!(admission.of_capacity, ge(0.95));
@@ -109,7 +109,7 @@
 /// Guards overload handling with workers that do not report their capacity, so that the limits have to
 /// be derived from latency.
 #[gtest]
-fn overload_2x_without_load_reports_serves_what_fits() {
+fn overload_2x_without_load_reports_uses_full_capacity() {
     let site = Site {
         report: false,
         ..plain_site()
--- a/crates/decisions/tests/load_support/mod.rs
+++ b/crates/decisions/tests/load_support/mod.rs
@@ -87,7 +87,7 @@
 }
 
 #[derive(Default)]
-struct Upstream {
+struct SimulatedUpstream {
     running: usize,
     queue: VecDeque<usize>,
 }
@@ -100,7 +100,7 @@
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
     nodes: Vec<Node>,
-    upstreams: Vec<Upstream>,
+    upstreams: Vec<SimulatedUpstream>,
     ids: Vec<UpstreamId>,
     teams: Vec<QueueTeam>,
     sent: Vec<Duration>,
@@ -148,7 +148,9 @@
             events: BinaryHeap::new(),
             sequence: 0,
             nodes: (0..NODES).map(|i| Node::new(i, site, &ids)).collect(),
-            upstreams: (0..site.upstreams).map(|_| Upstream::default()).collect(),
+            upstreams: (0..site.upstreams)
+                .map(|_| SimulatedUpstream::default())
+                .collect(),
             teams: (0..site.teams).map(team).collect(),
             ids,
             sent: vec![Duration::ZERO; jobs.len()],
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -54,7 +54,7 @@
 }
 
 /// A VM that places prompts from its own state and the heartbeats of others.
-struct Decider {
+struct PlacingVm {
     vm: Arc<str>,
     zone: AvailabilityZone,
     loads: Vec<UpstreamLoad>,
@@ -62,7 +62,7 @@
     heartbeats: u64,
 }
 
-impl Decider {
+impl PlacingVm {
     fn place(
         &mut self,
         entries: &[Arc<UpstreamEntry>],
@@ -130,9 +130,9 @@
     let names = (0..vms)
         .map(|n| Arc::from(format!("vm-{n}")))
         .collect::<Vec<Arc<str>>>();
-    let mut deciders = names
+    let mut placing_vms = names
         .iter()
-        .map(|vm| Decider {
+        .map(|vm| PlacingVm {
             vm: vm.clone(),
             zone: zone("c"),
             loads: vec![UpstreamLoad::default(); entries.len()],
@@ -146,9 +146,9 @@
         let ms = 1000 + 3 * step as u64;
         let sender = step % vms;
         for (_, from, heartbeat) in heartbeats.extract_if(.., |(due, ..)| *due <= ms) {
-            for (index, decider) in deciders.iter_mut().enumerate() {
+            for (index, placing_vm) in placing_vms.iter_mut().enumerate() {
                 if index != from {
-                    decider.peers.apply_heartbeat(
+                    placing_vm.peers.apply_heartbeat(
                         heartbeat.clone(),
                         ([127, 0, 0, 1], 80).into(),
                         at(ms),
@@ -163,10 +163,10 @@
         } else {
             &names
         };
-        let index = deciders[sender].place(&entries, partition_vms, random, at(ms));
+        let index = placing_vms[sender].place(&entries, partition_vms, random, at(ms));
         prompts[index] += 1;
         if with_heartbeats {
-            let heartbeat = deciders[sender].heartbeat(&entries, at(ms));
+            let heartbeat = placing_vms[sender].heartbeat(&entries, at(ms));
             heartbeats.push((ms + 2, sender, heartbeat));
         }
     }
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -55,7 +55,7 @@
 /// A VM has read the removal of an upstream, but never its entry. A late restart report must not add the
 /// upstream.
 #[gtest]
-fn report_of_an_upstream_removed_unseen_is_ignored() {
+fn restart_report_is_ignored_if_only_the_removal_was_seen() {
     let mut directory = UpstreamDirectory::default();
     directory.apply_entry(entry(0));
     directory.remove_entry(&entry(1).id.id, at(1000));
--- a/crates/load/tests/plain_claims.rs
+++ b/crates/load/tests/plain_claims.rs
@@ -43,7 +43,7 @@
     }
 }
 
-fn keyed(item: &str) -> Call {
+fn call_with_idempotency_key(item: &str) -> Call {
     order(item).with("idempotency-key", "order-7")
 }
 
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn retried_order_gets_the_response_of_its_only_run() {
     let system = system(Duration::from_millis(5)).await;
-    let order = keyed("menu");
+    let order = call_with_idempotency_key("menu");
 
     let first = system.routers[0].call(&order).await;
     let again = system.routers[1].call(&order).await;
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn order_sent_to_two_vms_at_once_runs_once() {
     let system = system(Duration::from_millis(200)).await;
-    let order = keyed("menu");
+    let order = call_with_idempotency_key("menu");
 
     let calls = system.routers.iter().map(|router| router.call(&order));
     let replies = futures::future::join_all(calls).await;
@@ -87,7 +87,10 @@
 #[tokio::test]
 async fn key_of_another_order_is_a_conflict() {
     let system = system(Duration::from_millis(5)).await;
-    let (menu, leaflet) = (keyed("menu"), keyed("leaflet"));
+    let (menu, leaflet) = (
+        call_with_idempotency_key("menu"),
+        call_with_idempotency_key("leaflet"),
+    );
     system.routers[0].call(&menu).await;
 
     let reply = system.routers[1].call(&leaflet).await;
@@ -104,7 +107,7 @@
 async fn order_with_lost_response_stays_unknown() {
     let system = system(Duration::from_millis(5)).await;
     system.server.set_fault(PlainFault::BreakOff);
-    let order = keyed("menu");
+    let order = call_with_idempotency_key("menu");
 
     let first = system.routers[0].call(&order).await;
     system.server.set_fault(PlainFault::None);
@@ -122,7 +125,7 @@
 async fn refused_order_can_be_retried() {
     let system = system(Duration::from_millis(5)).await;
     system.server.set_fault(PlainFault::Refuse);
-    let order = keyed("menu");
+    let order = call_with_idempotency_key("menu");
 
     let first = system.routers[0].call(&order).await;
     system.server.set_fault(PlainFault::None);
@@ -143,7 +146,7 @@
         outage: Some(PlatformOutage::Refused),
         ..PlatformFaults::default()
     });
-    let order = keyed("menu").with("catkin-deadline-ms", "800");
+    let order = call_with_idempotency_key("menu").with("catkin-deadline-ms", "800");
 
     let reply = system.routers[0].call(&order).await;
 
@@ -162,7 +165,7 @@
         lose_answers: Some(1),
         ..PlatformFaults::default()
     });
-    let order = keyed("menu");
+    let order = call_with_idempotency_key("menu");
 
     let reply = system.routers[0].call(&order).await;
 
@@ -175,7 +178,7 @@
 #[tokio::test]
 async fn order_of_a_disconnected_caller_is_found_by_its_key() {
     let system = system(Duration::from_millis(300)).await;
-    let order = keyed("menu");
+    let order = call_with_idempotency_key("menu");
     let calling = tokio::spawn({
         let (router, order) = (system.routers[0].clone(), order.clone());
         async move { router.call(&order).await.outcome() }
--- a/crates/standins/tests/orders.rs
+++ b/crates/standins/tests/orders.rs
@@ -319,7 +319,7 @@
 /// orders to the other engines.
 #[gtest]
 #[tokio::test]
-async fn engine_that_refuses_the_orderer_does_not_block_others() {
+async fn engine_that_rejects_the_lease_holder_does_not_block_others() {
     let mut engines = engines(
         1,
         EngineSettings {
