--- a/crates/catkinward/src/gateway/core.rs
+++ b/crates/catkinward/src/gateway/core.rs
@@ -13,7 +13,7 @@
 
 /// Retry delay for a caller of a VM that has no configuration or no upstreams yet: about the time
 /// it takes to read them.
-pub const NOT_READY_RETRY: Duration = Duration::from_millis(500);
+pub const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How long a call waits for a process that has just started. The process reads what it needs
 /// within 0.2 s if the platform responds; if it does not, another VM serves the caller better.
@@ -21,11 +21,11 @@
 
 /// Retry delay for a caller whose body crashed upstreams. The crash record outlasts the delay, so
 /// the delay only prevents immediate retries.
-const CRASHING_RETRY: Duration = Duration::from_secs(10);
+const CRASHING_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// Retry delay for a caller of a VM that is shutting down: short, since the retry goes to another
 /// VM.
-const SHUTDOWN_RETRY: Duration = Duration::from_millis(20);
+const SHUTDOWN_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Settings of a [`Gateway`].
 #[derive(Clone, Debug)]
@@ -326,7 +326,7 @@
         let now = self.timer.now();
         let mut state = self.state.lock();
         let Some(config) = state.config.get().cloned() else {
-            return Err(refused(call, RefusalReason::NoUpstream, NOT_READY_RETRY).into());
+            return Err(refused(call, RefusalReason::NoUpstream, NOT_READY_RETRY_DELAY).into());
         };
         let route = config
             .routes
@@ -344,10 +344,10 @@
             .record_call(&self.settings.retry_budget, now);
         let digest = call.digest(team.as_ref());
         if state.crashes.is_refused(digest, now) {
-            return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY).into());
+            return Err(refused(call, RefusalReason::Poisoned, CRASHING_RETRY_DELAY).into());
         }
         if !self.accepts(route.timeout) {
-            return Err(refused(call, RefusalReason::ShuttingDown, SHUTDOWN_RETRY).into());
+            return Err(refused(call, RefusalReason::ShuttingDown, SHUTDOWN_RETRY_DELAY).into());
         }
         let timeout = call.timeout.map_or(route.timeout, |p| p.min(route.timeout));
         if self.log.admits(LineKind::Accepted, now) {
--- a/crates/catkinward/src/gateway/mod.rs
+++ b/crates/catkinward/src/gateway/mod.rs
@@ -44,7 +44,7 @@
 pub use self::{
     call::{Call, Prompt},
     call_log::{CallLog, LineKind},
-    core::{Gateway, GatewaySettings, NOT_READY_RETRY},
+    core::{Gateway, GatewaySettings, NOT_READY_RETRY_DELAY},
     feed::{
         Feed, FeedError, FeedPage, ReadFromPeer, RequestChanges, follow_config, follow_upstreams,
     },
--- a/crates/catkinward/src/peer_exchange.rs
+++ b/crates/catkinward/src/peer_exchange.rs
@@ -1,7 +1,7 @@
 //! The exchange of gossip with neighbours.
 
 use super::*;
-use crate::peers::PROBE_TIMEOUT;
+use crate::peers::PEER_REQUEST_TIMEOUT;
 
 /// Interval at which this VM exchanges gossip with one of its neighbours.
 const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
                 continue;
             };
             let reply = link
-                .request(PeerBody::FetchBundle(digest), PROBE_TIMEOUT)
+                .request(PeerBody::FetchBundle(digest), PEER_REQUEST_TIMEOUT)
                 .await;
             if let Ok(PeerBody::BundleContent(Some(content))) = reply {
                 return Some(Bytes::copy_from_slice(content.as_bytes()));
@@ -83,7 +83,7 @@
         let link = self.link(peer).await?;
         let (deaths, connected_at) = (message.poison.len(), self.timer.now());
         match link
-            .request(PeerBody::Gossip(Box::new(message)), PROBE_TIMEOUT)
+            .request(PeerBody::Gossip(Box::new(message)), PEER_REQUEST_TIMEOUT)
             .await
         {
             Ok(PeerBody::Gossip(gossip)) => {
@@ -108,7 +108,7 @@
 
     /// Sends the crash records of a request to other VMs and applies what they reply about these
     /// crashes: all VMs of a small system, [`MAX_QUERIED_PEERS`] of a larger one. Waits for the
-    /// replies up to [`PROBE_TIMEOUT`].
+    /// replies up to [`PEER_REQUEST_TIMEOUT`].
     pub(crate) async fn query_crash_records(
         self: &Arc<Self>,
         poison: Vec<PoisonRecord>,
@@ -126,7 +126,7 @@
     }
 
     /// Announces to VMs that a suspect request is about to run, with its crash records. Waits up to
-    /// [`PROBE_TIMEOUT`] for the replies of the VMs that its caller may reconnect to; the other VMs
+    /// [`PEER_REQUEST_TIMEOUT`] for the replies of the VMs that its caller may reconnect to; the other VMs
     /// get the announcement as well.
     pub(crate) async fn announce(
         self: &Arc<Self>,
@@ -175,7 +175,7 @@
             let is_awaited = awaited.contains(peer);
             let (peers, peer, gossip) = (self.clone(), peer.clone(), gossip.clone());
             let exchange = tokio::spawn(async move { peers.exchange(&peer, gossip).await });
-            is_awaited.then(|| tokio::time::timeout(PROBE_TIMEOUT, exchange))
+            is_awaited.then(|| tokio::time::timeout(PEER_REQUEST_TIMEOUT, exchange))
         });
         let results = futures::future::join_all(exchanges.collect::<Vec<_>>()).await;
         let answered = results
--- a/crates/catkinward/src/peers.rs
+++ b/crates/catkinward/src/peers.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 
 /// Timeout of a request to a peer.
-pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+pub(crate) const PEER_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The other VMs: their addresses, connections to a few of them, and progress replicas stored for
 /// them.
--- a/crates/catkinward/src/progress_replicas.rs
+++ b/crates/catkinward/src/progress_replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of the progress of generations: stored for other VMs, searched for, and taken over.
 
 use super::*;
-use crate::{peer_link::PeerLink, peers::PROBE_TIMEOUT};
+use crate::{peer_link::PeerLink, peers::PEER_REQUEST_TIMEOUT};
 
 /// Longest time that a token waits until its replica has been written to the connection. A peer
 /// that stopped responding must not delay a caller.
@@ -98,7 +98,7 @@
             tokio::spawn(async move {
                 let link = peers.link(&peer).await?;
                 let body = PeerBody::TakenOver(Box::new(update));
-                link.send(body, PROBE_TIMEOUT).await
+                link.send(body, PEER_REQUEST_TIMEOUT).await
             });
         }
     }
@@ -130,14 +130,19 @@
         let query = async {
             let link = self.link(&peer).await.ok()?;
             let reply = link
-                .request(PeerBody::Find(id, point.next, point.origin), PROBE_TIMEOUT)
+                .request(
+                    PeerBody::Find(id, point.next, point.origin),
+                    PEER_REQUEST_TIMEOUT,
+                )
                 .await;
             if reply.is_err() {
                 self.remove_link(&peer.vm, link.serial);
             }
             reply.ok()
         };
-        if let Ok(Some(PeerBody::Found(found))) = tokio::time::timeout(PROBE_TIMEOUT, query).await {
+        if let Ok(Some(PeerBody::Found(found))) =
+            tokio::time::timeout(PEER_REQUEST_TIMEOUT, query).await
+        {
             return found.map(|record| *record);
         }
         self.mark_unreachable(&peer.vm);
