--- a/crates/catkinward/src/admission_pool.rs
+++ b/crates/catkinward/src/admission_pool.rs
@@ -53,7 +53,7 @@
     ///
     /// If it would be refused, which is counted as a refusal.
     pub(crate) fn check(&self, arrival: &Arrival) -> Result<(), Refusal> {
-        let checked = self.queue.lock().check(self.timer.now(), arrival);
+        let checked = self.queue.lock().check_admission(self.timer.now(), arrival);
         checked.map(|_| ()).map_err(|(reason, retry_after)| {
             self.count_refusal(reason);
             Refusal {
--- a/crates/catkinward/src/claim_committer.rs
+++ b/crates/catkinward/src/claim_committer.rs
@@ -40,11 +40,11 @@
     }
 
     pub(crate) fn claim(&self, change: ClaimChange, deadline: Instant, waiter: Waiter) {
-        self.add(|queue| queue.claim(change, deadline, waiter));
+        self.update_queue(|queue| queue.claim(change, deadline, waiter));
     }
 
     pub(crate) fn end(&self, change: ClaimChange) {
-        self.add(|queue| queue.record_end(change));
+        self.update_queue(|queue| queue.record_end(change));
     }
 
     /// Waits until no change is queued or in flight.
@@ -53,9 +53,9 @@
         let _ = empty.wait_for(|empty| *empty).await;
     }
 
-    fn add(&self, add: impl FnOnce(&mut ClaimQueue<Waiter>)) {
+    fn update_queue(&self, update: impl FnOnce(&mut ClaimQueue<Waiter>)) {
         let mut queue = self.queue.lock();
-        add(&mut queue);
+        update(&mut queue);
         self.empty.send_replace(false);
         drop(queue);
         self.change_added.notify_one();
--- a/crates/catkinward/src/gateway/peer_heartbeats.rs
+++ b/crates/catkinward/src/gateway/peer_heartbeats.rs
@@ -141,7 +141,7 @@
         let mut suspects = Vec::new();
         for upstream in state.upstreams_mut() {
             let prefill = upstream.load.prefill_left(now);
-            let calls = upstream.load.streams();
+            let calls = upstream.load.call_and_copy_count();
             if calls > 0 || !prefill.is_zero() {
                 loads.push(PeerLoad {
                     upstream: upstream.entry.id.clone(),
--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -276,7 +276,7 @@
     async fn drive(&mut self, rollout: &Rollout) {
         match self.decide(rollout) {
             StoreAction::Nothing => {}
-            StoreAction::Confirm { term } => self.confirm(rollout, term).await,
+            StoreAction::Confirm { term } => self.check_ownership(rollout, term).await,
             StoreAction::End { record, version } => {
                 match self.write(rollout, &record, version).await {
                     Some(RolloutWriteResult::Done(_)) => self.finish(rollout, record.progress),
@@ -359,7 +359,7 @@
     }
 
     /// Checks in the store that this VM still owns a rollout.
-    async fn confirm(&mut self, rollout: &Rollout, term: u64) {
+    async fn check_ownership(&mut self, rollout: &Rollout, term: u64) {
         let service = &rollout.order.service;
         let read = self.read(service).await;
         let now = self.gateway.timer.now();
--- a/crates/catkinward/src/generation_driver.rs
+++ b/crates/catkinward/src/generation_driver.rs
@@ -304,7 +304,7 @@
                 }
                 let found = Box::pin(self.reattach_after_order(&upstream, order, &error)).await;
                 if !error.may_have_started() {
-                    guard.release();
+                    guard.disarm();
                 }
                 found.ok_or(error)?
             }
@@ -390,7 +390,7 @@
             }
             EngineEvent::End(end) => {
                 if let Delivery::End(finish) = self.generation.end(&end)? {
-                    attempt.guard.release();
+                    attempt.guard.disarm();
                     attempt.upstream.record_completion();
                     attempt.upstream.record_success();
                     return Ok(Some(finish));
--- a/crates/catkinward/src/node.rs
+++ b/crates/catkinward/src/node.rs
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// If the bundle is invalid; the error names the field.
-    pub fn put_bundle_in_force(&self, version: u64, json: &str) -> Result<bool> {
+    pub fn activate_bundle(&self, version: u64, json: &str) -> Result<bool> {
         let bundle = read_bundle(BundleVersion(version), json)?;
         Ok(self.bundle.advance(bundle))
     }
--- a/crates/catkinward/src/running_attempt.rs
+++ b/crates/catkinward/src/running_attempt.rs
@@ -15,7 +15,7 @@
     address: SocketAddr,
     id: RequestId,
     attempt: Attempt,
-    released: bool,
+    disarmed: bool,
 }
 
 impl AttemptGuard {
@@ -46,19 +46,19 @@
             address,
             id,
             attempt,
-            released: false,
+            disarmed: false,
         }
     }
 
     /// Disables the cancellation, because the attempt has ended or never started.
-    pub(crate) fn release(&mut self) {
-        self.released = true;
+    pub(crate) fn disarm(&mut self) {
+        self.disarmed = true;
     }
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.released {
+        if !self.disarmed {
             engine_client::spawn_cancel(&self.connections, self.address, &self.id, self.attempt);
         }
     }
--- a/crates/catkinward/src/upstream_handle.rs
+++ b/crates/catkinward/src/upstream_handle.rs
@@ -134,7 +134,7 @@
             .evidence
             .record_response(self.incarnation, now);
         if let Some(run) = self.run {
-            self.observer.poison.lock().finished(run);
+            self.observer.poison.lock().completed(run);
         }
     }
 
--- a/crates/catkinward/tests/catkinctl.rs
+++ b/crates/catkinward/tests/catkinctl.rs
@@ -423,7 +423,7 @@
     let one = start_vm("vm-1", "govan-hall").await;
     let two = start_vm("vm-2", "leith-hall").await;
     let empty = r#"{"teams": [], "services": [], "upstreams": []}"#;
-    let put = two.node.put_bundle_in_force(3, empty);
+    let put = two.node.activate_bundle(3, empty);
     expect_that!(put.expect("a valid bundle"), eq(true));
     let digest = two.node.bundle.current().digest.to_string();
     let (one, two) = (one.operators.to_string(), two.operators.to_string());
--- a/crates/catkinward/tests/operator_api.rs
+++ b/crates/catkinward/tests/operator_api.rs
@@ -82,7 +82,7 @@
     let empty = r#"{"teams": [], "services": [], "upstreams": []}"#;
     server
         .node
-        .put_bundle_in_force(3, empty)
+        .activate_bundle(3, empty)
         .expect("a valid bundle");
 
     let (_, after) = server.get("/v1/status", KEY).await;
--- a/crates/decisions/src/admission_queue.rs
+++ b/crates/decisions/src/admission_queue.rs
@@ -127,7 +127,7 @@
         for (_, slots) in &mut self.upstreams {
             slots.record_arrival(now, lane);
         }
-        let latest = match self.check(now, arrival) {
+        let latest = match self.check_admission(now, arrival) {
             Ok(latest) => latest,
             Err((reason, retry_after)) => return Err(request.refuse(reason, retry_after)),
         };
@@ -146,7 +146,7 @@
     /// # Errors
     ///
     /// Returns the reason for a refusal and the time after which the caller may retry.
-    pub fn check(
+    pub fn check_admission(
         &self,
         now: Instant,
         arrival: &Arrival,
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PoisonTracker {
     /// Sorted by digest and crash.
-    records: Vec<StoredRecord>,
+    records: Vec<TrackedRecord>,
     /// Sorted by digest and id.
     runs: Vec<Run>,
     last_run_id: u64,
@@ -83,7 +83,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct StoredRecord {
+struct TrackedRecord {
     digest: RequestDigest,
     crash: UpstreamCrashId,
     /// Earliest known detection of the crash, the same for all records of one crash.
@@ -204,7 +204,7 @@
     }
 
     /// Records that the upstream has completed a run.
-    pub fn finished(&mut self, run: TrackedRunId) {
+    pub fn completed(&mut self, run: TrackedRunId) {
         if self.remove(run).is_some_and(|run| run.on_probation) {
             self.clear(run.digest);
         }
@@ -343,7 +343,7 @@
         in_flight.extend(announced.into_iter().map(|digest| (digest, true)));
         let mut new = Vec::new();
         for (digest, presumed) in in_flight {
-            let record = StoredRecord {
+            let record = TrackedRecord {
                 digest,
                 crash,
                 detected_at: now,
@@ -391,7 +391,7 @@
     #[must_use]
     pub fn explaining_records(&self, records: &[PoisonRecord], now: Instant) -> Vec<PoisonRecord> {
         let shared =
-            |record: &&StoredRecord| records.iter().any(|other| other.crash == record.crash);
+            |record: &&TrackedRecord| records.iter().any(|other| other.crash == record.crash);
         let sharing = self.records.iter().filter(shared);
         let mut digests = sharing.map(|record| record.digest).collect::<Vec<_>>();
         digests.dedup();
@@ -416,7 +416,7 @@
         let mut new = Vec::new();
         for record in records {
             let age = Duration::from_millis(record.age_ms.into());
-            let changed = self.merge_record(StoredRecord {
+            let changed = self.merge_record(TrackedRecord {
                 digest: record.digest,
                 crash: record.crash,
                 detected_at: Instant(now.0.saturating_sub(age)),
@@ -450,7 +450,7 @@
     /// Whether a digest that reached the limit earlier than this one was in flight at the crash.
     fn is_explained_by_other(
         &self,
-        record: &StoredRecord,
+        record: &TrackedRecord,
         own_limit: Option<Instant>,
         now: Instant,
     ) -> bool {
@@ -481,7 +481,7 @@
         &self,
         digest: RequestDigest,
         now: Instant,
-    ) -> impl Iterator<Item = &StoredRecord> {
+    ) -> impl Iterator<Item = &TrackedRecord> {
         let start = self
             .records
             .partition_point(|record| record.digest < digest);
@@ -492,7 +492,7 @@
     }
 
     /// Merges a record and returns whether it was new.
-    fn merge_record(&mut self, mut record: StoredRecord) -> bool {
+    fn merge_record(&mut self, mut record: TrackedRecord) -> bool {
         let of_crash = self.records.iter_mut().filter(|m| m.crash == record.crash);
         for other in of_crash {
             record.detected_at = record.detected_at.min(other.detected_at);
@@ -581,7 +581,7 @@
     }
 }
 
-impl StoredRecord {
+impl TrackedRecord {
     fn to_message(&self, now: Instant) -> PoisonRecord {
         let age = now.since(self.detected_at).as_millis();
         PoisonRecord {
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -27,7 +27,7 @@
 pub struct UpstreamEvidence {
     current: Option<Incarnation>,
     /// Time at which the first report of the current incarnation was requested.
-    since: Instant,
+    first_report_requested_at: Instant,
     /// Latest time at which a request was sent that the current incarnation has answered.
     last_seen: Instant,
     /// Incarnations that have ended, or that another one has replaced.
@@ -73,7 +73,7 @@
         if let Some(former) = former {
             push_bounded(&mut self.replaced, former);
         }
-        self.since = requested_at;
+        self.first_report_requested_at = requested_at;
         self.last_seen = requested_at;
         former
     }
@@ -152,8 +152,8 @@
 
     /// When the first report of that process was requested.
     #[must_use]
-    pub fn since(&self) -> Instant {
-        self.since
+    pub fn first_report_requested_at(&self) -> Instant {
+        self.first_report_requested_at
     }
 
     /// Time of the latest evidence from that process.
--- a/crates/decisions/src/upstream_load.rs
+++ b/crates/decisions/src/upstream_load.rs
@@ -96,7 +96,7 @@
 
     /// Number of calls of this VM there and of KV copies that it keeps there, as sent to other VMs.
     #[must_use]
-    pub fn streams(&self) -> u32 {
+    pub fn call_and_copy_count(&self) -> u32 {
         self.own_calls + self.copies
     }
 
--- a/crates/decisions/src/upstream_record.rs
+++ b/crates/decisions/src/upstream_record.rs
@@ -159,7 +159,8 @@
             load: others + self.own_requests,
             capacity: self.report.capacity.max(1),
             weight: self.ejection.weight(now)
-                * slow_start_weight(self.evidence.since(), SLOW_START, now).max(0.1),
+                * slow_start_weight(self.evidence.first_report_requested_at(), SLOW_START, now)
+                    .max(0.1),
             latency: self.mean_latency(now),
             own_zone: true,
             affinity: 0,
--- a/crates/decisions/tests/poison.rs
+++ b/crates/decisions/tests/poison.rs
@@ -297,7 +297,7 @@
             }
             self.requests[i].steps_left -= 1;
             if self.requests[i].steps_left == 0 {
-                self.tracker.finished(run);
+                self.tracker.completed(run);
                 self.requests[i].done = true;
                 self.requests[i].run = None;
             } else {
@@ -355,7 +355,7 @@
             crash(tracker, *n);
             if *clear {
                 let run = start(tracker, digest, 9);
-                tracker.finished(run);
+                tracker.completed(run);
             }
         }
         let mut sent = peers.iter().flat_map(|t| t.records(at(0))).collect::<Vec<_>>();
--- a/crates/decisions/tests/suspect_runs.rs
+++ b/crates/decisions/tests/suspect_runs.rs
@@ -113,7 +113,7 @@
     let run = start(&mut other, poison_digest(), 1);
     let mut tracker = tracker_after_announcement();
 
-    other.finished(run);
+    other.completed(run);
     tracker.merge(&other.records(at(0)), at(0));
     let unchecked = tracker.unchecked(poison_digest(), at(0));
     crash(&mut tracker, 1);
--- a/crates/load/examples/plain_overload.rs
+++ b/crates/load/examples/plain_overload.rs
@@ -73,7 +73,7 @@
         ..Settings::default()
     };
     let node = Node::start(settings)?;
-    node.put_bundle_in_force(1, &serde_json::to_string(&bundle_of(servers))?)?;
+    node.activate_bundle(1, &serde_json::to_string(&bundle_of(servers))?)?;
     tokio::spawn(async move { node.serve(listener).await });
     Ok(address)
 }
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -38,7 +38,7 @@
             false_not_run: self
                 .results
                 .iter()
-                .filter(|r| self.ran_despite_not_run(r))
+                .filter(|r| self.ran_although_reported_not_run(r))
                 .count(),
             resume_ms: Percentiles::of(self.results.iter().filter_map(|r| self.fault_delay(r))),
             first_token_ms: Percentiles::of(self.results.iter().filter_map(first_token)),
@@ -80,7 +80,7 @@
         }
     }
 
-    fn ran_despite_not_run(&self, result: &GenerationResult) -> bool {
+    fn ran_although_reported_not_run(&self, result: &GenerationResult) -> bool {
         let digest = request_digest("", result.call.prompt.as_bytes());
         let ran = || {
             self.engines
--- a/crates/load/tests/rollout.rs
+++ b/crates/load/tests/rollout.rs
@@ -96,7 +96,7 @@
     let (long, versions) = tokio::join!(generate(&router, 300), async {
         router
             .node
-            .put_bundle_in_force(2, &bundle(&engines, "2"))
+            .activate_bundle(2, &bundle(&engines, "2"))
             .expect("a valid bundle");
         let mut versions = Vec::new();
         while engines_with_version(&engines, "2") < ENGINES {
--- a/crates/load/tests/router_support/mod.rs
+++ b/crates/load/tests/router_support/mod.rs
@@ -120,8 +120,7 @@
         let address = listener.address().expect("a bound address");
         let node = Node::start(settings).expect("the node starts");
         let bundle = serde_json::to_string(&bundle_of(engines, plain)).expect("JSON");
-        node.put_bundle_in_force(1, &bundle)
-            .expect("a valid bundle");
+        node.activate_bundle(1, &bundle).expect("a valid bundle");
         let serving = node.clone();
         tokio::spawn(async move { serving.serve(listener).await });
         Self {
--- a/crates/standins/src/bin/catkinward-demo.rs
+++ b/crates/standins/src/bin/catkinward-demo.rs
@@ -49,7 +49,7 @@
     let listener = Listener::bind(free_address()).await?;
     let address = listener.address()?;
     let node = Node::start(Settings::default())?;
-    node.put_bundle_in_force(1, &serde_json::to_string(&bundle)?)?;
+    node.activate_bundle(1, &serde_json::to_string(&bundle)?)?;
     tokio::spawn(async move { node.serve(listener).await });
     Ok(address)
 }
--- a/crates/standins/tests/team_limits.rs
+++ b/crates/standins/tests/team_limits.rs
@@ -48,7 +48,7 @@
     let router = listener.address().expect("it listens");
     let node = Node::start(settings).expect("valid settings");
     let json = serde_json::to_string(&bundle).expect("JSON");
-    node.put_bundle_in_force(1, &json).expect("a valid bundle");
+    node.activate_bundle(1, &json).expect("a valid bundle");
     let serving = node.clone();
     tokio::spawn(async move { serving.serve(listener).await });
     TestSystem {
