--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -9,8 +9,8 @@
 /// Minimum interval between the reports of a VM.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for each live VM in the interval between reports, which bounds the rate at which an owner of a
-/// large fleet receives them.
+/// Interval between the reports of a VM, per live VM. The interval grows with the fleet, which bounds the
+/// rate at which an owner receives reports.
 const REPORT_INTERVAL_PER_VM: Duration = Duration::from_millis(4);
 
 /// Timeout of a platform store call.
@@ -19,7 +19,8 @@
 /// Interval at which an owner checks in the store that it still is the owner.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Delay after the store did not answer, or after another VM wrote the record first.
+/// Delay before the next store access after the store did not answer or another VM wrote the record
+/// first.
 const STORE_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Delay before another attempt to complete a rollout. Requests are served as before meanwhile.
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -18,7 +18,8 @@
 #[derive(Clone, Debug)]
 pub struct OrderPlanner {
     cfg: OrderSettings,
-    /// Old models, sorted, and when each was last in use.
+    /// Models that engines have reported as loaded but that are not wanted on any engine, sorted, and when
+    /// each was last in use.
     old_models: Vec<(Model, Instant)>,
     /// Last order sent to each engine, sorted.
     last_orders: Vec<(UpstreamId, SentOrder)>,
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -6,7 +6,7 @@
     /// The sender's heartbeat.
     #[serde(rename = "n")]
     Note(PeerHeartbeat),
-    /// Members for a VM that requested some in its heartbeat.
+    /// Status of some members of the fleet, for a VM that requested members in its heartbeat.
     #[serde(rename = "m")]
     Members(Vec<MemberStatus>),
     /// What the sender has read from the platform store.
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -52,13 +52,13 @@
 pub struct RolloutOwner {
     /// Term of this owner.
     pub term: u64,
-    /// Version of the last write of the durable record.
+    /// Version of the stored rollout record, as last written or read by this owner.
     pub version: u64,
     /// Deadline by the store's clock, in milliseconds.
     pub deadline_ms: u64,
-    /// Requests and grants of all VMs.
+    /// Requests that the VMs have reported, and canary requests granted to them.
     pub ledger: ExposureLedger,
-    /// Evidence of all VMs.
+    /// Judges the new version by the responses that all VMs have reported.
     pub judge: RolloutJudge,
 }
 
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -33,7 +33,9 @@
     targets: Vec<EngineTarget>,
     engines: Vec<Engine>,
     planner: OrderPlanner,
+    /// Largest number of engines that were loading models at the same time.
     max_loading: usize,
+    /// Smallest number of engines that had a model loaded at the same time.
     min_serving: usize,
 }
 
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -38,11 +38,11 @@
     pub answered_in_deadline: f64,
     /// Calls that were reported as not run.
     pub refused: usize,
-    /// Calls that ended with another typed problem.
+    /// Calls that ended with a problem response of another type.
     pub failed: usize,
-    /// Calls that received neither a response nor a typed problem.
+    /// Calls that received neither a response nor a problem response.
     pub lost_answers: usize,
-    /// Calls that received a mismatched response.
+    /// Calls that received the response of another request, or an unreadable one.
     pub crossed_answers: usize,
     /// Latency of refusals.
     pub refused_ms: Percentiles,
