--- a/crates/catkinward/src/gateway/rollout_task.rs
+++ b/crates/catkinward/src/gateway/rollout_task.rs
@@ -9,8 +9,8 @@
 /// Minimum interval between the reports of a VM.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for each live VM in the interval between reports, which bounds the rate at which an owner of a
-/// large fleet receives them.
+/// Interval between the reports of a VM, per live VM. The interval grows with the fleet, which bounds the
+/// rate at which an owner receives reports.
 const REPORT_INTERVAL_PER_VM: Duration = Duration::from_millis(4);
 
 /// Timeout of a platform store call.
@@ -19,7 +19,8 @@
 /// Interval at which an owner checks in the store that it still is the owner.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Delay after the store did not answer, or after another VM wrote the record first.
+/// Delay before the next store access after the store did not answer or another VM wrote the record
+/// first.
 const STORE_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Delay before another attempt to complete a rollout. Requests are served as before meanwhile.
@@ -59,7 +60,7 @@
 struct RolloutTask {
     gateway: Arc<Gateway>,
     store: RolloutStore,
-    /// Time of the next report.
+    /// Time of the next report to the owners of the running rollouts.
     next_report_at: Instant,
 }
 
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Rollouts whose end is not stored, and those that this VM owns.
+    /// Returns the rollouts whose end is not stored yet, and those that this VM owns.
     fn running(&self) -> Vec<Rollout> {
         let mut state = self.gateway.state.lock();
         let mut rollouts = state
@@ -109,7 +110,8 @@
         rollouts
     }
 
-    /// Sends reports if they are due; returns whether it did.
+    /// Sends this VM's counts of requests and responses to the owners of the running rollouts if a
+    /// report is due; returns whether one was due.
     fn report(&mut self, running: &[Rollout]) -> bool {
         let now = self.gateway.timer.now();
         if now < self.next_report_at || running.is_empty() {
@@ -275,7 +277,7 @@
     async fn drive(&mut self, rollout: &Rollout) {
         match self.decide(rollout) {
             StoreAction::Nothing => {}
-            StoreAction::Confirm { term } => self.confirm(rollout, term).await,
+            StoreAction::Confirm { term } => self.check_ownership(rollout, term).await,
             StoreAction::End { record, version } => {
                 match self.write(rollout, &record, version).await {
                     Some(RolloutWriteResult::Done(_)) => self.finish(rollout, record.progress),
@@ -358,7 +360,7 @@
     }
 
     /// Checks in the store that this VM still owns a rollout.
-    async fn confirm(&mut self, rollout: &Rollout, term: u64) {
+    async fn check_ownership(&mut self, rollout: &Rollout, term: u64) {
         let service = &rollout.order.service;
         let read = self.read(service).await;
         let now = self.gateway.timer.now();
--- a/crates/decisions/src/order_planner.rs
+++ b/crates/decisions/src/order_planner.rs
@@ -18,7 +18,8 @@
 #[derive(Clone, Debug)]
 pub struct OrderPlanner {
     cfg: OrderSettings,
-    /// Old models, sorted, and when each was last in use.
+    /// Models that engines have reported as loaded but that are not wanted on any engine, sorted, and when
+    /// each was last in use.
     old_models: Vec<(Model, Instant)>,
     /// Last order sent to each engine, sorted.
     last_orders: Vec<(UpstreamId, SentOrder)>,
@@ -159,7 +160,8 @@
         }
     }
 
-    /// Old models in use, each with the engines that keep it.
+    /// Returns the old models that were used within `idle_before_unload`, each with the engines that
+    /// should keep it loaded.
     fn retained_models(&self, now: Instant, views: &[EngineView]) -> Vec<(Model, Vec<UpstreamId>)> {
         self.old_models
             .iter()
@@ -168,8 +170,8 @@
             .collect()
     }
 
-    /// Next target state of an engine; `None` if the engine is unreachable or already in that
-    /// state.
+    /// Returns the next target state of an engine; `None` if the engine is unreachable or already in
+    /// that state.
     fn target_state(
         &self,
         i: usize,
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -6,7 +6,7 @@
     /// The sender's heartbeat.
     #[serde(rename = "n")]
     Note(PeerHeartbeat),
-    /// Members for a VM that requested some in its heartbeat.
+    /// Status of some members of the fleet, for a VM that requested members in its heartbeat.
     #[serde(rename = "m")]
     Members(Vec<MemberStatus>),
     /// What the sender has read from the platform store.
@@ -24,10 +24,11 @@
     /// An update of a rollout, sent as soon as its state changes.
     #[serde(rename = "o")]
     Rollout(RolloutNotice),
-    /// The sender's counts for the owner of a rollout.
+    /// The sender's counts of requests, used grants and responses of both versions, for the owner of a
+    /// rollout.
     #[serde(rename = "p")]
     RolloutReport(RolloutReport),
-    /// The owner's reply to such counts.
+    /// The owner's reply to a rollout report: how many canary requests the VM may send.
     #[serde(rename = "g")]
     RolloutGrant(RolloutGrant),
 }
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -17,11 +17,11 @@
 /// Reason for a rollback.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RollbackReason {
-    /// The version responds worse than the old one.
+    /// The new version responds worse than the old one.
     Bad(RolloutVerdict),
-    /// There was too little evidence at the deadline.
+    /// At the deadline, there was too little evidence to judge the new version.
     Undecided,
-    /// The version had too few upstream slots at the deadline.
+    /// At the deadline, the upstreams of the new version had too few slots in total to take over.
     TooFewUpstreams,
     /// The order is invalid.
     Fault(RolloutOrderError),
@@ -52,13 +52,13 @@
 pub struct RolloutOwner {
     /// Term of this owner.
     pub term: u64,
-    /// Version of the last write of the durable record.
+    /// Version of the stored rollout record, as last written or read by this owner.
     pub version: u64,
     /// Deadline by the store's clock, in milliseconds.
     pub deadline_ms: u64,
-    /// Requests and grants of all VMs.
+    /// Requests that the VMs have reported, and canary requests granted to them.
     pub ledger: ExposureLedger,
-    /// Evidence of all VMs.
+    /// Judges the new version by the responses that all VMs have reported.
     pub judge: RolloutJudge,
 }
 
--- a/crates/decisions/src/upstream_evidence.rs
+++ b/crates/decisions/src/upstream_evidence.rs
@@ -26,8 +26,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamEvidence {
     current: Option<Incarnation>,
-    since: Instant,
+    /// Time at which the first report of the current incarnation was requested.
+    first_report_requested_at: Instant,
+    /// Latest time at which a request was sent that the current incarnation has answered.
     last_seen: Instant,
+    /// Incarnations that have ended, or that another one has replaced.
     replaced: Vec<Incarnation>,
     leaving: Vec<(Incarnation, LeavingSource)>,
     listed: ListedState,
@@ -70,7 +73,7 @@
         if let Some(former) = former {
             push_bounded(&mut self.replaced, former);
         }
-        self.since = requested_at;
+        self.first_report_requested_at = requested_at;
         self.last_seen = requested_at;
         former
     }
@@ -149,8 +152,8 @@
 
     /// When the first report of that process was requested.
     #[must_use]
-    pub fn since(&self) -> Instant {
-        self.since
+    pub fn first_report_requested_at(&self) -> Instant {
+        self.first_report_requested_at
     }
 
     /// Time of the latest evidence from that process.
--- a/crates/decisions/tests/orders.rs
+++ b/crates/decisions/tests/orders.rs
@@ -33,7 +33,9 @@
     targets: Vec<EngineTarget>,
     engines: Vec<Engine>,
     planner: OrderPlanner,
+    /// Largest number of engines that were loading models at the same time.
     max_loading: usize,
+    /// Smallest number of engines that had a model loaded at the same time.
     min_serving: usize,
 }
 
@@ -116,7 +118,7 @@
         (0..count).for_each(|_| self.run_second());
     }
 
-    /// Indices of the engines that hold a version.
+    /// Returns the indices of the engines that report a model version as loaded.
     fn holders(&self, version: &str) -> Vec<usize> {
         let held = |i: &usize| self.engines[*i].report.is_loaded(&model(version));
         (0..self.engines.len()).filter(held).collect()
--- a/crates/load/src/quick_report.rs
+++ b/crates/load/src/quick_report.rs
@@ -16,7 +16,8 @@
     pub measures: QuickMeasures,
     /// Metrics of the same calls sent directly to the upstreams, round robin.
     pub baseline: QuickMeasures,
-    /// Latency of answered calls of all teams except the hot one.
+    /// Latency of answered calls of all teams except team 0, which makes three quarters of the calls in
+    /// the scenario `hot-team`.
     pub others_quick_ms: Percentiles,
     /// Requests that were reported as not run although an upstream ran them.
     pub false_not_run: usize,
@@ -37,11 +38,11 @@
     pub answered_in_deadline: f64,
     /// Calls that were reported as not run.
     pub refused: usize,
-    /// Calls that ended with another typed problem.
+    /// Calls that ended with a problem response of another type.
     pub failed: usize,
-    /// Calls that received neither a response nor a typed problem.
+    /// Calls that received neither a response nor a problem response.
     pub lost_answers: usize,
-    /// Calls that received a mismatched response.
+    /// Calls that received the response of another request, or an unreadable one.
     pub crossed_answers: usize,
     /// Latency of refusals.
     pub refused_ms: Percentiles,
