--- a/crates/catkinward/src/gateway/feed.rs
+++ b/crates/catkinward/src/gateway/feed.rs
@@ -37,7 +37,8 @@
     pub name: &'static str,
     /// Reads all rows.
     pub read: ReadSnapshot<T>,
-    /// Requests the changes after a version; waits at the store for the given duration at most.
+    /// Long-polls the store for changes after a version; the store replies after at most the given
+    /// duration.
     pub changes: RequestChanges<T>,
     /// Reads all rows that another VM has, if that VM has recent responses of the platform.
     pub read_from_peer: ReadFromPeer<T>,
--- a/crates/catkinward/src/plain_dispatch.rs
+++ b/crates/catkinward/src/plain_dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of calls of plain services: either once, or with retries and a hedge.
+//! Dispatches calls to plain services: once if the call must not be retried, otherwise with retries and a
+//! hedge.
 
 use super::*;
 use crate::{
--- a/crates/catkinward/src/platform.rs
+++ b/crates/catkinward/src/platform.rs
@@ -22,7 +22,7 @@
 pub type PlatformCall<Q, A> =
     Box<dyn Fn(Q) -> BoxFuture<'static, Result<A, PlatformError>> + Send + Sync>;
 
-/// Error of a call of the platform.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, Display, IntoStaticStr, PartialEq, StdError)]
 #[strum(serialize_all = "snake_case")]
 pub enum PlatformError {
--- a/crates/catkinward/tests/gateway_zone_config.rs
+++ b/crates/catkinward/tests/gateway_zone_config.rs
@@ -327,7 +327,8 @@
     expect_that!(start.elapsed(), le(CONFIG_GOSSIP_MAX_AGE + GOSSIP_INTERVAL));
 }
 
-/// All VMs that advertise crash at once, right after the store has acknowledged a change.
+/// All VMs that advertise the configuration version crash right after the store has acknowledged a change;
+/// the remaining VM must request the configuration itself.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn configuration_is_requested_when_gossip_stops() {
--- a/crates/decisions/src/ineligible.rs
+++ b/crates/decisions/src/ineligible.rs
@@ -9,7 +9,7 @@
     /// Its last report or response is too old to rely on.
     #[display("the upstream's last report is too old")]
     Stale,
-    /// It is leaving the service.
+    /// The upstream is shutting down and accepts no new requests.
     #[display("the upstream is leaving, reported by {reported_by}")]
     Leaving {
         /// Who reported that it is leaving.
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -25,10 +25,10 @@
 /// Cost of each call in flight at a plain service: the typical duration of such a call.
 const CALL_COST: f64 = 30.0;
 
-/// Cost of another zone for streams. Smaller than [`STREAM_COST`], so that an idle engine in another zone
-/// is used before a prompt is prefilled beside a running stream in the own zone. Zones crash in turn and
-/// callers are unevenly distributed over them; with a larger cost, the streams of a zone pile up on the
-/// engines that are left in it.
+/// Additional cost of a stream's upstream in another zone. Less than [`STREAM_COST`], so that an idle
+/// engine elsewhere is preferred to a prefill that delays a running stream in this VM's zone. Any zone can
+/// lose engines, and callers are unevenly distributed over the zones; a larger cost would overload the
+/// remaining engines of such a zone.
 pub const OTHER_ZONE_STREAM_COST: f64 = 100.0;
 
 /// Cost of another zone for plain calls: that of two more calls waiting in the own zone.
@@ -54,8 +54,8 @@
 /// Cost of a suspect upstream; higher than that of a suspect zone, since the upstream itself has failed.
 const SUSPECT_COST: f64 = 40_000.0;
 
-/// Cost, for plain calls, of an upstream whose latest calls all failed: a retry takes the time of one call
-/// at another upstream.
+/// Cost of an upstream whose latest plain calls all failed, in milliseconds of wait like the other costs:
+/// a call that fails there has to be repeated at another upstream.
 const FAILURE_COST: f64 = 200.0;
 
 /// Cost of another zone for KV copies, in calls: a copy holder in the own zone may have this many more
--- a/crates/decisions/src/rollout_judge.rs
+++ b/crates/decisions/src/rollout_judge.rs
@@ -17,8 +17,8 @@
 /// Fraction of bad responses, above that of the old versions, from which a version is bad.
 const EXCESS_BAD_FRACTION: f64 = 0.2;
 
-/// A response is slow if it is more than this many half octaves above the median, which is 2.8 to 4
-/// times the median latency.
+/// A response is slow if its latency bucket is more than this many above the median's. Two buckets are a
+/// factor of 2, so a response is slow from 2.8 to 4 times the median latency.
 const SLOW_BUCKETS: u8 = 3;
 
 /// Latency up to which no response is slow, whatever the median.
--- a/crates/decisions/tests/poison_support/mod.rs
+++ b/crates/decisions/tests/poison_support/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures for the tests of poison requests and suspects.
+//! Fixtures for tests of poison requests (which crash their upstream) and of requests suspected of being
+//! poison.
 
 // Each test file uses only some of the functions.
 #![allow(dead_code)]
--- a/crates/decisions/tests/restart_reports.rs
+++ b/crates/decisions/tests/restart_reports.rs
@@ -269,7 +269,8 @@
 }
 
 proptest! {
-    /// Reads, removals and late restart reports in any order, with VMs that the store rejects.
+    /// No VM uses an upstream again after its removal, whatever the order of store reads, removals and
+    /// late restart reports, even while the store rejects the requests of some VMs.
     #[test]
     fn reports_restore_no_removed_upstream(steps in prop::collection::vec(step(), 1..60)) {
         let mut store = Store::default();
--- a/crates/load/src/quick_scenario.rs
+++ b/crates/load/src/quick_scenario.rs
@@ -13,7 +13,7 @@
     pub load: f64,
     /// Start and end of a burst, as shares of the arrival window, and its factor on the arrival rate.
     pub burst: Option<(f64, f64, f64)>,
-    /// Share of all calls that the hot team makes, which is team 0.
+    /// Share of all calls that come from team 0, the hot team.
     pub hot_team: f64,
     /// Share of reads that read the hot item.
     pub hot_key: f64,
