--- a/crates/catkinward/src/gateway/stream_run.rs
+++ b/crates/catkinward/src/gateway/stream_run.rs
@@ -1,4 +1,5 @@
-//! A stream over one or more runs on upstreams.
+//! Serves a stream to a caller. Each attempt on an upstream is a run; when a run is lost, the stream
+//! resumes with another run.
 
 use super::{
     accepted_call::AcceptedCall,
@@ -21,7 +22,7 @@
 /// only covers dead connections.
 pub(super) const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A stream that is being served to a caller.
+/// State of a stream that is being served to a caller, across all its runs.
 pub(crate) struct StreamRun {
     pub(super) gateway: Arc<Gateway>,
     pub(super) accepted: AcceptedCall,
@@ -38,7 +39,8 @@
     pub(super) retry_prepaid: bool,
     /// Upstreams that may have run the stream, including the current one.
     pub(super) ran_on: Vec<UpstreamIncarnation>,
-    /// Upstreams whose connections broke before they produced an event, since the last run that produced one.
+    /// Upstreams whose connection broke before the first event of a run. Cleared when a run produces an
+    /// event.
     pub(super) broken_before_event: Vec<Arc<UpstreamEntry>>,
     /// Whether the caller has received an event.
     pub(super) delivered: bool,
--- a/crates/catkinward/src/gateway/stream_send.rs
+++ b/crates/catkinward/src/gateway/stream_send.rs
@@ -20,7 +20,7 @@
 /// cheap compared with a resume that finds no free slot.
 const MAX_SENDS: u32 = 12;
 
-/// Delay before the next send after all upstreams have refused.
+/// Delay before upstreams that refused or lost the stream are used again, when no other is left.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 impl StreamRun {
--- a/crates/catkinward/src/read_bundle.rs
+++ b/crates/catkinward/src/read_bundle.rs
@@ -22,11 +22,11 @@
     Ok(ReadBundle { bundle, body })
 }
 
-/// Parses and validates the canonical form of a release.
+/// Parses and validates a released bundle from its canonical form.
 ///
 /// # Errors
 ///
-/// Returns an error if `body` has another digest or is not a valid bundle.
+/// Returns an error if the digest of `body` is not `digest`, or if `body` is not a valid bundle.
 pub fn read_canonical(
     version: BundleVersion,
     digest: BundleDigest,
--- a/crates/catkinward/tests/explain.rs
+++ b/crates/catkinward/tests/explain.rs
@@ -34,7 +34,7 @@
     line(second, r#""message":"accepted","request":"r1","route":"a""#)
 }
 
-/// A stream was cut. The lines of two VMs must be merged and the cause of the cut named.
+/// A stream ended early. The log lines of two VMs must be merged and the cause shown.
 #[gtest]
 fn cut_stream_is_explained() {
     let lost = r#""message":"run of a stream lost","request":"r1","upstream":"u1","loss":"silent""#;
--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -72,7 +72,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the author proposed the draft, if it is signed off already, or if its digest differs.
+    /// Fails if `author`, the operator signing off, also proposed the draft, if the draft is signed off
+    /// already, or if its digest differs from `digest`.
     pub fn sign_off(
         draft: &Stored<BundleDraft>,
         digest: BundleDigest,
--- a/crates/decisions/src/engine_priority.rs
+++ b/crates/decisions/src/engine_priority.rs
@@ -22,7 +22,7 @@
     /// The priority of a hedge, which is sent while the original request still runs.
     pub const HEDGE: Self = Self(0);
 
-    /// The priority of an attempt that has `delivered` tokens as its forced prefix.
+    /// Priority of a request in `lane` that resumes after `delivered` tokens (0 if none was delivered).
     #[must_use]
     pub fn of(lane: Lane, delivered: TokenIndex) -> Self {
         match (lane, delivered) {
--- a/crates/decisions/src/lease_settings.rs
+++ b/crates/decisions/src/lease_settings.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Settings of a [`Lease`].
+/// Durations and timeouts by which VMs acquire and renew a [`Lease`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
     /// How long the lease lasts after each write. No orders are sent for this long after the holder
--- a/crates/decisions/src/peer_datagram.rs
+++ b/crates/decisions/src/peer_datagram.rs
@@ -54,7 +54,7 @@
     /// Service whose retries are transferred.
     #[serde(rename = "s")]
     pub service: ServiceId,
-    /// Number of the request that the loan replies to.
+    /// Number of the loan request that this loan answers.
     #[serde(rename = "n")]
     pub number: u64,
     /// Number of retries transferred.
--- a/crates/decisions/src/peer_loads.rs
+++ b/crates/decisions/src/peer_loads.rs
@@ -21,9 +21,9 @@
 /// several heartbeat intervals, so that a VM is not considered lost because of lost datagrams.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a VM is considered alive after it was last seen, if membership spreads by gossip. With four
-/// heartbeats per interval in a zone of 30 VMs, each listing eight members, an update on a VM reaches the
-/// last one after about six intervals.
+/// How long a VM is considered alive after it was last seen, if membership spreads by gossip. In a zone of
+/// 30 VMs, if each VM sends four heartbeats per interval and each heartbeat lists eight members, news of a
+/// VM reaches all others after about six intervals.
 const GOSSIPED_PEER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Interval of heartbeats while the load does not change.
--- a/crates/decisions/src/rollout_owner.rs
+++ b/crates/decisions/src/rollout_owner.rs
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Decides on the next step, `left` before the deadline.
+    /// Returns what the owner does next: roll back, complete or wait. `left` is the time until the
+    /// rollout's deadline.
     #[must_use]
     pub fn step(&self, left: Duration, slots: VersionSlots) -> OwnerStep {
         let verdict = self.judge.verdict();
--- a/crates/decisions/src/slice_allocator.rs
+++ b/crates/decisions/src/slice_allocator.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Grants a slice; `None` if the requesting VM is not a holder.
+    /// Grants a slice to the requesting VM; `None` if it is not one of the VMs that share this limit.
     pub fn grant(&mut self, request: &SliceRequest, now: Instant) -> Option<SliceGrant> {
         let floor = self.floor();
         let i = self
--- a/crates/decisions/src/team_slice.rs
+++ b/crates/decisions/src/team_slice.rs
@@ -68,7 +68,8 @@
         self.balance += cost;
     }
 
-    /// Rate that may be admitted now, per second.
+    /// Rate at which the slice refills, in cost units per second: the granted rate, or the floor after the
+    /// slice expires.
     #[must_use]
     pub fn rate(&self, now: Instant) -> f64 {
         match self.expires_at {
--- a/crates/decisions/tests/claims.rs
+++ b/crates/decisions/tests/claims.rs
@@ -421,9 +421,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// VMs claim the same keys while calls are lost before and after they take effect or arrive
-    /// after their senders gave up, and processes crash or pause between claim and dispatch. If a
-    /// key were dispatched twice, an order would be printed twice.
+    /// VMs claim the same keys while requests to the store are lost before or after they take effect,
+    /// or arrive after the VM has given up on them, and processes crash or pause between claim and
+    /// dispatch. If a key were dispatched twice, its call would take effect twice.
     #[test]
     fn no_key_is_dispatched_twice(
         steps in prop::collection::vec((0_u8..16, 0_usize..VMS, 0_usize..8), 0..120),
--- a/crates/decisions/tests/eligibility.rs
+++ b/crates/decisions/tests/eligibility.rs
@@ -10,7 +10,8 @@
 const FIRST: Incarnation = Incarnation(71);
 const SECOND: Incarnation = Incarnation(12);
 
-/// Maximum time from when any source knows that an upstream is leaving until it gets no new work.
+/// Maximum time from when a source (the platform's list, the upstream's report or another in
+/// [`LeavingSource`]) knows that an upstream is leaving until it gets no new work.
 const MAX_LEAVING_DELAY: Duration = Duration::from_secs(3);
 
 /// Maximum time until a dispatched request has reached its upstream or failed.
--- a/crates/decisions/tests/poison_attribution.rs
+++ b/crates/decisions/tests/poison_attribution.rs
@@ -73,8 +73,8 @@
 }
 
 proptest! {
-    /// VMs receive records in different orders. If the order decided whether a request is refused, it
-    /// would crash an engine at each VM that accepts it.
+    /// VMs receive records in different orders. If the order of the records decided whether a request is
+    /// refused, some VMs would accept a poison request, and each of them would lose an engine to it.
     #[test]
     fn refusals_do_not_depend_on_the_order_of_records(
         crashes in prop::collection::vec((0..5_u64, 0..6_u64, 0..5_u32, any::<bool>()), 1..20),
--- a/crates/load/tests/plain_calls.rs
+++ b/crates/load/tests/plain_calls.rs
@@ -62,8 +62,8 @@
     expect_that!(runs(&servers, &order), eq(1));
 }
 
-/// The upstream runs an order and never responds. At the deadline the caller must learn that the order
-/// may have run.
+/// The upstream executes a non-idempotent call and never responds. At the deadline the caller must learn
+/// that the call may have been executed.
 #[gtest]
 #[tokio::test]
 async fn order_without_response_is_unknown_at_its_deadline() {
