--- a/crates/decisions/src/peer_heartbeat.rs
+++ b/crates/decisions/src/peer_heartbeat.rs
@@ -21,7 +21,7 @@
     /// Upstreams that do not respond to the VM.
     #[serde(rename = "s")]
     pub suspects: Vec<UpstreamIncarnation>,
-    /// Calls during which upstreams crashed.
+    /// Crashes of upstreams that the VM knows of, each with the digest of a call that was running.
     #[serde(rename = "c")]
     pub crashes: Vec<Crash>,
     /// A few of the other VMs that the VM has received heartbeats or advertisements of.
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -26,9 +26,9 @@
 const CALL_COST: f64 = 30.0;
 
 /// Additional cost of a stream's upstream in another zone. Less than [`STREAM_COST`], so that an idle
-/// engine elsewhere is preferred to a prefill that delays a running stream in this VM's zone. Any zone can
-/// lose engines, and callers are unevenly distributed over the zones; a larger cost would overload the
-/// remaining engines of such a zone.
+/// engine elsewhere is preferred to a prefill that delays a running stream in this VM's zone. Zones
+/// crash one after the other, and callers are unevenly distributed over them; a larger cost would overload
+/// the remaining engines of a zone that has lost some.
 pub const OTHER_ZONE_STREAM_COST: f64 = 100.0;
 
 /// Cost of another zone for plain calls: that of two more calls waiting in the own zone.
@@ -55,7 +55,7 @@
 const SUSPECT_COST: f64 = 40_000.0;
 
 /// Cost of an upstream whose latest plain calls all failed, in milliseconds of wait like the other costs:
-/// a call that fails there has to be repeated at another upstream.
+/// a call that fails there is retried at another upstream, which takes the time of a further call.
 const FAILURE_COST: f64 = 200.0;
 
 /// Cost of another zone for KV copies, in calls: a copy holder in the own zone may have this many more
--- a/crates/decisions/src/request_state.rs
+++ b/crates/decisions/src/request_state.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns the request without a response.
+    /// Returns the request, whose outcome is unknown.
     pub fn into_request(self) -> T {
         self.request
     }
