--- a/crates/catkinward/src/gateway/buffered_call.rs
+++ b/crates/catkinward/src/gateway/buffered_call.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Selects the next upstream of a call that may have run; `None` if the route forbids a retry, or if no
-    /// upstream, time, sends or retry budget is left.
+    /// Selects the next upstream of a call that may have run; `None` if the route forbids a retry, its
+    /// maximum number of upstreams is reached, or no upstream, time, sends or retry budget is left.
     async fn next_for_retry(&self) -> Option<Arc<UpstreamEntry>> {
         let retryable = self.accepted.route.kind.may_retry();
         if !retryable || self.runs >= self.accepted.route.max_upstreams {
--- a/crates/catkinward/src/gateway/upstream_transport.rs
+++ b/crates/catkinward/src/gateway/upstream_transport.rs
@@ -136,7 +136,8 @@
     pub status: StatusCode,
     /// Headers that are passed to the caller unchanged.
     pub headers: HeaderMap,
-    /// Whether the response carries the upstream's signature.
+    /// Whether the response has the upstream's signature header, of which only the presence is checked, and
+    /// no content encoding. A success status without it does not count as a success.
     pub signed: bool,
     /// Whether the upstream states that it did not run the call.
     pub not_executed: bool,
--- a/crates/catkinward/src/platform_client.rs
+++ b/crates/catkinward/src/platform_client.rs
@@ -6,7 +6,8 @@
 /// Settings of the client for the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// Timeout of a call.
+    /// Time within which the complete response to a call must have arrived. A call beyond its limit fails
+    /// at once, so this includes no wait for the limiter.
     pub timeout: Duration,
     /// Call limit for reads, scans, VM lists and fetched objects.
     pub reads: CallLimiterSettings,
