--- a/crates/decisions/src/bundle_change.rs
+++ b/crates/decisions/src/bundle_change.rs
@@ -68,12 +68,11 @@
         })
     }
 
-    /// Signs off a draft; `digest` is that of the content that the operator reviewed.
+    /// Signs off a draft for the operator `author`, who reviewed content with the digest `digest`.
     ///
     /// # Errors
     ///
-    /// Fails if `author`, the operator signing off, also proposed the draft, if the draft is signed off
-    /// already, or if its digest differs from `digest`.
+    /// Fails if `author` proposed it, if it is signed off already, or if its digest is not `digest`.
     pub fn sign_off(
         draft: &Stored<BundleDraft>,
         digest: BundleDigest,
--- a/crates/decisions/src/poison_tracker.rs
+++ b/crates/decisions/src/poison_tracker.rs
@@ -251,13 +251,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if another VM has since reported that the request crashed upstreams, or has announced a
-    /// conflicting run that takes precedence.
+    /// Fails if the request has since been reported to crash upstreams, or another VM's run precedes it.
     pub fn commit(&mut self, run: TrackedRunId, now: Instant) -> Result<(), PoisonBlock> {
+        // Another VM has since reported that the request crashed upstreams.
         if self.is_refused(run.digest, now) {
             return Err(PoisonBlock::Refused);
         }
         let own = self.suspect_run(run);
+        // Another VM has announced a conflicting run that takes precedence.
         if own.is_some_and(|own| self.remote_runs.precedes(&own, now)) {
             return Err(PoisonBlock::OtherUpstream);
         }
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -229,8 +229,7 @@
         self.engines[engine].signal(signal)
     }
 
-    /// Injects a fault on the proxy route to an engine. The fleet must have been started with proxied
-    /// engines.
+    /// Injects a fault on the proxy route to an engine; needs a fleet started with proxied engines.
     ///
     /// # Errors
     ///
@@ -242,8 +241,7 @@
         Ok(())
     }
 
-    /// Delays every message between routers by `delay`. The fleet must have been started with proxied
-    /// peers.
+    /// Delays every message between routers by `delay`; needs a fleet started with proxied peers.
     ///
     /// # Errors
     ///
